--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -10,11 +10,11 @@
 
 import simpy
 
-from mapleshunt.control import Gateway
 from mapleshunt.model.agenda import Agenda
 from mapleshunt.model.day import day_of, sized
 from mapleshunt.model.engine import Engine
 from mapleshunt.model.scenarios import SCENARIOS
+from mapleshunt.policy.gateway import Gateway
 
 REPEATS = 3
 
@@ -39,7 +39,7 @@
     """Stands in for the decisions: sends to the next server, and costs next to nothing."""
 
     def __init__(self, settings, seed, now):  # type: ignore[no-untyped-def]
-        from mapleshunt import interface
+        from mapleshunt.policy import interface
 
         self.i, self.servers, self.next = interface, [0], seed
 
--- a/mapleshunt/__init__.py
+++ b/mapleshunt/__init__.py
@@ -1,7 +1,7 @@
 """Decisions of a quota-keeping gateway for a shared API."""
 
-from .control import Gateway
-from .interface import (
+from .policy.gateway import Gateway
+from .policy.interface import (
     Action,
     Begun,
     Cancel,
--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -19,7 +19,6 @@
 import uvloop
 from tornado.iostream import IOStream
 
-from . import interface as i
 from .duty.life import Drainer, Life
 from .invariants import Guard, broken_by_starting
 from .net import client, log, resp
@@ -33,6 +32,7 @@
 from .net.periodic import Periodic
 from .net.startup import StartSteps
 from .net.upstream import UpstreamGroup
+from .policy import interface as i
 
 if TYPE_CHECKING:
     from .extensions import Extensions
--- a/mapleshunt/duty/knowledge.py
+++ b/mapleshunt/duty/knowledge.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..control import Gateway
+from ..policy.gateway import Gateway
 
 VERSION: Literal[1] = 1
 MOST_CUSTOMERS = 4000
--- a/mapleshunt/invariants.py
+++ b/mapleshunt/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from .interface import PROVEN, RequestClass, Settings, Status
+from .policy.interface import PROVEN, RequestClass, Settings, Status
 
 # ms after its client has left, or has its answer, for which an attempt of a request may still begin.
 MAX_SEND_AFTER_END_MS = 100.0
--- a/mapleshunt/model/copies_fleet.py
+++ b/mapleshunt/model/copies_fleet.py
@@ -13,16 +13,16 @@
 
 import msgspec
 
-from .. import interface as i
-from ..control import Gateway
 from ..copies import messages as m
 from ..copies.node import Node, Timing
 from ..copies.placement import group_of, place
 from ..holdings import words as w
 from ..holdings.leases import Action, Ask, Leaser, Use
 from ..holdings.state import Holdings
-from ..report import tag_of
-from ..state import Customer
+from ..policy import interface as i
+from ..policy.gateway import Gateway
+from ..policy.gossip_codec import tag_of
+from ..policy.state import Customer
 from ..world.chance import Rng
 from ..world.faults import Fault, some
 from .copies import Disk
--- a/mapleshunt/model/day.py
+++ b/mapleshunt/model/day.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from .. import interface as i
+from ..policy import interface as i
 from ..world import clients, faults, figures
 from ..world.chance import Rng, Streams
 from ..world.clients import Traffic
--- a/mapleshunt/model/engine.py
+++ b/mapleshunt/model/engine.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from .. import interface
+from ..policy import interface
 from ..world.discovery import Entry
 from ..world.faults import Fault
 from ..world.till import TillServer, Work
--- a/mapleshunt/model/fit.py
+++ b/mapleshunt/model/fit.py
@@ -310,7 +310,7 @@
     fit: Fit, scenario: Scenario, seed: int, value: dict[str, float]
 ) -> tuple[dict[str, float], Summary]:
     """Play one draw over the recorded day."""
-    from ..control import Gateway
+    from ..policy.gateway import Gateway
 
     one = msgspec.structs.replace(fit, draws=(value,))
     day = day_from(one, scenario, seed, Replay(one, aligned=True), 0)
--- a/mapleshunt/model/host.py
+++ b/mapleshunt/model/host.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import interface
+from ..policy import interface
 from ..world.chance import Draws, Rng, lognormal
 from ..world.clients import Habits
 from ..world.counter import Counter
--- a/mapleshunt/model/policies.py
+++ b/mapleshunt/model/policies.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .. import interface as i
+from ..policy import interface as i
 from ..world.quota import Store
 from .engine import Count, Counted
 from .rules import PROVEN
--- a/mapleshunt/model/variants.py
+++ b/mapleshunt/model/variants.py
@@ -17,7 +17,7 @@
 from types import ModuleType
 from typing import Any
 
-from .. import interface
+from ..policy import interface
 from ..world import figures
 from .day import Scenario
 from .engine import Factory
@@ -79,7 +79,7 @@
         if len(parts) != 3 or parts[1] not in figures.PLAN_SPANS or parts[2] not in PLAN_PARTS:
             raise BadVariant(f"{key!r} is not plan.NAME.PART with PART of {', '.join(PLAN_PARTS)}")
     elif key.isupper():
-        from .. import control
+        from ..policy import gateway as control
 
         if not isinstance(getattr(control, key, None), (int, float)):
             raise BadVariant(f"{key!r} is no figure of the decision module")
@@ -107,8 +107,8 @@
             raise BadVariant(f"no policy {rest!r}; there are {', '.join(POLICIES)}")
         return Variant(text, "policy", rest)
     if kind == "path" and colon:
-        if not (Path(rest) / "mapleshunt" / "control.py").is_file():
-            raise BadVariant(f"{rest!r} holds no checkout with mapleshunt/control.py")
+        if not (Path(rest) / "mapleshunt" / "policy" / "gateway.py").is_file():
+            raise BadVariant(f"{rest!r} holds no checkout with mapleshunt/policy/gateway.py")
         return Variant(text, "path", str(Path(rest).resolve()))
     if kind == "set" and colon and rest:
         return with_pairs(dict(pair(one) for one in rest.split(",")), text)
@@ -139,13 +139,13 @@
     if variant.kind == "policy":
         return POLICIES[variant.name], interface
     if variant.kind == "here" or (variant.kind == "set" and not variant.constants):
-        from ..control import Gateway
+        from ..policy.gateway import Gateway
 
         return Gateway, interface
     folder = Path(variant.name) / "mapleshunt" if variant.kind == "path" else HERE
     mark = zlib.crc32(f"{folder} {sorted(variant.constants.items())}".encode())
     package = _package(folder, f"mapleshunt_variant_{mark:08x}")
-    control = importlib.import_module(f"{package.__name__}.control")
+    control = importlib.import_module(f"{package.__name__}.policy.gateway")
     for name, value in variant.constants.items():
         setattr(control, name, value)
-    return control.Gateway, importlib.import_module(f"{package.__name__}.interface")
+    return control.Gateway, importlib.import_module(f"{package.__name__}.policy.interface")
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .. import interface as i
 from ..passing_errors import may_pass
+from ..policy import interface as i
 from ..terms import settings_of
 
 Address = tuple[str, int]
--- a/mapleshunt/net/discovery.py
+++ b/mapleshunt/net/discovery.py
@@ -16,7 +16,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from .. import interface as i
+from ..policy import interface as i
 from ..terms import STATES
 from . import http, log
 from .backoff import SILENCE, WAIT, Backoff
--- a/mapleshunt/net/driver.py
+++ b/mapleshunt/net/driver.py
@@ -9,10 +9,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from .. import interface as i
-from .. import invariants, slow_start
-from ..control import Gateway
+from .. import invariants
 from ..invariants import Guard
+from ..policy import interface as i
+from ..policy import slow_start
+from ..policy.gateway import Gateway
 from . import log
 from .context import Ending, RequestContext, Try
 from .counters import Counters
--- a/mapleshunt/net/stages/book.py
+++ b/mapleshunt/net/stages/book.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ... import interface as i
+from ...policy import interface as i
 from ..context import Ending, RequestContext, Try
 from . import relay
 
--- a/mapleshunt/net/stages/take_in.py
+++ b/mapleshunt/net/stages/take_in.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ... import interface as i
+from ...policy import interface as i
 from ..context import Answer, Intake, RequestContext
 
 
--- a/mapleshunt/net/succession.py
+++ b/mapleshunt/net/succession.py
@@ -10,9 +10,9 @@
 import time
 from pathlib import Path
 
-from .. import interface as i
 from ..duty import knowledge
-from ..report import tag_of
+from ..policy import interface as i
+from ..policy.gossip_codec import tag_of
 from . import log
 from .counters import Counters
 from .driver import Driver
--- a/mapleshunt/net/upstream.py
+++ b/mapleshunt/net/upstream.py
@@ -16,7 +16,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from .. import interface as i
+from ..policy import interface as i
 from . import log, resp, svc
 from .buffer import ReadBuffer, TooLong
 from .config import Address, family_of
--- a/mapleshunt/control.py
+++ b/mapleshunt/policy/gateway.py
@@ -1,4 +1,4 @@
-"""Every decision of the gateway. Settings, events and actions are the types of `interface.py`.
+"""Every decision of the gateway. Settings, events and actions are the types of `policy/interface.py`.
 Times are ms, quotas units. Same events, same actions: the clock is the host's, chance is the seed's."""
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 
 from . import interface as i
 from . import slow_start
-from .report import NUMBERS, SILENT, Line, code_of, decode, encode, room, server_tag, share_of, tag_of
+from .gossip_codec import NUMBERS, SILENT, Line, code_of, decode, encode, room, server_tag, share_of, tag_of
 from .state import Attempt, Bucket, Customer, Decayed, Job, Memory, Server
 
 ALPHA = 0.9  # weight of the newest measured cost in a customer's k (paper, Figure 8)
--- a/mapleshunt/state.py
+++ b/mapleshunt/policy/state.py
@@ -1,4 +1,4 @@
-"""What a gateway remembers of customers, requests and servers. Records only: `control.py` decides."""
+"""What a gateway remembers of customers, requests and servers. Records only: `policy/gateway.py` decides."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 from . import interface as i
-from .report import Line, server_tag
+from .gossip_codec import Line, server_tag
 
 
 @dataclass(slots=True)
--- a/mapleshunt/record/writer.py
+++ b/mapleshunt/record/writer.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from .. import interface as i
 from ..net import log
 from ..net.periodic import Periodic
+from ..policy import interface as i
 from .form import BLOCK, BLOCK_MAGIC, ENCODER, HEADER, MAGIC, RAW, SLOT, Attempt, Row, hashed, pack_block
 
 if TYPE_CHECKING:
--- a/mapleshunt/simhost.py
+++ b/mapleshunt/simhost.py
@@ -6,8 +6,8 @@
 import sys
 from typing import Any, TextIO, cast
 
-from . import interface as i
-from .control import Gateway
+from .policy import interface as i
+from .policy.gateway import Gateway
 from .terms import LISTS, STATES, STATUSES, settings_of
 
 
--- a/mapleshunt/terms.py
+++ b/mapleshunt/terms.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import Any, cast
 
-from . import interface as i
+from .policy import interface as i
 
 EFFECTS = {"idempotent": "safe", "deduplicated": "keyed", "at_most_once": "unsafe"}
 STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -26,8 +26,8 @@
     Timer,
     Watch,
 )
-from mapleshunt.report import SILENT, Line, code_of, decode, encode, server_tag, tag_of
-from mapleshunt.state import Customer
+from mapleshunt.policy.gossip_codec import SILENT, Line, code_of, decode, encode, server_tag, tag_of
+from mapleshunt.policy.state import Customer
 
 from .conftest import CLASSES, PLANS, Driver
 
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -13,7 +13,6 @@
 import numpy as np
 import pytest
 
-from mapleshunt.control import Gateway
 from mapleshunt.model import fit, recorded
 from mapleshunt.model.check import compare
 from mapleshunt.model.day import Day, Scenario, day_of, sized
@@ -21,6 +20,7 @@
 from mapleshunt.model.experiments import play
 from mapleshunt.model.scenarios import SCENARIOS
 from mapleshunt.model.score import score
+from mapleshunt.policy.gateway import Gateway
 from mapleshunt.record import form
 from mapleshunt.record.form import Attempt, Row
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,9 +9,9 @@
 import pytest
 
 from mapleshunt import invariants
-from mapleshunt.interface import RequestClass, Settings
 from mapleshunt.invariants import EarlierAttempt, Guard, RepeatFacts, SendFacts
 from mapleshunt.net.counters import Counters
+from mapleshunt.policy.interface import RequestClass, Settings
 
 from .conftest import CLASSES, PLANS
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -18,8 +18,8 @@
 from mapleshunt.holdings import words as w
 from mapleshunt.holdings.leases import Action, Ask, Leaser, Use
 from mapleshunt.holdings.state import Holdings
-from mapleshunt.interface import Leased
-from mapleshunt.report import tag_of
+from mapleshunt.policy.gossip_codec import tag_of
+from mapleshunt.policy.interface import Leased
 from mapleshunt.rig.faults import Faults
 
 from .conftest import Driver
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,8 +11,6 @@
 
 import pytest
 
-from mapleshunt import interface as i
-from mapleshunt.control import Gateway
 from mapleshunt.model import experiments, stats
 from mapleshunt.model.day import Scenario, day_of, sized
 from mapleshunt.model.engine import Engine, Factory
@@ -20,6 +18,8 @@
 from mapleshunt.model.scenarios import SCENARIOS
 from mapleshunt.model.score import Score, score
 from mapleshunt.model.variants import BadVariant, load, parse
+from mapleshunt.policy import interface as i
+from mapleshunt.policy.gateway import Gateway
 from mapleshunt.world.faults import Fault
 
 ROOT = Path(__file__).parent.parent
@@ -262,7 +262,7 @@
     assert settings.mail_per_s == 10 and settings.plans["basic"].rate == 9
     factory, _ = load(one)
     assert sys.modules[factory.__module__].TARGET == 0.5
-    assert sys.modules["mapleshunt.control"].TARGET == 0.35
+    assert sys.modules["mapleshunt.policy.gateway"].TARGET == 0.35
     for bad in (
         "set:nosuch=1",
         "set:mail_per_s=much",
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -143,7 +143,7 @@
 
 
 def test_module_is_small_narrow_and_general() -> None:
-    text = (ROOT / "mapleshunt" / "control.py").read_text()
+    text = (ROOT / "mapleshunt" / "policy" / "gateway.py").read_text()
     lines = [line for line in text.splitlines() if line.strip()]
     assert len(lines) <= 500 and max(map(len, lines)) <= 110
     assert "interface.py" in "\n".join(lines[:3])
--- a/tests/test_second_process.py
+++ b/tests/test_second_process.py
@@ -25,7 +25,7 @@
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.handover import Handover
 from mapleshunt.net.succession import Succession
-from mapleshunt.report import tag_of
+from mapleshunt.policy.gossip_codec import tag_of
 
 from .conftest import CLASSES, PLANS
 from .processes import Gateway, free_port, query, replies, run, toy
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -17,11 +17,11 @@
 from mapleshunt.holdings import state
 from mapleshunt.holdings import words as w
 from mapleshunt.holdings.state import Holdings
-from mapleshunt.interface import Leased, Request, Settings
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.leases import Leases
 from mapleshunt.net.maintenance import Line
 from mapleshunt.net.own_calls import CALL_TIMEOUT_S, OwnCalls
+from mapleshunt.policy.interface import Leased, Request, Settings
 
 PLAN = Plan("plan", rate=10.0, burst=100.0)
 WAIT_S = 10.0  # that a test waits at most for what must come
