--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -19,8 +19,8 @@
 import uvloop
 from tornado.iostream import IOStream
 
-from .duty.life import Drainer, Life
 from .invariants import Guard, broken_by_starting
+from .lifecycle.lifecycle import Drainer, Life
 from .net import client, log, resp
 from .net.backoff import TOLD, Backoff
 from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
@@ -339,7 +339,7 @@
         return asyncio.get_running_loop().time()
 
     def figures(self) -> str:
-        from .duty import figures
+        from .lifecycle import figures
 
         listed, now = self.group.servers.values(), self.driver.now()
         known = self.driver.gateway.servers
--- a/mapleshunt/net/succession.py
+++ b/mapleshunt/net/succession.py
@@ -10,7 +10,7 @@
 import time
 from pathlib import Path
 
-from ..duty import knowledge
+from ..lifecycle import warm_state as knowledge
 from ..policy import interface as i
 from ..policy.gossip_codec import tag_of
 from . import log
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mapleshunt.duty.figures import text_of
-from mapleshunt.duty.life import EARLY, KILL, KILL_MOST, LAST_CALL, STAY, Drainer, Life
+from mapleshunt.lifecycle.figures import text_of
+from mapleshunt.lifecycle.lifecycle import EARLY, KILL, KILL_MOST, LAST_CALL, STAY, Drainer, Life
 
 
 class LifeMachine(RuleBasedStateMachine):
--- a/tests/test_second_process.py
+++ b/tests/test_second_process.py
@@ -20,7 +20,7 @@
 
 from mapleshunt import Gateway as Decisions
 from mapleshunt import Members, ServerEntry, Settings
-from mapleshunt.duty import knowledge
+from mapleshunt.lifecycle import warm_state as knowledge
 from mapleshunt.net import handover
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.handover import Handover
