--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -21,7 +21,7 @@
 from mapleshunt.rig import faulty
 from mapleshunt.rig.callers import Address, Caller
 from mapleshunt.rig.faults import FLEET, Faults, plain_config
-from mapleshunt.store.disk import Disk
+from mapleshunt.storage.durable_store import Disk
 
 AT_ONCE = 64  # sessions
 PROCESSES = 4  # that the sessions are in: one alone is slower than the gateways
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -20,7 +20,7 @@
 from .passing_errors import may_pass
 from .record.writer import Recorder
 from .settings import operators
-from .store.disk import Disk, StoreUnavailable
+from .storage.durable_store import Disk, StoreUnavailable
 
 STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
 
--- a/mapleshunt/net/copies.py
+++ b/mapleshunt/net/copies.py
@@ -22,8 +22,8 @@
 from ..copies.placement import place
 from ..passing_errors import may_pass
 from ..settings.operators import Copies as Section
-from ..store.disk import Disk, StoreError, StoreInUse, StoreUnavailable
-from ..store.writer import Writer
+from ..storage.durable_store import Disk, StoreError, StoreInUse, StoreUnavailable
+from ..storage.writer import Writer
 from . import log
 from .config import Address, ConfigError, address
 from .counters import Counters
--- a/mapleshunt/rig/faulty.py
+++ b/mapleshunt/rig/faulty.py
@@ -18,7 +18,7 @@
 from .. import __main__ as program
 from ..copies import messages as m
 from ..net.group_host import GroupHost
-from ..store.disk import Disk
+from ..storage.durable_store import Disk
 
 VARIABLE = "MAPLESHUNT_FAULTS"
 # In the order in which an operation passes them: before it is on disk, on disk and not told, told and nothing
--- a/mapleshunt/store/writer.py
+++ b/mapleshunt/storage/writer.py
@@ -10,7 +10,7 @@
 import apsw
 
 from ..copies import messages as m
-from .disk import Disk
+from .durable_store import Disk
 
 MOST_AT_ONCE = 512  # writes in one commit
 AGAIN = 0.5  # s after a commit that failed: the disk may have room again
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -22,8 +22,8 @@
 from mapleshunt.copies import messages as m
 from mapleshunt.net import config
 from mapleshunt.rig.syscall_faults import FaultControl, FaultRates, build
-from mapleshunt.store.disk import Damaged, Disk
-from mapleshunt.store.writer import Writer
+from mapleshunt.storage.durable_store import Damaged, Disk
+from mapleshunt.storage.writer import Writer
 
 from .processes import EXAMPLE, ROOT, free_port
 from .test_store import FIRST, filled
@@ -32,7 +32,7 @@
 OPEN_AGAIN_AND_AGAIN = f"""
 import json, sys
 from pathlib import Path
-from mapleshunt.store.disk import Disk
+from mapleshunt.storage.disk import Disk
 opened, failed = [], []
 for _ in range({OPENS}):
     try:
@@ -47,7 +47,7 @@
 OPEN_ONCE = """
 import sys
 from pathlib import Path
-from mapleshunt.store.disk import Disk
+from mapleshunt.storage.disk import Disk
 Disk(Path(sys.argv[1]), "fleet", "a")
 """
 
@@ -58,7 +58,7 @@
 import sys, threading, time
 from pathlib import Path
 from mapleshunt.copies import messages as m
-from mapleshunt.store.disk import Disk
+from mapleshunt.storage.disk import Disk
 
 def write():
     disk = Disk(Path(sys.argv[1]), "fleet", "a")
@@ -135,7 +135,7 @@
 
 @pytest.fixture
 def short_pauses(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    monkeypatch.setattr("mapleshunt.store.writer.AGAIN", 0.001)
+    monkeypatch.setattr("mapleshunt.storage.writer.AGAIN", 0.001)
     yield
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -205,7 +205,7 @@
 def test_off_nothing_of_it_is_loaded() -> None:
     code = (
         "import sys; import mapleshunt.__main__;"
-        "print([m for m in sys.modules if m.startswith(('mapleshunt.copies', 'mapleshunt.store',"
+        "print([m for m in sys.modules if m.startswith(('mapleshunt.copies', 'mapleshunt.storage',"
         " 'mapleshunt.holdings', 'mapleshunt.net.copies', 'mapleshunt.maintenance', 'apsw', 'immutables',"
         " 'xxhash', 'msgspec'))])"
     )
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -24,7 +24,7 @@
 from mapleshunt.net.links import Link
 from mapleshunt.rig.faults import plain_config
 from mapleshunt.settings import operators
-from mapleshunt.store.disk import Disk, StoreUnavailable
+from mapleshunt.storage.durable_store import Disk, StoreUnavailable
 
 from .processes import free_port
 from .test_sessions import WAIT_S, until
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from mapleshunt.copies import messages as m
-from mapleshunt.store.disk import NAME, Disk, StoreError
-from mapleshunt.store.writer import Writer
+from mapleshunt.storage.durable_store import NAME, Disk, StoreError
+from mapleshunt.storage.writer import Writer
 
 FIRST = m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b"")
 
