--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -16,8 +16,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.copies import messages as m
 from mapleshunt.holdings import words as w
+from mapleshunt.replication import messages as m
 from mapleshunt.rig import faulty
 from mapleshunt.rig.callers import Address, Caller
 from mapleshunt.rig.faults import FLEET, Faults, plain_config
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -263,7 +263,7 @@
 @json_option
 def show(customer: str, file: Path | None, as_json: bool) -> None:
     """A customer's store as its group's leader holds it now: level, leases, reservations, counted use."""
-    from ..copies.placement import group_of
+    from ..replication.placement import group_of
     from ..rig.callers import Caller
 
     section = _section(file)
--- a/mapleshunt/model/copies.py
+++ b/mapleshunt/model/copies.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ..copies import messages as m
-from ..copies.node import Node, Timing
+from ..replication import messages as m
+from ..replication.node import Node, Timing
 
 TIMING = Timing(election=1.0, heartbeat=0.2, batch=400, window=4, piece=200, keep=4, compact=20, queue=64)
 MOVES = (
--- a/mapleshunt/model/copies_faults.py
+++ b/mapleshunt/model/copies_faults.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..copies import messages as m
-from ..copies.node import Node
+from ..replication import messages as m
+from ..replication.node import Node
 from .copies import Disk, Group, Machine, verdict
 
 
--- a/mapleshunt/model/copies_fleet.py
+++ b/mapleshunt/model/copies_fleet.py
@@ -13,9 +13,6 @@
 
 import msgspec
 
-from ..copies import messages as m
-from ..copies.node import Node, Timing
-from ..copies.placement import group_of, place
 from ..holdings import words as w
 from ..holdings.leases import Action, Ask, Leaser, Use
 from ..holdings.state import Holdings
@@ -23,6 +20,9 @@
 from ..policy.gateway import Gateway
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
+from ..replication import messages as m
+from ..replication.node import Node, Timing
+from ..replication.placement import group_of, place
 from ..world.chance import Rng
 from ..world.faults import Fault, some
 from .copies import Disk
--- a/mapleshunt/model/copies_promises.py
+++ b/mapleshunt/model/copies_promises.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from ..copies import messages as m
-from ..copies.messages import gateway_of
-from ..copies.node import Node
 from ..holdings import words as w
 from ..holdings.state import Frozen, Holdings
+from ..replication import messages as m
+from ..replication.messages import gateway_of
+from ..replication.node import Node
 from .copies import Broken, Group, Machine, Make, verdict
 from .promises import Event, broken
 
--- a/mapleshunt/net/copies.py
+++ b/mapleshunt/net/copies.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from ..copies import messages as m
-from ..copies import wire
-from ..copies.membership import Patience, Seen, next_step
-from ..copies.node import Timing
-from ..copies.pace import Pace
-from ..copies.placement import place
 from ..passing_errors import may_pass
+from ..replication import messages as m
+from ..replication import wire
+from ..replication.membership import Patience, Seen, next_step
+from ..replication.node import Timing
+from ..replication.pace import Pace
+from ..replication.placement import place
 from ..settings.operators import Copies as Section
 from ..storage.durable_store import Disk, StoreError, StoreInUse, StoreUnavailable
 from ..storage.writer import Writer
--- a/mapleshunt/net/group_host.py
+++ b/mapleshunt/net/group_host.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from ..copies import messages as m
-from ..copies import wire
-from ..copies.node import Node
 from ..holdings import words
 from ..holdings.state import Holdings
 from ..maintenance.excerpt import excerpt
+from ..replication import messages as m
+from ..replication import wire
+from ..replication.node import Node
 from . import log
 from .links import Link
 
--- a/mapleshunt/net/leases.py
+++ b/mapleshunt/net/leases.py
@@ -6,13 +6,13 @@
 import math
 from dataclasses import dataclass
 
-from ..copies import wire
-from ..copies.placement import group_of
 from ..holdings import words as w
 from ..holdings.leases import Action, Ask, Leaser, Use
 from ..policy import interface as i
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
+from ..replication import wire
+from ..replication.placement import group_of
 from . import log
 from .copies import Copies
 from .counters import Counters
--- a/mapleshunt/net/links.py
+++ b/mapleshunt/net/links.py
@@ -12,8 +12,8 @@
 
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
-from ..copies import wire
-from ..copies.messages import Message
+from ..replication import wire
+from ..replication.messages import Message
 from . import log
 from .buffer import ReadBuffer, TooLong
 from .config import Address, family_of
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from ..copies import messages as m
-from ..copies import wire
 from ..holdings import words as h
 from ..holdings.state import Record
 from ..maintenance import sight
 from ..maintenance import words as w
 from ..maintenance.holder import Act, Holder, Sees
+from ..replication import messages as m
+from ..replication import wire
 from ..settings.operators import Maintenance as Section
 from . import log
 from .copies import Copies
--- a/mapleshunt/rig/callers.py
+++ b/mapleshunt/rig/callers.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from ..copies import wire
 from ..holdings import words
 from ..holdings.state import Record, StoreState
 from ..model.promises import Event
+from ..replication import wire
 
 Address = tuple[str, int]
 
--- a/mapleshunt/rig/faulty.py
+++ b/mapleshunt/rig/faulty.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from .. import __main__ as program
-from ..copies import messages as m
 from ..net.group_host import GroupHost
+from ..replication import messages as m
 from ..storage.durable_store import Disk
 
 VARIABLE = "MAPLESHUNT_FAULTS"
--- a/mapleshunt/storage/writer.py
+++ b/mapleshunt/storage/writer.py
@@ -9,7 +9,7 @@
 
 import apsw
 
-from ..copies import messages as m
+from ..replication import messages as m
 from .durable_store import Disk
 
 MOST_AT_ONCE = 512  # writes in one commit
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -7,9 +7,9 @@
 import itertools
 from pathlib import Path
 
-from mapleshunt.copies import messages as m
 from mapleshunt.net.copies import Copies
 from mapleshunt.net.group_host import GroupHost
+from mapleshunt.replication import messages as m
 
 from .test_replica_stores import NAMES, copies_in
 
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -19,8 +19,8 @@
 import pytest
 
 from mapleshunt.__main__ import Program
-from mapleshunt.copies import messages as m
 from mapleshunt.net import config
+from mapleshunt.replication import messages as m
 from mapleshunt.rig.syscall_faults import FaultControl, FaultRates, build
 from mapleshunt.storage.durable_store import Damaged, Disk
 from mapleshunt.storage.writer import Writer
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -18,12 +18,12 @@
 from hypothesis import strategies as st
 from tornado.iostream import IOStream
 
-from mapleshunt.copies import messages as m
-from mapleshunt.copies import wire
-from mapleshunt.copies.placement import group_of, place, rank
 from mapleshunt.holdings import words as w
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.links import Link
+from mapleshunt.replication import messages as m
+from mapleshunt.replication import wire
+from mapleshunt.replication.placement import group_of, place, rank
 from mapleshunt.rig.faults import FAULTS, Faults, Report, plain_config
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
@@ -205,7 +205,7 @@
 def test_off_nothing_of_it_is_loaded() -> None:
     code = (
         "import sys; import mapleshunt.__main__;"
-        "print([m for m in sys.modules if m.startswith(('mapleshunt.copies', 'mapleshunt.storage',"
+        "print([m for m in sys.modules if m.startswith(('mapleshunt.replication', 'mapleshunt.storage',"
         " 'mapleshunt.holdings', 'mapleshunt.net.copies', 'mapleshunt.maintenance', 'apsw', 'immutables',"
         " 'xxhash', 'msgspec'))])"
     )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mapleshunt.copies import messages as m
-from mapleshunt.copies.membership import Patience, Seen, Step, next_step
-from mapleshunt.copies.node import Node, Timing
-from mapleshunt.copies.pace import Pace
-from mapleshunt.copies.placement import place
+from mapleshunt.replication import messages as m
+from mapleshunt.replication.membership import Patience, Seen, Step, next_step
+from mapleshunt.replication.node import Node, Timing
+from mapleshunt.replication.pace import Pace
+from mapleshunt.replication.placement import place
 
 SIZE, PATIENCE = 3, Patience(60.0, 30.0)
 NAMES = [f"g{n}" for n in range(6)]
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -13,7 +13,6 @@
 import pytest
 
 from mapleshunt import Plan
-from mapleshunt.copies import wire
 from mapleshunt.holdings import state
 from mapleshunt.holdings import words as w
 from mapleshunt.holdings.state import Holdings
@@ -22,6 +21,7 @@
 from mapleshunt.net.maintenance import Line
 from mapleshunt.net.own_calls import CALL_TIMEOUT_S, OwnCalls
 from mapleshunt.policy.interface import Leased, Request, Settings
+from mapleshunt.replication import wire
 
 PLAN = Plan("plan", rate=10.0, burst=100.0)
 WAIT_S = 10.0  # that a test waits at most for what must come
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from mapleshunt.copies import messages as m
+from mapleshunt.replication import messages as m
 from mapleshunt.storage.durable_store import NAME, Disk, StoreError
 from mapleshunt.storage.writer import Writer
 
