--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.holdings import words as w
+from mapleshunt.replicated_state import commands as w
 from mapleshunt.replication import messages as m
 from mapleshunt.rig import faulty
 from mapleshunt.rig.callers import Address, Caller
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -227,7 +227,7 @@
 
 async def _mark(section: Any, groups: list[int], key: str, value: str) -> list[dict[str, Any]]:
     """Set a record of each group, unless it is so already."""
-    from ..holdings import words
+    from ..replicated_state import commands as words
     from ..rig.callers import Caller
 
     async def one(group: int) -> dict[str, Any]:
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -64,7 +64,7 @@
 
 def _do(section: Any, operation: Any) -> None:
     """Raises `Trouble` with why it was refused."""
-    from ..holdings import words
+    from ..replicated_state import commands as words
 
     async def once(caller: Any) -> Any:
         await caller.do(words.Open())
@@ -309,8 +309,8 @@
 @settings_option
 def await_safe(machine: str, patience: float, file: Path | None) -> None:
     """Wait until MACHINE may be worked on (exit status 0), or will not be (1). From then on it is out."""
-    from ..holdings import words as h
     from ..maintenance import words as w
+    from ..replicated_state import commands as h
 
     section = _section(file)
     _known(section, (machine,))
--- a/mapleshunt/model/copies_fleet.py
+++ b/mapleshunt/model/copies_fleet.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from ..holdings import words as w
-from ..holdings.leases import Action, Ask, Leaser, Use
-from ..holdings.state import Holdings
 from ..policy import interface as i
 from ..policy.gateway import Gateway
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
+from ..replicated_state import commands as w
+from ..replicated_state.leases import Action, Ask, Leaser, Use
+from ..replicated_state.state_machine import Holdings
 from ..replication import messages as m
 from ..replication.node import Node, Timing
 from ..replication.placement import group_of, place
--- a/mapleshunt/model/copies_promises.py
+++ b/mapleshunt/model/copies_promises.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ..holdings import words as w
-from ..holdings.state import Frozen, Holdings
+from ..replicated_state import commands as w
+from ..replicated_state.state_machine import Frozen, Holdings
 from ..replication import messages as m
 from ..replication.messages import gateway_of
 from ..replication.node import Node
--- a/mapleshunt/model/promises.py
+++ b/mapleshunt/model/promises.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..holdings import words as w
+from ..replicated_state import commands as w
 
 SLACK = 1e-6
 
--- a/mapleshunt/net/group_host.py
+++ b/mapleshunt/net/group_host.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from ..holdings import words
-from ..holdings.state import Holdings
 from ..maintenance.excerpt import excerpt
+from ..replicated_state import commands as words
+from ..replicated_state.state_machine import Holdings
 from ..replication import messages as m
 from ..replication import wire
 from ..replication.node import Node
--- a/mapleshunt/net/leases.py
+++ b/mapleshunt/net/leases.py
@@ -6,11 +6,11 @@
 import math
 from dataclasses import dataclass
 
-from ..holdings import words as w
-from ..holdings.leases import Action, Ask, Leaser, Use
 from ..policy import interface as i
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
+from ..replicated_state import commands as w
+from ..replicated_state.leases import Action, Ask, Leaser, Use
 from ..replication import wire
 from ..replication.placement import group_of
 from . import log
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from ..holdings import words as h
-from ..holdings.state import Record
 from ..maintenance import sight
 from ..maintenance import words as w
 from ..maintenance.holder import Act, Holder, Sees
+from ..replicated_state import commands as h
+from ..replicated_state.state_machine import Record
 from ..replication import messages as m
 from ..replication import wire
 from ..settings.operators import Maintenance as Section
--- a/mapleshunt/holdings/leases.py
+++ b/mapleshunt/replicated_state/leases.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from . import words as w
+from . import commands as w
 
 DRIFT = 0.01  # part of a term by which two clocks may differ in their rates
 BACK = 0.25  # part of a term before its end at which a lease goes back
--- a/mapleshunt/holdings/state.py
+++ b/mapleshunt/replicated_state/state_machine.py
@@ -18,7 +18,7 @@
 
 from ..maintenance import words as works
 from ..maintenance.state import Refused, Works
-from . import words as w
+from . import commands as w
 
 MOST_STORES = 200_000
 MOST_LEASES = 256  # of one customer
--- a/mapleshunt/rig/callers.py
+++ b/mapleshunt/rig/callers.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ..holdings import words
-from ..holdings.state import Record, StoreState
 from ..model.promises import Event
+from ..replicated_state import commands as words
+from ..replicated_state.state_machine import Record, StoreState
 from ..replication import wire
 
 Address = tuple[str, int]
--- a/mapleshunt/rig/replica_workload.py
+++ b/mapleshunt/rig/replica_workload.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..holdings import words as w
+from ..replicated_state import commands as w
 from .callers import Caller
 
 CUSTOMERS = 4
--- a/mapleshunt/rig/rolls.py
+++ b/mapleshunt/rig/rolls.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-from ..holdings import words as h
 from ..maintenance import words as w
 from ..maintenance.state import Works
+from ..replicated_state import commands as h
 from .callers import Caller
 from .faults import CALM, Faults, Machine
 from .gateways import GatewayFailed
--- a/mapleshunt/rig/soak_maintenance.py
+++ b/mapleshunt/rig/soak_maintenance.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from ..holdings import words as h
 from ..maintenance import words as w
+from ..replicated_state import commands as h
 from .callers import Caller
 from .rolls import read_works
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -15,11 +15,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from mapleshunt import Refuse, Send
-from mapleshunt.holdings import words as w
-from mapleshunt.holdings.leases import Action, Ask, Leaser, Use
-from mapleshunt.holdings.state import Holdings
 from mapleshunt.policy.gossip_codec import tag_of
 from mapleshunt.policy.interface import Leased
+from mapleshunt.replicated_state import commands as w
+from mapleshunt.replicated_state.leases import Action, Ask, Leaser, Use
+from mapleshunt.replicated_state.state_machine import Holdings
 from mapleshunt.rig.faults import Faults
 
 from .conftest import Driver
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -14,12 +14,12 @@
 from tornado.iostream import IOStream
 
 from mapleshunt import extensions
-from mapleshunt.holdings import words
 from mapleshunt.net import config
 from mapleshunt.net.copies import Copies, open_store
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.group_host import GroupHost
 from mapleshunt.net.links import Link
+from mapleshunt.replicated_state import commands as words
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
 from mapleshunt.rig.faults import plain_config
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -13,14 +13,14 @@
 import pytest
 
 from mapleshunt import Plan
-from mapleshunt.holdings import state
-from mapleshunt.holdings import words as w
-from mapleshunt.holdings.state import Holdings
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.leases import Leases
 from mapleshunt.net.maintenance import Line
 from mapleshunt.net.own_calls import CALL_TIMEOUT_S, OwnCalls
 from mapleshunt.policy.interface import Leased, Request, Settings
+from mapleshunt.replicated_state import commands as w
+from mapleshunt.replicated_state import state_machine as state
+from mapleshunt.replicated_state.state_machine import Holdings
 from mapleshunt.replication import wire
 
 PLAN = Plan("plan", rate=10.0, burst=100.0)
