--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -53,8 +53,8 @@
 
 def _works(section: Any) -> tuple[float, Any]:
     """The log's time, ms, and what is settled."""
+    from ..maintenance.commands import Frozen
     from ..maintenance.state import Works
-    from ..maintenance.words import Frozen
 
     stamp, frozen = _with(section, lambda caller: caller.read("works", "", tuple[float, Frozen]))
     works = Works()
@@ -99,7 +99,7 @@
     urgency: int, long_work: bool, version: str, name: str | None, file: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
     """Ask for work on MACHINES; prints the request's id."""
-    from ..maintenance.words import Ask
+    from ..maintenance.commands import Ask
 
     section = _section(file)
     if every == bool(machines):
@@ -228,8 +228,8 @@
 
 def _simulated(section: Any, works: Any, stamp: float, told: dict[str, Any]) -> tuple[list[list[str]], float]:
     """Batches, and s until all are done; `works` keeps what blocks the rest."""
-    from ..maintenance import sight
-    from ..maintenance import words as w
+    from ..maintenance import commands as w
+    from ..maintenance import fleet_view as sight
 
     zones = {one.name: one.zone for one in section.peer}
     # Who is drained now takes clients again once it is back.
@@ -263,7 +263,7 @@
 @settings_option
 def withdraw(name: str, author: str, file: Path | None) -> None:
     """Take a request back: who waits does not go, who drains works again, who is out comes back."""
-    from ..maintenance.words import Withdraw
+    from ..maintenance.commands import Withdraw
 
     _do(_section(file), Withdraw(name, author))
 
@@ -274,7 +274,7 @@
 @settings_option
 def hold(reason: str, author: str, file: Path | None) -> None:
     """No grants from now on."""
-    from ..maintenance.words import Hold
+    from ..maintenance.commands import Hold
 
     _do(_section(file), Hold(True, author, reason))
 
@@ -284,7 +284,7 @@
 @settings_option
 def resume(author: str, file: Path | None) -> None:
     """Go on after a hold, or after machines failed."""
-    from ..maintenance.words import Hold
+    from ..maintenance.commands import Hold
 
     _do(_section(file), Hold(False, author))
 
@@ -296,7 +296,7 @@
 @settings_option
 def force(machine: str, reason: str, author: str, file: Path | None) -> None:
     """Let MACHINE go now, whatever the budget says; never below a majority of a group."""
-    from ..maintenance.words import Force
+    from ..maintenance.commands import Force
 
     section = _section(file)
     _known(section, (machine,))
@@ -309,7 +309,7 @@
 @settings_option
 def await_safe(machine: str, patience: float, file: Path | None) -> None:
     """Wait until MACHINE may be worked on (exit status 0), or will not be (1). From then on it is out."""
-    from ..maintenance import words as w
+    from ..maintenance import commands as w
     from ..replicated_state import commands as h
 
     section = _section(file)
@@ -341,7 +341,7 @@
 @settings_option
 def return_(machine: str, file: Path | None) -> None:
     """MACHINE is back: it is checked, and then done."""
-    from ..maintenance.words import Told
+    from ..maintenance.commands import Told
 
     section = _section(file)
     _known(section, (machine,))
--- a/mapleshunt/maintenance/holder.py
+++ b/mapleshunt/maintenance/coordinator.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from . import words as w
+from . import commands as w
 
 DRIFT = 0.01  # part of a grant by which two clocks may differ
 
--- a/mapleshunt/maintenance/sight.py
+++ b/mapleshunt/maintenance/fleet_view.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from . import words as w
+from . import commands as w
 from .state import Works
 
 BEHIND = 1000  # entries by which a copy may be behind and still be sound
--- a/mapleshunt/maintenance/state.py
+++ b/mapleshunt/maintenance/state.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from . import words as w
+from . import commands as w
 
 AGING = 600_000.0  # ms of waiting that a step of urgency is worth
 MOST_REQUESTS = 256
--- a/mapleshunt/maintenance/excerpt.py
+++ b/mapleshunt/maintenance/summary.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from . import words as w
+from . import commands as w
 
 FEW_STEPS = 4  # of each machine's story that are told where even what is not over is too much
 
--- a/mapleshunt/model/maintenance.py
+++ b/mapleshunt/model/maintenance.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ..maintenance import words as w
-from ..maintenance.holder import Act, Holder, Sees
+from ..maintenance import commands as w
+from ..maintenance.coordinator import Act, Holder, Sees
 from ..maintenance.state import Refused, Works
 
 NAMES = ("a", "b", "c")
--- a/mapleshunt/net/group_host.py
+++ b/mapleshunt/net/group_host.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..maintenance.excerpt import excerpt
+from ..maintenance.summary import excerpt
 from ..replicated_state import commands as words
 from ..replicated_state.state_machine import Holdings
 from ..replication import messages as m
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from ..maintenance import sight
-from ..maintenance import words as w
-from ..maintenance.holder import Act, Holder, Sees
+from ..maintenance import commands as w
+from ..maintenance import fleet_view as sight
+from ..maintenance.coordinator import Act, Holder, Sees
 from ..replicated_state import commands as h
 from ..replicated_state.state_machine import Record
 from ..replication import messages as m
--- a/mapleshunt/replicated_state/commands.py
+++ b/mapleshunt/replicated_state/commands.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..maintenance import words as works
+from ..maintenance import commands as works
 
 # Operations
 
--- a/mapleshunt/replicated_state/state_machine.py
+++ b/mapleshunt/replicated_state/state_machine.py
@@ -16,7 +16,7 @@
 import msgspec
 from immutables import Map
 
-from ..maintenance import words as works
+from ..maintenance import commands as works
 from ..maintenance.state import Refused, Works
 from . import commands as w
 
--- a/mapleshunt/rig/rolls.py
+++ b/mapleshunt/rig/rolls.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..maintenance import words as w
+from ..maintenance import commands as w
 from ..maintenance.state import Works
 from ..replicated_state import commands as h
 from .callers import Caller
--- a/mapleshunt/rig/soak_maintenance.py
+++ b/mapleshunt/rig/soak_maintenance.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from ..maintenance import words as w
+from ..maintenance import commands as w
 from ..replicated_state import commands as h
 from .callers import Caller
 from .rolls import read_works
--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta
 
+from ..maintenance.commands import Budget
 from ..maintenance.state import contradiction
-from ..maintenance.words import Budget
 from ..passing_errors import may_pass
 from .reader import SettingsError, parse
 from .schema import whole
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from mapleshunt.maintenance import words as w
-from mapleshunt.maintenance.excerpt import excerpt
-from mapleshunt.maintenance.holder import Act, Holder, Sees
+from mapleshunt.maintenance import commands as w
+from mapleshunt.maintenance.coordinator import Act, Holder, Sees
 from mapleshunt.maintenance.state import AGING, Refused, Works, contradiction
+from mapleshunt.maintenance.summary import excerpt
 from mapleshunt.model.maintenance import PLANTS, stroll, walk
 
 DEPTH = {"AskedTwice": 7, "ReturnTakenForGranted": 8, "ForgetsUnplanned": 7}  # by which each is found; else 5
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mapleshunt.maintenance.sight import seen
+from mapleshunt.maintenance.fleet_view import seen
 from mapleshunt.maintenance.state import Works
 from mapleshunt.rig.faults import plain_config
 from mapleshunt.rig.rolls import Rolls
