--- a/mapleshunt/cli/record.py
+++ b/mapleshunt/cli/record.py
@@ -19,7 +19,7 @@
 
 
 def recordings(files: tuple[Path, ...]) -> list[Any]:
-    from ..record import form
+    from ..recording import file_format as form
 
     found = []
     for file in files:
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -18,7 +18,7 @@
 from .net.leases import Leases
 from .net.maintenance import Hands, Maintenance
 from .passing_errors import may_pass
-from .record.writer import Recorder
+from .recording.writer import Recorder
 from .settings import operators
 from .storage.durable_store import Disk, StoreUnavailable
 
--- a/mapleshunt/model/recorded.py
+++ b/mapleshunt/model/recorded.py
@@ -14,8 +14,8 @@
 import numpy as np
 import numpy.typing as npt
 
-from ..record import form
-from ..record.form import Row
+from ..recording import file_format as form
+from ..recording.file_format import Row
 
 Floats = npt.NDArray[np.float64]
 Received = tuple[list[tuple[Row, int]], Floats]  # (row, server) of served attempts, and the work of each
--- a/mapleshunt/record/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -10,7 +10,19 @@
 from ..net import log
 from ..net.periodic import Periodic
 from ..policy import interface as i
-from .form import BLOCK, BLOCK_MAGIC, ENCODER, HEADER, MAGIC, RAW, SLOT, Attempt, Row, hashed, pack_block
+from .file_format import (
+    BLOCK,
+    BLOCK_MAGIC,
+    ENCODER,
+    HEADER,
+    MAGIC,
+    RAW,
+    SLOT,
+    Attempt,
+    Row,
+    hashed,
+    pack_block,
+)
 
 if TYPE_CHECKING:
     from ..net.context import RequestContext
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -21,8 +21,8 @@
 from mapleshunt.model.scenarios import SCENARIOS
 from mapleshunt.model.score import score
 from mapleshunt.policy.gateway import Gateway
-from mapleshunt.record import form
-from mapleshunt.record.form import Attempt, Row
+from mapleshunt.recording import file_format as form
+from mapleshunt.recording.file_format import Attempt, Row
 
 ROOT = Path(__file__).parent.parent
 BASE = replace(sized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -13,8 +13,8 @@
 
 from mapleshunt import Request, Settings
 from mapleshunt.net.context import RequestContext, Try
-from mapleshunt.record import form
-from mapleshunt.record.writer import Recorder
+from mapleshunt.recording import file_format as form
+from mapleshunt.recording.writer import Recorder
 
 from .conftest import CLASSES, PLANS
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -17,7 +17,7 @@
 from mapleshunt.model.record import AskRecord, AttemptRecord, TryRecord
 from mapleshunt.model.rules import Watchman
 from mapleshunt.model.scenarios import SCENARIOS
-from mapleshunt.record import form
+from mapleshunt.recording import file_format as form
 from mapleshunt.rig import clients, fleet, summary
 from mapleshunt.rig.clock import Clock
 from mapleshunt.rig.gateways import GatewayFailed
