--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -313,9 +313,9 @@
     """Fit a world to the recordings of a fleet's gateways."""
     import json
 
+    from ..fleet.parameters import check as check_figures
     from ..model import fit, recorded
     from ..model.variants import pair
-    from ..world.figures import check as check_figures
 
     try:
         wire = json.loads(told.read_text())
--- a/mapleshunt/world/till.py
+++ b/mapleshunt/fleet/backend.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from .chance import Draws
-from .figures import Figures
+from .parameters import Figures
+from .random_streams import Draws
 
 Word = Literal["ok", "error", "full"]
 COLD_STEP = 100.0  # ms after which a cold server's pace is looked at anew
--- a/mapleshunt/world/clients.py
+++ b/mapleshunt/fleet/clients.py
@@ -14,9 +14,9 @@
 import numpy as np
 import numpy.typing as npt
 
-from .chance import Rng, Streams, lognormal
 from .faults import Fault
-from .figures import Figures
+from .parameters import Figures
+from .random_streams import Rng, Streams, lognormal
 
 Told = Literal["served", "refused", "failed", "unreachable", "late"]
 Floats = npt.NDArray[np.float64]
--- a/mapleshunt/world/counter.py
+++ b/mapleshunt/fleet/counter.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from .figures import Figures
+from .parameters import Figures
 
 Word = Literal["ok", "full", "unreachable"]
 MOST_LIFE = 60000.0  # ms
--- a/mapleshunt/world/discovery.py
+++ b/mapleshunt/fleet/discovery.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from .chance import Rng
-from .figures import Figures
+from .parameters import Figures
+from .random_streams import Rng
 
 State = Literal["ready", "draining", "gone"]
 
--- a/mapleshunt/world/faults.py
+++ b/mapleshunt/fleet/faults.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from .chance import Rng
+from .random_streams import Rng
 
 Kind = Literal[
     "crash",  # till servers `who` die, and come back cold after `lasts`
--- a/mapleshunt/world/network.py
+++ b/mapleshunt/fleet/network.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .chance import Draws, Streams
-from .figures import Figures
+from .parameters import Figures
+from .random_streams import Draws, Streams
 
 SECOND = 1000.0
 
--- a/mapleshunt/world/figures.py
+++ b/mapleshunt/fleet/parameters.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from .chance import Rng
+from .random_streams import Rng
 
 
 class UnknownFigure(ValueError):
--- a/mapleshunt/model/copies_fleet.py
+++ b/mapleshunt/model/copies_fleet.py
@@ -13,6 +13,8 @@
 
 import msgspec
 
+from ..fleet.faults import Fault, some
+from ..fleet.random_streams import Rng
 from ..policy import interface as i
 from ..policy.gateway import Gateway
 from ..policy.gossip_codec import tag_of
@@ -23,8 +25,6 @@
 from ..replication import messages as m
 from ..replication.node import Node, Timing
 from ..replication.placement import group_of, place
-from ..world.chance import Rng
-from ..world.faults import Fault, some
 from .copies import Disk
 from .day import Day, Scenario
 from .engine import Engine
--- a/mapleshunt/model/day.py
+++ b/mapleshunt/model/day.py
@@ -7,12 +7,13 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
+from ..fleet import clients, faults
+from ..fleet import parameters as figures
+from ..fleet.clients import Traffic
+from ..fleet.faults import Fault
+from ..fleet.parameters import Figures
+from ..fleet.random_streams import Rng, Streams
 from ..policy import interface as i
-from ..world import clients, faults, figures
-from ..world.chance import Rng, Streams
-from ..world.clients import Traffic
-from ..world.faults import Fault
-from ..world.figures import Figures
 
 Troubles = Callable[[Rng, "Scenario"], list[Fault]]
 
--- a/mapleshunt/model/engine.py
+++ b/mapleshunt/model/engine.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+from ..fleet.backend import TillServer, Work
+from ..fleet.discovery import Entry
+from ..fleet.faults import Fault
 from ..policy import interface
-from ..world.discovery import Entry
-from ..world.faults import Fault
-from ..world.till import TillServer, Work
 from .agenda import Agenda
 from .day import Day
 from .host import Host
--- a/mapleshunt/model/fit.py
+++ b/mapleshunt/model/fit.py
@@ -18,13 +18,14 @@
 import numpy as np
 from joblib import Parallel, delayed
 
-from ..world import clients, figures
-from ..world import faults as world_faults
-from ..world.chance import Streams
-from ..world.clients import Customer
-from ..world.clients import Traffic as Asked
-from ..world.faults import Fault
-from ..world.figures import ClassShape, Figures, PlanShape
+from ..fleet import clients
+from ..fleet import faults as world_faults
+from ..fleet import parameters as figures
+from ..fleet.clients import Customer
+from ..fleet.clients import Traffic as Asked
+from ..fleet.faults import Fault
+from ..fleet.parameters import ClassShape, Figures, PlanShape
+from ..fleet.random_streams import Streams
 from .day import Day, Scenario
 from .engine import Engine
 from .record import TryRecord
--- a/mapleshunt/model/host.py
+++ b/mapleshunt/model/host.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..fleet.backend import Cell, TillServer, Work
+from ..fleet.clients import Habits
+from ..fleet.counter import Counter
+from ..fleet.discovery import Discovery, Entry
+from ..fleet.faults import Fault
+from ..fleet.network import Intake, Network
+from ..fleet.random_streams import Draws, Rng, lognormal
 from ..policy import interface
-from ..world.chance import Draws, Rng, lognormal
-from ..world.clients import Habits
-from ..world.counter import Counter
-from ..world.discovery import Discovery, Entry
-from ..world.faults import Fault
-from ..world.network import Intake, Network
-from ..world.till import Cell, TillServer, Work
 from .day import CLASSES, Day
 from .record import AskRecord, Books, Final, TryRecord
 from .rules import Watchman
--- a/mapleshunt/model/policies.py
+++ b/mapleshunt/model/policies.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ..fleet.quota import Store
 from ..policy import interface as i
-from ..world.quota import Store
 from .engine import Count, Counted
 from .rules import PROVEN
 
--- a/mapleshunt/model/record.py
+++ b/mapleshunt/model/record.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from ..world.clients import Ask
-from ..world.quota import Store
-from ..world.till import Work
+from ..fleet.backend import Work
+from ..fleet.clients import Ask
+from ..fleet.quota import Store
 from .day import Day
 
 CEILING_SLACK = 0.1  # of a ceiling's burst by which its store may go below 0; the largest request at least
--- a/mapleshunt/model/rules.py
+++ b/mapleshunt/model/rules.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..world.discovery import Entry
-from ..world.till import TillServer, Work
+from ..fleet.backend import TillServer, Work
+from ..fleet.discovery import Entry
 from .day import CLASSES, Day
 from .record import AttemptRecord, Final, TryRecord
 
--- a/mapleshunt/model/scenarios.py
+++ b/mapleshunt/model/scenarios.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..world import faults
-from ..world.chance import Rng
-from ..world.faults import Fault
+from ..fleet import faults
+from ..fleet.faults import Fault
+from ..fleet.random_streams import Rng
 from .day import Scenario
 
 
--- a/mapleshunt/model/score.py
+++ b/mapleshunt/model/score.py
@@ -7,8 +7,8 @@
 
 import numpy as np
 
-from ..world.quota import Store
-from ..world.till import TillServer
+from ..fleet.backend import TillServer
+from ..fleet.quota import Store
 from .day import CLASSES, Day
 from .record import AskRecord
 from .rules import NAMES, Watchman
--- a/mapleshunt/model/variants.py
+++ b/mapleshunt/model/variants.py
@@ -17,8 +17,8 @@
 from types import ModuleType
 from typing import Any
 
+from ..fleet import parameters as figures
 from ..policy import interface
-from ..world import figures
 from .day import Scenario
 from .engine import Factory
 from .policies import POLICIES
--- a/mapleshunt/rig/fleet.py
+++ b/mapleshunt/rig/fleet.py
@@ -11,15 +11,15 @@
 from pathlib import Path
 from typing import Any
 
+from ..fleet.backend import TillServer
+from ..fleet.discovery import Entry
+from ..fleet.faults import Fault
 from ..model.day import Day, Rules
 from ..model.host import Host
 from ..model.record import AskRecord, TryRecord
 from ..model.score import Score, score
 from ..net import resp
 from ..terms import wire_of
-from ..world.discovery import Entry
-from ..world.faults import Fault
-from ..world.till import TillServer
 from .clients import Clients
 from .clock import Clock
 from .gateways import GatewayFailed, GatewayProcess
--- a/mapleshunt/rig/services.py
+++ b/mapleshunt/rig/services.py
@@ -14,10 +14,10 @@
 from tornado.tcpserver import TCPServer
 from tornado.web import Application, RequestHandler
 
+from ..fleet.discovery import Entry
 from ..net import resp
 from ..net.buffer import ReadBuffer, TooLong
 from ..terms import STATES
-from ..world.discovery import Entry
 from .tills import HOST
 
 if TYPE_CHECKING:
--- a/mapleshunt/rig/soak.py
+++ b/mapleshunt/rig/soak.py
@@ -20,9 +20,9 @@
 from pathlib import Path
 from typing import Any, cast
 
+from ..fleet.discovery import Entry
 from ..model.day import Day, Rules, Scenario, day_of
 from ..model.record import TryRecord
-from ..world.discovery import Entry
 from . import soak_troubles
 from .fleet import HERE
 from .gateways import GatewayFailed
--- a/mapleshunt/rig/soak_agent.py
+++ b/mapleshunt/rig/soak_agent.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..world.discovery import Entry
+from ..fleet.discovery import Entry
 from .fleet import Fleet
 from .proxy import FaultProxy
 from .services import Agent
--- a/mapleshunt/rig/soak_backends.py
+++ b/mapleshunt/rig/soak_backends.py
@@ -10,8 +10,8 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from ..fleet.backend import TillServer
 from ..net import resp
-from ..world.till import TillServer
 from .proxy import RESET_ON_CLOSE
 from .tills import HOST, Out, Till
 
--- a/mapleshunt/rig/soak_strikes.py
+++ b/mapleshunt/rig/soak_strikes.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from ..world.faults import Fault
+from ..fleet.faults import Fault
 from . import soak_troubles
 from .fleet import Fleet
 from .gateways import GatewayFailed, GatewayProcess
--- a/mapleshunt/rig/summary.py
+++ b/mapleshunt/rig/summary.py
@@ -4,8 +4,8 @@
 
 from collections import Counter
 
+from ..fleet.quota import Store
 from ..model.record import TryRecord
-from ..world.quota import Store
 from .fleet import Fleet
 
 NO_ANSWER = "no answer"
--- a/mapleshunt/rig/tills.py
+++ b/mapleshunt/rig/tills.py
@@ -11,10 +11,10 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import add_accept_handler
 
+from ..fleet.backend import TillServer, Work
 from ..model.record import AttemptRecord, TryRecord
 from ..net import resp
 from ..net.buffer import ReadBuffer, TooLong
-from ..world.till import TillServer, Work
 
 if TYPE_CHECKING:
     from .fleet import Fleet
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from mapleshunt.fleet.faults import Fault
 from mapleshunt.model import experiments, stats
 from mapleshunt.model.day import Scenario, day_of, sized
 from mapleshunt.model.engine import Engine, Factory
@@ -20,7 +21,6 @@
 from mapleshunt.model.variants import BadVariant, load, parse
 from mapleshunt.policy import interface as i
 from mapleshunt.policy.gateway import Gateway
-from mapleshunt.world.faults import Fault
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -13,6 +13,9 @@
 
 import pytest
 
+from mapleshunt.fleet.backend import Work
+from mapleshunt.fleet.discovery import Entry
+from mapleshunt.fleet.faults import Fault
 from mapleshunt.model.day import Rules, Scenario, day_of, sized
 from mapleshunt.model.record import AskRecord, AttemptRecord, TryRecord
 from mapleshunt.model.rules import Watchman
@@ -21,9 +24,6 @@
 from mapleshunt.rig import clients, fleet, summary
 from mapleshunt.rig.clock import Clock
 from mapleshunt.rig.gateways import GatewayFailed
-from mapleshunt.world.discovery import Entry
-from mapleshunt.world.faults import Fault
-from mapleshunt.world.till import Work
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -10,14 +10,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from mapleshunt.world import clients, figures
-from mapleshunt.world.chance import Draws, Streams
-from mapleshunt.world.counter import Counter
-from mapleshunt.world.discovery import Discovery, Entry
-from mapleshunt.world.faults import Fault, roll
-from mapleshunt.world.network import Intake, Network
-from mapleshunt.world.quota import Store
-from mapleshunt.world.till import Cell, TillServer, Work
+from mapleshunt.fleet import clients
+from mapleshunt.fleet import parameters as figures
+from mapleshunt.fleet.backend import Cell, TillServer, Work
+from mapleshunt.fleet.counter import Counter
+from mapleshunt.fleet.discovery import Discovery, Entry
+from mapleshunt.fleet.faults import Fault, roll
+from mapleshunt.fleet.network import Intake, Network
+from mapleshunt.fleet.quota import Store
+from mapleshunt.fleet.random_streams import Draws, Streams
 
 STEADY = {
     "cores": 2, "slots_per_core": 2, "queue_per_core": 2, "thrash": 0, "error_rate": 0, "drops_cancelled": 1,
