--- a/benchmarks/copies_calm.py
+++ b/benchmarks/copies_calm.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from mapleshunt.cli.model import scenario_named
-from mapleshunt.model.day import day_of
-from mapleshunt.model.score import Score
 from mapleshunt.rig.fleet import play
 from mapleshunt.rig.gateways import free_port
+from mapleshunt.simulation.day import day_of
+from mapleshunt.simulation.score import Score
 
 GATEWAYS = 3
 
--- a/benchmarks/copies_fleet.py
+++ b/benchmarks/copies_fleet.py
@@ -10,10 +10,10 @@
 
 from joblib import Parallel, delayed
 
-from mapleshunt.model.copies_fleet import CopiesEngine, scenario
-from mapleshunt.model.day import day_of
-from mapleshunt.model.score import Score, score
-from mapleshunt.model.stats import interval
+from mapleshunt.simulation.copies_fleet import CopiesEngine, scenario
+from mapleshunt.simulation.day import day_of
+from mapleshunt.simulation.score import Score, score
+from mapleshunt.simulation.stats import interval
 
 # Seconds by trouble: the burst lasts six tenths of them, and what breaks begins at three tenths.
 TROUBLES = {"none": 24.0, "restart": 24.0, "lost": 24.0, "cut6": 24.0, "cut30": 60.0}
--- a/benchmarks/model_order.py
+++ b/benchmarks/model_order.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from mapleshunt.model.day import sized
-from mapleshunt.model.experiments import compare, replicas
-from mapleshunt.model.scenarios import SCENARIOS
-from mapleshunt.model.stats import interval
-from mapleshunt.model.variants import parse
+from mapleshunt.simulation.day import sized
+from mapleshunt.simulation.experiments import compare, replicas
+from mapleshunt.simulation.scenarios import SCENARIOS
+from mapleshunt.simulation.stats import interval
+from mapleshunt.simulation.variants import parse
 
 SEEDS = range(1, 9)
 
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -10,11 +10,11 @@
 
 import simpy
 
-from mapleshunt.model.agenda import Agenda
-from mapleshunt.model.day import day_of, sized
-from mapleshunt.model.engine import Engine
-from mapleshunt.model.scenarios import SCENARIOS
 from mapleshunt.policy.gateway import Gateway
+from mapleshunt.simulation.day import day_of, sized
+from mapleshunt.simulation.engine import Engine
+from mapleshunt.simulation.event_queue import Agenda
+from mapleshunt.simulation.scenarios import SCENARIOS
 
 REPEATS = 3
 
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -51,8 +51,8 @@
 def scenario_named(
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
-    from ..model.day import sized
-    from ..model.scenarios import scenario_of
+    from ..simulation.day import sized
+    from ..simulation.scenarios import scenario_of
 
     try:
         if ":" in name:
@@ -66,9 +66,9 @@
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
     """`fit:FILE[,KIND][,xSCALE][,rates]`: days of a fitted fleet, with a scenario's troubles, scaled."""
-    from ..model import fit
-    from ..model.day import sized
-    from ..model.scenarios import scenario_of
+    from ..simulation import fit
+    from ..simulation.day import sized
+    from ..simulation.scenarios import scenario_of
 
     kind, _, rest = name.partition(":")
     if kind != "fit":
@@ -93,7 +93,7 @@
 
 
 def _variant(text: str) -> Any:
-    from ..model.variants import parse
+    from ..simulation.variants import parse
 
     try:
         return parse(text)
@@ -105,7 +105,7 @@
 @json_option
 def list_scenarios(as_json: bool) -> None:
     """The built-in scenarios."""
-    from ..model.scenarios import SCENARIOS
+    from ..simulation.scenarios import SCENARIOS
 
     if as_json:
         print_json({name: one.about for name, one in SCENARIOS.items()})
@@ -132,7 +132,7 @@
     as_json: bool,
 ) -> None:
     """Play one day of a scenario."""
-    from ..model.experiments import play
+    from ..simulation.experiments import play
 
     chosen, day = _variant(variant), scenario_named(scenario, gateways, servers, rate, seconds)
     try:
@@ -179,14 +179,14 @@
     as_json: bool,
 ) -> None:
     """Two variants over the same days: the difference with its interval."""
-    from ..model.experiments import compare as compare_variants
+    from ..simulation.experiments import compare as compare_variants
 
     one, other = _variant(a), _variant(b)
     day = scenario_named(scenario, gateways, servers, rate, seconds)
     with progress(2 * seeds, scenario) as step, _pool(backend):
         found = compare_variants(day, one, other, range(first_seed, first_seed + seeds), jobs, step)
     if plot is not None and found.difference:
-        from ..model import plots
+        from ..simulation import plots
 
         plots.comparison(found, (a, b), f"{scenario}, {seeds} days", plot)
     if as_json:
@@ -230,9 +230,9 @@
     as_json: bool,
 ) -> None:
     """A figure over the values of one or two settings."""
-    from ..model.experiments import plain
-    from ..model.experiments import sweep as sweep_settings
-    from ..model.variants import pair
+    from ..simulation.experiments import plain
+    from ..simulation.experiments import sweep as sweep_settings
+    from ..simulation.variants import pair
 
     if len(over) > 2:
         raise Trouble("a sweep goes over one or two settings")
@@ -256,7 +256,7 @@
     ):
         raise Trouble(f"{figure!r} is no figure")
     if plot is not None:
-        from ..model import plots
+        from ..simulation import plots
 
         plots.sweep(points, figure, f"{scenario}, {seeds} days a point", plot)
     if as_json:
@@ -314,8 +314,8 @@
     import json
 
     from ..fleet.parameters import check as check_figures
-    from ..model import fit, recorded
-    from ..model.variants import pair
+    from ..simulation import fit, recorded
+    from ..simulation.variants import pair
 
     try:
         wire = json.loads(told.read_text())
@@ -405,8 +405,8 @@
     """Hold the model against days of real gateways on loopback: minutes of real time."""
     import tempfile
 
-    from ..model.check import LEVEL, WIDEST, check
     from ..rig.record import play_scored
+    from ..simulation.check import LEVEL, WIDEST, check
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
         found = check(
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -20,9 +20,9 @@
 
 
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
-    from ..model.day import day_of
     from ..rig import fleet
     from ..rig.gateways import GatewayFailed
+    from ..simulation.day import day_of
 
     try:
         return fleet.play(day_of(scenario, seed), logs, (program or fleet.HERE).resolve())
--- a/mapleshunt/rig/callers.py
+++ b/mapleshunt/rig/callers.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from ..model.promises import Event
 from ..replicated_state import commands as words
 from ..replicated_state.state_machine import Record, StoreState
 from ..replication import wire
+from ..simulation.promises import Event
 
 Address = tuple[str, int]
 
--- a/mapleshunt/rig/clients.py
+++ b/mapleshunt/rig/clients.py
@@ -8,10 +8,10 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..model.day import Rules
-from ..model.record import AskRecord, Final, TryRecord
 from ..net import resp
 from ..net.buffer import ReadBuffer, TooLong
+from ..simulation.day import Rules
+from ..simulation.record import AskRecord, Final, TryRecord
 from .tills import HOST
 
 if TYPE_CHECKING:
--- a/mapleshunt/rig/faults.py
+++ b/mapleshunt/rig/faults.py
@@ -24,8 +24,8 @@
 
 import msgspec
 
-from ..model.promises import Event, broken
 from ..policy import interface as i
+from ..simulation.promises import Event, broken
 from ..terms import wire_of
 from . import faulty
 from .callers import Address, Caller, ask, leading, statuses
--- a/mapleshunt/rig/fleet.py
+++ b/mapleshunt/rig/fleet.py
@@ -14,11 +14,11 @@
 from ..fleet.backend import TillServer
 from ..fleet.discovery import Entry
 from ..fleet.faults import Fault
-from ..model.day import Day, Rules
-from ..model.host import Host
-from ..model.record import AskRecord, TryRecord
-from ..model.score import Score, score
 from ..net import resp
+from ..simulation.day import Day, Rules
+from ..simulation.host import Host
+from ..simulation.record import AskRecord, TryRecord
+from ..simulation.score import Score, score
 from ..terms import wire_of
 from .clients import Clients
 from .clock import Clock
--- a/mapleshunt/rig/record.py
+++ b/mapleshunt/rig/record.py
@@ -5,8 +5,8 @@
 import tempfile
 from pathlib import Path
 
-from ..model.day import Scenario, day_of
-from ..model.score import Score
+from ..simulation.day import Scenario, day_of
+from ..simulation.score import Score
 from .fleet import play
 
 
--- a/mapleshunt/rig/soak.py
+++ b/mapleshunt/rig/soak.py
@@ -21,8 +21,8 @@
 from typing import Any, cast
 
 from ..fleet.discovery import Entry
-from ..model.day import Day, Rules, Scenario, day_of
-from ..model.record import TryRecord
+from ..simulation.day import Day, Rules, Scenario, day_of
+from ..simulation.record import TryRecord
 from . import soak_troubles
 from .fleet import HERE
 from .gateways import GatewayFailed
--- a/mapleshunt/rig/soak_clients.py
+++ b/mapleshunt/rig/soak_clients.py
@@ -13,9 +13,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..model.record import Final, TryRecord
 from ..net import resp
 from ..net.buffer import TooLong
+from ..simulation.record import Final, TryRecord
 from .clients import Clients, Link
 from .soak_backends import MAX_LAG_S
 from .tills import HOST
--- a/mapleshunt/rig/soak_copies.py
+++ b/mapleshunt/rig/soak_copies.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ..model.promises import Event, broken
+from ..simulation.promises import Event, broken
 from .callers import Address, Caller, leading, statuses
 from .gateways import free_port
 from .proxy import FaultProxy
--- a/mapleshunt/rig/summary.py
+++ b/mapleshunt/rig/summary.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from ..fleet.quota import Store
-from ..model.record import TryRecord
+from ..simulation.record import TryRecord
 from .fleet import Fleet
 
 NO_ANSWER = "no answer"
--- a/mapleshunt/rig/tills.py
+++ b/mapleshunt/rig/tills.py
@@ -12,9 +12,9 @@
 from tornado.netutil import add_accept_handler
 
 from ..fleet.backend import TillServer, Work
-from ..model.record import AttemptRecord, TryRecord
 from ..net import resp
 from ..net.buffer import ReadBuffer, TooLong
+from ..simulation.record import AttemptRecord, TryRecord
 
 if TYPE_CHECKING:
     from .fleet import Fleet
--- a/mapleshunt/model/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -15,8 +15,8 @@
 from ..fleet.discovery import Entry
 from ..fleet.faults import Fault
 from ..policy import interface
-from .agenda import Agenda
 from .day import Day
+from .event_queue import Agenda
 from .host import Host
 from .record import AskRecord, AttemptRecord, Final, TryRecord
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from mapleshunt.model.copies import Group
-from mapleshunt.model.copies_faults import NODES, play
 from mapleshunt.replication import messages as m
 from mapleshunt.replication.node import Node, Timing
+from mapleshunt.simulation.copies import Group
+from mapleshunt.simulation.copies_faults import NODES, play
 
 # With the seed of the first play that finds each, of those that `benchmarks/copies_seeds.py` told.
 FOUND = {
--- a/tests/test_copies_fleet.py
+++ b/tests/test_copies_fleet.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from mapleshunt.model.copies_fleet import CopiesEngine, scenario
-from mapleshunt.model.day import day_of
-from mapleshunt.model.score import Score, score
+from mapleshunt.simulation.copies_fleet import CopiesEngine, scenario
+from mapleshunt.simulation.day import day_of
+from mapleshunt.simulation.score import Score, score
 
 
 def play(what: str, leased: bool = True) -> tuple[CopiesEngine, Score]:
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -13,16 +13,16 @@
 import numpy as np
 import pytest
 
-from mapleshunt.model import fit, recorded
-from mapleshunt.model.check import compare
-from mapleshunt.model.day import Day, Scenario, day_of, sized
-from mapleshunt.model.engine import Engine
-from mapleshunt.model.experiments import play
-from mapleshunt.model.scenarios import SCENARIOS
-from mapleshunt.model.score import score
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.file_format import Attempt, Row
+from mapleshunt.simulation import fit, recorded
+from mapleshunt.simulation.check import compare
+from mapleshunt.simulation.day import Day, Scenario, day_of, sized
+from mapleshunt.simulation.engine import Engine
+from mapleshunt.simulation.experiments import play
+from mapleshunt.simulation.scenarios import SCENARIOS
+from mapleshunt.simulation.score import score
 
 ROOT = Path(__file__).parent.parent
 BASE = replace(sized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from mapleshunt.model.copies_promises import PLANTS, play
-from mapleshunt.model.promises import Event, broken
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.state_machine import MOST_OPEN, Holdings
+from mapleshunt.simulation.copies_promises import PLANTS, play
+from mapleshunt.simulation.promises import Event, broken
 
 RATE, BURST = 10.0, 50.0
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -12,15 +12,15 @@
 import pytest
 
 from mapleshunt.fleet.faults import Fault
-from mapleshunt.model import experiments, stats
-from mapleshunt.model.day import Scenario, day_of, sized
-from mapleshunt.model.engine import Engine, Factory
-from mapleshunt.model.policies import POLICIES
-from mapleshunt.model.scenarios import SCENARIOS
-from mapleshunt.model.score import Score, score
-from mapleshunt.model.variants import BadVariant, load, parse
 from mapleshunt.policy import interface as i
 from mapleshunt.policy.gateway import Gateway
+from mapleshunt.simulation import experiments, stats
+from mapleshunt.simulation.day import Scenario, day_of, sized
+from mapleshunt.simulation.engine import Engine, Factory
+from mapleshunt.simulation.policies import POLICIES
+from mapleshunt.simulation.scenarios import SCENARIOS
+from mapleshunt.simulation.score import Score, score
+from mapleshunt.simulation.variants import BadVariant, load, parse
 
 ROOT = Path(__file__).parent.parent
 
