--- a/benchmarks/copies_calm.py
+++ b/benchmarks/copies_calm.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from mapleshunt.cli.model import scenario_named
-from mapleshunt.rig.fleet import play
-from mapleshunt.rig.gateways import free_port
 from mapleshunt.simulation.day import day_of
 from mapleshunt.simulation.score import Score
+from mapleshunt.testbed.fleet import play
+from mapleshunt.testbed.gateways import free_port
 
 GATEWAYS = 3
 
--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -12,8 +12,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.rig.faults import plain_config
-from mapleshunt.rig.rolls import Roll, Rolls
+from mapleshunt.testbed.faults import plain_config
+from mapleshunt.testbed.rolling_maintenance import Roll, Rolls
 
 
 def one(seed: int, strikes: int) -> tuple[Roll, int]:
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -32,7 +32,7 @@
 
 def _with(section: Any, do: Callable[[Any], Any]) -> Any:
     """Call group 0 until it is answered."""
-    from ..rig.callers import Caller
+    from ..testbed.workload_clients import Caller
 
     async def run() -> Any:
         caller = Caller(
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -405,8 +405,8 @@
     """Hold the model against days of real gateways on loopback: minutes of real time."""
     import tempfile
 
-    from ..rig.record import play_scored
     from ..simulation.check import LEVEL, WIDEST, check
+    from ..testbed.record import play_scored
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
         found = check(
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -11,7 +11,7 @@
 from .output import Trouble, json_option, print_json, service_rows, table
 
 if TYPE_CHECKING:
-    from ..rig.soak_troubles import Kind
+    from ..testbed.soak_faults import Kind
 
 
 @click.group()
@@ -20,9 +20,9 @@
 
 
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
-    from ..rig import fleet
-    from ..rig.gateways import GatewayFailed
     from ..simulation.day import day_of
+    from ..testbed import fleet
+    from ..testbed.gateways import GatewayFailed
 
     try:
         return fleet.play(day_of(scenario, seed), logs, (program or fleet.HERE).resolve())
@@ -95,7 +95,7 @@
     import asyncio
     import tempfile
 
-    from ..rig.faults import FAULTS, Faults, plain_config
+    from ..testbed.faults import FAULTS, Faults, plain_config
 
     chosen = schedule.read_text().split() if schedule is not None else []
     if odd := [one for one in chosen if one not in FAULTS]:
@@ -154,10 +154,10 @@
     as_json: bool,
 ) -> None:
     """Real gateways under overlapping troubles, judged by the invariants; exit status 1 if one is broken."""
-    from ..rig import soak as soaks
-    from ..rig.fleet import HERE
-    from ..rig.soak_troubles import REPLICATION_KINDS, WEIGHTS
-    from ..rig.syscall_faults import NoCompiler
+    from ..testbed import soak as soaks
+    from ..testbed.fleet import HERE
+    from ..testbed.soak_faults import REPLICATION_KINDS, WEIGHTS
+    from ..testbed.syscall_faults import NoCompiler
 
     if odd := [one for one in only if one not in WEIGHTS]:
         raise Trouble(f"no trouble is named {odd[0]!r}; there are {', '.join(WEIGHTS)}")
@@ -210,7 +210,7 @@
 @json_option
 def demo(seconds: float, seed: int, gateways: int, servers: int, as_json: bool) -> None:
     """Gateways, till servers and clients on loopback for a few seconds, and what became of each request."""
-    from ..rig import summary
+    from ..testbed import summary
 
     day = scenario_named("busy", gateways, servers, None, seconds)
     fleet, found = _play(day, seed, None, None)
--- a/mapleshunt/rig/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -12,7 +12,7 @@
 from ..net.buffer import ReadBuffer, TooLong
 from ..simulation.day import Rules
 from ..simulation.record import AskRecord, Final, TryRecord
-from .tills import HOST
+from .backends import HOST
 
 if TYPE_CHECKING:
     from .fleet import Fleet
--- a/mapleshunt/rig/faults.py
+++ b/mapleshunt/testbed/faults.py
@@ -28,11 +28,11 @@
 from ..simulation.promises import Event, broken
 from ..terms import wire_of
 from . import faulty
-from .callers import Address, Caller, ask, leading, statuses
+from .backends import HOST
 from .gateways import GatewayFailed, free_port, launch
 from .proxy import Direction, FaultProxy
 from .replica_workload import BURST, RATE, final_state, operate
-from .tills import HOST
+from .workload_clients import Address, Caller, ask, leading, statuses
 
 FLEET = "faults"
 FAULTS = (
--- a/mapleshunt/rig/faulty.py
+++ b/mapleshunt/testbed/faulty.py
@@ -1,4 +1,4 @@
-"""A gateway with copies that can be told to fail between two steps: `python -m mapleshunt.rig.faulty`.
+"""A gateway with copies that can be told to fail between two steps: `python -m mapleshunt.testbed.faulty`.
 
 The program as it is, with a few of its functions wrapped before it starts. What to do is in the file that
 `MAPLESHUNT_FAULTS` names, read at the start and on SIGUSR2: die at the nth time that a step is reached, be
--- a/mapleshunt/rig/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -20,11 +20,11 @@
 from ..simulation.record import AskRecord, TryRecord
 from ..simulation.score import Score, score
 from ..terms import wire_of
+from .backends import HOST, Out, Till
 from .clients import Clients
 from .clock import Clock
 from .gateways import GatewayFailed, GatewayProcess
 from .services import Agent, CounterServer, Paths
-from .tills import HOST, Out, Till
 
 SOCKET_RULES = Rules(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
 LOOK = 0.5  # s between looks at the gateways' CPU and memory
--- a/mapleshunt/rig/gateways.py
+++ b/mapleshunt/testbed/gateways.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, TextIO
 
-from .tills import HOST
+from .backends import HOST
 
 BACKLOG = 512
 READY_CALL = b"GET /_ready HTTP/1.1\r\nHost: gateway\r\n\r\n"
--- a/mapleshunt/rig/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..replicated_state import commands as w
-from .callers import Caller
+from .workload_clients import Caller
 
 CUSTOMERS = 4
 RECORDS = 2
--- a/mapleshunt/rig/services.py
+++ b/mapleshunt/testbed/services.py
@@ -18,7 +18,7 @@
 from ..net import resp
 from ..net.buffer import ReadBuffer, TooLong
 from ..terms import STATES
-from .tills import HOST
+from .backends import HOST
 
 if TYPE_CHECKING:
     from .fleet import Fleet
--- a/mapleshunt/rig/soak.py
+++ b/mapleshunt/testbed/soak.py
@@ -23,20 +23,20 @@
 from ..fleet.discovery import Entry
 from ..simulation.day import Day, Rules, Scenario, day_of
 from ..simulation.record import TryRecord
-from . import soak_troubles
+from . import soak_faults as soak_troubles
+from .backends import HOST
 from .fleet import HERE
 from .gateways import GatewayFailed
-from .rolls import shared_grants
+from .rolling_maintenance import shared_grants
 from .services import Agent
 from .soak_agent import SoakAgent
 from .soak_backends import SoakBackend
 from .soak_clients import LATEST_MS, SoakClients
 from .soak_copies import SoakCopies
+from .soak_fault_injection import KILL_TAKES_MS, LATE_START_MS, TroubledFleet
+from .soak_faults import Trouble
 from .soak_report import SoakReport
-from .soak_strikes import KILL_TAKES_MS, LATE_START_MS, TroubledFleet
-from .soak_troubles import Trouble
 from .syscall_faults import FaultControl, FaultRates, build
-from .tills import HOST
 
 SOAK_RULES = Rules(answer_slack=LATEST_MS + 8.0, drain_grace=550.0)
 TOLD_MS = 6000.0  # after discovery has a change and can be reached, at which it counts as told
--- a/mapleshunt/rig/soak_backends.py
+++ b/mapleshunt/testbed/soak_backends.py
@@ -12,8 +12,8 @@
 
 from ..fleet.backend import TillServer
 from ..net import resp
+from .backends import HOST, Out, Till
 from .proxy import RESET_ON_CLOSE
-from .tills import HOST, Out, Till
 
 if TYPE_CHECKING:
     from .soak import SoakFleet
--- a/mapleshunt/rig/soak_clients.py
+++ b/mapleshunt/testbed/soak_clients.py
@@ -16,9 +16,9 @@
 from ..net import resp
 from ..net.buffer import TooLong
 from ..simulation.record import Final, TryRecord
+from .backends import HOST
 from .clients import Clients, Link
 from .soak_backends import MAX_LAG_S
-from .tills import HOST
 
 if TYPE_CHECKING:
     from .soak import SoakFleet
--- a/mapleshunt/rig/soak_copies.py
+++ b/mapleshunt/testbed/soak_copies.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 
 from ..simulation.promises import Event, broken
-from .callers import Address, Caller, leading, statuses
+from .backends import HOST
 from .gateways import free_port
 from .proxy import FaultProxy
 from .replica_workload import BURST, final_state, operate
 from .soak_maintenance import MAINTENANCE
-from .tills import HOST
+from .workload_clients import Address, Caller, leading, statuses
 
 FLEET = "soak"
 GROUPS = 4
--- a/mapleshunt/rig/soak_strikes.py
+++ b/mapleshunt/testbed/soak_fault_injection.py
@@ -14,7 +14,8 @@
 from typing import Any, cast
 
 from ..fleet.faults import Fault
-from . import soak_troubles
+from . import soak_faults as soak_troubles
+from .backends import HOST
 from .fleet import Fleet
 from .gateways import GatewayFailed, GatewayProcess
 from .proxy import FaultProxy
@@ -22,11 +23,10 @@
 from .soak_backends import Misbehaviour, SoakBackend
 from .soak_clients import SoakClients
 from .soak_copies import SoakCopies
+from .soak_faults import Trouble
 from .soak_maintenance import MachineWork
 from .soak_report import SoakReport
-from .soak_troubles import Trouble
 from .syscall_faults import FaultControl, FaultRates
-from .tills import HOST
 
 LATE_START_MS = 700.0  # after SIGTERM, from which on what SIGKILL finds unanswered is no loss
 LONGEST_MS = 3000.0  # as which longer deadlines count between SIGTERM and SIGKILL
--- a/mapleshunt/rig/soak_maintenance.py
+++ b/mapleshunt/testbed/soak_maintenance.py
@@ -7,8 +7,8 @@
 
 from ..maintenance import commands as w
 from ..replicated_state import commands as h
-from .callers import Caller
-from .rolls import read_works
+from .rolling_maintenance import read_works
+from .workload_clients import Caller
 
 MAINTENANCE = "(maintenance (most 1) (zone 1) (pause-s 0.2) (drain-s 4.0) (failures 99) (most-load 9.0))"
 LOOK_S = 0.1  # between two looks at a machine's state
--- a/tests/test_daemon_loads.py
+++ b/tests/test_daemon_loads.py
@@ -11,7 +11,7 @@
 from tests.processes import EXAMPLE, ROOT, free_port, run
 
 TOOLS = ("click", "joblib", "matplotlib", "msgspec", "numpy", "scipy", "zstandard", "mapleshunt.fleet",
-         "mapleshunt.simulation", "mapleshunt.rig", "mapleshunt.cli", "mapleshunt.recording")  # fmt: skip
+         "mapleshunt.simulation", "mapleshunt.testbed", "mapleshunt.cli", "mapleshunt.recording")  # fmt: skip
 MOST_KB = 17_100  # 16,112 before the model, and one MB
 
 
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -21,9 +21,9 @@
 from mapleshunt.__main__ import Program
 from mapleshunt.net import config
 from mapleshunt.replication import messages as m
-from mapleshunt.rig.syscall_faults import FaultControl, FaultRates, build
 from mapleshunt.storage.durable_store import Damaged, Disk
 from mapleshunt.storage.writer import Writer
+from mapleshunt.testbed.syscall_faults import FaultControl, FaultRates, build
 
 from .processes import EXAMPLE, ROOT, free_port
 from .test_store import FIRST, filled
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -24,9 +24,9 @@
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
 from mapleshunt.replication.placement import group_of, place, rank
-from mapleshunt.rig.faults import FAULTS, Faults, Report, plain_config
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
+from mapleshunt.testbed.faults import FAULTS, Faults, Report, plain_config
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -22,9 +22,9 @@
 from mapleshunt.replicated_state import commands as words
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
-from mapleshunt.rig.faults import plain_config
 from mapleshunt.settings import operators
 from mapleshunt.storage.durable_store import Disk, StoreUnavailable
+from mapleshunt.testbed.faults import plain_config
 
 from .processes import free_port
 from .test_sessions import WAIT_S, until
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -17,13 +17,13 @@
 from mapleshunt.fleet.discovery import Entry
 from mapleshunt.fleet.faults import Fault
 from mapleshunt.recording import file_format as form
-from mapleshunt.rig import clients, fleet, summary
-from mapleshunt.rig.clock import Clock
-from mapleshunt.rig.gateways import GatewayFailed
 from mapleshunt.simulation.day import Rules, Scenario, day_of, sized
 from mapleshunt.simulation.record import AskRecord, AttemptRecord, TryRecord
 from mapleshunt.simulation.rules import Watchman
 from mapleshunt.simulation.scenarios import SCENARIOS
+from mapleshunt.testbed import clients, fleet, summary
+from mapleshunt.testbed.clock import Clock
+from mapleshunt.testbed.gateways import GatewayFailed
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,8 +10,9 @@
 
 import pytest
 
-from mapleshunt.rig import soak, soak_troubles
-from mapleshunt.rig.syscall_faults import FaultControl, FaultRates, build
+from mapleshunt.testbed import soak
+from mapleshunt.testbed import soak_faults as soak_troubles
+from mapleshunt.testbed.syscall_faults import FaultControl, FaultRates, build
 
 from .test_rig import BAD, checkout
 
