--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -17,10 +17,10 @@
 from .net.driver import Driver
 from .net.leases import Leases
 from .net.maintenance import Hands, Maintenance
-from .passing_errors import may_pass
 from .recording.writer import Recorder
 from .settings import operators
 from .storage.durable_store import Disk, StoreUnavailable
+from .transient_errors import may_pass
 
 STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
 
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..passing_errors import may_pass
+from ..platform_terms import settings_of
 from ..policy import interface as i
-from ..terms import settings_of
+from ..transient_errors import may_pass
 
 Address = tuple[str, int]
 SEED_BITS = 64
--- a/mapleshunt/net/copies.py
+++ b/mapleshunt/net/copies.py
@@ -14,7 +14,6 @@
 
 import msgspec
 
-from ..passing_errors import may_pass
 from ..replication import messages as m
 from ..replication import wire
 from ..replication.membership import Patience, Seen, next_step
@@ -24,6 +23,7 @@
 from ..settings.operators import Copies as Section
 from ..storage.durable_store import Disk, StoreError, StoreInUse, StoreUnavailable
 from ..storage.writer import Writer
+from ..transient_errors import may_pass
 from . import log
 from .config import Address, ConfigError, address
 from .counters import Counters
--- a/mapleshunt/net/discovery.py
+++ b/mapleshunt/net/discovery.py
@@ -16,8 +16,8 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from ..platform_terms import STATES
 from ..policy import interface as i
-from ..terms import STATES
 from . import http, log
 from .backoff import SILENCE, WAIT, Backoff
 from .buffer import ReadBuffer, TooLong
--- a/mapleshunt/net/startup.py
+++ b/mapleshunt/net/startup.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from ..passing_errors import may_pass
+from ..transient_errors import may_pass
 from . import log
 from .counters import Counters
 
--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -12,7 +12,7 @@
 
 from ..maintenance.commands import Budget
 from ..maintenance.state import contradiction
-from ..passing_errors import may_pass
+from ..transient_errors import may_pass
 from .reader import SettingsError, parse
 from .schema import whole
 
--- a/mapleshunt/simhost.py
+++ b/mapleshunt/simulator_adapter.py
@@ -6,9 +6,9 @@
 import sys
 from typing import Any, TextIO, cast
 
+from .platform_terms import LISTS, STATES, STATUSES, settings_of
 from .policy import interface as i
 from .policy.gateway import Gateway
-from .terms import LISTS, STATES, STATUSES, settings_of
 
 
 class WireError(Exception):
--- a/mapleshunt/storage/durable_store.py
+++ b/mapleshunt/storage/durable_store.py
@@ -22,8 +22,8 @@
 import msgspec
 import xxhash
 
-from ..passing_errors import may_pass
 from ..replication import messages as m
+from ..transient_errors import may_pass
 from .read_errors import ReadErrorVFS
 
 FORMAT = 1
--- a/mapleshunt/testbed/faults.py
+++ b/mapleshunt/testbed/faults.py
@@ -24,9 +24,9 @@
 
 import msgspec
 
+from ..platform_terms import wire_of
 from ..policy import interface as i
 from ..simulation.promises import Event, broken
-from ..terms import wire_of
 from . import faulty
 from .backends import HOST
 from .gateways import GatewayFailed, free_port, launch
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -15,11 +15,11 @@
 from ..fleet.discovery import Entry
 from ..fleet.faults import Fault
 from ..net import resp
+from ..platform_terms import wire_of
 from ..simulation.day import Day, Rules
 from ..simulation.host import Host
 from ..simulation.record import AskRecord, TryRecord
 from ..simulation.score import Score, score
-from ..terms import wire_of
 from .backends import HOST, Out, Till
 from .clients import Clients
 from .clock import Clock
--- a/mapleshunt/testbed/services.py
+++ b/mapleshunt/testbed/services.py
@@ -17,7 +17,7 @@
 from ..fleet.discovery import Entry
 from ..net import resp
 from ..net.buffer import ReadBuffer, TooLong
-from ..terms import STATES
+from ..platform_terms import STATES
 from .backends import HOST
 
 if TYPE_CHECKING:
--- a/tests/test_daemon_loads.py
+++ b/tests/test_daemon_loads.py
@@ -16,7 +16,7 @@
 
 
 def test_the_daemon_and_the_adapter_load_none_of_the_tools() -> None:
-    for module in ("mapleshunt.__main__", "mapleshunt.simhost"):
+    for module in ("mapleshunt.__main__", "mapleshunt.simulator_adapter"):
         code = f"import sys, json, {module}; print(json.dumps(sorted(sys.modules)))"
         found = subprocess.run(
             [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -15,7 +15,7 @@
 import pytest
 
 from mapleshunt import Plan, RequestClass, Settings
-from mapleshunt.simhost import main
+from mapleshunt.simulator_adapter import main
 
 ODD: Any = "odd"
 ROOT = Path(__file__).parent.parent
