--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -18,7 +18,7 @@
 import time
 from pathlib import Path
 
-from mapleshunt.net import resp
+from mapleshunt.net.protocol import resp
 
 ROOT = Path(__file__).parent.parent
 BOUND = 10.0  # s in which nine in ten have to be ready
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -11,8 +11,8 @@
 
 from tornado.tcpclient import TCPClient
 
-from mapleshunt.net import resp
-from mapleshunt.net.buffer import ReadBuffer
+from mapleshunt.net.protocol import resp
+from mapleshunt.net.protocol.read_buffer import ReadBuffer
 
 CUSTOMER = b"00000000b4d65521"
 
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -17,8 +17,8 @@
 from tornado.tcpserver import TCPServer
 from tornado.web import Application, RequestHandler
 
-from mapleshunt.net import resp
-from mapleshunt.net.buffer import ReadBuffer
+from mapleshunt.net.protocol import resp
+from mapleshunt.net.protocol.read_buffer import ReadBuffer
 
 HOST = "127.0.0.1"
 WORK = 0.02  # s
--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -21,7 +21,7 @@
 
 from .invariants import Guard, broken_by_starting
 from .lifecycle.lifecycle import Drainer, Life
-from .net import client, log, resp
+from .net import client, log
 from .net.backoff import TOLD, Backoff
 from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
 from .net.counters import Counters
@@ -30,6 +30,7 @@
 from .net.listening import Acceptor, bound
 from .net.peers import Peers
 from .net.periodic import Periodic
+from .net.protocol import resp
 from .net.startup import StartSteps
 from .net.upstream import UpstreamGroup
 from .policy import interface as i
--- a/mapleshunt/net/client.py
+++ b/mapleshunt/net/client.py
@@ -17,11 +17,13 @@
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
 from ..invariants import Guard, broken_by_closing
-from . import log, resp, svc
-from .buffer import CHUNK, ReadBuffer, TooLong
+from . import log
 from .context import RequestContext
 from .counters import Counters
 from .driver import Driver
+from .protocol import command_protocol as svc
+from .protocol import resp
+from .protocol.read_buffer import CHUNK, ReadBuffer, TooLong
 from .stages.admit import admit
 from .stages.take_in import Unacceptable, take_in
 
--- a/mapleshunt/net/discovery.py
+++ b/mapleshunt/net/discovery.py
@@ -18,11 +18,12 @@
 
 from ..platform_terms import STATES
 from ..policy import interface as i
-from . import http, log
+from . import log
 from .backoff import SILENCE, WAIT, Backoff
-from .buffer import ReadBuffer, TooLong
 from .config import Address, ConfigError, address, family_of
 from .counters import Counters
+from .protocol import http
+from .protocol.read_buffer import ReadBuffer, TooLong
 from .upstream import Member
 
 PATH = "/catalog/members"
--- a/mapleshunt/net/links.py
+++ b/mapleshunt/net/links.py
@@ -15,10 +15,10 @@
 from ..replication import wire
 from ..replication.messages import Message
 from . import log
-from .buffer import ReadBuffer, TooLong
 from .config import Address, family_of
 from .counters import Counters
 from .listening import Acceptor, bound
+from .protocol.read_buffer import ReadBuffer, TooLong
 
 BACKLOG = 64
 MOST_UNSENT = 4 << 20  # bytes that a link holds before it drops
--- /dev/null
+++ b/mapleshunt/net/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Messages on the wire: parsers and commands, without I/O."""
--- a/mapleshunt/net/svc.py
+++ b/mapleshunt/net/protocol/command_protocol.py
@@ -5,8 +5,8 @@
 import re
 from collections.abc import Sequence
 
+from ..context import Ending, Intake
 from . import resp
-from .context import Ending, Intake
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
 HEX = re.compile(r"[0-9a-f]{16}")
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -12,8 +12,8 @@
 from tornado.netutil import add_accept_handler
 
 from ..fleet.backend import TillServer, Work
-from ..net import resp
-from ..net.buffer import ReadBuffer, TooLong
+from ..net.protocol import resp
+from ..net.protocol.read_buffer import ReadBuffer, TooLong
 from ..simulation.record import AttemptRecord, TryRecord
 
 if TYPE_CHECKING:
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -8,8 +8,8 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..net import resp
-from ..net.buffer import ReadBuffer, TooLong
+from ..net.protocol import resp
+from ..net.protocol.read_buffer import ReadBuffer, TooLong
 from ..simulation.day import Rules
 from ..simulation.record import AskRecord, Final, TryRecord
 from .backends import HOST
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -14,7 +14,7 @@
 from ..fleet.backend import TillServer
 from ..fleet.discovery import Entry
 from ..fleet.faults import Fault
-from ..net import resp
+from ..net.protocol import resp
 from ..platform_terms import wire_of
 from ..simulation.day import Day, Rules
 from ..simulation.host import Host
--- a/mapleshunt/testbed/services.py
+++ b/mapleshunt/testbed/services.py
@@ -15,8 +15,8 @@
 from tornado.web import Application, RequestHandler
 
 from ..fleet.discovery import Entry
-from ..net import resp
-from ..net.buffer import ReadBuffer, TooLong
+from ..net.protocol import resp
+from ..net.protocol.read_buffer import ReadBuffer, TooLong
 from ..platform_terms import STATES
 from .backends import HOST
 
--- a/mapleshunt/testbed/soak_backends.py
+++ b/mapleshunt/testbed/soak_backends.py
@@ -11,7 +11,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from ..fleet.backend import TillServer
-from ..net import resp
+from ..net.protocol import resp
 from .backends import HOST, Out, Till
 from .proxy import RESET_ON_CLOSE
 
--- a/mapleshunt/testbed/soak_clients.py
+++ b/mapleshunt/testbed/soak_clients.py
@@ -13,8 +13,8 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..net import resp
-from ..net.buffer import TooLong
+from ..net.protocol import resp
+from ..net.protocol.read_buffer import TooLong
 from ..simulation.record import Final, TryRecord
 from .backends import HOST
 from .clients import Clients, Link
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from mapleshunt.net import http, resp
+from mapleshunt.net.protocol import http, resp
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "examples" / "config.json"
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -16,10 +16,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from tornado.iostream import IOStream
 
-from mapleshunt.net import client, resp, svc
+from mapleshunt.net import client
 from mapleshunt.net.context import RequestContext
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.driver import Driver
+from mapleshunt.net.protocol import command_protocol as svc
+from mapleshunt.net.protocol import resp
 from mapleshunt.net.stages.take_in import take_in
 from mapleshunt.policy.interface import Settings
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,9 +15,9 @@
 from mapleshunt.__main__ import Program
 from mapleshunt.net import config
 from mapleshunt.net.backoff import SILENCE, TOLD, WAIT, Backoff
-from mapleshunt.net.buffer import ReadBuffer
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.discovery import Discovery, MemberList
+from mapleshunt.net.protocol.read_buffer import ReadBuffer
 
 from .processes import EXAMPLE
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,7 +15,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mapleshunt.net import door, http
+from mapleshunt.net import door
+from mapleshunt.net.protocol import http
 
 from .processes import EXAMPLE, NOT_READY, PING, PONG, ROOT, Gateway, query, replies, toy
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -28,9 +28,9 @@
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.driver import GUARD, Driver
 from mapleshunt.net.periodic import Periodic
+from mapleshunt.net.protocol.command_protocol import SvcMessage
 from mapleshunt.net.stages import relay
 from mapleshunt.net.stages.admit import admit
-from mapleshunt.net.svc import SvcMessage
 from mapleshunt.net.upstream import Member, UpstreamGroup
 
 from .conftest import CLASSES, PLANS
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mapleshunt.net import http
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.discovery import member_list
+from mapleshunt.net.protocol import http
 from mapleshunt.net.upstream import UpstreamGroup
 
 PLAIN = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX: y\r\n\r\nbody"
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from mapleshunt.net import resp
+from mapleshunt.net.protocol import resp
 
 from .processes import EXAMPLE, LONG, ONE, PING, PONG, ROOT, free_port, query, replies, run
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from tornado.iostream import IOStream
 
-from mapleshunt.net import resp
-from mapleshunt.net.buffer import CHUNK, ReadBuffer, TooLong
+from mapleshunt.net.protocol import resp
+from mapleshunt.net.protocol.read_buffer import CHUNK, ReadBuffer, TooLong
 
 settings.register_profile("steady", derandomize=True, deadline=None, database=None)
 settings.load_profile("steady")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -15,11 +15,12 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from mapleshunt import Request
-from mapleshunt.net import resp, upstream
+from mapleshunt.net import upstream
 from mapleshunt.net.context import Answer, Ending, RequestContext, Try
 from mapleshunt.net.counters import Counters
+from mapleshunt.net.protocol import resp
+from mapleshunt.net.protocol.command_protocol import SvcMessage
 from mapleshunt.net.stages.send import send
-from mapleshunt.net.svc import SvcMessage
 from mapleshunt.net.upstream import Member, UpstreamGroup
 from mapleshunt.policy.interface import Status
 
