--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -21,13 +21,14 @@
 
 from .invariants import Guard, broken_by_starting
 from .lifecycle.lifecycle import Drainer, Life
-from .net import client, log
+from .net import log
 from .net.backoff import TOLD, Backoff
+from .net.client import connection as client
+from .net.client.listener import Acceptor, bound
 from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
 from .net.counters import Counters
 from .net.discovery import Discovery, MemberList, member_list
 from .net.driver import Driver
-from .net.listening import Acceptor, bound
 from .net.peers import Peers
 from .net.periodic import Periodic
 from .net.protocol import resp
--- /dev/null
+++ b/mapleshunt/net/client/__init__.py
@@ -0,0 +1,1 @@
+"""Client connections: from the accepted socket to its orderly close."""
--- a/mapleshunt/net/listening.py
+++ b/mapleshunt/net/client/listener.py
@@ -11,9 +11,9 @@
 
 from tornado.ioloop import IOLoop
 
-from . import log
-from .config import Address, family_of
-from .counters import Counters
+from .. import log
+from ..config import Address, family_of
+from ..counters import Counters
 
 # Errors of accept that stand for a lack of resources: the connection stays in the backlog.
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
--- a/mapleshunt/net/door.py
+++ b/mapleshunt/net/door.py
@@ -14,9 +14,9 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from . import log
+from .client.listener import Acceptor, bound
 from .config import Address
 from .counters import Counters
-from .listening import Acceptor, bound
 from .protocol import http
 from .protocol.read_buffer import ReadBuffer, TooLong
 
--- a/mapleshunt/net/links.py
+++ b/mapleshunt/net/links.py
@@ -15,9 +15,9 @@
 from ..replication import wire
 from ..replication.messages import Message
 from . import log
+from .client.listener import Acceptor, bound
 from .config import Address, family_of
 from .counters import Counters
-from .listening import Acceptor, bound
 from .protocol.read_buffer import ReadBuffer, TooLong
 
 BACKLOG = 64
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from tornado.iostream import IOStream
 
-from mapleshunt.net import client
+from mapleshunt.net.client import connection as client
 from mapleshunt.net.context import RequestContext
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.driver import Driver
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -15,7 +15,8 @@
 import pytest
 
 from mapleshunt.__main__ import Program
-from mapleshunt.net import config, listening
+from mapleshunt.net import config
+from mapleshunt.net.client import listener as listening
 from mapleshunt.net.counters import Counters
 
 from .processes import EXAMPLE, PING, query
