--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -33,7 +33,7 @@
 from .net.periodic import Periodic
 from .net.protocol import resp
 from .net.startup import StartSteps
-from .net.upstream import UpstreamGroup
+from .net.upstream.endpoint_group import UpstreamGroup
 from .policy import interface as i
 
 if TYPE_CHECKING:
--- a/mapleshunt/net/discovery.py
+++ b/mapleshunt/net/discovery.py
@@ -24,7 +24,7 @@
 from .counters import Counters
 from .protocol import http
 from .protocol.read_buffer import ReadBuffer, TooLong
-from .upstream import Member
+from .upstream.endpoint_group import Member
 
 PATH = "/catalog/members"
 UNKNOWN = (400, 404, 410)  # statuses that may mean that the revision asked from is not known
--- a/mapleshunt/net/driver.py
+++ b/mapleshunt/net/driver.py
@@ -21,7 +21,7 @@
 from .stages.book import book
 from .stages.route import route
 from .stages.send import send
-from .upstream import ServerConnection, UpstreamGroup
+from .upstream.endpoint_group import ServerConnection, UpstreamGroup
 
 # ms before a request's patience ends at which the driver answers if the decisions have not. They do so four
 # ticks before, of 1 ms or more: at the same time as theirs, the net came first, failing what may be rejected.
--- /dev/null
+++ b/mapleshunt/net/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Backends and the connections to them."""
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -31,7 +31,7 @@
 from mapleshunt.net.protocol.command_protocol import SvcMessage
 from mapleshunt.net.stages import relay
 from mapleshunt.net.stages.admit import admit
-from mapleshunt.net.upstream import Member, UpstreamGroup
+from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
 
 from .conftest import CLASSES, PLANS
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.discovery import member_list
 from mapleshunt.net.protocol import http
-from mapleshunt.net.upstream import UpstreamGroup
+from mapleshunt.net.upstream.endpoint_group import UpstreamGroup
 
 PLAIN = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX: y\r\n\r\nbody"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2;x\r\ndy\r\n0\r\n\r\n"
