--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -18,14 +18,14 @@
 
 from ...invariants import Guard, broken_by_closing
 from .. import log
-from ..context import RequestContext
 from ..counters import Counters
 from ..driver import Driver
 from ..protocol import command_protocol as svc
 from ..protocol import resp
 from ..protocol.read_buffer import CHUNK, ReadBuffer, TooLong
-from ..stages.admit import admit
-from ..stages.take_in import Unacceptable, take_in
+from ..request.admit import admit
+from ..request.context import RequestContext
+from ..request.parse import Unacceptable, take_in
 
 MAX_PIPELINED_COMMANDS = 32  # commands of a connection that wait for their answer before reading pauses
 MAX_REFUSED_COMMANDS = 4096  # of such a connection that wait to be told that they are refused
--- a/mapleshunt/net/counters.py
+++ b/mapleshunt/net/counters.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from . import log
-from .trace import Trace
+from .request.trace import Trace
 
 
 class Counters:
--- a/mapleshunt/net/driver.py
+++ b/mapleshunt/net/driver.py
@@ -15,12 +15,12 @@
 from ..policy import slow_start
 from ..policy.gateway import Gateway
 from . import log
-from .context import Ending, RequestContext, Try
 from .counters import Counters
-from .stages import relay
-from .stages.book import book
-from .stages.route import route
-from .stages.send import send
+from .request import respond as relay
+from .request.context import Ending, RequestContext, Try
+from .request.dispatch import send
+from .request.record import book
+from .request.route import route
 from .upstream.endpoint_group import ServerConnection, UpstreamGroup
 
 # ms before a request's patience ends at which the driver answers if the decisions have not. They do so four
--- a/mapleshunt/net/protocol/command_protocol.py
+++ b/mapleshunt/net/protocol/command_protocol.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Sequence
 
-from ..context import Ending, Intake
+from ..request.context import Ending, Intake
 from . import resp
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
--- a/mapleshunt/net/stages/admit.py
+++ b/mapleshunt/net/request/admit.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from ..context import RequestContext
-from . import relay
+from . import respond as relay
+from .context import RequestContext
 
 if TYPE_CHECKING:
     from ..driver import Driver
--- a/mapleshunt/net/context.py
+++ b/mapleshunt/net/request/context.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..policy import interface as i
+from ...policy import interface as i
 
 
 class Message(Protocol):
--- a/mapleshunt/net/stages/send.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from ..context import Ending, RequestContext, Try
 from ..upstream.endpoint_group import ConnectionLost, DialFailed, NoRoom, ServerConnection, UpstreamGroup
+from .context import Ending, RequestContext, Try
 
 # Called with the time that the server is told, right before the first byte is written.
 Check = Callable[[RequestContext, Try, ServerConnection, float], None]
--- a/mapleshunt/net/stages/take_in.py
+++ b/mapleshunt/net/request/parse.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...policy import interface as i
-from ..context import Answer, Intake, RequestContext
+from .context import Answer, Intake, RequestContext
 
 
 class Unacceptable(Exception):
--- a/mapleshunt/net/stages/book.py
+++ b/mapleshunt/net/request/record.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from ...policy import interface as i
-from ..context import Ending, RequestContext, Try
-from . import relay
+from . import respond as relay
+from .context import Ending, RequestContext, Try
 
 if TYPE_CHECKING:
     from ..driver import Driver
--- a/mapleshunt/net/stages/relay.py
+++ b/mapleshunt/net/request/respond.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..context import RequestContext
 from ..counters import Counters
+from .context import RequestContext
 
 
 def serve(context: RequestContext, value: memoryview, counters: Counters) -> None:
--- a/mapleshunt/net/stages/route.py
+++ b/mapleshunt/net/request/route.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...policy import interface as i
-from ..context import RequestContext, Try
+from .context import RequestContext, Try
 
 
 def route(context: RequestContext, action: i.Send, now: float) -> Try:
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -19,11 +19,11 @@
 from ...policy import interface as i
 from .. import log
 from ..config import Address, family_of
-from ..context import Ending
 from ..counters import Counters
 from ..protocol import command_protocol as svc
 from ..protocol import resp
 from ..protocol.read_buffer import ReadBuffer, TooLong
+from ..request.context import Ending
 
 STALL = 0.1  # s that a reply that has begun may stand still
 SETTLE = 0.01  # s before a connection that has answered carries the next try
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -25,7 +25,7 @@
 )
 
 if TYPE_CHECKING:
-    from ..net.context import RequestContext
+    from ..net.request.context import RequestContext
 
 FLUSH = 5.0  # s after which a block that is not full is written too; it is written again when it is
 MOST_ATTEMPTS = 16
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -17,12 +17,12 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net.client import connection as client
-from mapleshunt.net.context import RequestContext
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.driver import Driver
 from mapleshunt.net.protocol import command_protocol as svc
 from mapleshunt.net.protocol import resp
-from mapleshunt.net.stages.take_in import take_in
+from mapleshunt.net.request.context import RequestContext
+from mapleshunt.net.request.parse import take_in
 from mapleshunt.policy.interface import Settings
 
 from .conftest import CLASSES, PLANS
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -24,13 +24,13 @@
     Tell,
     Timer,
 )
-from mapleshunt.net.context import RequestContext
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.driver import GUARD, Driver
 from mapleshunt.net.periodic import Periodic
 from mapleshunt.net.protocol.command_protocol import SvcMessage
-from mapleshunt.net.stages import relay
-from mapleshunt.net.stages.admit import admit
+from mapleshunt.net.request import respond as relay
+from mapleshunt.net.request.admit import admit
+from mapleshunt.net.request.context import RequestContext
 from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
 
 from .conftest import CLASSES, PLANS
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from mapleshunt import Request, Settings
-from mapleshunt.net.context import RequestContext, Try
+from mapleshunt.net.request.context import RequestContext, Try
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.writer import Recorder
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -15,11 +15,11 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from mapleshunt import Request
-from mapleshunt.net.context import Answer, Ending, RequestContext, Try
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.protocol import resp
 from mapleshunt.net.protocol.command_protocol import SvcMessage
-from mapleshunt.net.stages.send import send
+from mapleshunt.net.request.context import Answer, Ending, RequestContext, Try
+from mapleshunt.net.request.dispatch import send
 from mapleshunt.net.upstream import endpoint_group as upstream
 from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
 from mapleshunt.policy.interface import Status
