--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -27,7 +27,7 @@
 from .net.client.listener import Acceptor, bound
 from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
 from .net.counters import Counters
-from .net.discovery import Discovery, MemberList, member_list
+from .net.discovery.watcher import Discovery, MemberList, member_list
 from .net.driver import Driver
 from .net.peers import Peers
 from .net.periodic import Periodic
--- /dev/null
+++ b/mapleshunt/net/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint list, from the discovery service."""
--- a/mapleshunt/net/discovery.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -16,15 +16,15 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..platform_terms import STATES
-from ..policy import interface as i
-from . import log
-from .backoff import SILENCE, WAIT, Backoff
-from .config import Address, ConfigError, address, family_of
-from .counters import Counters
-from .protocol import http
-from .protocol.read_buffer import ReadBuffer, TooLong
-from .upstream.endpoint_group import Member
+from ...platform_terms import STATES
+from ...policy import interface as i
+from .. import log
+from ..backoff import SILENCE, WAIT, Backoff
+from ..config import Address, ConfigError, address, family_of
+from ..counters import Counters
+from ..protocol import http
+from ..protocol.read_buffer import ReadBuffer, TooLong
+from ..upstream.endpoint_group import Member
 
 PATH = "/catalog/members"
 UNKNOWN = (400, 404, 410)  # statuses that may mean that the revision asked from is not known
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,7 @@
 from mapleshunt.net import config
 from mapleshunt.net.backoff import SILENCE, TOLD, WAIT, Backoff
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.discovery import Discovery, MemberList
+from mapleshunt.net.discovery.watcher import Discovery, MemberList
 from mapleshunt.net.protocol.read_buffer import ReadBuffer
 
 from .processes import EXAMPLE
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 
 from mapleshunt.__main__ import Program
 from mapleshunt.net import config
-from mapleshunt.net.discovery import Discovery, MemberList
+from mapleshunt.net.discovery.watcher import Discovery, MemberList
 from mapleshunt.net.protocol import resp
 
 from .processes import EXAMPLE, free_port, query, replies, run
