--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -38,7 +38,7 @@
 
 if TYPE_CHECKING:
     from .extensions import Extensions
-    from .net.door import Door, Reply
+    from .net.admin.endpoint import Door, Reply
     from .net.succession import Succession
 
 BEGAN = time.monotonic()  # s: when this program was imported
@@ -67,7 +67,7 @@
         self.config, self.counters = config, Counters()
         kept = RESERVE
         if config.management is not None:
-            from .net.door import DESCRIPTORS
+            from .net.admin.endpoint import DESCRIPTORS
 
             kept += DESCRIPTORS
         self.sockets = min(config.sockets, descriptors())  # whichever binds first
@@ -220,7 +220,7 @@
         self.succession = Succession(folder, self.config.name, self.driver, self.counters)
 
     def _open_door(self) -> None:
-        from .net.door import Door
+        from .net.admin.endpoint import Door
 
         assert self.config.management is not None
         self.door = Door(self.config.management, self.called, self.counters)
@@ -274,7 +274,7 @@
 
     def called(self, method: str, path: str) -> Reply:
         """What the operators' door answers."""
-        from .net.door import Reply
+        from .net.admin.endpoint import Reply
 
         match method, path:
             case "GET", "/_ready":
--- /dev/null
+++ b/mapleshunt/net/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The admin endpoint: readiness, statistics and drains."""
--- a/mapleshunt/net/door.py
+++ b/mapleshunt/net/admin/endpoint.py
@@ -13,12 +13,12 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from . import log
-from .client.listener import Acceptor, bound
-from .config import Address
-from .counters import Counters
-from .protocol import http
-from .protocol.read_buffer import ReadBuffer, TooLong
+from .. import log
+from ..client.listener import Acceptor, bound
+from ..config import Address
+from ..counters import Counters
+from ..protocol import http
+from ..protocol.read_buffer import ReadBuffer, TooLong
 
 CALLERS = 16  # connections held at once
 DESCRIPTORS = CALLERS + 1  # that it may hold in all
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mapleshunt.net import door
+from mapleshunt.net.admin import endpoint as door
 from mapleshunt.net.protocol import http
 
 from .processes import EXAMPLE, NOT_READY, PING, PONG, ROOT, Gateway, query, replies, toy
