--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from .extensions import Extensions
     from .net.admin.endpoint import Door, Reply
-    from .net.succession import Succession
+    from .net.hot_restart.takeover import Succession
 
 BEGAN = time.monotonic()  # s: when this program was imported
 FIRST_WAIT = 0.002  # s that the loop waits, with all made ready, before the gateway listens
@@ -214,7 +214,7 @@
         ]
 
     def _join_succession(self) -> None:
-        from .net.succession import Succession
+        from .net.hot_restart.takeover import Succession
 
         folder = Path(tempfile.gettempdir())
         self.succession = Succession(folder, self.config.name, self.driver, self.counters)
--- a/mapleshunt/net/handover.py
+++ b/mapleshunt/net/hot_restart/handover.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from ..lifecycle.warm_state import MOST_BYTES
+from ...lifecycle.warm_state import MOST_BYTES
 
 READY = b"ready"
 
--- a/mapleshunt/net/succession.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -10,12 +10,12 @@
 import time
 from pathlib import Path
 
-from ..lifecycle import warm_state as knowledge
-from ..policy import interface as i
-from ..policy.gossip_codec import tag_of
-from . import log
-from .counters import Counters
-from .driver import Driver
+from ...lifecycle import warm_state as knowledge
+from ...policy import interface as i
+from ...policy.gossip_codec import tag_of
+from .. import log
+from ..counters import Counters
+from ..driver import Driver
 from .handover import Handover
 
 WAIT = 0.5  # s that a new process waits for what the one before knows: it answers within 50 ms or is stuck
--- a/tests/test_second_process.py
+++ b/tests/test_second_process.py
@@ -21,10 +21,10 @@
 from mapleshunt import Gateway as Decisions
 from mapleshunt import Members, ServerEntry, Settings
 from mapleshunt.lifecycle import warm_state as knowledge
-from mapleshunt.net import handover
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.handover import Handover
-from mapleshunt.net.succession import Succession
+from mapleshunt.net.hot_restart import handover
+from mapleshunt.net.hot_restart.handover import Handover
+from mapleshunt.net.hot_restart.takeover import Succession
 from mapleshunt.policy.gossip_codec import tag_of
 
 from .conftest import CLASSES, PLANS
