--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -147,7 +147,7 @@
     It is a record of each group, which holds until it is taken back, whoever leads. Exit status 1 if a group
     could not be told now (nobody leads it): call again, what was told is not told twice.
     """
-    from ..net.group_host import AWAY
+    from ..net.replication.group_host import AWAY
 
     section = _section(file)
     if gateway not in (addresses := _addresses(section)):
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -12,11 +12,11 @@
 from .net import log
 from .net.blocking import in_thread
 from .net.config import Config, ConfigError
-from .net.copies import Copies, HeldElsewhere, open_store
 from .net.counters import Counters
 from .net.driver import Driver
-from .net.leases import Leases
 from .net.maintenance import Hands, Maintenance
+from .net.replication.host import Copies, HeldElsewhere, open_store
+from .net.replication.leases import Leases
 from .recording.writer import Recorder
 from .settings import operators
 from .storage.durable_store import Disk, StoreUnavailable
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -22,11 +22,11 @@
 from ..replication import wire
 from ..settings.operators import Maintenance as Section
 from . import log
-from .copies import Copies
 from .counters import Counters
-from .group_host import AWAY
-from .own_calls import OPEN_RETRY_DELAY_S
 from .periodic import Periodic
+from .replication.group_host import AWAY
+from .replication.host import Copies
+from .replication.own_calls import OPEN_RETRY_DELAY_S
 
 EVERY = 0.2  # s between two looks
 IDLE = 1.0  # s between two questions while no work is asked for
--- /dev/null
+++ b/mapleshunt/net/replication/__init__.py
@@ -0,0 +1,1 @@
+"""The host of the replicas: groups, connections between gateways, leases."""
--- a/mapleshunt/net/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from ..maintenance.summary import excerpt
-from ..replicated_state import commands as words
-from ..replicated_state.state_machine import Holdings
-from ..replication import messages as m
-from ..replication import wire
-from ..replication.node import Node
-from . import log
+from ...maintenance.summary import excerpt
+from ...replicated_state import commands as words
+from ...replicated_state.state_machine import Holdings
+from ...replication import messages as m
+from ...replication import wire
+from ...replication.node import Node
+from .. import log
 from .links import Link
 
 if TYPE_CHECKING:
-    from .copies import Copies
+    from .host import Copies
 
 AWAY = "copies/away/"  # and a gateway: a record of the group, "1" where that gateway is to hold none of it
 
--- a/mapleshunt/net/copies.py
+++ b/mapleshunt/net/replication/host.py
@@ -14,19 +14,19 @@
 
 import msgspec
 
-from ..replication import messages as m
-from ..replication import wire
-from ..replication.membership import Patience, Seen, next_step
-from ..replication.node import Timing
-from ..replication.pace import Pace
-from ..replication.placement import place
-from ..settings.operators import Copies as Section
-from ..storage.durable_store import Disk, StoreError, StoreInUse, StoreUnavailable
-from ..storage.writer import Writer
-from ..transient_errors import may_pass
-from . import log
-from .config import Address, ConfigError, address
-from .counters import Counters
+from ...replication import messages as m
+from ...replication import wire
+from ...replication.membership import Patience, Seen, next_step
+from ...replication.node import Timing
+from ...replication.pace import Pace
+from ...replication.placement import place
+from ...settings.operators import Copies as Section
+from ...storage.durable_store import Disk, StoreError, StoreInUse, StoreUnavailable
+from ...storage.writer import Writer
+from ...transient_errors import may_pass
+from .. import log
+from ..config import Address, ConfigError, address
+from ..counters import Counters
 from .group_host import GroupHost, LocalConnection
 from .links import Link, Links
 from .own_calls import OwnCalls
--- a/mapleshunt/net/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -6,19 +6,19 @@
 import math
 from dataclasses import dataclass
 
-from ..policy import interface as i
-from ..policy.gossip_codec import tag_of
-from ..policy.state import Customer
-from ..replicated_state import commands as w
-from ..replicated_state.leases import Action, Ask, Leaser, Use
-from ..replication import wire
-from ..replication.placement import group_of
-from . import log
-from .copies import Copies
-from .counters import Counters
-from .driver import Driver
+from ...policy import interface as i
+from ...policy.gossip_codec import tag_of
+from ...policy.state import Customer
+from ...replicated_state import commands as w
+from ...replicated_state.leases import Action, Ask, Leaser, Use
+from ...replication import wire
+from ...replication.placement import group_of
+from .. import log
+from ..counters import Counters
+from ..driver import Driver
+from ..periodic import Periodic
+from .host import Copies
 from .own_calls import OPEN_RETRY_DELAY_S
-from .periodic import Periodic
 
 TERM, LONGEST = 2000.0, 10_000.0  # ms of a lease
 HOLD = 100.0  # ms that a request waits at most for a lease that is being asked for
--- a/mapleshunt/net/links.py
+++ b/mapleshunt/net/replication/links.py
@@ -12,13 +12,13 @@
 
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
-from ..replication import wire
-from ..replication.messages import Message
-from . import log
-from .client.listener import Acceptor, bound
-from .config import Address, family_of
-from .counters import Counters
-from .protocol.read_buffer import ReadBuffer, TooLong
+from ...replication import wire
+from ...replication.messages import Message
+from .. import log
+from ..client.listener import Acceptor, bound
+from ..config import Address, family_of
+from ..counters import Counters
+from ..protocol.read_buffer import ReadBuffer, TooLong
 
 BACKLOG = 64
 MOST_UNSENT = 4 << 20  # bytes that a link holds before it drops
--- a/mapleshunt/net/own_calls.py
+++ b/mapleshunt/net/replication/own_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..replication import wire
+from ...replication import wire
 
 # s after which nobody waits for a reply any more: whoever calls repeats a call long before.
 CALL_TIMEOUT_S = 10.0
--- a/mapleshunt/testbed/faulty.py
+++ b/mapleshunt/testbed/faulty.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from .. import __main__ as program
-from ..net.group_host import GroupHost
+from ..net.replication.group_host import GroupHost
 from ..replication import messages as m
 from ..storage.durable_store import Disk
 
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -7,8 +7,8 @@
 import itertools
 from pathlib import Path
 
-from mapleshunt.net.copies import Copies
-from mapleshunt.net.group_host import GroupHost
+from mapleshunt.net.replication.group_host import GroupHost
+from mapleshunt.net.replication.host import Copies
 from mapleshunt.replication import messages as m
 
 from .test_replica_stores import NAMES, copies_in
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -19,7 +19,7 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.links import Link
+from mapleshunt.net.replication.links import Link
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
@@ -206,7 +206,7 @@
     code = (
         "import sys; import mapleshunt.__main__;"
         "print([m for m in sys.modules if m.startswith(('mapleshunt.replication', 'mapleshunt.storage',"
-        " 'mapleshunt.replicated_state', 'mapleshunt.net.copies', 'mapleshunt.maintenance', 'apsw', 'immutables',"
+        " 'mapleshunt.replicated_state', 'mapleshunt.net.replication.host', 'mapleshunt.maintenance', 'apsw', 'immutables',"
         " 'xxhash', 'msgspec'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -15,10 +15,10 @@
 
 from mapleshunt import extensions
 from mapleshunt.net import config
-from mapleshunt.net.copies import Copies, open_store
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.group_host import GroupHost
-from mapleshunt.net.links import Link
+from mapleshunt.net.replication.group_host import GroupHost
+from mapleshunt.net.replication.host import Copies, open_store
+from mapleshunt.net.replication.links import Link
 from mapleshunt.replicated_state import commands as words
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -14,9 +14,9 @@
 
 from mapleshunt import Plan
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.leases import Leases
 from mapleshunt.net.maintenance import Line
-from mapleshunt.net.own_calls import CALL_TIMEOUT_S, OwnCalls
+from mapleshunt.net.replication.leases import Leases
+from mapleshunt.net.replication.own_calls import CALL_TIMEOUT_S, OwnCalls
 from mapleshunt.policy.interface import Leased, Request, Settings
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state import state_machine as state
