--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -28,9 +28,9 @@
 from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
 from .net.counters import Counters
 from .net.discovery.watcher import Discovery, MemberList, member_list
-from .net.driver import Driver
-from .net.peers import Peers
+from .net.gossip_transport import Peers
 from .net.periodic import Periodic
+from .net.policy_driver import Driver
 from .net.protocol import resp
 from .net.startup import StartSteps
 from .net.upstream.endpoint_group import UpstreamGroup
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -13,8 +13,8 @@
 from .net.blocking import in_thread
 from .net.config import Config, ConfigError
 from .net.counters import Counters
-from .net.driver import Driver
 from .net.maintenance import Hands, Maintenance
+from .net.policy_driver import Driver
 from .net.replication.host import Copies, HeldElsewhere, open_store
 from .net.replication.leases import Leases
 from .recording.writer import Recorder
--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -19,7 +19,7 @@
 from ...invariants import Guard, broken_by_closing
 from .. import log
 from ..counters import Counters
-from ..driver import Driver
+from ..policy_driver import Driver
 from ..protocol import command_protocol as svc
 from ..protocol import resp
 from ..protocol.read_buffer import CHUNK, ReadBuffer, TooLong
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -15,7 +15,7 @@
 from ...policy.gossip_codec import tag_of
 from .. import log
 from ..counters import Counters
-from ..driver import Driver
+from ..policy_driver import Driver
 from .handover import Handover
 
 WAIT = 0.5  # s that a new process waits for what the one before knows: it answers within 50 ms or is stuck
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -15,8 +15,8 @@
 from ...replication.placement import group_of
 from .. import log
 from ..counters import Counters
-from ..driver import Driver
 from ..periodic import Periodic
+from ..policy_driver import Driver
 from .host import Copies
 from .own_calls import OPEN_RETRY_DELAY_S
 
--- a/mapleshunt/net/request/admit.py
+++ b/mapleshunt/net/request/admit.py
@@ -8,7 +8,7 @@
 from .context import RequestContext
 
 if TYPE_CHECKING:
-    from ..driver import Driver
+    from ..policy_driver import Driver
 
 
 def admit(context: RequestContext, driver: Driver, most: int, elsewhere: float = 0.0) -> None:
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -9,7 +9,7 @@
 from .context import Ending, RequestContext, Try
 
 if TYPE_CHECKING:
-    from ..driver import Driver
+    from ..policy_driver import Driver
 
 
 def book(context: RequestContext, attempt: Try, ending: Ending, driver: Driver) -> None:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -18,7 +18,7 @@
 
 from mapleshunt.net.client import connection as client
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.driver import Driver
+from mapleshunt.net.policy_driver import Driver
 from mapleshunt.net.protocol import command_protocol as svc
 from mapleshunt.net.protocol import resp
 from mapleshunt.net.request.context import RequestContext
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -8,7 +8,7 @@
 
 from benchmarks.cold_servers import Case, worst
 from mapleshunt import Members, ServerEntry
-from mapleshunt.net.driver import Clock
+from mapleshunt.net.policy_driver import Clock
 
 from .conftest import Driver
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -25,8 +25,8 @@
     Timer,
 )
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.driver import GUARD, Driver
 from mapleshunt.net.periodic import Periodic
+from mapleshunt.net.policy_driver import GUARD, Driver
 from mapleshunt.net.protocol.command_protocol import SvcMessage
 from mapleshunt.net.request import respond as relay
 from mapleshunt.net.request.admit import admit
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,7 +6,7 @@
 import socket
 
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.peers import MOST, Peers
+from mapleshunt.net.gossip_transport import MOST, Peers
 
 
 def test_peers_are_known_by_address_and_messages_are_bounded() -> None:
