--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,469 @@
+"""Data that commit 98386c1 wrote (see `tests/data/README.md`), read by the code of now.
+
+What is stored or sent has no names of types: it holds positions, tags and keys. `KINDS` says which type
+stands for each kind of value in the files, and its fields in the order of the data. Where a type or a field
+is renamed, this head follows; the files and the expectations stay.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+import shutil
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any, NamedTuple, get_args
+
+import apsw
+import msgspec
+import pytest
+import zstandard
+
+from mapleshunt import report as gossip
+from mapleshunt.copies import messages as replication
+from mapleshunt.copies import wire
+from mapleshunt.duty import knowledge as warm_state
+from mapleshunt.holdings import state, words
+from mapleshunt.maintenance import words as works
+from mapleshunt.maintenance.excerpt import excerpt
+from mapleshunt.net.group_host import AWAY
+from mapleshunt.net.handover import Handover
+from mapleshunt.record import form
+from mapleshunt.rig.callers import Caller, ask
+from mapleshunt.store.disk import NAME, Disk, StoreError
+
+from .processes import LONG, Gateway, free_port, toy
+from .test_record import record
+from .test_second_process import decisions
+
+ReplicatedState = state.Holdings
+KINDS: dict[str, tuple[type, str]] = {
+    # Gossip
+    "gossip": (gossip.Report, "pace lines words"),
+    "gossip line": (gossip.Line, "kind tag number units left code"),
+    # Replication, and what of it is stored
+    "members": (replication.Members, "voters learners"),
+    "entry": (replication.Entry, "index term stamp data members"),
+    "snapshot": (replication.Snapshot, "index term stamp members data"),
+    "stored": (replication.Stored, "snapshot term vote entries"),
+    "vote request": (replication.Ask, "term last_index last_term pre told"),
+    "vote": (replication.Vote, "term granted pre"),
+    "append": (replication.Append, "term before before_term entries commit round"),
+    "appended": (replication.Appended, "term good index round"),
+    "snapshot part": (replication.Piece, "term index at_term stamp members offset data last round"),
+    "snapshot part taken": (replication.PieceTaken, "term index offset round"),
+    "timeout now": (replication.TimeoutNow, "term"),
+    # Frames
+    "hello": (wire.Hello, "fleet lowest highest name incarnation boot known formed generations"),
+    "packet": (wire.Packet, "messages"),
+    "call": (wire.Call, "number group command read"),
+    "reply": (wire.Reply, "number how hint data"),
+    "question": (wire.Ask, "number what group copy"),
+    # Commands and their results
+    "command": (words.Command, "session number answered operation"),
+    "open": (words.Open, ""),
+    "lease": (words.Lease, "customer rate burst units least term back"),
+    "return": (words.Return, "customer lease used"),
+    "settle": (words.Settle, "customer units"),
+    "count": (words.Count, "customer units"),
+    "reserve": (words.Reserve, "customer name units term"),
+    "release": (words.Release, "customer name"),
+    "put": (words.Put, "key value version"),
+    "done": (words.Done, "value"),
+    "granted": (words.Granted, "lease units"),
+    "denied": (words.Denied, "why value"),
+    # The replicated state
+    "held": (state.Held, "units until holder"),
+    "store": (state.StoreState, "rate burst level at held names counted"),
+    "record": (state.Record, "value version author at"),
+    "session": (state.Session, "answered at results"),
+    "state": (state.Frozen, "version leases stores records sessions works"),
+    # Maintenance
+    "budget": (works.Budget, "most zone load slack pause drain failures closed"),
+    "work": (works.Ask, "id machines reason author expected earliest urgency long version"),
+    "withdraw": (works.Withdraw, "id author"),
+    "hold": (works.Hold, "on author reason"),
+    "force": (works.Force, "machine author reason"),
+    "set budget": (works.SetBudget, "budget author"),
+    "machine": (works.Sight, "name zone here leads load version"),
+    "group": (works.Group, "voters sound"),
+    "seen": (works.Seen, "wall machines groups"),
+    "told": (works.Told, "machine fence what why"),
+    "step": (works.Step, "at state why who"),
+    "place": (works.Place, "machine request state fence since until ends story"),
+    "request": (works.Request, "ask at"),
+    "works": (
+        works.Frozen,
+        "budget held fence failures returned strained requests places blocked chosen",
+    ),
+    # Recordings
+    "row": (
+        form.Row,
+        "at cls plan customer guess cost patience spread first retry final took attempts",
+    ),
+    "attempt": (form.Attempt, "server status sent took"),
+    # What one process hands on
+    "warm state": (
+        warm_state.Knowledge,
+        "version at plans bound pace best answer word_ms warm alive mean shares customers servers monotonic",
+    ),
+    "customer": (warm_state.CustomerNote, "tag plan level use told crowd cost"),
+    "server": (warm_state.ServerNote, "server since pace barred fails silent allowance"),
+}
+# Each type of these has an example among the messages.
+UNIONS: tuple[Any, ...] = (replication.Message, wire.Frame, words.Operation, words.Result)
+PLACE_REPLY = tuple[float, works.Place | None, bool, bool]
+WORKS_REPLY = tuple[float, works.Frozen]
+
+DATA = Path(__file__).parent / "data"
+VALUES: dict[str, Any] = json.loads((DATA / "values.json").read_text())
+MESSAGES: dict[str, dict[str, Any]] = json.loads((DATA / "messages.json").read_text())
+FLEET, GATEWAY = "data", "example"
+OF_TYPE = {kind: name for name, (kind, _) in KINDS.items()}
+
+
+def plain(value: Any) -> Any:
+    """The value without names of Python's: a struct is its kind and its fields in the order of the data."""
+    if type(value) in OF_TYPE:
+        kind = OF_TYPE[type(value)]
+        return [kind, *(plain(getattr(value, one)) for one in KINDS[kind][1].split())]
+    if isinstance(value, bytes):
+        return {"hex": value.hex()}
+    if isinstance(value, dict):
+        return [[key, plain(one)] for key, one in value.items()]
+    if isinstance(value, list | tuple):
+        return [plain(one) for one in value]
+    assert value is None or isinstance(value, str | int | float), f"{type(value)} is not in KINDS"
+    return value
+
+
+def exact(value: Any) -> str:
+    """As text, in which 1, 1.0 and True differ."""
+    return json.dumps(value, indent=1)
+
+
+def rounded(value: Any) -> Any:
+    """Without the last digits, in which libraries for mathematics may differ."""
+    if isinstance(value, list):
+        return [rounded(one) for one in value]
+    return float(f"{value:.12g}") if isinstance(value, float) else value
+
+
+def kinds_in(value: Any) -> Iterator[type]:
+    """The types of all structs within."""
+    if type(value) in OF_TYPE:
+        yield type(value)
+        value = [getattr(value, one) for one in KINDS[OF_TYPE[type(value)]][1].split()]
+    for one in value if isinstance(value, list | tuple) else ():
+        yield from kinds_in(one)
+
+
+class Form(NamedTuple):
+    decode: Callable[[bytes], Any]
+    encode: Callable[[Any], bytes]
+
+
+def frame(data: bytes) -> Any:
+    found = wire.parse(bytearray(data), 0, len(data))
+    assert found is not None and found[1] == len(data)
+    return found[0]
+
+
+def thawed(data: bytes) -> Any:
+    holdings = ReplicatedState()
+    holdings.thaw(data)
+    return holdings.freeze()
+
+
+def packed(kind: Any) -> Form:
+    return Form(lambda data: msgspec.msgpack.decode(data, type=kind), msgspec.msgpack.encode)
+
+
+FORMS: dict[str, Form] = {
+    "gossip": Form(
+        lambda data: gossip.decode(data.decode()),
+        lambda value: gossip.encode(value.pace, value.lines, value.words).encode(),
+    ),
+    "frame": Form(frame, wire.encode),
+    "command": Form(words.DECODE, words.ENCODE),
+    "result": Form(words.RESULT, words.ENCODE),
+    "state": Form(thawed, msgspec.msgpack.encode),
+    "store read": packed(state.StoreState | None),
+    "record read": packed(state.Record | None),
+    "place read": packed(PLACE_REPLY),
+    "works read": packed(WORKS_REPLY),
+}
+
+
+def message(name: str) -> Any:
+    """A message of the file, decoded."""
+    return FORMS[MESSAGES[name]["form"]].decode(bytes.fromhex(MESSAGES[name]["hex"]))
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_each_kind_names_all_fields_of_its_type(kind: str) -> None:
+    """A field that is not named here would not be compared."""
+    type_, fields = KINDS[kind]
+    named = getattr(type_, "__struct_fields__", None) or tuple(getattr(type_, "__dataclass_fields__", ()))
+    assert sorted(fields.split()) == sorted(named)
+
+
+def test_each_kind_of_message_has_an_example() -> None:
+    met = {kind for name in MESSAGES for kind in kinds_in(message(name))}
+    missing = [kind for union in UNIONS for kind in get_args(union) if kind not in met]
+    assert not missing and {one["form"] for one in MESSAGES.values()} == set(FORMS)
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_message_of_98386c1_is_decoded_to_its_values_and_encoded_to_its_bytes(name: str) -> None:
+    value = message(name)
+    assert exact(plain(value)) == exact(MESSAGES[name]["holds"])
+    assert FORMS[MESSAGES[name]["form"]].encode(value).hex() == MESSAGES[name]["hex"]
+
+
+def test_an_excerpt_of_stored_works_is_the_bytes_that_98386c1_sent() -> None:
+    """All that is over is left out, and then all but the last steps of each machine."""
+    _, whole = message("works, whole")
+    for name in ("works, without what is over", "works, few steps"):
+        sent = bytes.fromhex(MESSAGES[name]["hex"])
+        most = len(msgspec.msgpack.encode(message(name)[1]))
+        assert msgspec.msgpack.encode((message(name)[0], excerpt(whole, most))) == sent
+
+
+def test_a_state_of_another_version_is_refused_by_its_version() -> None:
+    data = msgspec.msgpack.decode(bytes.fromhex(MESSAGES["state"]["hex"]))
+    holdings = ReplicatedState()
+    with pytest.raises(ValueError, match="a snapshot of version 2"):
+        holdings.thaw(msgspec.msgpack.encode([2, *data[1:]]))
+    assert not holdings.stores and not holdings.records
+
+
+def test_a_log_of_98386c1_gives_the_same_results_and_the_same_state() -> None:
+    """Replicas of two versions apply one log: results, states and texts that are stored must not differ."""
+    log = json.loads((DATA / "log.json").read_text())
+    holdings = ReplicatedState()
+    for stamp, data, result in log["entries"]:
+        found = holdings.apply(stamp, bytes.fromhex(data))
+        assert words.ENCODE(found).hex() == result, (stamp, data)
+    assert exact(plain(holdings.freeze())) == exact(log["holds"])
+    assert msgspec.msgpack.encode(holdings.freeze()).hex() == log["hex"]
+
+
+def test_stored_names_are_those_of_98386c1() -> None:
+    """States of a machine, and the key of the record that sends replicas away."""
+    assert works.WAITING == ("queued",) and works.OVER == ("done", "withdrawn", "failed")
+    states = "granted", "draining", "safe", "out", "returning", "recalled", "overdue"
+    assert states == works.AT_WORK
+    assert AWAY == "copies/away/"
+
+
+# The replica store
+
+
+@pytest.fixture
+def store(tmp_path: Path) -> Path:
+    """A folder with a copy of the store."""
+    folder = tmp_path / "store"
+    folder.mkdir()
+    shutil.copy(DATA / "store" / NAME, folder / NAME)
+    return folder
+
+
+def rows(folder: Path, *tables: str) -> dict[str, list[Any]]:
+    """What the tables of a store hold, beside the store's own code."""
+    db = apsw.Connection(str(folder / NAME))
+    found = {one: list(db.execute(f"select * from {one} order by 1, 2")) for one in tables}
+    db.close()
+    return found
+
+
+def test_a_store_of_98386c1_is_loaded_with_its_values(store: Path) -> None:
+    expected = VALUES["store"]
+    disk = Disk(store, FLEET, GATEWAY)
+    assert not disk.set_aside
+    assert exact(plain(disk.loaded)) == exact(expected["groups"])
+    assert (disk.incarnation, disk.boot >> 32) == (expected["incarnation"], (expected["boot"] >> 32) + 1)
+    assert (disk.known, disk.formed) == (expected["known"], expected["formed"])
+    assert [[group, one] for group, one in disk.generations.items()] == expected["generations"]
+    disk.close()
+
+
+def test_what_a_store_of_98386c1_holds_is_written_in_the_same_rows(store: Path, tmp_path: Path) -> None:
+    """The tables, and in them the bytes and checksums, are those of 98386c1."""
+    tables = "vote", "log", "snapshot", "(select name, sql from sqlite_schema)"
+    before = rows(store, *tables, "meta")
+    old, other = Disk(store, FLEET, GATEWAY), tmp_path / "other"
+    new = Disk(other, FLEET, GATEWAY)
+    for group, stored in old.loaded.items():
+        new.create(group, stored.snapshot)
+        new.commit([(group, replication.Write(1, stored.term, stored.vote, stored.entries))])
+    new.know(old.known, old.formed)
+    old.close()
+    new.close()
+    after = rows(other, *tables, "meta")
+    assert all(after.values()) and {one: after[one] for one in tables} == {one: before[one] for one in tables}
+    was, became = ({key: row for key, *row in found["meta"]} for found in (before, after))
+    assert sorted(was) == sorted([*became, "generations"])
+    for key in ("format", "fleet", "name", "known", "formed"):
+        assert became[key] == was[key]
+
+
+def test_a_store_of_a_newer_format_is_refused_by_name_and_left_as_it_was(store: Path) -> None:
+    newer = Disk(store, FLEET, GATEWAY)
+    with newer.db:
+        newer._put("format", b"2")
+    newer.close()
+    tables = "meta", "vote", "log", "snapshot"
+    before = rows(store, *tables)
+    with pytest.raises(StoreError, match="newer format"):
+        Disk(store, FLEET, GATEWAY)
+    assert rows(store, *tables) == before and [one.name for one in store.iterdir()] == [NAME]
+
+
+def test_a_gateway_on_a_store_of_98386c1_serves_its_state(store: Path, tmp_path: Path) -> None:
+    """It leads group 0, whose only voter it is; of group 1 it holds what was not yet committed."""
+    expected, served = VALUES["store"], VALUES["served"]
+    where = ("127.0.0.1", free_port())
+    operators = tmp_path / "operators.sexp"
+    peers = "".join(f' (peer (name "p{n}") (address "127.0.0.1:{n}"))' for n in (1, 2))
+    operators.write_text(
+        f'(copies (fleet "{FLEET}") (folder "{store}") (groups 2) (size 3) (lease false) (election-ms 100)'
+        f' (peer (name "{GATEWAY}") (address "{where[0]}:{where[1]}")){peers})\n'
+    )
+
+    async def status(gateway: Gateway) -> dict[str, Any]:
+        """As the gateway tells it once it leads group 0."""
+        while True:
+            assert gateway.process.poll() is None, gateway.said()
+            reply = await ask(where, FLEET, "status")
+            if reply is not None:
+                told: dict[str, Any] = msgspec.msgpack.decode(reply.data)
+                if [one["role"] for one in told["groups"]][:1] == ["leader"]:
+                    return told
+            await asyncio.sleep(0.02)
+
+    async def serve(gateway: Gateway) -> None:
+        told = await status(gateway)
+        assert (told["gateway"], told["incarnation"]) == (GATEWAY, expected["incarnation"])
+        assert told["boot"] >> 32 == (expected["boot"] >> 32) + 1
+        assert sorted(told) == served["status keys"] and told["formed"] == 3
+        assert [sorted(one) for one in told["groups"]] == [served["group keys"]] * 2
+        assert told["groups"][0]["voters"] == [f"{GATEWAY}/{expected['incarnation']}"]
+        assert {key: told["groups"][1][key] for key in served["group 1"]} == served["group 1"]
+        caller = Caller("later", {GATEWAY: where}, FLEET, 0, [], time.monotonic, random.Random(1))
+        for customer, one in served["stores"]:
+            # The log's time, at position 4, has gone on meanwhile; at a rate of 0 nothing else does.
+            found = plain(await caller.read("store", customer))
+            assert found[4] >= one[4] and exact([*found[:4], *found[5:]]) == exact([*one[:4], *one[5:]])
+        for key, one in served["records"]:
+            assert exact(plain(await caller.read("record", key))) == exact(one)
+        assert await caller.read("store", "nobody") is None
+        _, held = await caller.read("works", "", WORKS_REPLY)
+        assert exact(plain(held)) == exact(served["works"])
+        _, place, long, some = await caller.read("place", "g1", PLACE_REPLY)
+        assert exact(plain((place, long, some))) == exact(served["place of g1"])
+        await caller.do(words.Open())
+        key, one = served["records"][0]
+        assert plain(await caller.do(words.Put(key, "next", one[2]))) == ["done", one[2] + 1]
+        caller.close()
+
+    async def limited(gateway: Gateway) -> None:
+        async with asyncio.timeout(LONG):
+            await serve(gateway)
+
+    with toy() as discovery:
+        gateway = Gateway(discovery, PROXY_OPERATORS=str(operators), TMPDIR=str(tmp_path))
+        try:
+            gateway.until(200)
+            asyncio.run(limited(gateway))
+        finally:
+            gateway.kill()
+    assert not list(store.glob("damaged-*"))
+
+
+# Recordings
+
+
+def test_a_recording_of_98386c1_is_read_with_its_values() -> None:
+    found = form.read((DATA / "recording").read_bytes())
+    assert (found.gateway, found.gateways, found.blocks, found.trouble) == (1, 3, 1, [])
+    assert exact(plain(found.rows)) == exact(VALUES["recording"])
+
+
+def test_rows_of_a_recording_of_98386c1_are_encoded_to_the_same_bytes() -> None:
+    """What is compressed: compressors differ from version to version."""
+    data = (DATA / "recording").read_bytes()
+    head = form.BLOCK.unpack_from(data, form.HEADER.size)
+    begin = form.HEADER.size + form.BLOCK.size
+    raw = zstandard.ZstdDecompressor().decompress(data[begin : begin + head[3]], max_output_size=form.RAW)
+    encoded = [form.ENCODER.encode(row) for row in form.read(data).rows]
+    assert form.array_head(len(encoded)) + b"".join(encoded) == raw
+    made = form.pack_block(head[1], encoded, head[5])
+    again = form.BLOCK.unpack_from(made)
+    assert (again[0], again[1], *again[4:]) == (head[0], head[1], *head[4:])
+
+
+def test_a_recorder_goes_on_in_a_recording_of_98386c1(tmp_path: Path) -> None:
+    path = tmp_path / "recording"
+    shutil.copy(DATA / "recording", path)
+    record(path, range(2000, 2003))
+    found = form.read(path.read_bytes())
+    count = len(VALUES["recording"])
+    assert exact(plain(found.rows[:count])) == exact(VALUES["recording"])
+    assert [row.at for row in found.rows[count:]] == [2e6, 2.001e6, 2.002e6]
+    assert (found.blocks, found.trouble) == (2, [])
+
+
+def test_a_recording_of_another_form_is_refused_by_name() -> None:
+    data = (DATA / "recording").read_bytes()
+    assert data.startswith(b"MSREC1\0\0")
+    with pytest.raises(form.BadRecording, match="no recording"):
+        form.read(data.replace(b"MSREC1", b"MSREC2", 1))
+
+
+# What one process hands on to the next
+
+
+def test_what_a_process_of_98386c1_hands_on_is_decoded_to_its_values() -> None:
+    data = (DATA / "handover" / "warm-state.json").read_bytes()
+    known = warm_state.decode(data)
+    assert exact(plain(known)) == exact(VALUES["warm state"])
+    assert warm_state.encode(known) == data
+
+
+def test_what_a_process_of_98386c1_hands_on_is_taken_over() -> None:
+    """Decided with what was known: a store, a server that is left alone, a server that is slow."""
+    known = warm_state.decode((DATA / "handover" / "warm-state.json").read_bytes())
+    gateway, now = decisions(known.at + 200), known.at + 200
+    warm_state.give(gateway, known, now, (known.monotonic or 0.0) + 200)
+    again = plain(warm_state.taken(gateway, now, (known.monotonic or 0.0) + 200))
+    assert exact(rounded(again)) == exact(rounded(VALUES["warm state after 200 ms"]))
+
+
+def test_files_of_a_process_of_98386c1_are_found_by_the_next(tmp_path: Path) -> None:
+    """By their names, and what one process says of itself and of use since."""
+    old, new = Handover(tmp_path, GATEWAY), Handover(tmp_path, GATEWAY)
+    data = (DATA / "handover" / "warm-state.json").read_bytes()
+    (tmp_path / "example.gateway.2.from.1").write_bytes(data)
+    shutil.copy(DATA / "handover" / "used.json", tmp_path / "example.used.2.from.1")
+    assert (old.number, new.number, new.before()) == (1, 2, [1])
+    assert new.handed(1) == data and new.handed(1) is None
+    used = new.used(1)
+    assert [[tag, units] for tag, units in used.items()] == VALUES["used"]
+    old.use(2, used)
+    old.hand_on(2, data)
+    assert (tmp_path / "example.used.2.from.1").read_bytes() == (DATA / "handover/used.json").read_bytes()
+    assert (tmp_path / "example.gateway.2.from.1").read_bytes() == data
+    old.ready()
+    assert (tmp_path / "example.gateway.1").read_bytes() == b"ready" and new.is_ready(1)
+    new.close()
+    old.close()
+
+
+@pytest.mark.parametrize("change", [{"version": 2}, {"version": None}, {"plans": 3}, {"servers": [[1]]}])
+def test_a_hand_over_of_another_form_is_refused(change: dict[str, Any]) -> None:
+    data = json.loads((DATA / "handover" / "warm-state.json").read_bytes())
+    with pytest.raises(ValueError, match=next(iter(change))):
+        warm_state.decode(json.dumps({**data, **change}).encode())
