--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -21,18 +21,19 @@
 import pytest
 import zstandard
 
-from mapleshunt import report as gossip
-from mapleshunt.copies import messages as replication
-from mapleshunt.copies import wire
-from mapleshunt.duty import knowledge as warm_state
-from mapleshunt.holdings import state, words
-from mapleshunt.maintenance import words as works
-from mapleshunt.maintenance.excerpt import excerpt
-from mapleshunt.net.group_host import AWAY
-from mapleshunt.net.handover import Handover
-from mapleshunt.record import form
-from mapleshunt.rig.callers import Caller, ask
-from mapleshunt.store.disk import NAME, Disk, StoreError
+from mapleshunt.lifecycle import warm_state
+from mapleshunt.maintenance import commands as works
+from mapleshunt.maintenance.summary import excerpt
+from mapleshunt.net.hot_restart.handover import Handover
+from mapleshunt.net.replication.group_host import AWAY
+from mapleshunt.policy import gossip_codec as gossip
+from mapleshunt.recording import file_format as form
+from mapleshunt.replicated_state import commands as words
+from mapleshunt.replicated_state import state_machine as state
+from mapleshunt.replication import messages as replication
+from mapleshunt.replication import wire
+from mapleshunt.storage.durable_store import NAME, Disk, StoreError
+from mapleshunt.testbed.workload_clients import Caller, ask
 
 from .processes import LONG, Gateway, free_port, toy
 from .test_record import record
