--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -115,7 +115,7 @@
         self.revision = found.revision
         self.last_told = self.time()
         if found.complete or found.members:
-            log.say("members", kind=kind, revision=found.revision, entries=len(found.members))
+            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.members))
 
     def age(self, started: float) -> float:
         """For how many ms a server that the list names now, and did not name before, has been up at most.
@@ -140,7 +140,7 @@
         waited = max(one.longest_wait() for one in self.acceptors)
         self.service.serve(IOStream(connection, max_write_buffer_size=self.most_unwritten), waited)
         if not self.room() and not self.service.evict_idle():
-            log.say("accepting_paused", client_connections=len(self.service.connections))
+            log.log_event("accepting_paused", client_connections=len(self.service.connections))
             self.stop_accepting()
         if not self.room():
             self.service.close_lingering(LINGERERS)
@@ -163,11 +163,11 @@
         if seconds > HELD_UP_S:
             self.counters.add("loop_held_up")
             self.counters.trace.add("process", "loop_held_up", f"{1000 * seconds:.0f} ms")
-            log.say("loop_held_up", ms=1000 * seconds)
+            log.log_event("loop_held_up", ms=1000 * seconds)
 
     def resume_accepting(self) -> None:
         if not self.accepting and self.life.accepts(self.time()) and self.room():
-            log.say("accepting_resumed", client_connections=len(self.service.connections))
+            log.log_event("accepting_resumed", client_connections=len(self.service.connections))
             self.start_accepting()
 
     def start_accepting(self) -> None:
@@ -253,7 +253,7 @@
             try:
                 self.hear()
             except OSError as error:
-                log.say("peers_not_heard", why=error)
+                log.log_event("peers_not_heard", why=error)
 
     def listen(self) -> None:
         """Take connections, which are refused until now."""
@@ -270,7 +270,7 @@
         if self.door is not None:
             self.door.open()
         listen = text_of(self.config.listen)
-        log.say("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
+        log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
 
     def called(self, method: str, path: str) -> Reply:
         """What the operators' door answers."""
@@ -307,7 +307,7 @@
     def _told(self, event: str, changed: bool) -> None:
         if changed:
             self.counters.trace.add("process", event)
-            log.say(event, open=len(self.driver.open), client_connections=len(self.service.connections))
+            log.log_event(event, open=len(self.driver.open), client_connections=len(self.service.connections))
         self.tend()
         self.keep_tending()
 
@@ -324,7 +324,7 @@
             self.tend()
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("tend_exception")
+            log.log_exception("tend_exception")
 
     def tend(self) -> None:
         """Do what the gateway's state asks for."""
@@ -386,7 +386,7 @@
         """It goes on until it is cancelled: whatever else ended it is told, and it begins anew."""
         if not task.cancelled() and task is self.watching:
             self.counters.add("exceptions")
-            log.say("watch_ended", why=repr(task.exception()))
+            log.log_event("watch_ended", why=repr(task.exception()))
             asyncio.get_running_loop().call_later(WATCH_AGAIN, self._watch_again, task)
 
     def _watch_again(self, ended: asyncio.Task[None]) -> None:
@@ -402,15 +402,15 @@
         try:
             config = reload()
         except ConfigUnreadable as error:
-            log.say("reload_retried", why=error)
+            log.log_event("reload_retried", why=error)
             asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY, self.reload)
             return
         except ConfigError as error:
             self.counters.add("reloads_failed")
-            log.say("reload_failed", why=error)
+            log.log_event("reload_failed", why=error)
             return
         self.counters.add("reloads")
-        log.say("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
+        log.log_event("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
         if config.discovery != self.config.discovery:
             self.revision = None  # another agent may count otherwise
         self.config = config
@@ -466,7 +466,7 @@
         self.life.leave(self.time(), succeeded)
         self.service.ends = self.life.last_answer(longest)
         self.counters.trace.add("process", "stopping")
-        log.say("stopping", open=len(self.driver.open), succeeded=succeeded)
+        log.log_event("stopping", open=len(self.driver.open), succeeded=succeeded)
         while self.life.accepts(self.time()):
             await asyncio.sleep(0.01)
         self._tend_contained()
@@ -486,7 +486,7 @@
                     await asyncio.sleep(0.01)
         except TimeoutError:  # a client that does not read must not hold up the restart
             left = len(self.service.connections)
-            log.say("stopped_late", open=len(self.driver.open), client_connections=left)
+            log.log_event("stopped_late", open=len(self.driver.open), client_connections=left)
             for connection in list(self.service.connections):
                 connection.end("stopped")
 
@@ -520,7 +520,7 @@
 
 def daemon() -> int:
     """Run the gateway until it is told to end; its exit status."""
-    log.set_up()
+    log.configure()
     told_early: list[int] = []
     # Until the loop has it, SIGHUP would end the program. Up to here it is ignored: the deploy file's `run`.
     signal.signal(signal.SIGHUP, lambda number, _frame: told_early.append(number))
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -53,11 +53,11 @@
         except OSError as error:
             if not may_pass(error):
                 raise ConfigError(str(error)) from None
-            log.say("record_failed", path=path, why=error)
+            log.log_event("record_failed", path=path, why=error)
             return
         self.recorder.start()
         self.driver.seen = self.recorder.seen
-        log.say("recording", path=path, bytes=size)
+        log.log_event("recording", path=path, bytes=size)
 
     def start(self) -> None:
         """Open the store and take part in replication. Raises `ConfigError`.
@@ -86,11 +86,11 @@
                 self._store_unavailable(error)
             except Exception:  # a defect must not leave the gateway without its replicas for good
                 self.counters.add("exceptions")
-                log.trouble("copies_exception")
+                log.log_exception("copies_exception")
 
     def _store_unavailable(self, error: Exception) -> None:
         self.counters.add("copies_store_unavailable")
-        log.say("copies_store_unavailable", why=error)
+        log.log_event("copies_store_unavailable", why=error)
 
     def _start_copies(self, section: operators.Copies, disk: Disk) -> None:
         copies = Copies(section, self.config.name, disk, self.counters, self.config.seed)
@@ -111,7 +111,7 @@
             chosen = operators.load(Path(os.environ[operators.VARIABLE]))
         except (ValueError, OSError) as error:
             self.counters.add("reloads_failed")
-            log.say("reload_failed", why=error)
+            log.log_event("reload_failed", why=error)
             return
         if chosen.maintenance is not None:
             self.chosen = chosen
--- a/mapleshunt/net/admin/endpoint.py
+++ b/mapleshunt/net/admin/endpoint.py
@@ -90,7 +90,7 @@
         except Exception:
             reason = "exception"
             self.door.counters.add("exceptions")
-            log.trouble("door_exception")
+            log.log_exception("door_exception")
         self.end(reason)
 
     async def _reply(self) -> Reply:
@@ -107,11 +107,11 @@
             return self.door.call(found.method, found.path)
         except Exception:
             self.door.counters.add("exceptions")
-            log.trouble("door_exception", call=self.said)
+            log.log_exception("door_exception", call=self.said)
             return Reply(500, "failed\n")
 
     def end(self, reason: str) -> None:
         if self in self.door.callers:
             del self.door.callers[self]
             self.stream.close()
-            log.say("door_caller_ended", reason=reason, call=self.said)
+            log.log_event("door_caller_ended", reason=reason, call=self.said)
--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -269,7 +269,7 @@
 
     def _trouble(self) -> None:
         self.service.counters.add("exceptions")
-        log.trouble("client_connection_exception")
+        log.log_exception("client_connection_exception")
 
     def _take_whole(self) -> None:
         """Take the whole commands that have been read, until the next one has to wait."""
@@ -472,7 +472,7 @@
             self.lingering.cancel()
             self.service.finishing -= 1
         self.stream.close()
-        log.say("client_connection_ended", reason=reason, commands=self.commands, owed=len(self.slots))
+        log.log_event("client_connection_ended", reason=reason, commands=self.commands, owed=len(self.slots))
         for slot in self.slots:
             if slot.context is not None and slot.context.open:
                 self.service.driver.gone(slot.context)
--- a/mapleshunt/net/client/listener.py
+++ b/mapleshunt/net/client/listener.py
@@ -119,11 +119,11 @@
             call()
         except Exception:
             self.counters.add("exceptions")
-            log.trouble(f"{self.counter_prefix}accept_exception")
+            log.log_exception(f"{self.counter_prefix}accept_exception")
 
     def _accept_failed(self, error: OSError) -> AcceptResult:
         self.counters.add(f"{self.counter_prefix}accepts_failed")
-        log.say(f"{self.counter_prefix}accept_failed", why=error)
+        log.log_event(f"{self.counter_prefix}accept_failed", why=error)
         if error.errno not in RESOURCE_ERRORS:
             return AcceptResult.CONNECTION_FAILED
         self._block()
--- a/mapleshunt/net/counters.py
+++ b/mapleshunt/net/counters.py
@@ -24,4 +24,4 @@
 
     def print(self, **gauges: object) -> None:
         fields: dict[str, object] = {**dict(sorted(self.counts.items())), **gauges}
-        log.say("counters", **fields)
+        log.log_event("counters", **fields)
--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -80,7 +80,7 @@
             reason = await self._call()
             self.counters.add("discovery_ended")
             pause = self.backoff.pause((asyncio.get_running_loop().time() - self.heard) * 1000)
-            log.say("discovery_ended", reason=reason, revision=self.revision, pause=pause)
+            log.log_event("discovery_ended", reason=reason, revision=self.revision, pause=pause)
             await asyncio.sleep(pause / 1000)
 
     async def _call(self) -> str:
@@ -89,7 +89,7 @@
             stream = IOStream(socket.socket(family_of(self.agent)), max_buffer_size=2 * http.MAX_MESSAGE)
         except OSError as error:  # no descriptor is left
             self.counters.add("out_of_descriptors")
-            log.say("discovery_not_called", why=error)
+            log.log_event("discovery_not_called", why=error)
             return "no_descriptor"
         try:
             return await self._session(stream)
@@ -98,11 +98,11 @@
         except StreamClosedError as closed:
             return "agent_unreachable" if closed.real_error else "agent_closed"
         except (http.ProtocolError, TooLong, ValueError) as error:
-            log.say("malformed_list", why=error)
+            log.log_event("malformed_list", why=error)
             return "malformed_list"
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("discovery_exception")
+            log.log_exception("discovery_exception")
             return "exception"
         finally:
             stream.close()
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -58,7 +58,7 @@
             if (data := self.handover.handed(source)) is not None:
                 return self._take_over(source, data)
         if older:
-            log.say("knowledge_missing", source=older[0])
+            log.log_event("knowledge_missing", source=older[0])
 
     def _take_over(self, source: int, data: bytes) -> None:
         self.sources[source] = {}
@@ -67,11 +67,11 @@
             knowledge.give(self.driver.gateway, known, self.driver.now(), monotonic_ms())
         except ValueError as error:  # of another version, or spoilt: it starts as one that was killed does
             self.counters.add("knowledge_refused")
-            log.say("knowledge_refused", source=source, why=error)
+            log.log_event("knowledge_refused", source=source, why=error)
             return
         customers, servers = len(known.customers), len(known.servers)
         age = known.age(self.driver.now(), monotonic_ms())
-        log.say("knowledge_taken", source=source, customers=customers, servers=servers, age=age)
+        log.log_event("knowledge_taken", source=source, customers=customers, servers=servers, age=age)
 
     def ready(self) -> None:
         """This process takes clients from now on. It is told again later if it cannot be told now."""
@@ -88,7 +88,7 @@
 
     def _failed(self, error: OSError) -> None:
         self.counters.add("handover_failed")
-        log.say("handover_failed", why=error)
+        log.log_event("handover_failed", why=error)
 
     def _charge(self, alive: list[int]) -> None:
         for source, charged in list(self.sources.items()):
@@ -120,7 +120,7 @@
         self.handover.hand_on(to, data)
         self.to, self.units, self.written = to, {}, {}
         self.driver.sent = self._sent
-        log.say("handed_on", to=to, bytes=len(data))
+        log.log_event("handed_on", to=to, bytes=len(data))
 
     def tend(self, working: bool) -> None:
         """Look for other processes, hand on and take over. Called many times a second."""
@@ -132,7 +132,7 @@
             if newer and newer[0] != self.to and working:
                 self._hand_on(newer[0])
             elif not newer and self.to is not None:
-                log.say("successor_gone", was=self.to)
+                log.log_event("successor_gone", was=self.to)
                 self.to, self.driver.sent = None, None
             if self.to is not None and self.units != self.written:
                 self.handover.use(self.to, self.units)
--- a/mapleshunt/net/log.py
+++ b/mapleshunt/net/log.py
@@ -48,7 +48,7 @@
     return " ".join(f"{key}={_quoted(value)}" for key, value in event.items())
 
 
-def set_up(level: int = logging.INFO) -> None:
+def configure(level: int = logging.INFO) -> None:
     shared: list[Any] = [structlog.stdlib.add_log_level, structlog.processors.format_exc_info]
     structlog.configure(
         processors=[
@@ -64,10 +64,10 @@
     logging.basicConfig(level=level, handlers=[handler], force=True)
 
 
-def say(event: str, /, **fields: object) -> None:
+def log_event(event: str, /, **fields: object) -> None:
     LOG.info(event, **fields)
 
 
-def trouble(event: str, /, **fields: object) -> None:
+def log_exception(event: str, /, **fields: object) -> None:
     """An exception that was contained; called while it is handled."""
     LOG.error(event, exc_info=True, **fields)
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -155,7 +155,7 @@
         self.section = section
 
     def _budget_set(self, result: h.Result) -> None:
-        log.say("maintenance_budget", result=type(result).__name__, why=getattr(result, "why", ""))
+        log.log_event("maintenance_budget", result=type(result).__name__, why=getattr(result, "why", ""))
 
     def line(self, group: int) -> Line:
         if group not in self.lines:
@@ -178,7 +178,7 @@
                 self.leading = float("inf")
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("maintenance_exception")
+            log.log_exception("maintenance_exception")
 
     # As a machine
 
@@ -195,7 +195,7 @@
             return
         stamp, place, self.long, self.some = TOLD.decode(reply.data)
         if place is not None and (self.place is None or self.place.state != place.state):
-            log.say("maintenance_place", request=place.request, state=place.state, fence=place.fence)
+            log.log_event("maintenance_place", request=place.request, state=place.state, fence=place.fence)
         self.place, self.known = place, True
         self.holder.told(asked, stamp, place)
 
@@ -212,10 +212,10 @@
     def _do(self, act: Act) -> None:
         match act.how:
             case "drain":
-                log.say("maintenance_drains", fence=self.holder.fence)
+                log.log_event("maintenance_drains", fence=self.holder.fence)
                 self.hands.drain()
             case "resume":
-                log.say("maintenance_resumes", fence=self.holder.fence)
+                log.log_event("maintenance_resumes", fence=self.holder.fence)
                 self.hands.resume()
             case "hand_over":
                 for host in self.copies.hosts.values():
@@ -267,7 +267,7 @@
             self.line(0).propose(found, lambda _: None)
         if works.blocked != self.said:
             self.said = works.blocked
-            log.say("maintenance_waits", why=works.blocked or "no more")
+            log.log_event("maintenance_waits", why=works.blocked or "no more")
 
     def _status(self, peer: str, reply: wire.Reply) -> None:
         if reply.how == "done":
--- a/mapleshunt/net/periodic.py
+++ b/mapleshunt/net/periodic.py
@@ -54,4 +54,4 @@
             self.work()
         except Exception:
             self.count("exceptions")
-            log.trouble("periodic_work_exception")
+            log.log_exception("periodic_work_exception")
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -92,7 +92,7 @@
         """The story of a request that was not served, for whoever follows its id."""
         now = self.now()
         tries = " ".join(f"{one.server}:{one.status or 'out'}:{now - one.sent:.0f}" for one in context.tries)
-        log.say(
+        log.log_event(
             event, id=context.id, cls=context.request.cls, patience=context.request.patience,
             after=now - context.taken, tries=tries,
         )  # fmt: skip
@@ -110,7 +110,7 @@
                 self.seen(context)
             except Exception:
                 self.counters.add("exceptions")
-                log.trouble("record_exception", ref=context.ref)
+                log.log_exception("record_exception", ref=context.ref)
 
     def feed(self, event: i.Event) -> None:
         """Handle an event and what it leads to. Events that come up meanwhile follow in their order."""
@@ -132,7 +132,7 @@
         except Exception:
             # One bad event must not end the program: its request is answered, the others go on.
             self.counters.add("exceptions")
-            log.trouble("decision_exception", kind=type(event).__name__)
+            log.log_exception("decision_exception", kind=type(event).__name__)
             if isinstance(event, i.Request | i.Outcome) and (context := self.open.pop(event.ref, None)):
                 relay.fail(context, self.counters)
                 self.over(context)
@@ -158,7 +158,7 @@
                 self._do(action)
             except Exception:
                 self.counters.add("exceptions")
-                log.trouble("action_exception", kind=type(action).__name__)
+                log.log_exception("action_exception", kind=type(action).__name__)
 
     def _do(self, action: i.Action) -> None:
         match action:
@@ -218,7 +218,7 @@
             ending = await send(context, attempt, self.group, self.now, self._check)
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("try_exception", ref=context.ref)
+            log.log_exception("try_exception", ref=context.ref)
             attempt.give_up("reset")
             ending = Ending("reset")  # nobody knows how far it came: it may have run
         finally:
@@ -236,7 +236,7 @@
             check(*arguments)
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("guard_exception")
+            log.log_exception("guard_exception")
 
     def _check(self, *arguments: object) -> None:
         self._guarded(self._check_send, *arguments)
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -85,7 +85,7 @@
             self._do(output)
         except Exception:
             self.copies.counters.add("exceptions")
-            log.trouble("copies_exception", group=self.group, output=type(output).__name__)
+            log.log_exception("copies_exception", group=self.group, output=type(output).__name__)
 
     def _wake(self, at: float) -> None:
         if self.timer is not None:
@@ -121,7 +121,7 @@
                 asyncio.get_running_loop().call_soon(self._snap, index, self.holdings.freeze())
             case m.Role(role, term, leader, why):
                 leads = m.gateway_of(leader) or "none"
-                log.say("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
+                log.log_event("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
 
     def _snap(self, index: int, frozen: Any) -> None:
         if self.begun:
@@ -132,7 +132,7 @@
         if entry.data:
             result = self.holdings.apply(entry.stamp, entry.data)
         if entry.members is not None:
-            log.say("copies_members", group=self.group, voters=",".join(entry.members.voters),
+            log.log_event("copies_members", group=self.group, voters=",".join(entry.members.voters),
                     learners=",".join(entry.members.learners) or "none")  # fmt: skip
         if call is not None:
             self._reply(call, "done", "", words.ENCODE(result))
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -75,7 +75,9 @@
         self.timing = Timing(election=election, heartbeat=election / 5)
         self.disk = disk
         if self.disk.set_aside:
-            log.say("copies_disk_damaged", set_aside=self.disk.set_aside, incarnation=self.disk.incarnation)
+            log.log_event(
+                "copies_disk_damaged", set_aside=self.disk.set_aside, incarnation=self.disk.incarnation
+            )
         try:
             self.links = Links(
                 section.fleet, name, addresses[name], {k: v for k, v in addresses.items() if k != name},
@@ -131,7 +133,7 @@
         for group, stored in self.disk.loaded.items():
             self.hosts[group] = GroupHost(self, group, stored)
         self.links.open()
-        log.say("copies_started", incarnation=self.disk.incarnation, boot=self.disk.boot,
+        log.log_event("copies_started", incarnation=self.disk.incarnation, boot=self.disk.boot,
                 groups=len(self.hosts))  # fmt: skip
         self._tend()
 
@@ -154,7 +156,7 @@
     def _disk_failed(self, why: str) -> None:
         """Nothing is acknowledged until it is durable; what this copy leads goes to one that can write."""
         self.counters.add("copies_disk_failures")
-        log.say("copies_disk_failed", why=why)
+        log.log_event("copies_disk_failed", why=why)
         for host in self.hosts.values():
             host.step(m.Transfer())
 
@@ -185,7 +187,9 @@
         self.generations[group] = generation
         if (host := self.hosts.pop(group, None)) is not None:
             host.end()
-            log.say("copies_superseded", group=group, last=host.node.last_index(), generation=generation)
+            log.log_event(
+                "copies_superseded", group=group, last=host.node.last_index(), generation=generation
+            )
         self.writer.call(lambda: self.disk.forget(group, generation))
 
     def _recover(self, group: int, told: str) -> tuple[str, str, bytes]:
@@ -194,7 +198,7 @@
         if host is None or not host.begun or host.leads() or told != host.state() or self.quorum(host):
             return "refused", "", b""
         generation = wire.next_generation(self.generations.get(group, 0), self.chance.getrandbits(16))
-        log.say("copies_recovered", group=group, last=host.node.last_index(), commit=host.node.commit,
+        log.log_event("copies_recovered", group=group, last=host.node.last_index(), commit=host.node.commit,
                 without=",".join(host.node.members().all()), generation=generation)  # fmt: skip
         host.end()
         del self.hosts[group]
@@ -266,7 +270,7 @@
         """The disk was put back from an older copy: what this incarnation said since, it does not know."""
         if self.renewing:
             return
-        log.say("copies_disk_older", teller=teller, boot=self.disk.boot, known=boot)
+        log.log_event("copies_disk_older", teller=teller, boot=self.disk.boot, known=boot)
         self.counters.add("copies_disk_older")
         for host in self.hosts.values():
             host.end()
@@ -277,7 +281,7 @@
         def renewed() -> None:
             self.links.hang_up()
             self.renewing = False
-            log.say("copies_renewed", incarnation=self.disk.incarnation)
+            log.log_event("copies_renewed", incarnation=self.disk.incarnation)
 
         def renew() -> None:
             self.disk.renew()
@@ -408,7 +412,7 @@
                     self._may_form(group)
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("copies_exception")
+            log.log_exception("copies_exception")
         asyncio.get_running_loop().call_later(TEND * self.timing.election, self._tend)
 
     def _may_begin(self, host: GroupHost) -> None:
@@ -430,7 +434,7 @@
         if 2 * (len(here) + 1) <= len(self.zones) or any(one.formed >> group & 1 for one in here.values()):
             return
         copies = tuple(self.me if one == self.name else f"{one}/{here[one].incarnation}" for one in holders)
-        log.say("copies_formed", group=group, voters=",".join(copies))
+        log.log_event("copies_formed", group=group, voters=",".join(copies))
         self._create(group, m.Snapshot(1, 1, 0.0, m.Members(copies), b""))
 
     def _members(self, host: GroupHost, fleet: dict[str, Seen]) -> None:
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -207,7 +207,7 @@
     def _say_if_changed(self, sound: bool) -> None:
         if sound != self.sound:
             self.sound = sound
-            log.say("leases_sound" if sound else "leases_alone", customers=len(self.plans))
+            log.log_event("leases_sound" if sound else "leases_alone", customers=len(self.plans))
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
@@ -247,4 +247,4 @@
                 session.tend(now)
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("leases_exception")
+            log.log_exception("leases_exception")
--- a/mapleshunt/net/replication/links.py
+++ b/mapleshunt/net/replication/links.py
@@ -62,7 +62,7 @@
             return str(strange)
         except Exception:
             self.links.counters.add("exceptions")
-            log.trouble("link_exception")
+            log.log_exception("link_exception")
             return "exception"
         finally:
             limit.cancel()
@@ -183,7 +183,7 @@
                     stream.close()
             except Exception:  # a defect must not leave this peer without a link for good
                 self.counters.add("exceptions")
-                log.trouble("link_exception")
+                log.log_exception("link_exception")
             lasted = asyncio.get_running_loop().time() - begun
             failures = 0 if lasted > GREETING else min(failures + 1, 10)
             await asyncio.sleep(self.chance.uniform(0.0, min(AGAIN[1], AGAIN[0] * 2**failures)))
@@ -195,7 +195,7 @@
         if self.links.get(peer) is link:
             del self.links[peer]
         if peer or reason != "closed":
-            log.say("link_ended", peer=peer or "none", reason=reason)
+            log.log_event("link_ended", peer=peer or "none", reason=reason)
 
     def met(self, link: Link) -> None:
         hello = link.hello
@@ -208,7 +208,7 @@
         if (before := self.links.get(hello.name)) is not None:
             before.stream.close()  # the other end has begun anew
         self.links[hello.name] = link
-        log.say("link_up", peer=hello.name, incarnation=hello.incarnation, boot=hello.boot)
+        log.log_event("link_up", peer=hello.name, incarnation=hello.incarnation, boot=hello.boot)
         self.told_met(hello)
 
     def here(self, peer: str) -> wire.Hello | None:
--- a/mapleshunt/net/request/trace.py
+++ b/mapleshunt/net/request/trace.py
@@ -47,7 +47,7 @@
         for rule in broken:
             self.count("invariant_violations")
             self.count(f"violated_{guard.value}_{rule}")
-            log.say("invariant_violated", guard=guard.value, rule=rule, subject=subject)
+            log.log_event("invariant_violated", guard=guard.value, rule=rule, subject=subject)
             self._log([step for step in self.steps if step.subject == subject][-MAX_LOGGED_STEPS:])
 
     def log_all(self) -> None:
@@ -59,4 +59,6 @@
         now = time.monotonic()
         for step in steps:
             ago = 1000 * (now - step.at)
-            log.say("step", ago=ago, subject=step.subject, what=step.event, detail=step.detail or "none")
+            log.log_event(
+                "step", ago=ago, subject=step.subject, what=step.event, detail=step.detail or "none"
+            )
--- a/mapleshunt/net/startup.py
+++ b/mapleshunt/net/startup.py
@@ -36,5 +36,5 @@
                 if late or not may_pass(error):
                     raise
                 self.counters.add("start_retries")
-                log.say("start_retried", step=name, why=error)
+                log.log_event("start_retried", step=name, why=error)
             await asyncio.sleep(START_RETRY_DELAY_S)
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -172,7 +172,7 @@
         except Exception:
             reason = "exception"
             self.group.counters.add("exceptions")
-            log.trouble("server_connection_exception", server=self.server.member.id)
+            log.log_exception("server_connection_exception", server=self.server.member.id)
         self.close(reason)
 
     def _take_reply(self) -> None:
@@ -205,7 +205,7 @@
         Ended as "reset" it had the decisions take the till server for dead and move all that was out there.
         """
         self.group.counters.add("malformed_replies")
-        log.say("malformed_reply", server=self.server.member.id, why=why)
+        log.log_event("malformed_reply", server=self.server.member.id, why=why)
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_result(Ending("error"))
         self.close("malformed_reply")
@@ -222,7 +222,9 @@
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_exception(StreamClosedError())
         self.group.counters.trace.closed("server_connections", reason)
-        log.say("server_connection_ended", server=self.server.member.id, reason=reason, tries=self.tries)
+        log.log_event(
+            "server_connection_ended", server=self.server.member.id, reason=reason, tries=self.tries
+        )
 
 
 @dataclass(slots=True, eq=False)
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -112,7 +112,7 @@
                     self.number += 1
                 self.rows = rows
         except OSError as error:
-            log.say("record_failed", path=self.path, why=error)
+            log.log_event("record_failed", path=self.path, why=error)
             self.close(write=False)
             return
         if done:
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -254,9 +254,9 @@
     code = """
 import resource
 from mapleshunt.net import log
-log.set_up()
+log.configure()
 resource.setrlimit(resource.RLIMIT_NOFILE, (3, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
-log.say("accept_failed", why="Too many open files")
+log.log_event("accept_failed", why="Too many open files")
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert 'why="Too many open files"' in done.stderr and "Error" not in done.stderr, done.stderr
