--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -228,6 +228,7 @@
 async def _mark(section: Any, groups: list[int], key: str, value: str) -> list[dict[str, Any]]:
     """Set a record of each group, unless it is so already."""
     from ..replicated_state import commands as words
+    from ..replicated_state.results import Applied
     from ..testbed.workload_clients import Caller
 
     async def one(group: int) -> dict[str, Any]:
@@ -240,10 +241,10 @@
                 known: Any = await caller.read("record", key)
                 if value == (known.value if known is not None else ""):
                     return {"group": group, "said": "told"}
-                await caller.do(words.Open())
-                put = words.Put(key, value, known.version if known is not None else 0)
+                await caller.do(words.OpenSession())
+                put = words.SetRecord(key, value, known.version if known is not None else 0)
                 done = await caller.do(put)
-                return {"group": group, "said": "told" if isinstance(done, words.Done) else "told otherwise"}
+                return {"group": group, "said": "told" if isinstance(done, Applied) else "told otherwise"}
         except TimeoutError:
             return {"group": group, "said": "nobody leads"}
         finally:
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -53,11 +53,11 @@
 
 def _works(section: Any) -> tuple[float, Any]:
     """The log's time, ms, and what is settled."""
-    from ..maintenance.commands import Frozen
-    from ..maintenance.state import Works
+    from ..maintenance.jobs import MaintenanceJobs
+    from ..maintenance.records import MaintenanceSnapshot
 
-    stamp, frozen = _with(section, lambda caller: caller.read("works", "", tuple[float, Frozen]))
-    works = Works()
+    stamp, frozen = _with(section, lambda caller: caller.read("works", "", tuple[float, MaintenanceSnapshot]))
+    works = MaintenanceJobs()
     works.thaw(frozen)
     return stamp, works
 
@@ -65,13 +65,14 @@
 def _do(section: Any, operation: Any) -> None:
     """Raises `Trouble` with why it was refused."""
     from ..replicated_state import commands as words
+    from ..replicated_state.results import Denied
 
     async def once(caller: Any) -> Any:
-        await caller.do(words.Open())
+        await caller.do(words.OpenSession())
         return await caller.do(operation)
 
     result = _with(section, once)
-    if isinstance(result, words.Denied):
+    if isinstance(result, Denied):
         raise Trouble(result.why)
 
 
@@ -99,7 +100,7 @@
     urgency: int, long_work: bool, version: str, name: str | None, file: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
     """Ask for work on MACHINES; prints the request's id."""
-    from ..maintenance.commands import Ask
+    from ..maintenance.commands import RequestMaintenance
 
     section = _section(file)
     if every == bool(machines):
@@ -107,7 +108,10 @@
     chosen = tuple(sorted(one.name for one in section.peer)) if every else machines
     _known(section, chosen)
     name = name or f"{author}-{random.getrandbits(40):010x}"
-    _do(section, Ask(name, chosen, reason, author, expected, earliest, urgency, long_work, version))
+    _do(
+        section,
+        RequestMaintenance(name, chosen, reason, author, expected, earliest, urgency, long_work, version),
+    )
     if as_json:
         print_json({"id": name, "machines": chosen})
     else:
@@ -239,11 +243,11 @@
             "recalled": ("undone",)}  # fmt: skip
     idle, took = 0, 0.0
     while works.open() and idle < 100:
-        works.apply(now, sight.seen(wall, zones, section.groups, told, works))
+        works.apply(now, sight.build_fleet_view(wall, zones, section.groups, told, works))
         batch = []
         for one in works.open():
             for what in ways.get(one.state, ()):
-                works.apply(now, w.Told(one.machine, one.fence, what))
+                works.apply(now, w.ReportProgress(one.machine, one.fence, what))
             if "out" in ways.get(one.state, ()):
                 batch.append(one.machine)
         batches += [batch] if batch else []
@@ -251,7 +255,7 @@
         lasts = max((works.requests[one.request].ask.expected for one in out), default=works.budget.pause + 1)
         now, wall = now + 1000 * lasts, wall + lasts
         for one in out:
-            works.apply(now, w.Told(one.machine, one.fence, "returning"))
+            works.apply(now, w.ReportProgress(one.machine, one.fence, "returning"))
         idle = 0 if out else idle + 1
         took = (now - stamp) / 1000 if out else took
     return batches, took
@@ -263,9 +267,9 @@
 @settings_option
 def withdraw(name: str, author: str, file: Path | None) -> None:
     """Take a request back: who waits does not go, who drains works again, who is out comes back."""
-    from ..maintenance.commands import Withdraw
+    from ..maintenance.commands import WithdrawRequest
 
-    _do(_section(file), Withdraw(name, author))
+    _do(_section(file), WithdrawRequest(name, author))
 
 
 @maintenance.command()
@@ -274,9 +278,9 @@
 @settings_option
 def hold(reason: str, author: str, file: Path | None) -> None:
     """No grants from now on."""
-    from ..maintenance.commands import Hold
+    from ..maintenance.commands import SetHold
 
-    _do(_section(file), Hold(True, author, reason))
+    _do(_section(file), SetHold(True, author, reason))
 
 
 @maintenance.command()
@@ -284,9 +288,9 @@
 @settings_option
 def resume(author: str, file: Path | None) -> None:
     """Go on after a hold, or after machines failed."""
-    from ..maintenance.commands import Hold
+    from ..maintenance.commands import SetHold
 
-    _do(_section(file), Hold(False, author))
+    _do(_section(file), SetHold(False, author))
 
 
 @maintenance.command()
@@ -296,11 +300,11 @@
 @settings_option
 def force(machine: str, reason: str, author: str, file: Path | None) -> None:
     """Let MACHINE go now, whatever the budget says; never below a majority of a group."""
-    from ..maintenance.commands import Force
+    from ..maintenance.commands import ForceGrant
 
     section = _section(file)
     _known(section, (machine,))
-    _do(section, Force(machine, author, reason))
+    _do(section, ForceGrant(machine, author, reason))
 
 
 @maintenance.command(name="await-safe")
@@ -311,6 +315,7 @@
     """Wait until MACHINE may be worked on (exit status 0), or will not be (1). From then on it is out."""
     from ..maintenance import commands as w
     from ..replicated_state import commands as h
+    from ..replicated_state.results import Applied
 
     section = _section(file)
     _known(section, (machine,))
@@ -323,13 +328,13 @@
         if place.state == "out":
             return
         if place.state == "safe":
-            told = w.Told(machine, place.fence, "out")
+            told = w.ReportProgress(machine, place.fence, "out")
 
-            async def once(caller: Any, told: w.Told = told) -> Any:
-                await caller.do(h.Open())
+            async def once(caller: Any, told: w.ReportProgress = told) -> Any:
+                await caller.do(h.OpenSession())
                 return await caller.do(told)
 
-            if isinstance(_with(section, once), h.Done):
+            if isinstance(_with(section, once), Applied):
                 return
         time.sleep(0.3)
     click.echo(f"mapleshunt: {machine} is not to be worked on", err=True)
@@ -341,11 +346,11 @@
 @settings_option
 def return_(machine: str, file: Path | None) -> None:
     """MACHINE is back: it is checked, and then done."""
-    from ..maintenance.commands import Told
+    from ..maintenance.commands import ReportProgress
 
     section = _section(file)
     _known(section, (machine,))
     place = _works(section)[1].place_of(machine)
     if place is None or place.state not in ("out", "overdue", "returning"):
         raise Trouble(f"{machine} is not out, but {place.state if place is not None else 'not asked for'}")
-    _do(section, Told(machine, place.fence, "returning"))
+    _do(section, ReportProgress(machine, place.fence, "returning"))
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -13,6 +13,18 @@
 if TYPE_CHECKING:
     from ..testbed.soak_faults import Kind
 
+# Operations as the report of `faults` has always named them.
+CALL_NAMES = {
+    "OpenSession": "Open",
+    "AcquireLease": "Lease",
+    "ReturnLease": "Return",
+    "SettleUsage": "Settle",
+    "CountUsage": "Count",
+    "ReserveUnits": "Reserve",
+    "ReleaseReservation": "Release",
+    "SetRecord": "Put",
+}
+
 
 @click.group()
 def rig() -> None:
@@ -105,6 +117,7 @@
     with tempfile.TemporaryDirectory() as spare:
         played = Faults(folder or Path(spare), plain_config(), gateways, seed, size)
         report = asyncio.run(played.play(count, schedule=chosen))
+    report.calls = {CALL_NAMES.get(kind, kind): number for kind, number in report.calls.items()}
     if as_json:
         print_json(report)
     else:
--- a/mapleshunt/maintenance/coordinator.py
+++ b/mapleshunt/maintenance/agent.py
@@ -9,13 +9,13 @@
 
 from dataclasses import dataclass
 
-from . import commands as w
+from .records import MachineJob
 
-DRIFT = 0.01  # part of a grant by which two clocks may differ
+MAX_CLOCK_DRIFT = 0.01  # part of a grant by which two clocks may differ
 
 
 @dataclass(slots=True, frozen=True)
-class Sees:
+class RemainingWork:
     """What a gateway has to be rid of before it is safe."""
 
     open: int  # requests that are owed an answer
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Act:
+class AgentAction:
     """`how`: drain, resume, hand_over (leadership, and with `long` copies), take_back (copies), or tell."""
 
     how: str
@@ -41,46 +41,55 @@
     fence: int = 0
 
 
-class Holder:
+class MaintenanceAgent:
     def __init__(self) -> None:
         self.fence, self.deadline = 0, float("-inf")
         self.drained = self.away = False  # by its grant; operators may have drained it besides
 
-    def told(self, asked: float, stamp: float, place: w.Place | None) -> None:
+    def told(self, asked: float, stamp: float, place: MachineJob | None) -> None:
         """What the log says of it: asked for at `asked` (s, own clock), at the log's time `stamp` (ms)."""
         if place is not None and place.state in ("granted", "draining", "safe"):
             self.fence = place.fence
-            self.deadline = asked + (place.until - stamp) / 1000 * (1 - DRIFT)
+            self.deadline = asked + (place.until - stamp) / 1000 * (1 - MAX_CLOCK_DRIFT)
 
-    def step(self, now: float, place: w.Place | None, long: bool, sees: Sees) -> list[Act]:
+    def step(
+        self, now: float, place: MachineJob | None, long: bool, sees: RemainingWork
+    ) -> list[AgentAction]:
         state = place.state if place is not None else ""
         if place is not None and state in ("granted", "draining", "safe") and place.fence == self.fence:
             if now >= self.deadline:
-                return [*self._undo(), Act("tell", "undone", "too late by its own clock", place.fence)]
+                return [
+                    *self._undo(),
+                    AgentAction("tell", "undone", "too late by its own clock", place.fence),
+                ]
             return self._empty(place, long, sees)
         if state == "recalled" and place is not None:
             # It has taken back what it began, if this life began anything, and takes clients again.
-            tell = Act("tell", "undone", "called back", place.fence)
+            tell = AgentAction("tell", "undone", "called back", place.fence)
             return self._undo() or ([tell] if not sees.drained else [])
         if state in ("out", "overdue"):
             return []  # whoever works on it ends it
         return self._undo()
 
-    def _empty(self, place: w.Place, long: bool, sees: Sees) -> list[Act]:
+    def _empty(self, place: MachineJob, long: bool, sees: RemainingWork) -> list[AgentAction]:
         if not self.drained:
             self.drained, self.away = True, long
-            acts = [Act("drain"), Act("hand_over", "copies" if long else "")]
-            return [*acts, Act("tell", "draining", "", place.fence)] if place.state == "granted" else acts
+            acts = [AgentAction("drain"), AgentAction("hand_over", "copies" if long else "")]
+            return (
+                [*acts, AgentAction("tell", "draining", "", place.fence)]
+                if place.state == "granted"
+                else acts
+            )
         if place.state == "granted":
-            return [Act("tell", "draining", "", place.fence)]
+            return [AgentAction("tell", "draining", "", place.fence)]
         left = sees.waits_for(long)
         if place.state == "draining" and not left and sees.drained:
-            return [Act("tell", "safe", "", place.fence)]
-        return [Act("hand_over", "copies" if long else "", left)] if sees.leads else []
+            return [AgentAction("tell", "safe", "", place.fence)]
+        return [AgentAction("hand_over", "copies" if long else "", left)] if sees.leads else []
 
-    def _undo(self) -> list[Act]:
+    def _undo(self) -> list[AgentAction]:
         if not self.drained:
             return []
-        acts = [Act("resume"), *([Act("take_back")] if self.away else [])]
+        acts = [AgentAction("resume"), *([AgentAction("take_back")] if self.away else [])]
         self.drained = self.away = False
         return acts
--- a/mapleshunt/maintenance/commands.py
+++ b/mapleshunt/maintenance/commands.py
@@ -4,26 +4,12 @@
 
 import msgspec
 
-# States of a machine within a request, each entered by an entry of the log.
-WAITING = ("queued",)
-AT_WORK = ("granted", "draining", "safe", "out", "returning", "recalled", "overdue")  # counts as out
-OVER = ("done", "withdrawn", "failed")
-
-
-class Budget(msgspec.Struct, array_like=True, frozen=True):
-    """How many may be out, planned and unplanned together, and when nobody is to go. Times in s."""
+from .budget import Budget
 
-    most: int = 1
-    zone: int = 1  # of one zone
-    load: float = 0.8  # the most that those left may be loaded, 1 being all they can do
-    slack: float = 0.1  # below that by so much before grants go on again
-    pause: float = 10.0  # after a machine is back, before the next goes
-    drain: float = 60.0  # that a machine has to be safe: how long a grant holds
-    failures: int = 2  # machines that failed, after which nobody goes until an operator resumes
-    closed: tuple[tuple[float, float], ...] = ()  # from and to, Unix time
+# States of a machine within a request, each entered by an entry of the log.
 
 
-class Ask(msgspec.Struct, array_like=True, tag=30, frozen=True):
+class RequestMaintenance(msgspec.Struct, array_like=True, tag=30, frozen=True):
     """A request for work; the same `id` again changes nothing."""
 
     id: str
@@ -37,12 +23,12 @@
     version: str = ""  # that a machine is to have when it is back
 
 
-class Withdraw(msgspec.Struct, array_like=True, tag=31, frozen=True):
+class WithdrawRequest(msgspec.Struct, array_like=True, tag=31, frozen=True):
     id: str
     author: str
 
 
-class Hold(msgspec.Struct, array_like=True, tag=32, frozen=True):
+class SetHold(msgspec.Struct, array_like=True, tag=32, frozen=True):
     """No grants from now on, or again."""
 
     on: bool
@@ -50,7 +36,7 @@
     reason: str = ""
 
 
-class Force(msgspec.Struct, array_like=True, tag=33, frozen=True):
+class ForceGrant(msgspec.Struct, array_like=True, tag=33, frozen=True):
     """That machine goes now, whatever the budget says; a majority of each group stays all the same."""
 
     machine: str
@@ -63,7 +49,7 @@
     author: str
 
 
-class Sight(msgspec.Struct, array_like=True, frozen=True):
+class MachineView(msgspec.Struct, array_like=True, frozen=True):
     """A machine as the coordinator sees it."""
 
     name: str
@@ -74,22 +60,22 @@
     version: str = ""
 
 
-class Group(msgspec.Struct, array_like=True, frozen=True):
+class GroupView(msgspec.Struct, array_like=True, frozen=True):
     """Gateways that decide in a group, and those of them whose copies are there and not far behind."""
 
     voters: tuple[str, ...]
     sound: tuple[str, ...]
 
 
-class Seen(msgspec.Struct, array_like=True, tag=35, frozen=True):
+class FleetView(msgspec.Struct, array_like=True, tag=35, frozen=True):
     """What the coordinator sees now: grants and returns follow from this entry and the state before it."""
 
     wall: float  # Unix time
-    machines: tuple[Sight, ...]
-    groups: tuple[Group, ...]
+    machines: tuple[MachineView, ...]
+    groups: tuple[GroupView, ...]
 
 
-class Told(msgspec.Struct, array_like=True, tag=36, frozen=True):
+class ReportProgress(msgspec.Struct, array_like=True, tag=36, frozen=True):
     """A machine, or whoever works on it, tells how far it is, under its grant's number."""
 
     machine: str
@@ -98,46 +84,6 @@
     why: str = ""
 
 
-Operation = Ask | Withdraw | Hold | Force | SetBudget | Seen | Told
-
-
-class Step(msgspec.Struct, array_like=True, frozen=True):
-    """A line of a machine's story."""
-
-    at: float  # ms of the log's time
-    state: str
-    why: str = ""
-    who: str = ""
-
-
-class Place(msgspec.Struct, array_like=True, frozen=True):
-    """A machine within a request."""
-
-    machine: str
-    request: str
-    state: str = "queued"
-    fence: int = 0
-    since: float = 0.0  # ms of the log's time
-    until: float = 0.0  # when the grant ends
-    ends: str = ""  # how it ends once it is undone: withdrawn or failed; else it is queued again
-    story: tuple[Step, ...] = ()
-
-
-class Request(msgspec.Struct, array_like=True, frozen=True):
-    ask: Ask
-    at: float  # ms of the log's time
-
-
-class Frozen(msgspec.Struct, array_like=True, frozen=True):
-    """A snapshot's form."""
-
-    budget: Budget
-    held: str
-    fence: int
-    failures: int
-    returned: float
-    strained: bool
-    requests: tuple[Request, ...]
-    places: tuple[Place, ...]
-    blocked: str
-    chosen: bool
+Operation = (
+    RequestMaintenance | WithdrawRequest | SetHold | ForceGrant | SetBudget | FleetView | ReportProgress
+)
--- a/mapleshunt/maintenance/fleet_view.py
+++ b/mapleshunt/maintenance/fleet_view.py
@@ -6,16 +6,20 @@
 from typing import Any
 
 from . import commands as w
-from .state import Works
+from .jobs import MaintenanceJobs
 
-BEHIND = 1000  # entries by which a copy may be behind and still be sound
+MAX_REPLICA_LAG_ENTRIES = 1000  # entries by which a copy may be behind and still be sound
 
-Status = Mapping[str, Any]  # as `net.copies.Copies.status` has it
+GatewayStatus = Mapping[str, Any]  # as `net.copies.Copies.status` has it
 
 
-def seen(
-    wall: float, zones: Mapping[str, str], groups: int, told: Mapping[str, Status | None], works: Works
-) -> w.Seen:
+def build_fleet_view(
+    wall: float,
+    zones: Mapping[str, str],
+    groups: int,
+    told: Mapping[str, GatewayStatus | None],
+    works: MaintenanceJobs,
+) -> w.FleetView:
     """`told` holds what each gateway that was heard of late told; those that are missing are not here.
 
     One that takes no clients and has no grant is out, whoever drained it.
@@ -35,15 +39,17 @@
         here = name in heard and (bool(status.get("takes", True)) or name in busy)
         mine = sum(one["leader"] == name for _, one in leads.values())
         load, version = float(status.get("load", 0.0)), str(status.get("version", ""))
-        machines.append(w.Sight(name, zone, here, mine, load, version))
+        machines.append(w.MachineView(name, zone, here, mine, load, version))
     found = []
     for number in range(groups):
         if number not in leads:  # nobody can tell: none of its machines may go
-            found.append(w.Group(tuple(sorted(zones)), ()))
+            found.append(w.GroupView(tuple(sorted(zones)), ()))
             continue
         one = leads[number][1]
-        sound = [c for c in one["voters"] if copies[number].get(c, -1) >= one["commit"] - BEHIND]
-        found.append(w.Group(
+        sound = [
+            c for c in one["voters"] if copies[number].get(c, -1) >= one["commit"] - MAX_REPLICA_LAG_ENTRIES
+        ]
+        found.append(w.GroupView(
             tuple(c.rpartition("/")[0] for c in one["voters"]), tuple(c.rpartition("/")[0] for c in sound)
         ))  # fmt: skip
-    return w.Seen(wall, tuple(machines), tuple(found))
+    return w.FleetView(wall, tuple(machines), tuple(found))
--- a/mapleshunt/maintenance/state.py
+++ b/mapleshunt/maintenance/jobs.py
@@ -22,59 +22,49 @@
 import msgspec
 
 from . import commands as w
-
-AGING = 600_000.0  # ms of waiting that a step of urgency is worth
-MOST_REQUESTS = 256
-MOST_MACHINES = 1024
-MOST_STORY = 64  # steps of a machine's story, the oldest go first
-MOST_TEXT = 500  # characters of a reason
-
-
-class Refused(Exception):
+from .budget import Budget, budget_error
+from .records import (
+    FINAL_STATES,
+    OUT_STATES,
+    HistoryEntry,
+    MachineJob,
+    MaintenanceRequest,
+    MaintenanceSnapshot,
+)
+
+URGENCY_STEP_MS = 600_000.0  # ms of waiting that a step of urgency is worth
+MAX_REQUESTS = 256
+MAX_OPEN_JOBS = 1024
+MAX_HISTORY_ENTRIES = 64  # steps of a machine's story, the oldest go first
+MAX_TEXT_CHARS = 500  # characters of a reason
+
+
+class MaintenanceError(Exception):
     """The operation changes nothing; its text is why."""
 
 
-def contradiction(budget: w.Budget) -> str:
-    """Why a budget can never let anyone go, or makes no sense; nothing if it does."""
-    for name in ("load", "slack", "pause", "drain"):
-        value = getattr(budget, name)
-        if not 0 <= value < float("inf"):
-            return f"{name} must be 0 or more, not {value}"
-    if budget.most < 1 or budget.zone < 1:
-        return "most and zone must be 1 or more: with 0 nobody ever goes (hold stops all for a while)"
-    if budget.zone > budget.most:
-        return f"zone ({budget.zone}) is more than most ({budget.most})"
-    if budget.load <= budget.slack:
-        return f"load ({budget.load}) is not above slack ({budget.slack}): nobody ever goes"
-    if budget.drain < 1 or budget.failures < 1:
-        return "drain must be 1 s or more, and failures 1 or more"
-    if any(not begin < end for begin, end in budget.closed):
-        return "a closed window ends before it begins"
-    return ""
-
-
-class Works:
+class MaintenanceJobs:
     def __init__(self) -> None:
-        self.budget = w.Budget()
+        self.budget = Budget()
         self.held = ""  # why, if operators hold all grants
         self.fence = self.failures = 0
         self.returned = float("-inf")  # when a machine was last back
         self.strained = False  # those left would be overloaded: grants wait for some slack
-        self.requests: dict[str, w.Request] = {}
-        self.places: dict[tuple[str, str], w.Place] = {}  # by request and machine
+        self.requests: dict[str, MaintenanceRequest] = {}
+        self.places: dict[tuple[str, str], MachineJob] = {}  # by request and machine
         self.blocked = ""  # why nobody who waits may go, as of the last look
         self.chosen = False  # somebody set the budget
 
     # Snapshots
 
-    def freeze(self) -> w.Frozen:
-        return w.Frozen(
+    def freeze(self) -> MaintenanceSnapshot:
+        return MaintenanceSnapshot(
             self.budget, self.held, self.fence, self.failures, max(self.returned, -1e18), self.strained,
             tuple(self.requests.values()), tuple(self.places.values()), self.blocked,
             self.chosen,
         )  # fmt: skip
 
-    def thaw(self, frozen: w.Frozen) -> None:
+    def thaw(self, frozen: MaintenanceSnapshot) -> None:
         self.budget, self.held, self.fence = frozen.budget, frozen.held, frozen.fence
         self.failures, self.returned = frozen.failures, frozen.returned
         self.strained, self.blocked, self.chosen = frozen.strained, frozen.blocked, frozen.chosen
@@ -86,71 +76,76 @@
     def apply(self, now: float, operation: w.Operation) -> float:
         """Raises `Refused`. A number: of a grant, or of what is in the state."""
         match operation:
-            case w.Ask():
+            case w.RequestMaintenance():
                 self._ask(now, operation)
-            case w.Withdraw(id, author):
+            case w.WithdrawRequest(id, author):
                 self._withdraw(now, id, author)
-            case w.Hold(on, author, reason):
-                self.held = f"{reason or 'held'} ({author})"[:MOST_TEXT] if on else ""
+            case w.SetHold(on, author, reason):
+                self.held = f"{reason or 'held'} ({author})"[:MAX_TEXT_CHARS] if on else ""
                 self.failures = self.failures if on else 0
-            case w.Force(machine, author, reason):
+            case w.ForceGrant(machine, author, reason):
                 self._force(now, machine, author, reason)
             case w.SetBudget(budget, _):
-                if why := contradiction(budget):
-                    raise Refused(why)
+                if why := budget_error(budget):
+                    raise MaintenanceError(why)
                 self.budget, self.chosen = budget, True
-            case w.Seen():
+            case w.FleetView():
                 self._seen(now, operation)
-            case w.Told():
+            case w.ReportProgress():
                 self._told(now, operation)
         return float(self.fence)
 
-    def open(self) -> list[w.Place]:
+    def open(self) -> list[MachineJob]:
         """Places that are not over, in the order of their requests."""
-        return [one for one in self.places.values() if one.state not in w.OVER]
+        return [one for one in self.places.values() if one.state not in FINAL_STATES]
 
-    def place_of(self, machine: str) -> w.Place | None:
+    def place_of(self, machine: str) -> MachineJob | None:
         """Where a machine is: at work if it is anywhere, else waiting."""
         mine = [one for one in self.open() if one.machine == machine]
-        return next((one for one in mine if one.state in w.AT_WORK), mine[0] if mine else None)
+        return next((one for one in mine if one.state in OUT_STATES), mine[0] if mine else None)
 
-    def _ask(self, now: float, ask: w.Ask) -> None:
+    def _ask(self, now: float, ask: w.RequestMaintenance) -> None:
         if ask.id in self.requests:
             return
         if not ask.machines or len(set(ask.machines)) != len(ask.machines):
-            raise Refused("no machine, or one twice")
-        if not ask.id or len(ask.reason) > MOST_TEXT or not 0 <= ask.urgency <= 9 or not ask.expected > 0:
-            raise Refused("an id, a reason, an expected time and an urgency of 0 to 9 are needed")
+            raise MaintenanceError("no machine, or one twice")
+        if (
+            not ask.id
+            or len(ask.reason) > MAX_TEXT_CHARS
+            or not 0 <= ask.urgency <= 9
+            or not ask.expected > 0
+        ):
+            raise MaintenanceError("an id, a reason, an expected time and an urgency of 0 to 9 are needed")
         if taken := next((one for one in self.open() if one.machine in ask.machines), None):
-            raise Refused(f"{taken.machine} is asked for already, by {taken.request}")
-        if len(self.open()) + len(ask.machines) > MOST_MACHINES or not self._room():
-            raise Refused("too much is asked for already")
-        self.requests[ask.id] = w.Request(ask, now)
+            raise MaintenanceError(f"{taken.machine} is asked for already, by {taken.request}")
+        if len(self.open()) + len(ask.machines) > MAX_OPEN_JOBS or not self._room():
+            raise MaintenanceError("too much is asked for already")
+        self.requests[ask.id] = MaintenanceRequest(ask, now)
         for machine in ask.machines:
-            step = w.Step(now, "queued", ask.reason, ask.author)
-            self.places[ask.id, machine] = w.Place(machine, ask.id, since=now, story=(step,))
+            step = HistoryEntry(now, "queued", ask.reason, ask.author)
+            self.places[ask.id, machine] = MachineJob(machine, ask.id, since=now, story=(step,))
 
     def _room(self) -> bool:
         """Requests that are over make room, the oldest first."""
         busy = {one.request for one in self.open()}
         for id in [one for one in self.requests if one not in busy]:
-            if len(self.requests) < MOST_REQUESTS:
+            if len(self.requests) < MAX_REQUESTS:
                 break
             for key in [key for key in self.places if key[0] == id]:
                 del self.places[key]
             del self.requests[id]
-        return len(self.requests) < MOST_REQUESTS
+        return len(self.requests) < MAX_REQUESTS
 
     def _enter(
-        self, now: float, place: w.Place, state: str, why: str = "", who: str = "", **more: object
+        self, now: float, place: MachineJob, state: str, why: str = "", who: str = "", **more: object
     ) -> None:
-        story = (*place.story, w.Step(now, state, why[:MOST_TEXT], who))[-MOST_STORY:]
+        story = (*place.story, HistoryEntry(now, state, why[:MAX_TEXT_CHARS], who))[-MAX_HISTORY_ENTRIES:]
         changed = msgspec.structs.replace(place, state=state, since=now, story=story, **more)
         self.places[place.request, place.machine] = changed
 
     def _withdraw(self, now: float, id: str, author: str) -> None:
         if id not in self.requests:
-            raise Refused(f"there is no request {id}")
+            raise MaintenanceError(f"there is no request {id}")
         for place in [one for one in self.open() if one.request == id]:
             if place.state == "queued":
                 self._enter(now, place, "withdrawn", who=author)
@@ -161,9 +156,11 @@
     def _force(self, now: float, machine: str, author: str, reason: str) -> None:
         place = self.place_of(machine)
         if place is None or place.state != "queued":
-            raise Refused(f"{machine} does not wait" if place is None else f"{machine} is {place.state}")
+            raise MaintenanceError(
+                f"{machine} does not wait" if place is None else f"{machine} is {place.state}"
+            )
         if not reason:
-            raise Refused("a reason is needed")
+            raise MaintenanceError("a reason is needed")
         self._enter(now, place, "queued", f"forced: {reason}", author, ends="forced")
 
     # What machines tell
@@ -174,16 +171,16 @@
         "recalled": ("undone",), "returning": ("failed",),
     }  # fmt: skip
 
-    def _told(self, now: float, told: w.Told) -> None:
+    def _told(self, now: float, told: w.ReportProgress) -> None:
         place = self.place_of(told.machine)
         if place is None or place.fence != told.fence:
-            raise Refused("fence")
+            raise MaintenanceError("fence")
         if place.state == told.what:
             return  # told again
         if told.what not in self.NEXT.get(place.state, ()):
-            raise Refused(f"{told.machine} is {place.state}")
+            raise MaintenanceError(f"{told.machine} is {place.state}")
         if place.state in ("granted", "draining", "safe") and told.what != "undone" and now > place.until:
-            raise Refused("the grant has run out")
+            raise MaintenanceError("the grant has run out")
         match told.what:
             case "undone":
                 self._undone(now, place, told.why)
@@ -196,7 +193,7 @@
             case what:
                 self._enter(now, place, what, told.why)
 
-    def _undone(self, now: float, place: w.Place, why: str) -> None:
+    def _undone(self, now: float, place: MachineJob, why: str) -> None:
         """It works again as before: what was begun was taken back."""
         if place.ends in ("withdrawn", "failed"):
             self._enter(now, place, place.ends, why, fence=0, until=0.0)
@@ -205,7 +202,7 @@
 
     # What the coordinator sees
 
-    def _seen(self, now: float, seen: w.Seen) -> None:
+    def _seen(self, now: float, seen: w.FleetView) -> None:
         sights = {one.name: one for one in seen.machines}
         self._run_out(now, sights)
         self._back(now, sights)
@@ -227,7 +224,7 @@
             until = now + 1000 * self.budget.drain
             self._enter(now, place, "granted", place.ends, fence=self.fence, until=until, ends="")
 
-    def _run_out(self, now: float, sights: dict[str, w.Sight]) -> None:
+    def _run_out(self, now: float, sights: dict[str, w.MachineView]) -> None:
         """Grants that ended: what was begun under them is taken back, and counts as out until it is."""
         for place in self.open():
             if place.state in ("granted", "draining", "safe") and now > place.until:
@@ -236,7 +233,7 @@
             if place.state == "out" and now > place.since + expected:
                 self._enter(now, place, "overdue", "not back in the time expected")
 
-    def _back(self, now: float, sights: dict[str, w.Sight]) -> None:
+    def _back(self, now: float, sights: dict[str, w.MachineView]) -> None:
         for place in self.open():
             sight = sights.get(place.machine)
             if place.state != "returning" or sight is None or not sight.here:
@@ -250,9 +247,9 @@
                 self._enter(now, place, "done", fence=0)
             self.returned = now
 
-    def _out(self, sights: dict[str, w.Sight]) -> set[str]:
+    def _out(self, sights: dict[str, w.MachineView]) -> set[str]:
         """All that count as out: planned, and not seen though nobody took them out."""
-        planned = {one.machine for one in self.open() if one.state in w.AT_WORK}
+        planned = {one.machine for one in self.open() if one.state in OUT_STATES}
         return planned | {name for name, one in sights.items() if not one.here}
 
     def _call_back(self, now: float, out: Iterable[str]) -> None:
@@ -264,17 +261,19 @@
             self._enter(now, place, "recalled", "others were lost meanwhile")
 
     @staticmethod
-    def _forced(place: w.Place) -> bool:
+    def _forced(place: MachineJob) -> bool:
         return any(step.why.startswith("forced") for step in place.story)
 
-    def _order(self, now: float, waiting: list[w.Place], sights: dict[str, w.Sight]) -> list[w.Place]:
+    def _order(
+        self, now: float, waiting: list[MachineJob], sights: dict[str, w.MachineView]
+    ) -> list[MachineJob]:
         zones = {name: one.zone for name, one in sights.items()}
-        went = [one for one in self.places.values() if one.state in w.AT_WORK or one.state == "done"]
+        went = [one for one in self.places.values() if one.state in OUT_STATES or one.state == "done"]
         busy = Counter(zones.get(one.machine, "") for one in went)
 
-        def key(place: w.Place) -> tuple[bool, float, int, int, str]:
+        def key(place: MachineJob) -> tuple[bool, float, int, int, str]:
             request = self.requests[place.request]
-            rank = request.ask.urgency * AGING + now - request.at
+            rank = request.ask.urgency * URGENCY_STEP_MS + now - request.at
             sight = sights.get(place.machine)
             zone, leads = zones.get(place.machine, ""), sight.leads if sight is not None else 0
             return place.ends != "forced", -rank, busy[zone], leads, place.machine
@@ -282,7 +281,12 @@
         return sorted(waiting, key=key)
 
     def _why_not(
-        self, now: float, place: w.Place, seen: w.Seen, sights: dict[str, w.Sight], out: set[str]
+        self,
+        now: float,
+        place: MachineJob,
+        seen: w.FleetView,
+        sights: dict[str, w.MachineView],
+        out: set[str],
     ) -> str:
         """Why a machine may not go now; nothing if it may."""
         budget, machine = self.budget, place.machine
--- a/mapleshunt/maintenance/summary.py
+++ b/mapleshunt/maintenance/summary.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from . import commands as w
+from .records import FINAL_STATES, MaintenanceSnapshot
 
-FEW_STEPS = 4  # of each machine's story that are told where even what is not over is too much
+MIN_HISTORY_ENTRIES = 4  # of each machine's story that are told where even what is not over is too much
 
 
-def excerpt(frozen: w.Frozen, most: int) -> w.Frozen:
+def summarize(frozen: MaintenanceSnapshot, most: int) -> MaintenanceSnapshot:
     """All that is not over, and of what is over the latest, in at most `most` bytes as far as that can be.
 
     Requests that are over go first, the oldest first; then the older steps of each machine's story.
@@ -22,22 +22,24 @@
     return frozen
 
 
-def _size(frozen: w.Frozen) -> int:
+def _size(frozen: MaintenanceSnapshot) -> int:
     return len(msgspec.msgpack.encode(frozen))
 
 
-def _over(frozen: w.Frozen) -> list[str]:
+def _over(frozen: MaintenanceSnapshot) -> list[str]:
     """Requests of which no place is open, the oldest first."""
-    open_requests = {one.request for one in frozen.places if one.state not in w.OVER}
+    open_requests = {one.request for one in frozen.places if one.state not in FINAL_STATES}
     return [one.ask.id for one in frozen.requests if one.ask.id not in open_requests]
 
 
-def _without(frozen: w.Frozen, ids: set[str]) -> w.Frozen:
+def _without(frozen: MaintenanceSnapshot, ids: set[str]) -> MaintenanceSnapshot:
     requests = tuple(one for one in frozen.requests if one.ask.id not in ids)
     places = tuple(one for one in frozen.places if one.request not in ids)
     return msgspec.structs.replace(frozen, requests=requests, places=places)
 
 
-def _with_few_steps(frozen: w.Frozen) -> w.Frozen:
-    places = tuple(msgspec.structs.replace(one, story=one.story[-FEW_STEPS:]) for one in frozen.places)
+def _with_few_steps(frozen: MaintenanceSnapshot) -> MaintenanceSnapshot:
+    places = tuple(
+        msgspec.structs.replace(one, story=one.story[-MIN_HISTORY_ENTRIES:]) for one in frozen.places
+    )
     return msgspec.structs.replace(frozen, places=places)
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -15,8 +15,10 @@
 
 from ..maintenance import commands as w
 from ..maintenance import fleet_view as sight
-from ..maintenance.coordinator import Act, Holder, Sees
+from ..maintenance.agent import AgentAction, MaintenanceAgent, RemainingWork
+from ..maintenance.records import MachineJob
 from ..replicated_state import commands as h
+from ..replicated_state.results import Applied, Denied, Result, decode_result
 from ..replicated_state.state_machine import Record
 from ..replication import messages as m
 from ..replication import wire
@@ -36,8 +38,8 @@
 MOST_PROPOSALS = 4  # that wait on a line, beyond which it counts as busy
 BY_WORK = "work"  # the mark of copies that were moved off for work, beside those that operators moved
 
-TOLD: msgspec.msgpack.Decoder[tuple[float, w.Place | None, bool, bool]] = msgspec.msgpack.Decoder(
-    tuple[float, w.Place | None, bool, bool]
+TOLD: msgspec.msgpack.Decoder[tuple[float, MachineJob | None, bool, bool]] = msgspec.msgpack.Decoder(
+    tuple[float, MachineJob | None, bool, bool]
 )
 
 
@@ -46,7 +48,7 @@
     """An operation to be done; `done` is told what came of it."""
 
     operation: h.Operation
-    done: Callable[[h.Result], None]
+    done: Callable[[Result], None]
 
 
 class Line:
@@ -70,15 +72,15 @@
     def busy(self) -> bool:
         return bool(self.command) or len(self.waiting) > MOST_PROPOSALS
 
-    def propose(self, operation: h.Operation, done: Callable[[h.Result], None]) -> None:
+    def propose(self, operation: h.Operation, done: Callable[[Result], None]) -> None:
         self.waiting.append(Proposal(operation, done))
         self.tend(self.copies.now())
 
     def tend(self, now: float) -> None:
         if not self.command and self.waiting:
-            operation = self.waiting[0].operation if self.opened else h.Open()
+            operation = self.waiting[0].operation if self.opened else h.OpenSession()
             self.number += 1
-            self.command = h.ENCODE(h.Command(self.name, self.number, self.number, operation))
+            self.command = h.encode(h.Command(self.name, self.number, self.number, operation))
         if self.command and now >= self.next:
             self._send(now)
 
@@ -97,14 +99,14 @@
             self.next = min(self.next, now + EVERY / 2)
             return
         self.command, self.next = b"", now
-        self._ended(h.RESULT(reply.data), now)
+        self._ended(decode_result(reply.data), now)
         self.tend(now)
 
-    def _ended(self, result: h.Result, now: float) -> None:
+    def _ended(self, result: Result, now: float) -> None:
         if not self.opened:
-            self.opened = isinstance(result, h.Done)
+            self.opened = isinstance(result, Applied)
             self.next = now if self.opened else now + OPEN_RETRY_DELAY_S
-        elif isinstance(result, h.Denied) and result.why == "session":
+        elif isinstance(result, Denied) and result.why == "session":
             self._begin_session()
         else:
             self.waiting.popleft().done(result)
@@ -125,9 +127,9 @@
 class Maintenance:
     def __init__(self, copies: Copies, section: Section, hands: Hands, counters: Counters) -> None:
         self.copies, self.section, self.hands, self.counters = copies, section, hands, counters
-        self.holder = Holder()
+        self.holder = MaintenanceAgent()
         self.lines: dict[int, Line] = {}
-        self.place: w.Place | None = None
+        self.place: MachineJob | None = None
         self.known = self.long = self.some = False  # is it known, for long work, and is there work at all
         self.asked = self.saw = float("-inf")
         self.leading = float("inf")  # since when it coordinates
@@ -154,8 +156,12 @@
             self.line(0).propose(w.SetBudget(section.budget(), self.copies.name), self._budget_set)
         self.section = section
 
-    def _budget_set(self, result: h.Result) -> None:
-        log.log_event("maintenance_budget", result=type(result).__name__, why=getattr(result, "why", ""))
+    def _budget_set(self, result: Result) -> None:
+        log.log_event(
+            "maintenance_budget",
+            result="Denied" if isinstance(result, Denied) else "Done",
+            why=getattr(result, "why", ""),
+        )
 
     def line(self, group: int) -> Line:
         if group not in self.lines:
@@ -204,12 +210,14 @@
         hosts = list(self.copies.hosts.values())
         leads = sum(one.leads() for one in hosts)
         held = sum(self.copies.me in one.node.members().voters for one in hosts)
-        for act in self.holder.step(now, self.place, self.long, Sees(open_, clients, leads, held, drained)):
+        for act in self.holder.step(
+            now, self.place, self.long, RemainingWork(open_, clients, leads, held, drained)
+        ):
             self._do(act)
         if self.place is not None and self.place.state == "returning" and self.long:
             self._mark("", BY_WORK)
 
-    def _do(self, act: Act) -> None:
+    def _do(self, act: AgentAction) -> None:
         match act.how:
             case "drain":
                 log.log_event("maintenance_drains", fence=self.holder.fence)
@@ -226,7 +234,7 @@
             case "take_back":
                 self._mark("", BY_WORK)
             case "tell" if not self.line(0).busy():
-                told = w.Told(self.copies.name, act.fence, act.what, act.why)
+                told = w.ReportProgress(self.copies.name, act.fence, act.what, act.why)
                 self.line(0).propose(told, lambda _: self._ask(self.copies.now()))
 
     def _mark(self, value: str, before: str) -> None:
@@ -243,7 +251,7 @@
             if reply.how == "done" and not self.line(group).busy():
                 known: Record | None = msgspec.msgpack.decode(reply.data, type=Record | None)
                 if (known.value if known is not None else "") == before:
-                    put = h.Put(key, value, known.version if known is not None else 0)
+                    put = h.SetRecord(key, value, known.version if known is not None else 0)
                     self.line(group).propose(put, lambda _: None)
 
     # As the coordinator
@@ -262,7 +270,9 @@
         if now - self.leading < FRESH and len(told) < len(self.copies.links.links):
             return  # it has just begun to lead: who has not answered yet is not lost
         told[self.copies.name] = self.copies.status()
-        found = sight.seen(time.time(), self.copies.zones, self.copies.section.groups, told, works)
+        found = sight.build_fleet_view(
+            time.time(), self.copies.zones, self.copies.section.groups, told, works
+        )
         if not self.line(0).busy():
             self.line(0).propose(found, lambda _: None)
         if works.blocked != self.said:
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -11,9 +11,10 @@
 
 import msgspec
 
-from ...maintenance.summary import excerpt
+from ...maintenance.summary import summarize
 from ...replicated_state import commands as words
-from ...replicated_state.state_machine import Holdings
+from ...replicated_state.results import Applied, Result
+from ...replicated_state.state_machine import ReplicatedState
 from ...replication import messages as m
 from ...replication import wire
 from ...replication.node import Node
@@ -42,7 +43,7 @@
 
     def __init__(self, copies: Copies, group: int, stored: m.Stored) -> None:
         self.copies, self.group = copies, group
-        self.holdings = Holdings()
+        self.holdings = ReplicatedState()
         self.holdings.thaw(stored.snapshot.data)
         now = copies.now()
         self.node = Node(copies.me, stored, copies.timing, copies.chance.getrandbits(32), now)
@@ -128,14 +129,14 @@
             self.step(m.Snapped(index, msgspec.msgpack.encode(frozen)))
 
     def _apply(self, entry: m.Entry, call: int | None) -> None:
-        result: words.Result = words.Done()
+        result: Result = Applied()
         if entry.data:
             result = self.holdings.apply(entry.stamp, entry.data)
         if entry.members is not None:
             log.log_event("copies_members", group=self.group, voters=",".join(entry.members.voters),
                     learners=",".join(entry.members.learners) or "none")  # fmt: skip
         if call is not None:
-            self._reply(call, "done", "", words.ENCODE(result))
+            self._reply(call, "done", "", words.encode(result))
 
     def _answer(self, call: int, how: str, hint: str) -> None:
         if how == "read" and call in self.calls:
@@ -153,7 +154,7 @@
             long = place is not None and holdings.works.requests[place.request].ask.long
             return msgspec.msgpack.encode((now, place, long, bool(holdings.works.open())))
         if kind == "works":
-            told = excerpt(holdings.works.freeze(), wire.MOST_REPLY_DATA // 2)
+            told = summarize(holdings.works.freeze(), wire.MOST_REPLY_DATA // 2)
             return msgspec.msgpack.encode((self.node.stamp(self.copies.now()), told))
         if kind == "record":
             return msgspec.msgpack.encode(holdings.records.get(name))
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -10,7 +10,8 @@
 from ...policy.gossip_codec import tag_of
 from ...policy.state import Customer
 from ...replicated_state import commands as w
-from ...replicated_state.leases import Action, Ask, Leaser, Use
+from ...replicated_state.leases import Action, LeaseClient, LeaseUpdate, ProposeOperation
+from ...replicated_state.results import Applied, Denied, Result, decode_result
 from ...replication import wire
 from ...replication.placement import group_of
 from .. import log
@@ -24,7 +25,11 @@
 HOLD = 100.0  # ms that a request waits at most for a lease that is being asked for
 EVERY = 50  # ms between two looks at what is due
 AGAIN = 0.25  # s after which a call is made again, through whoever leads then
-PATIENCE = {w.Lease: 0.5, w.Return: 1.0, w.Settle: 30.0}  # terms after which nobody waits for an answer
+PATIENCE = {
+    w.AcquireLease: 0.5,
+    w.ReturnLease: 1.0,
+    w.SettleUsage: 30.0,
+}  # terms after which nobody waits for an answer
 MOST_OPEN = 32  # operations of a session that wait; more than that are not begun
 
 
@@ -33,7 +38,7 @@
     """One that is not answered yet. Without `ask` it opens the session."""
 
     command: bytes
-    ask: Ask | None
+    ask: ProposeOperation | None
     until: float  # s
     next: float  # s, when it is sent again
     call: int = 0
@@ -48,20 +53,20 @@
         self.number, self.hint = 0, ""
         self.operations: dict[int, Operation] = {}
         self.begun = False
-        self._propose(w.Open(), None, math.inf)
+        self._propose(w.OpenSession(), None, math.inf)
 
-    def do(self, ask: Ask) -> None:
+    def do(self, ask: ProposeOperation) -> None:
         if len(self.operations) >= MOST_OPEN:
             self.leases.counters.add("leases_crowded")
             self.leases.come(ask, None)
         else:
             self._propose(ask.operation, ask, PATIENCE.get(type(ask.operation), 1.0) * TERM / 1000)
 
-    def _propose(self, operation: w.Operation, ask: Ask | None, patience: float) -> None:
+    def _propose(self, operation: w.Operation, ask: ProposeOperation | None, patience: float) -> None:
         self.number += 1
         low = min(self.operations, default=self.number)
         now = asyncio.get_running_loop().time()
-        data = w.ENCODE(w.Command(self.name, self.number, low, operation))
+        data = w.encode(w.Command(self.name, self.number, low, operation))
         self.operations[self.number] = Operation(data, ask, now + patience, now)
         if self.begun or ask is None:
             self._send(self.number)
@@ -83,18 +88,18 @@
             self.hint = reply.hint
             one.next = min(one.next, now + EVERY / 1000)
             return
-        result = w.RESULT(reply.data)
+        result = decode_result(reply.data)
         if one.ask is None:
             self._opened(number, result, now)
-        elif isinstance(result, w.Denied) and result.why == "session":
+        elif isinstance(result, Denied) and result.why == "session":
             self.leases.forget(self)
         else:
             del self.operations[number]
             self.leases.come(one.ask, result)
 
-    def _opened(self, number: int, result: w.Result, now: float) -> None:
+    def _opened(self, number: int, result: Result, now: float) -> None:
         """The group has the session, or has no room for it now and is asked again later."""
-        if isinstance(result, w.Done):
+        if isinstance(result, Applied):
             self.begun = True
             del self.operations[number]
         else:
@@ -113,7 +118,7 @@
             elif now >= one.next and (self.begun or one.ask is None):
                 self._send(number)
 
-    def abandon(self) -> list[Ask]:
+    def abandon(self) -> list[ProposeOperation]:
         """Wait for no answer any more; what was asked and is not answered."""
         operations, self.operations = self.operations, {}
         for one in operations.values():
@@ -124,7 +129,7 @@
 class Leases:
     def __init__(self, copies: Copies, driver: Driver, counters: Counters) -> None:
         self.copies, self.driver, self.counters = copies, driver, counters
-        self.leaser = Leaser(TERM, LONGEST, self._rest, self._left, self._level, self._owed)
+        self.leaser = LeaseClient(TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         # By customer, in their order: until when, which request, and what it needs.
         self.waiting: dict[str, list[tuple[float, int, float]]] = {}
         self.plans: dict[str, str] = {}  # of customers that are leased for
@@ -197,11 +202,11 @@
             del waiting[0]
             self.driver.resume(ref)
 
-    def come(self, ask: Ask, result: w.Result | None) -> None:
+    def come(self, ask: ProposeOperation, result: Result | None) -> None:
         self._say_if_changed(result is not None)
-        self.counters.add("leases_denied", int(isinstance(result, w.Denied)))
+        self.counters.add("leases_denied", int(isinstance(result, Denied)))
         self._do(self.leaser.answered(self.driver.now(), ask, result))
-        if isinstance(ask.operation, w.Lease):
+        if isinstance(ask.operation, w.AcquireLease):
             self._resume(ask.customer)
 
     def _say_if_changed(self, sound: bool) -> None:
@@ -211,7 +216,7 @@
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Use):
+            if isinstance(action, LeaseUpdate):
                 plan = self.plans.get(action.customer)
                 if plan is not None:
                     self.counters.add("leases_had", int(action.lease > 0))
--- a/mapleshunt/replicated_state/commands.py
+++ b/mapleshunt/replicated_state/commands.py
@@ -15,11 +15,11 @@
 # Operations
 
 
-class Open(msgspec.Struct, array_like=True, tag=0, frozen=True):
+class OpenSession(msgspec.Struct, array_like=True, tag=0, frozen=True):
     """Begin the session; done again it changes nothing."""
 
 
-class Lease(msgspec.Struct, array_like=True, tag=1, frozen=True):
+class AcquireLease(msgspec.Struct, array_like=True, tag=1, frozen=True):
     """Units of a customer's store for `term` ms of the log's time: what there is, `least` at least. Before
     that the leases in `back` end, each with what was used of it, as by `Return`.
     """
@@ -33,7 +33,7 @@
     back: tuple[tuple[int, float], ...] = ()
 
 
-class Return(msgspec.Struct, array_like=True, tag=2, frozen=True):
+class ReturnLease(msgspec.Struct, array_like=True, tag=2, frozen=True):
     """A lease ends: `used` of its units are spent, the rest goes back, unless it has run out. More than its
     units were used where true costs were above the guess: that comes off the store.
     """
@@ -43,21 +43,21 @@
     used: float
 
 
-class Settle(msgspec.Struct, array_like=True, tag=3, frozen=True):
+class SettleUsage(msgspec.Struct, array_like=True, tag=3, frozen=True):
     """The true cost of what was used differs by so much; a store may go below 0 by its burst at most."""
 
     customer: str
     units: float
 
 
-class Count(msgspec.Struct, array_like=True, tag=4, frozen=True):
+class CountUsage(msgspec.Struct, array_like=True, tag=4, frozen=True):
     """Use that is owed to billing, added to what is counted for that customer."""
 
     customer: str
     units: float
 
 
-class Reserve(msgspec.Struct, array_like=True, tag=5, frozen=True):
+class ReserveUnits(msgspec.Struct, array_like=True, tag=5, frozen=True):
     """Set units of a store aside under a name until they are released, or `term` ms have passed."""
 
     customer: str
@@ -66,12 +66,12 @@
     term: float
 
 
-class Release(msgspec.Struct, array_like=True, tag=6, frozen=True):
+class ReleaseReservation(msgspec.Struct, array_like=True, tag=6, frozen=True):
     customer: str
     name: str
 
 
-class Put(msgspec.Struct, array_like=True, tag=7, frozen=True):
+class SetRecord(msgspec.Struct, array_like=True, tag=7, frozen=True):
     """A record that an operator sets, if it is at this version (0: there is none)."""
 
     key: str
@@ -79,7 +79,17 @@
     version: int
 
 
-Operation = Open | Lease | Return | Settle | Count | Reserve | Release | Put | works.Operation
+Operation = (
+    OpenSession
+    | AcquireLease
+    | ReturnLease
+    | SettleUsage
+    | CountUsage
+    | ReserveUnits
+    | ReleaseReservation
+    | SetRecord
+    | works.Operation
+)
 
 
 class Command(msgspec.Struct, array_like=True, frozen=True):
@@ -92,24 +102,5 @@
 # What comes of one
 
 
-class Done(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    value: float = 0.0  # by operation: what a store holds, or use so far, or a record's new version
-
-
-class Granted(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    lease: int
-    units: float
-
-
-class Denied(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """Nothing was done: `why` is store, lease, name, version, full, session, order, or what forbids work."""
-
-    why: str
-    value: float = 0.0
-
-
-Result = Done | Granted | Denied
-
-ENCODE = msgspec.msgpack.Encoder().encode
-DECODE: Callable[[bytes], Command] = msgspec.msgpack.Decoder(Command).decode
-RESULT: Callable[[bytes], Result] = msgspec.msgpack.Decoder(Result).decode
+encode = msgspec.msgpack.Encoder().encode
+decode_command: Callable[[bytes], Command] = msgspec.msgpack.Decoder(Command).decode
--- a/mapleshunt/replicated_state/leases.py
+++ b/mapleshunt/replicated_state/leases.py
@@ -16,18 +16,19 @@
 from dataclasses import dataclass, field
 
 from . import commands as w
+from .results import Denied, LeaseGranted, Result
 
-DRIFT = 0.01  # part of a term by which two clocks may differ in their rates
-BACK = 0.25  # part of a term before its end at which a lease goes back
-SPENT = 0.01  # part of a lease that is as good as none
-AHEAD_FOR = 1.5  # terms for whose demand is drawn: more lies idle here while other gateways refuse
-AHEAD = 0.25  # part of what is drawn at a time, below which more is
-IDLE = 2.0  # longest terms without demand after which a customer is forgotten
-NONE_LEFT = 0.02  # part of a term for which a store that had nothing is not asked again, at least
+MAX_CLOCK_DRIFT = 0.01  # part of a term by which two clocks may differ in their rates
+RETURN_MARGIN_TERMS = 0.25  # part of a term before its end at which a lease goes back
+SPENT_FRACTION = 0.01  # part of a lease that is as good as none
+PREFETCH_TERMS = 1.5  # terms for whose demand is drawn: more lies idle here while other gateways refuse
+PREFETCH_THRESHOLD = 0.25  # part of what is drawn at a time, below which more is
+IDLE_TERMS = 2.0  # longest terms without demand after which a customer is forgotten
+EMPTY_BACKOFF_TERMS = 0.02  # part of a term for which a store that had nothing is not asked again, at least
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class ProposeOperation:
     """Propose the operation; what comes of it goes to `answered` with `asked`."""
 
     customer: str
@@ -36,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Use:
+class LeaseUpdate:
     """To the decisions: so many units of that customer may be used here until then. Lease 0 has none: while
     it is in force only what other leases hold may be used. It holds for a term from each answer on: as long
     as answers come, nothing else does.
@@ -48,11 +49,11 @@
     until: float
 
 
-Action = Ask | Use
+Action = ProposeOperation | LeaseUpdate
 
 
 @dataclass(slots=True)
-class Customer:
+class CustomerDemand:
     rate: float  # units a second
     burst: float
     part: float  # of the burst that one holder may have out at once
@@ -69,7 +70,7 @@
     back_by: float = math.inf
 
 
-class Leaser:
+class LeaseClient:
     """`rest(customer, lease)` is what of a lease is not spent; `left` tells that and takes the lease away
     from the decisions; `level(customer, at)` is what they may still spend of leases in force at that time;
     `owed(customer)` what they spent without a lease since it was last asked.
@@ -81,7 +82,7 @@
     ) -> None:  # fmt: skip
         self.term, self.longest = term, longest
         self.rest, self.left, self.level, self.owed = rest, left, level, owed
-        self.customers: dict[str, Customer] = {}
+        self.customers: dict[str, CustomerDemand] = {}
 
     def demand(
         self, now: float, customer: str, rate: float, burst: float, spread: int, units: float
@@ -90,7 +91,7 @@
         if not rate:
             return []
         part = burst / max(1, spread)
-        one = self.customers.setdefault(customer, Customer(rate, burst, part, at=now))
+        one = self.customers.setdefault(customer, CustomerDemand(rate, burst, part, at=now))
         one.rate, one.burst, one.part, one.last = rate, burst, part, now
         one.demand = one.demand * math.exp((one.at - now) / self.longest) + units / self.longest
         one.at = now
@@ -106,56 +107,58 @@
         one = self.customers.get(customer)
         return one is not None and one.asking and self.level(customer, now) < units
 
-    def _draw(self, now: float, customer: str, one: Customer, least: float) -> list[Action]:
+    def _draw(self, now: float, customer: str, one: CustomerDemand, least: float) -> list[Action]:
         """Ask for what is likely to be wanted in the time `AHEAD_FOR`, where little of that is left."""
         there = one.told + one.rate / 1000 * (now - one.told_at)  # of the store, at most
         if one.asking or now < one.pause or there < least:
             return []
-        want = max(least, min(one.part, one.demand * AHEAD_FOR * self.term))
+        want = max(least, min(one.part, one.demand * PREFETCH_TERMS * self.term))
         lasts = 2 * want / one.demand if one.demand > 0 else self.longest  # twice: it may come slower
         term = max(self.term, min(self.longest, lasts))
-        level = self.level(customer, now + BACK * self.term)  # what ends soon is as good as gone
-        if level >= max(least, AHEAD * want):
+        level = self.level(
+            customer, now + RETURN_MARGIN_TERMS * self.term
+        )  # what ends soon is as good as gone
+        if level >= max(least, PREFETCH_THRESHOLD * want):
             return []
         one.asking = True
         # What is too little goes back: a store earns nothing behind units that are out, spent or not.
         for number in [number for number in one.leases if self.rest(customer, number) < least]:
             self._end(customer, one, number, math.inf)
-        ask = w.Lease(customer, one.rate, one.burst, want, min(least, want), term, tuple(one.back))
+        ask = w.AcquireLease(customer, one.rate, one.burst, want, min(least, want), term, tuple(one.back))
         one.back, one.back_by = [], math.inf
-        return [Ask(customer, ask, now)]
+        return [ProposeOperation(customer, ask, now)]
 
-    def _end(self, customer: str, one: Customer, number: int, back_by: float) -> None:
+    def _end(self, customer: str, one: CustomerDemand, number: int, back_by: float) -> None:
         """A lease is over here; it goes back with what is asked for next, or alone by then."""
         units, _, _ = one.leases.pop(number)
         # Below 0 where true costs were above what was guessed: that comes off the store too.
         one.back.append((number, units - min(units, self.left(customer, number))))
         one.back_by = min(one.back_by, back_by)
 
-    def answered(self, now: float, ask: Ask, result: w.Result | None) -> list[Action]:
+    def answered(self, now: float, ask: ProposeOperation, result: Result | None) -> list[Action]:
         """`None`: nobody could tell in time; it may have been done, and runs out by itself."""
         one = self.customers.get(ask.customer)
-        if not isinstance(ask.operation, w.Lease) or one is None:
+        if not isinstance(ask.operation, w.AcquireLease) or one is None:
             return []
         one.asking = False
         match result:
-            case w.Granted(number, units):
+            case LeaseGranted(number, units):
                 term = ask.operation.term
-                until = ask.asked + term * (1 - DRIFT)
-                one.leases[number] = (units, until, until - BACK * self.term)
+                until = ask.asked + term * (1 - MAX_CLOCK_DRIFT)
+                one.leases[number] = (units, until, until - RETURN_MARGIN_TERMS * self.term)
                 use: list[Action] = [
-                    Use(ask.customer, number, units, until - BACK * self.term),
-                    Use(ask.customer, 0, 0.0, now + self.term),
+                    LeaseUpdate(ask.customer, number, units, until - RETURN_MARGIN_TERMS * self.term),
+                    LeaseUpdate(ask.customer, 0, 0.0, now + self.term),
                 ]
                 if (owed := self.owed(ask.customer)) > 0:
-                    use.append(Ask(ask.customer, w.Settle(ask.customer, owed), now))
+                    use.append(ProposeOperation(ask.customer, w.SettleUsage(ask.customer, owed), now))
                 return use
-            case w.Denied(why, level):
-                one.pause = now + NONE_LEFT * self.term
+            case Denied(why, level):
+                one.pause = now + EMPTY_BACKOFF_TERMS * self.term
                 if why == "store":  # what is left may do for a smaller request, and fills up
                     one.told, one.told_at = level, now
-                return [Use(ask.customer, 0, 0.0, now + self.term)]
-        one.pause = now + NONE_LEFT * self.term
+                return [LeaseUpdate(ask.customer, 0, 0.0, now + self.term)]
+        one.pause = now + EMPTY_BACKOFF_TERMS * self.term
         return []
 
     def tick(self, now: float) -> list[Action]:
@@ -164,15 +167,17 @@
         for customer, one in list(self.customers.items()):
             for number, (units, until, goes_back) in list(one.leases.items()):
                 if now >= goes_back:
-                    self._end(customer, one, number, until - BACK * self.term / 2)
-                elif self.rest(customer, number) < SPENT * units:
+                    self._end(customer, one, number, until - RETURN_MARGIN_TERMS * self.term / 2)
+                elif self.rest(customer, number) < SPENT_FRACTION * units:
                     self._end(customer, one, number, now + self.term / 2)
             if one.back and now - one.last < self.term:  # it goes on: what comes next takes this along
                 actions += self._draw(now, customer, one, 1.0)
             if now >= one.back_by:
-                actions += [Ask(customer, w.Return(customer, *back), now) for back in one.back]
+                actions += [
+                    ProposeOperation(customer, w.ReturnLease(customer, *back), now) for back in one.back
+                ]
                 one.back, one.back_by = [], math.inf
             done = not one.leases and not one.asking and not one.back
-            if done and now - one.last > IDLE * self.longest:
+            if done and now - one.last > IDLE_TERMS * self.longest:
                 del self.customers[customer]
         return actions
--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -10,8 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from ..maintenance.commands import Budget
-from ..maintenance.state import contradiction
+from ..maintenance.budget import Budget, budget_error
 from ..transient_errors import may_pass
 from .reader import SettingsError, parse
 from .schema import whole
@@ -80,7 +79,7 @@
     version: str = ""  # of this gateway, for rolls
 
     def __post_init__(self) -> None:
-        if why := contradiction(self.budget()):
+        if why := budget_error(self.budget()):
             raise ValueError(why)
 
     def budget(self) -> Budget:
--- a/mapleshunt/simulation/copies_fleet.py
+++ b/mapleshunt/simulation/copies_fleet.py
@@ -20,8 +20,9 @@
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
 from ..replicated_state import commands as w
-from ..replicated_state.leases import Action, Ask, Leaser, Use
-from ..replicated_state.state_machine import Holdings
+from ..replicated_state.leases import Action, LeaseClient, LeaseUpdate, ProposeOperation
+from ..replicated_state.results import Applied, Result
+from ..replicated_state.state_machine import ReplicatedState
 from ..replication import messages as m
 from ..replication.node import Node, Timing
 from ..replication.placement import group_of, place
@@ -35,7 +36,7 @@
 LEASE_TERM, LONGEST, HOLD = 2000.0, 10_000.0, 100.0  # as net/leases.py has them
 EVERY = 50.0  # between two looks at what leases are due
 AGAIN = 250.0  # after which a call is made again
-WAITS = {w.Lease: 1000.0, w.Return: 2000.0}
+WAITS = {w.AcquireLease: 1000.0, w.ReturnLease: 2000.0}
 SETTLE_WAITS = 60_000.0
 
 
@@ -47,7 +48,7 @@
     gateway: int
     name: m.Copy
     disk: Disk
-    holdings: Holdings = field(default_factory=Holdings)
+    holdings: ReplicatedState = field(default_factory=ReplicatedState)
     node: Node | None = None
     life: int = 0
     due: float = float("inf")
@@ -61,7 +62,7 @@
     epoch: int
     group: int
     command: bytes
-    ask: Ask
+    ask: ProposeOperation
     until: float
     over: bool = False
 
@@ -71,12 +72,12 @@
 
     def __init__(self, engine: CopiesEngine, number: int) -> None:
         self.engine, self.number, self.epoch = engine, number, engine.epochs[number]
-        self.leaser = Leaser(LEASE_TERM, LONGEST, self._rest, self._left, self._level, self._owed)
+        self.leaser = LeaseClient(LEASE_TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         self.waiting: dict[str, list[tuple[float, i.Request, float]]] = {}  # until when, what, since when
         self.sound = True
         self.plans: dict[str, str] = {}
         self.sessions: dict[int, int] = {}  # by group: how many operations it has numbered
-        self.opening: dict[int, list[Ask]] = {}  # by group: what waits for its session
+        self.opening: dict[int, list[ProposeOperation]] = {}  # by group: what waits for its session
         self.tick()
 
     def _held(self, customer: str) -> Customer | None:
@@ -141,20 +142,20 @@
 
     def do(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Use):
+            if isinstance(action, LeaseUpdate):
                 if (plan := self.plans.get(action.customer)) is not None:
                     leased = i.Leased(action.customer, plan, action.lease, action.units, action.until)
                     self.engine._feed(self.number, leased)
             else:
                 self.propose(action)
 
-    def propose(self, ask: Ask) -> None:
+    def propose(self, ask: ProposeOperation) -> None:
         group = group_of(ask.customer, GROUPS)
         session = f"{self.number}.{self.epoch}.{group}"
         if group not in self.sessions:
             self.sessions[group] = 0
             self.opening[group] = []
-            self._call(group, w.Command(session, 0, 0, w.Open()), ask, self.engine.now() + 1e9)
+            self._call(group, w.Command(session, 0, 0, w.OpenSession()), ask, self.engine.now() + 1e9)
         if group in self.opening:
             self.opening[group].append(ask)
             return
@@ -163,11 +164,11 @@
         low = max(0, number - 32)
         self._call(group, w.Command(session, number, low, ask.operation), ask, self.engine.now() + waits)
 
-    def _call(self, group: int, command: w.Command, ask: Ask, until: float) -> None:
-        data = w.ENCODE(command)
+    def _call(self, group: int, command: w.Command, ask: ProposeOperation, until: float) -> None:
+        data = w.encode(command)
         self.engine.call(Call(self.number, self.epoch, group, data, ask, until, False), -1)
 
-    def come(self, call: Call, result: w.Result | None) -> None:
+    def come(self, call: Call, result: Result | None) -> None:
         if not self.alive():
             return
         if call.group in self.opening:
@@ -176,7 +177,7 @@
             return
         self.sound = result is not None
         self.do(self.leaser.answered(self.engine.now(), call.ask, result))
-        if isinstance(call.ask.operation, w.Lease):
+        if isinstance(call.ask.operation, w.AcquireLease):
             self.resume(call.ask.customer)
 
 
@@ -222,7 +223,7 @@
             if one.gateway == number:
                 one.life += 1
                 one.disk.pending.clear()
-                one.holdings = Holdings()
+                one.holdings = ReplicatedState()
                 one.holdings.thaw(one.disk.stored.snapshot.data)
                 seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
                 one.node = Node(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
@@ -271,7 +272,7 @@
                 one.disk.pending.append(output)
                 self.agenda.at(self.agenda.now + DISK, self._written, one, output.number, one.life)
             case m.Apply(entry, call):
-                result: w.Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else w.Done()
+                result: Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else Applied()
                 self._reply(one, call, result, "")
             case m.Answer(call, _, _, hint):
                 self._reply(one, call, None, hint)
@@ -353,7 +354,7 @@
         self.calls[number] = (call, at)
         self._step(one, m.Propose(number, call.command))
 
-    def _reply(self, one: Copy, number: int | None, result: w.Result | None, hint: m.Copy) -> None:
+    def _reply(self, one: Copy, number: int | None, result: Result | None, hint: m.Copy) -> None:
         if number is None or number not in self.calls:
             return
         call, _ = self.calls.pop(number)
@@ -362,7 +363,7 @@
         to = int(m.gateway_of(hint)[1:]) if hint else -1
         self._carry(one.gateway, call.gateway, self._told_call, call, result, one.gateway, to)
 
-    def _told_call(self, call: Call, result: w.Result | None, by: int, hint: int) -> None:
+    def _told_call(self, call: Call, result: Result | None, by: int, hint: int) -> None:
         if call.over:
             return
         if result is None:
--- a/mapleshunt/simulation/copies_promises.py
+++ b/mapleshunt/simulation/copies_promises.py
@@ -10,7 +10,8 @@
 import msgspec
 
 from ..replicated_state import commands as w
-from ..replicated_state.state_machine import Frozen, Holdings
+from ..replicated_state.results import Applied, Denied, LeaseGranted, Result
+from ..replicated_state.state_machine import ReplicatedState, StateSnapshot
 from ..replication import messages as m
 from ..replication.messages import gateway_of
 from ..replication.node import Node
@@ -24,7 +25,7 @@
 
 
 class Promises(Group):
-    holdings: type[Holdings] = Holdings
+    holdings: type[ReplicatedState] = ReplicatedState
 
     def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = Node) -> None:
         super().__init__(seed, copies, spare, make)
@@ -50,7 +51,7 @@
             return
         event.result, event.ended = result, self.now
         self.open.pop(event.session, None)
-        if isinstance(result, w.Granted) and isinstance(event.operation, w.Lease):
+        if isinstance(result, LeaseGranted) and isinstance(event.operation, w.AcquireLease):
             self.leases.append((event.operation.customer, result.lease, result.units))
 
     def operation(self) -> w.Operation:
@@ -58,10 +59,10 @@
         kind = chance.choice(["lease", "lease", "count", "return"])
         if kind == "return" and self.leases:
             whose, lease, units = self.leases.pop(0)
-            return w.Return(whose, lease, chance.uniform(0.0, units))
+            return w.ReturnLease(whose, lease, chance.uniform(0.0, units))
         if kind == "lease":
-            return w.Lease(customer, RATE, BURST, chance.choice([1.0, 5.0, 12.0]), 1.0, TERM)
-        return w.Count(customer, float(chance.randint(1, 9)))
+            return w.AcquireLease(customer, RATE, BURST, chance.choice([1.0, 5.0, 12.0]), 1.0, TERM)
+        return w.CountUsage(customer, float(chance.randint(1, 9)))
 
     def call(self) -> None:
         """One session asks, anew if it waits; through any copy that is up."""
@@ -72,7 +73,7 @@
             if self.quiet:
                 return
             number = self.numbers[session] = self.numbers[session] + 1
-            event = Event(session, number, w.Open() if number == 1 else self.operation(), self.now)
+            event = Event(session, number, w.OpenSession() if number == 1 else self.operation(), self.now)
             self.open[session] = event
             self.history.append(event)
         self.ask(event)
@@ -85,7 +86,7 @@
         if alive:
             self.next_call += 1
             self.by_call[self.next_call] = event
-            data = w.ENCODE(w.Command(event.session, event.number, event.number, event.operation))
+            data = w.encode(w.Command(event.session, event.number, event.number, event.operation))
             self.calls[self.next_call] = {"data": data, "known": 0}
             self.step(self.random.choice(leaders or alive).copy, m.Propose(self.next_call, data))
         self.at(self.now + AGAIN, lambda: self.ask(event))
@@ -106,10 +107,10 @@
 # Planted faults
 
 
-class Forgetful(Holdings):
+class Forgetful(ReplicatedState):
     """A snapshot leaves the sessions' answers out."""
 
-    def freeze(self) -> Frozen:
+    def freeze(self) -> StateSnapshot:
         whole = super().freeze()
         bare = [(name, msgspec.structs.replace(one, results=())) for name, one in whole.sessions]
         return msgspec.structs.replace(whole, sessions=bare)
@@ -128,16 +129,16 @@
         return max(self.last_stamp(), 1000 * now + ahead)
 
 
-class NoSessions(Holdings):
+class NoSessions(ReplicatedState):
     """An operation that comes again is done again."""
 
-    def apply(self, stamp: float, data: bytes) -> w.Result:
+    def apply(self, stamp: float, data: bytes) -> Result:
         try:
-            command = w.DECODE(data)
+            command = w.decode_command(data)
         except msgspec.DecodeError:
-            return w.Denied("order")
-        if isinstance(command.operation, w.Open):
-            return w.Done()
+            return Denied("order")
+        if isinstance(command.operation, w.OpenSession):
+            return Applied()
         return self._do(stamp, command.session, command.operation)
 
 
--- a/mapleshunt/simulation/maintenance.py
+++ b/mapleshunt/simulation/maintenance.py
@@ -11,14 +11,19 @@
 from dataclasses import dataclass, field
 
 from ..maintenance import commands as w
-from ..maintenance.coordinator import Act, Holder, Sees
-from ..maintenance.state import Refused, Works
+from ..maintenance.agent import AgentAction, MaintenanceAgent, RemainingWork
+from ..maintenance.budget import Budget
+from ..maintenance.jobs import MaintenanceError, MaintenanceJobs
+from ..maintenance.records import MachineJob
 
 NAMES = ("a", "b", "c")
 ZONES = {"a": "x", "b": "y", "c": "y"}
 DRAIN = 10.0  # s
-BUDGET = w.Budget(most=1, zone=1, load=2.0, pause=0.0, drain=DRAIN, failures=9)
-REQUESTS = (w.Ask("r1", ("a", "b"), "disks", "op", 1000.0), w.Ask("r2", ("c",), "memory", "op", 1000.0))
+BUDGET = Budget(most=1, zone=1, load=2.0, pause=0.0, drain=DRAIN, failures=9)
+REQUESTS = (
+    w.RequestMaintenance("r1", ("a", "b"), "disks", "op", 1000.0),
+    w.RequestMaintenance("r2", ("c",), "memory", "op", 1000.0),
+)
 PASS = 6.0  # s that pass at a time: a grant ends within the second
 
 
@@ -31,12 +36,16 @@
     up: bool = True
     worked_on: bool = False
     drained: bool = False
-    holder: Holder = field(default_factory=Holder)
-    view: w.Place | None = None  # what it last read
+    holder: MaintenanceAgent = field(default_factory=MaintenanceAgent)
+    view: MachineJob | None = None  # what it last read
 
 
 class World:
-    def __init__(self, works: type[Works] = Works, holder: type[Holder] = Holder) -> None:
+    def __init__(
+        self,
+        works: type[MaintenanceJobs] = MaintenanceJobs,
+        holder: type[MaintenanceAgent] = MaintenanceAgent,
+    ) -> None:
         self.works, self.twin, self.make = works(), works(), holder  # the twin: another gateway's copy
         self.now = 0.0  # s, the log's and, here, everybody's
         self.machines = {name: Machine(holder=holder()) for name in NAMES}
@@ -51,13 +60,13 @@
             try:
                 self.on_copy(number, one, operation)
                 done.append(True)
-            except Refused:
+            except MaintenanceError:
                 done.append(False)
         if done[0] != done[1] or self.works.freeze() != self.twin.freeze():
             raise Broken("two gateways came to different states from the same log")
         return done[0]
 
-    def on_copy(self, number: int, works: Works, operation: w.Operation) -> None:
+    def on_copy(self, number: int, works: MaintenanceJobs, operation: w.Operation) -> None:
         works.apply(1000 * self.now, operation)
 
     # Moves
@@ -116,7 +125,7 @@
                 self.hidden = ""
             case "work":
                 place = self.works.place_of(name)
-                if place is not None and self.apply(w.Told(name, place.fence, "out")):
+                if place is not None and self.apply(w.ReportProgress(name, place.fence, "out")):
                     self.went[place.request, name] = self.went.get((place.request, name), 0) + 1
                     one.up, one.worked_on, one.drained = False, True, False
                     one.holder, one.view = self.make(), None
@@ -124,16 +133,17 @@
                 place = self.works.place_of(name)
                 one.up, one.worked_on = True, False
                 if place is not None:
-                    self.apply(w.Told(name, place.fence, "returning"))
+                    self.apply(w.ReportProgress(name, place.fence, "returning"))
         self.check()
 
     def see(self) -> None:
         sights = tuple(
-            w.Sight(name, ZONES[name], one.up and name != self.hidden) for name, one in self.machines.items()
+            w.MachineView(name, ZONES[name], one.up and name != self.hidden)
+            for name, one in self.machines.items()
         )
         sound = tuple(one.name for one in sights if one.here)
         before = {key for key, one in self.works.places.items() if one.state == "granted"}
-        self.apply(w.Seen(self.now, sights, (w.Group(NAMES, sound),)))
+        self.apply(w.FleetView(self.now, sights, (w.GroupView(NAMES, sound),)))
         for key, place in self.works.places.items():
             if place.state == "granted" and key not in before:
                 lost = [one.name for one in sights if not one.here and one.name != place.machine]
@@ -142,7 +152,7 @@
 
     def act(self, name: str, one: Machine) -> None:
         place = one.view
-        acts = one.holder.step(self.now, place, False, Sees(0, 0, 0, 0, one.drained))
+        acts = one.holder.step(self.now, place, False, RemainingWork(0, 0, 0, 0, one.drained))
         for act in acts:
             if act.how == "drain":
                 self.granted(name)
@@ -150,7 +160,7 @@
             elif act.how == "resume":
                 one.drained = False
             elif act.how == "tell":
-                self.apply(w.Told(name, act.fence, act.what, act.why))
+                self.apply(w.ReportProgress(name, act.fence, act.what, act.why))
 
     # What must hold
 
@@ -192,7 +202,11 @@
         return repr((places, machines, self.hidden, self.asked, self.went, self.works.failures)).encode()
 
 
-def walk(depth: int, works: type[Works] = Works, holder: type[Holder] = Holder) -> tuple[int, str]:
+def walk(
+    depth: int,
+    works: type[MaintenanceJobs] = MaintenanceJobs,
+    holder: type[MaintenanceAgent] = MaintenanceAgent,
+) -> tuple[int, str]:
     """All interleavings to that depth: how many states there are, and what broke, with the moves to it."""
     first = World(works, holder)
     seen = {first.key()}
@@ -214,7 +228,10 @@
 
 
 def stroll(
-    seed: int, moves: int, works: type[Works] = Works, holder: type[Holder] = Holder
+    seed: int,
+    moves: int,
+    works: type[MaintenanceJobs] = MaintenanceJobs,
+    holder: type[MaintenanceAgent] = MaintenanceAgent,
 ) -> tuple[World, str]:
     """One long way by chance, then calm: all has to come to its end."""
     chance, world = random.Random(seed), World(works, holder)
@@ -238,52 +255,54 @@
 # Planted faults
 
 
-class ExpiredGrantUsed(Holder):
+class ExpiredGrantUsed(MaintenanceAgent):
     """A machine goes on under a grant that has run out by its own clock."""
 
-    def told(self, asked: float, stamp: float, place: w.Place | None) -> None:
+    def told(self, asked: float, stamp: float, place: MachineJob | None) -> None:
         super().told(asked, stamp, place)
         self.deadline = float("inf")
 
 
-class GrantsItself(Holder):
+class GrantsItself(MaintenanceAgent):
     """With nobody to ask it takes its place in the order for a grant."""
 
-    def step(self, now: float, place: w.Place | None, long: bool, sees: Sees) -> list[Act]:
+    def step(
+        self, now: float, place: MachineJob | None, long: bool, sees: RemainingWork
+    ) -> list[AgentAction]:
         if place is not None and place.state == "queued":
             self.drained = True
-            return [Act("drain")]
+            return [AgentAction("drain")]
         return super().step(now, place, long, sees)
 
 
-class ForgetsUnplanned(Works):
+class ForgetsUnplanned(MaintenanceJobs):
     """The budget counts what it took out, and nothing else; and so do majorities."""
 
-    def _out(self, sights: dict[str, w.Sight]) -> set[str]:
+    def _out(self, sights: dict[str, w.MachineView]) -> set[str]:
         return {one.machine for one in self.open() if one.state in ("granted", "draining", "safe", "out")}
 
 
-class ReturnTakenForGranted(Works):
+class ReturnTakenForGranted(MaintenanceJobs):
     """What was worked on for as long as was expected is taken to be back."""
 
-    def _run_out(self, now: float, sights: dict[str, w.Sight]) -> None:
+    def _run_out(self, now: float, sights: dict[str, w.MachineView]) -> None:
         super()._run_out(now, sights)
         for place in self.open():
             if place.state == "out" and now > place.since:
                 self._enter(now, place, "done", fence=0)
 
 
-class AskedTwice(Works):
+class AskedTwice(MaintenanceJobs):
     """A request that comes again begins anew."""
 
-    def _ask(self, now: float, ask: w.Ask) -> None:
+    def _ask(self, now: float, ask: w.RequestMaintenance) -> None:
         if ask.id in self.requests:
             for machine in ask.machines:
-                self.places[ask.id, machine] = w.Place(machine, ask.id, since=now)
+                self.places[ask.id, machine] = MachineJob(machine, ask.id, since=now)
         super()._ask(now, ask)
 
 
-class OrderByOwnClock(Works):
+class OrderByOwnClock(MaintenanceJobs):
     """Who has waited longest is told by each gateway's own clock."""
 
     count = 0
@@ -293,8 +312,9 @@
         return super().apply(now + OrderByOwnClock.count, operation)
 
 
-PLANTS: dict[str, tuple[type[Works], type[Holder]]] = {
-    "ExpiredGrantUsed": (Works, ExpiredGrantUsed), "GrantsItself": (Works, GrantsItself),
-    "ForgetsUnplanned": (ForgetsUnplanned, Holder), "AskedTwice": (AskedTwice, Holder),
-    "ReturnTakenForGranted": (ReturnTakenForGranted, Holder), "OrderByOwnClock": (OrderByOwnClock, Holder),
+PLANTS: dict[str, tuple[type[MaintenanceJobs], type[MaintenanceAgent]]] = {
+    "ExpiredGrantUsed": (MaintenanceJobs, ExpiredGrantUsed), "GrantsItself": (MaintenanceJobs, GrantsItself),
+    "ForgetsUnplanned": (ForgetsUnplanned, MaintenanceAgent), "AskedTwice": (AskedTwice, MaintenanceAgent),
+    "ReturnTakenForGranted": (ReturnTakenForGranted, MaintenanceAgent),
+    "OrderByOwnClock": (OrderByOwnClock, MaintenanceAgent),
 }  # fmt: skip
--- a/mapleshunt/simulation/promises.py
+++ b/mapleshunt/simulation/promises.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from ..replicated_state import commands as w
+from ..replicated_state.results import Applied, LeaseGranted
 
 SLACK = 1e-6
 
@@ -42,7 +43,7 @@
     """Use: the sum of what was counted, neither lost nor doubled."""
     sums: dict[str, float] = defaultdict(float)
     for event in events:
-        if isinstance(event.operation, w.Count) and isinstance(event.result, w.Done):
+        if isinstance(event.operation, w.CountUsage) and isinstance(event.result, Applied):
             sums[event.operation.customer] += event.operation.units
     found = []
     for customer, sum_ in sums.items():
@@ -61,9 +62,11 @@
     """
     found, seen = [], dict[tuple[str, int], Event]()
     changes: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    back = {(e.operation.customer, e.operation.lease): e for e in events if isinstance(e.operation, w.Return)}
+    back = {
+        (e.operation.customer, e.operation.lease): e for e in events if isinstance(e.operation, w.ReturnLease)
+    }
     for event in events:
-        if not isinstance(event.operation, w.Lease) or not isinstance(event.result, w.Granted):
+        if not isinstance(event.operation, w.AcquireLease) or not isinstance(event.result, LeaseGranted):
             continue
         lease = event.operation.customer, event.result.lease
         if lease in seen:
@@ -89,7 +92,7 @@
     found = []
     versions: dict[str, dict[float, Event]] = defaultdict(dict)
     for event in events:
-        if isinstance(event.operation, w.Put) and isinstance(event.result, w.Done):
+        if isinstance(event.operation, w.SetRecord) and isinstance(event.result, Applied):
             known = versions[event.operation.key].setdefault(event.result.value, event)
             if known is not event:
                 found.append(f"record {event.operation.key}: version {event.result.value:g} was set twice")
@@ -107,7 +110,9 @@
         if not isinstance(read.operation, str) or not read.operation.startswith("store ") or not read.ended:
             continue
         customer = read.operation.partition(" ")[2]
-        counts = [e for e in events if isinstance(e.operation, w.Count) and e.operation.customer == customer]
+        counts = [
+            e for e in events if isinstance(e.operation, w.CountUsage) and e.operation.customer == customer
+        ]
         least = sum(e.operation.units for e in counts if e.ended and e.ended < read.begun)
         most = sum(e.operation.units for e in counts if e.begun < read.ended)
         held = read.result.counted if read.result is not None else 0.0
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from ..replicated_state import commands as w
+from ..replicated_state.results import LeaseGranted
 from .workload_clients import Caller
 
 CUSTOMERS = 4
@@ -20,7 +21,7 @@
 async def operate(caller: Caller, over: Callable[[], bool], pause: float = PAUSE_S) -> None:
     """Operations as a gateway would have them, until it is over."""
     chance = caller.chance
-    await caller.do(w.Open())
+    await caller.do(w.OpenSession())
     leases: list[tuple[str, int, float]] = []
     versions: dict[str, int] = {}
     while not over():
@@ -28,22 +29,22 @@
         match chance.choice(KINDS):
             case "lease":
                 units = chance.choice([1.0, 5.0, 15.0])
-                got = await caller.do(w.Lease(customer, RATE, BURST, units, 1.0, TERM))
-                if isinstance(got, w.Granted):
+                got = await caller.do(w.AcquireLease(customer, RATE, BURST, units, 1.0, TERM))
+                if isinstance(got, LeaseGranted):
                     leases.append((customer, got.lease, got.units))
             case "return" if leases:
                 whose, lease, units = leases.pop(0)
-                await caller.do(w.Return(whose, lease, chance.uniform(0.0, units)))
+                await caller.do(w.ReturnLease(whose, lease, chance.uniform(0.0, units)))
             case "count":
-                await caller.do(w.Count(customer, float(chance.randint(1, 9))))
+                await caller.do(w.CountUsage(customer, float(chance.randint(1, 9))))
             case "read":
                 await caller.read("store", customer)
             case "put":
                 key, value = f"k{chance.randrange(RECORDS)}", f"{caller.name}-{caller.number}"
-                result = await caller.do(w.Put(key, value, versions.get(key, 0)))
-                versions[key] = int(result.value) if not isinstance(result, w.Granted) else 0
+                result = await caller.do(w.SetRecord(key, value, versions.get(key, 0)))
+                versions[key] = int(result.value) if not isinstance(result, LeaseGranted) else 0
             case "reserve":
-                await caller.do(w.Reserve(customer, f"{caller.name}-{caller.number}", 1.0, TERM))
+                await caller.do(w.ReserveUnits(customer, f"{caller.name}-{caller.number}", 1.0, TERM))
         await asyncio.sleep(pause)
 
 
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -18,8 +18,10 @@
 from typing import Any
 
 from ..maintenance import commands as w
-from ..maintenance.state import Works
+from ..maintenance.jobs import MaintenanceJobs
+from ..maintenance.records import MaintenanceSnapshot
 from ..replicated_state import commands as h
+from ..replicated_state.results import Applied
 from .faults import CALM, Faults, Machine
 from .gateways import GatewayFailed
 from .workload_clients import Caller
@@ -41,10 +43,10 @@
     story: list[str] = field(default_factory=list)
 
 
-async def read_works(caller: Caller) -> Works:
+async def read_works(caller: Caller) -> MaintenanceJobs:
     """The state of maintenance, as the group's leader tells it."""
-    works = Works()
-    _, frozen = await caller.read("works", "", tuple[float, w.Frozen])
+    works = MaintenanceJobs()
+    _, frozen = await caller.read("works", "", tuple[float, MaintenanceSnapshot])
     works.thaw(frozen)
     return works
 
@@ -70,21 +72,21 @@
         )
         self.roll = Roll()
         self.out: set[str] = set()
-        self.works = Works()
+        self.works = MaintenanceJobs()
 
-    async def read(self, caller: Caller) -> Works:
+    async def read(self, caller: Caller) -> MaintenanceJobs:
         self.works = await asyncio.wait_for(read_works(caller), CALM)
         return self.works
 
     async def works_on(self, machine: Machine, number: int) -> None:
         """Somebody who works on that machine once it is safe."""
         caller = self.caller(1000 + number)
-        await caller.do(h.Open())
+        await caller.do(h.OpenSession())
         while not self.over:
             place = (await self.read(caller)).place_of(machine.name)
             if place is not None and place.state == "safe":
-                told = await caller.do(w.Told(machine.name, place.fence, "out"))
-                if isinstance(told, h.Done):
+                told = await caller.do(w.ReportProgress(machine.name, place.fence, "out"))
+                if isinstance(told, Applied):
                     await self.work(machine, caller, place.fence)
             await asyncio.sleep(0.1)
         caller.close()
@@ -97,7 +99,7 @@
         await asyncio.to_thread(machine.kill, signal.SIGTERM)
         await asyncio.sleep(self.random.uniform(0.1, 0.4))
         machine.start()
-        await caller.do(w.Told(machine.name, fence, "returning"))
+        await caller.do(w.ReportProgress(machine.name, fence, "returning"))
         self.out.discard(machine.name)
 
     async def watch(self) -> None:
@@ -170,11 +172,11 @@
         caller = self.caller(1)
         try:
             await self.up()
-            await caller.do(h.Open())
-            ask = w.Ask("roll", tuple(self.machines), "memory", "op", 60.0)
+            await caller.do(h.OpenSession())
+            ask = w.RequestMaintenance("roll", tuple(self.machines), "memory", "op", 60.0)
             for _ in range(2):  # the second time as if the first had not been answered
                 done = await caller.do(ask)
-                assert isinstance(done, h.Done), done
+                assert isinstance(done, Applied), done
             tasks = [
                 *(asyncio.create_task(self.works_on(one, n)) for n, one in enumerate(self.machines.values())),
                 asyncio.create_task(self.watch()),
--- a/mapleshunt/testbed/soak_maintenance.py
+++ b/mapleshunt/testbed/soak_maintenance.py
@@ -6,7 +6,9 @@
 from collections.abc import Awaitable, Callable, Sequence
 
 from ..maintenance import commands as w
+from ..maintenance.records import MachineJob
 from ..replicated_state import commands as h
+from ..replicated_state.results import Applied
 from .rolling_maintenance import read_works
 from .workload_clients import Caller
 
@@ -32,9 +34,9 @@
 
     async def roll(self, request: str, machines: Sequence[str]) -> None:
         """Ask for these machines, and work on each until it is done."""
-        await self.caller.do(h.Open())
-        ask = w.Ask(request, tuple(machines), "memory", "soak", EXPECTED_S)
-        if not isinstance(await self.caller.do(ask), h.Done):
+        await self.caller.do(h.OpenSession())
+        ask = w.RequestMaintenance(request, tuple(machines), "memory", "soak", EXPECTED_S)
+        if not isinstance(await self.caller.do(ask), Applied):
             return  # one of them is asked for already
         while open_places := await self._open_places(request):
             for place in open_places:
@@ -45,12 +47,12 @@
         for machine in machines:
             self.take_clients(machine, True)
 
-    async def _open_places(self, request: str) -> list[w.Place]:
+    async def _open_places(self, request: str) -> list[MachineJob]:
         works = await read_works(self.caller)
         return [one for one in works.open() if one.request == request]
 
-    async def _work_on(self, place: w.Place) -> None:
-        told = await self.caller.do(w.Told(place.machine, place.fence, "out"))
-        if isinstance(told, h.Done):
+    async def _work_on(self, place: MachineJob) -> None:
+        told = await self.caller.do(w.ReportProgress(place.machine, place.fence, "out"))
+        if isinstance(told, Applied):
             await self.restart(place.machine)
-            await self.caller.do(w.Told(place.machine, place.fence, "returning"))
+            await self.caller.do(w.ReportProgress(place.machine, place.fence, "returning"))
--- a/mapleshunt/testbed/workload_clients.py
+++ b/mapleshunt/testbed/workload_clients.py
@@ -11,7 +11,8 @@
 import msgspec
 
 from ..replicated_state import commands as words
-from ..replicated_state.state_machine import Record, StoreState
+from ..replicated_state.results import Result, decode_result
+from ..replicated_state.state_machine import Record, TokenBucket
 from ..replication import wire
 from ..simulation.promises import Event
 
@@ -128,14 +129,14 @@
                 self._leave()
             await asyncio.sleep(self.chance.uniform(0.01, 0.1))
 
-    async def do(self, operation: words.Operation) -> words.Result:
+    async def do(self, operation: words.Operation) -> Result:
         self.number += 1
         mine = self.number
         command = words.Command(self.name, mine, mine, operation)
-        data = words.ENCODE(command)
+        data = words.encode(command)
         event = Event(self.name, mine, operation, self.now())
         self.history.append(event)
-        result = words.RESULT(await self._until(lambda n: wire.Call(n, self.group, data)))
+        result = decode_result(await self._until(lambda n: wire.Call(n, self.group, data)))
         event.result, event.ended = result, self.now()
         return result
 
@@ -145,7 +146,7 @@
         event = Event(self.name, self.number, f"{kind} {name}", self.now())
         self.history.append(event)
         data = await self._until(lambda n: wire.Call(n, self.group, read=f"{kind} {name}"))
-        found = msgspec.msgpack.decode(data, type=type or (StoreState if kind == "store" else Record) | None)
+        found = msgspec.msgpack.decode(data, type=type or (TokenBucket if kind == "store" else Record) | None)
         event.result, event.ended = found, self.now()
         return found
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -21,6 +21,7 @@
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.replication.links import Link
 from mapleshunt.replicated_state import commands as w
+from mapleshunt.replicated_state.results import Applied
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
 from mapleshunt.replication.placement import group_of, place, rank
@@ -155,9 +156,9 @@
             await played.up()
             run = command(tmp_path / "g0" / "operators.sexp")
             caller = played.caller(1)
-            await caller.do(w.Open())
+            await caller.do(w.OpenSession())
             for number in range(8):
-                assert isinstance(await caller.do(w.Count("c0", 1.0 + number)), w.Done)
+                assert isinstance(await caller.do(w.CountUsage("c0", 1.0 + number)), Applied)
             code, said = await run("copies", "recover", "0")
             assert code == 2 and "has a leader" in said
             leader = await played.leader()
@@ -185,7 +186,7 @@
             await played.whole()
             found: Any = await caller.read("store", "c0")
             assert found is not None and found.counted == 36.0  # most had it, and so had this one
-            await caller.do(w.Count("c0", 4.0))
+            await caller.do(w.CountUsage("c0", 4.0))
             for one in lost:  # each comes back as it was, first one: together they were most of the group
                 one.put_back()
                 one.start()
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -11,7 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from mapleshunt.replicated_state import commands as w
-from mapleshunt.replicated_state.state_machine import MOST_OPEN, Holdings
+from mapleshunt.replicated_state.results import Applied, Denied, LeaseGranted
+from mapleshunt.replicated_state.state_machine import MAX_UNACKNOWLEDGED, ReplicatedState
 from mapleshunt.simulation.copies_promises import PLANTS, play
 from mapleshunt.simulation.promises import Event, broken
 
@@ -20,71 +21,75 @@
 
 class Session:
     def __init__(self, name: str = "a/1") -> None:
-        self.state, self.name, self.number, self.now = Holdings(), name, 0, 0.0
+        self.state, self.name, self.number, self.now = ReplicatedState(), name, 0, 0.0
         self.last = b""
-        self.do(w.Open())
+        self.do(w.OpenSession())
 
     def do(self, operation: w.Operation) -> Any:
         self.number += 1
-        self.last = w.ENCODE(w.Command(self.name, self.number, self.number, operation))
+        self.last = w.encode(w.Command(self.name, self.number, self.number, operation))
         return self.state.apply(self.now, self.last)
 
     def lease(self, units: float, term: float = 1000.0, customer: str = "c") -> Any:
-        return self.do(w.Lease(customer, RATE, BURST, units, 1.0, term))
+        return self.do(w.AcquireLease(customer, RATE, BURST, units, 1.0, term))
 
 
 def test_leases_come_out_of_the_store_and_run_out() -> None:
     one = Session()
-    assert one.lease(30) == w.Granted(1, 30.0) and one.lease(30) == w.Granted(2, 20.0)
-    assert one.lease(1) == w.Denied("store", 0.0)
-    assert one.do(w.Return("c", 1, 10.0)) == w.Done(20.0)
-    assert one.do(w.Return("c", 1, 0.0)) == w.Denied("lease")  # it was returned already
+    assert one.lease(30) == LeaseGranted(1, 30.0) and one.lease(30) == LeaseGranted(2, 20.0)
+    assert one.lease(1) == Denied("store", 0.0)
+    assert one.do(w.ReturnLease("c", 1, 10.0)) == Applied(20.0)
+    assert one.do(w.ReturnLease("c", 1, 0.0)) == Denied("lease")  # it was returned already
     one.now = 1500.0  # the second has run out: its units are spent, and may be earned anew
-    assert one.do(w.Return("c", 2, 0.0)) == w.Denied("lease")
-    assert one.lease(99) == w.Granted(3, 35.0)
+    assert one.do(w.ReturnLease("c", 2, 0.0)) == Denied("lease")
+    assert one.lease(99) == LeaseGranted(3, 35.0)
 
 
 def test_an_operation_that_comes_again_is_not_done_again() -> None:
     one = Session()
-    assert one.do(w.Count("c", 5.0)) == w.Done(5.0)
-    assert one.state.apply(99.0, one.last) == w.Done(5.0)
-    assert one.do(w.Count("c", 5.0)) == w.Done(10.0)
-    late = w.ENCODE(w.Command("a/1", 2, 1, w.Count("c", 5.0)))
-    assert one.state.apply(100.0, late) == w.Denied("order")  # its answer was had already
-    other = w.ENCODE(w.Command("b/1", 1, 1, w.Count("c", 5.0)))
-    assert one.state.apply(100.0, other) == w.Denied("session")
+    assert one.do(w.CountUsage("c", 5.0)) == Applied(5.0)
+    assert one.state.apply(99.0, one.last) == Applied(5.0)
+    assert one.do(w.CountUsage("c", 5.0)) == Applied(10.0)
+    late = w.encode(w.Command("a/1", 2, 1, w.CountUsage("c", 5.0)))
+    assert one.state.apply(100.0, late) == Denied("order")  # its answer was had already
+    other = w.encode(w.Command("b/1", 1, 1, w.CountUsage("c", 5.0)))
+    assert one.state.apply(100.0, other) == Denied("session")
 
 
 def test_a_session_has_so_many_answers_open_at_most() -> None:
     one = Session()
-    for number in range(2, MOST_OPEN + 40):
-        data = w.ENCODE(w.Command("a/1", number, 0, w.Count("c", 1.0)))
+    for number in range(2, MAX_UNACKNOWLEDGED + 40):
+        data = w.encode(w.Command("a/1", number, 0, w.CountUsage("c", 1.0)))
         result = one.state.apply(0.0, data)
-    assert result == w.Denied("full") and len(one.state.sessions["a/1"].results) == MOST_OPEN
+    assert result == Denied("full") and len(one.state.sessions["a/1"].results) == MAX_UNACKNOWLEDGED
 
 
 def test_a_plan_that_changes_back_and_forth_gains_nothing() -> None:
     one = Session()
     one.lease(50, 1e9)
     for burst in (500.0, 50.0) * 5:
-        assert one.do(w.Lease("c", RATE, burst, 1.0, 1.0, 1e9)) == w.Denied("store", 0.0)
+        assert one.do(w.AcquireLease("c", RATE, burst, 1.0, 1.0, 1e9)) == Denied("store", 0.0)
 
 
 def test_records_have_versions() -> None:
     one = Session()
-    assert one.do(w.Put("k", "x", 0)) == w.Done(1) and one.do(w.Put("k", "y", 0)) == w.Denied("version", 1)
-    assert one.do(w.Put("k", "y", 1)) == w.Done(2) and one.state.records["k"].value == "y"
+    assert one.do(w.SetRecord("k", "x", 0)) == Applied(1) and one.do(w.SetRecord("k", "y", 0)) == Denied(
+        "version", 1
+    )
+    assert one.do(w.SetRecord("k", "y", 1)) == Applied(2) and one.state.records["k"].value == "y"
 
 
-@pytest.mark.parametrize("data", [b"", b"\x00", b"nonsense", w.ENCODE(w.Command("a/1", 2, 0, w.Open()))[:-1]])
+@pytest.mark.parametrize(
+    "data", [b"", b"\x00", b"nonsense", w.encode(w.Command("a/1", 2, 0, w.OpenSession()))[:-1]]
+)
 def test_what_makes_no_sense_is_denied(data: bytes) -> None:
-    assert Session().state.apply(0.0, data) == w.Denied("order")
+    assert Session().state.apply(0.0, data) == Denied("order")
 
 
 @pytest.mark.parametrize("odd", [float("nan"), float("inf"), -1.0])
 def test_odd_figures_change_nothing(odd: float) -> None:
     one = Session()
-    assert isinstance(one.do(w.Count("c", odd)), w.Denied) and isinstance(one.lease(odd), w.Denied)
+    assert isinstance(one.do(w.CountUsage("c", odd)), Denied) and isinstance(one.lease(odd), Denied)
     assert not one.state.stores
 
 
@@ -93,7 +98,7 @@
 
     @initialize()
     def begin(self) -> None:
-        self.one, self.copy = Session(), Holdings()
+        self.one, self.copy = Session(), ReplicatedState()
         self.copy.apply(0.0, self.one.last)
         self.spent, self.leases = 0.0, dict[int, tuple[float, float]]()
 
@@ -109,8 +114,8 @@
 
     @rule(units=st.floats(0.5, 80), term=st.sampled_from([100.0, 1000.0, 20_000.0]))
     def lease(self, units: float, term: float) -> None:
-        result = self.do(w.Lease("c", RATE, BURST, units, 0.5, term))
-        if isinstance(result, w.Granted):
+        result = self.do(w.AcquireLease("c", RATE, BURST, units, 0.5, term))
+        if isinstance(result, LeaseGranted):
             assert result.units <= units + 1e-9 and result.lease not in self.leases
             self.leases[result.lease] = (result.units, self.one.now + term)
 
@@ -119,22 +124,22 @@
         if self.leases:
             number = sorted(self.leases)[pick % len(self.leases)]
             units, until = self.leases.pop(number)
-            result = self.do(w.Return("c", number, part * units))
-            assert isinstance(result, w.Done) == (until > self.one.now)
-            self.spent += part * units if isinstance(result, w.Done) else units
+            result = self.do(w.ReturnLease("c", number, part * units))
+            assert isinstance(result, Applied) == (until > self.one.now)
+            self.spent += part * units if isinstance(result, Applied) else units
 
     @rule(units=st.floats(0.1, 30), name=st.sampled_from("xyz"))
     def reserve(self, units: float, name: str) -> None:
-        self.do(w.Reserve("c", name, units, 3000.0))
+        self.do(w.ReserveUnits("c", name, units, 3000.0))
 
     @rule(name=st.sampled_from("xyz"))
     def release(self, name: str) -> None:
-        self.do(w.Release("c", name))
+        self.do(w.ReleaseReservation("c", name))
 
     @rule()
     def copied(self) -> None:
         """Another copy takes a snapshot in place of the log."""
-        self.copy = Holdings()
+        self.copy = ReplicatedState()
         self.copy.thaw(msgspec.msgpack.encode(self.one.state.freeze()))
 
     @invariant()
@@ -164,8 +169,8 @@
 
 # The checkers themselves
 
-COUNT = w.Count("c", 5.0)
-LEASE = w.Lease("c", RATE, BURST, 30.0, 1.0, 1000.0)
+COUNT = w.CountUsage("c", 5.0)
+LEASE = w.AcquireLease("c", RATE, BURST, 30.0, 1.0, 1000.0)
 
 
 def event(number: int, operation: Any, begun: float, result: Any, ended: float) -> Event:
@@ -174,27 +179,29 @@
 
 def held(counted: float) -> Any:
     one = Session()
-    one.do(w.Count("c", counted))
+    one.do(w.CountUsage("c", counted))
     return {"store c": one.state.stores["c"]}
 
 
 @pytest.mark.parametrize(
     ("events", "final", "said"),
     [
-        ([event(1, COUNT, 0, w.Done(5), 1)], held(5), ""),
-        ([event(1, COUNT, 0, w.Done(5), 1)], held(10), "use of c: 5 was acknowledged, 10 is held"),
-        ([event(1, COUNT, 0, w.Done(5), 1)], {}, "use of c: 5 was acknowledged, 0 is held"),
+        ([event(1, COUNT, 0, Applied(5), 1)], held(5), ""),
+        ([event(1, COUNT, 0, Applied(5), 1)], held(10), "use of c: 5 was acknowledged, 10 is held"),
+        ([event(1, COUNT, 0, Applied(5), 1)], {}, "use of c: 5 was acknowledged, 0 is held"),
         ([event(1, COUNT, 0, None, 0)], {}, "s 1 was never answered"),
-        ([event(1, LEASE, 0, w.Granted(1, 30), 0.1), event(2, LEASE, 0.2, w.Granted(2, 30), 0.3)], {},
+        ([event(1, LEASE, 0, LeaseGranted(1, 30), 0.1), event(2, LEASE, 0.2, LeaseGranted(2, 30), 0.3)], {},
          "leases of c come to 60"),
-        ([event(1, LEASE, 0, w.Granted(1, 30), 0.1), event(2, LEASE, 2, w.Granted(2, 30), 2.1)], {}, ""),
-        ([event(1, LEASE, 0, w.Granted(1, 30), 0.1), event(2, w.Return("c", 1, 0.0), 0.2, w.Done(50), 0.3),
-          event(3, LEASE, 0.3, w.Granted(2, 30), 0.4)], {}, ""),
-        ([event(1, LEASE, 0, w.Granted(1, 3), 0.1), event(2, LEASE, 0, w.Granted(1, 3), 0.1)], {},
+        ([event(1, LEASE, 0, LeaseGranted(1, 30), 0.1), event(2, LEASE, 2, LeaseGranted(2, 30), 2.1)],
+         {}, ""),
+        ([event(1, LEASE, 0, LeaseGranted(1, 30), 0.1),
+          event(2, w.ReturnLease("c", 1, 0.0), 0.2, Applied(50), 0.3),
+          event(3, LEASE, 0.3, LeaseGranted(2, 30), 0.4)], {}, ""),
+        ([event(1, LEASE, 0, LeaseGranted(1, 3), 0.1), event(2, LEASE, 0, LeaseGranted(1, 3), 0.1)], {},
          "was granted to s and s"),
-        ([event(1, w.Put("k", "x", 0), 0, w.Done(1), 1)], {}, "version 1 was acknowledged"),
-        ([event(1, COUNT, 0, w.Done(5), 1), event(2, "store c", 2, None, 3)], held(5), "a read of c says 0"),
-        ([event(1, "store c", 0, held(5)["store c"], 1), event(2, COUNT, 2, w.Done(5), 3)], held(5),
+        ([event(1, w.SetRecord("k", "x", 0), 0, Applied(1), 1)], {}, "version 1 was acknowledged"),
+        ([event(1, COUNT, 0, Applied(5), 1), event(2, "store c", 2, None, 3)], held(5), "a read of c says 0"),
+        ([event(1, "store c", 0, held(5)["store c"], 1), event(2, COUNT, 2, Applied(5), 3)], held(5),
          "a read of c says 5"),
     ],
 )  # fmt: skip
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -18,8 +18,9 @@
 from mapleshunt.policy.gossip_codec import tag_of
 from mapleshunt.policy.interface import Leased
 from mapleshunt.replicated_state import commands as w
-from mapleshunt.replicated_state.leases import Action, Ask, Leaser, Use
-from mapleshunt.replicated_state.state_machine import Holdings
+from mapleshunt.replicated_state.leases import Action, LeaseClient, LeaseUpdate, ProposeOperation
+from mapleshunt.replicated_state.results import Applied, Denied, LeaseGranted
+from mapleshunt.replicated_state.state_machine import ReplicatedState
 from mapleshunt.testbed.faults import Faults
 
 from .conftest import Driver
@@ -88,8 +89,8 @@
         self.name, self.world = f"h{number}/1", world
         self.leases: dict[int, list[float]] = {}
         self.number = 0
-        self.leaser = Leaser(TERM, 4 * TERM, self.rest, self.left, self.level, lambda _: 0.0)
-        world.state.apply(world.log, w.ENCODE(w.Command(self.name, 0, 0, w.Open())))
+        self.leaser = LeaseClient(TERM, 4 * TERM, self.rest, self.left, self.level, lambda _: 0.0)
+        world.state.apply(world.log, w.encode(w.Command(self.name, 0, 0, w.OpenSession())))
 
     def left(self, _: str, lease: int) -> float:
         return self.leases.pop(lease, [0.0])[0]
@@ -102,12 +103,12 @@
 
     def do(self, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, Use):
+            if isinstance(action, LeaseUpdate):
                 self.leases[action.lease] = [action.units, action.until]
             elif self.world.quorum:
                 self.number += 1
                 command = w.Command(self.name, self.number, self.number, action.operation)
-                result = self.world.state.apply(self.world.log, w.ENCODE(command))
+                result = self.world.state.apply(self.world.log, w.encode(command))
                 self.world.answers.append((self, action, result))
             else:
                 self.world.answers.append((self, action, None))
@@ -127,8 +128,8 @@
 
     @initialize()
     def begin(self) -> None:
-        self.state, self.now, self.log, self.spent = Holdings(), 0.0, 0.0, 0.0
-        self.quorum, self.answers = True, list[tuple[Holder, Ask, Any]]()
+        self.state, self.now, self.log, self.spent = ReplicatedState(), 0.0, 0.0, 0.0
+        self.quorum, self.answers = True, list[tuple[Holder, ProposeOperation, Any]]()
         self.holders = [Holder(n, self) for n in range(3)]
 
     @rule(ms=st.sampled_from([1.0, 50.0, 300.0, 1200.0]), leads=st.booleans())
@@ -170,16 +171,16 @@
 TestHolders.settings = settings(derandomize=True, max_examples=80, stateful_step_count=40, deadline=None)
 
 
-def holder(left: dict[int, float]) -> Leaser:
-    return Leaser(
+def holder(left: dict[int, float]) -> LeaseClient:
+    return LeaseClient(
         TERM, 10 * TERM, lambda _, lease: left.get(lease, 0.0), lambda _, lease: left.pop(lease, 0.0),
         lambda *_: sum(left.values()), lambda _: 0.0,
     )  # fmt: skip
 
 
-def asked(actions: list[Action]) -> Ask:
+def asked(actions: list[Action]) -> ProposeOperation:
     (one,) = actions
-    assert isinstance(one, Ask)
+    assert isinstance(one, ProposeOperation)
     return one
 
 
@@ -187,15 +188,23 @@
     left: dict[int, float] = {}
     one = holder(left)
     ask = asked(one.demand(0.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask, Ask) and not one.demand(1.0, "c", RATE, BURST, 3, 1.0)  # one at a time
+    assert isinstance(ask, ProposeOperation) and not one.demand(
+        1.0, "c", RATE, BURST, 3, 1.0
+    )  # one at a time
     assert one.waits(1.0, "c", 1.0)
-    use, none = one.answered(20.0, ask, w.Granted(7, 2.0))
-    assert isinstance(ask.operation, w.Lease) and ask.operation.term > TERM  # little is asked for: for longer
-    assert isinstance(use, Use) and use.until < ask.operation.term and none == Use("c", 0, 0.0, 20.0 + TERM)
+    use, none = one.answered(20.0, ask, LeaseGranted(7, 2.0))
+    assert (
+        isinstance(ask.operation, w.AcquireLease) and ask.operation.term > TERM
+    )  # little is asked for: for longer
+    assert (
+        isinstance(use, LeaseUpdate)
+        and use.until < ask.operation.term
+        and none == LeaseUpdate("c", 0, 0.0, 20.0 + TERM)
+    )
     left[7] = 1.5
     assert not one.waits(30.0, "c", 1.0) and not one.tick(use.until - 10)
     assert not one.tick(use.until + 10)  # it may go with what is asked for next
-    assert asked(one.tick(use.until + TERM / 4)).operation == w.Return("c", 7, 0.5)
+    assert asked(one.tick(use.until + TERM / 4)).operation == w.ReturnLease("c", 7, 0.5)
     one.tick(100 * TERM)
     assert not one.customers
 
@@ -204,44 +213,49 @@
     left = {7: 0.0, 8: 0.25}
     one = holder(left)
     ask = asked(one.demand(0.0, "c", RATE, BURST, 3, 1.0))
-    one.answered(5.0, ask, w.Granted(7, 2.0))
+    one.answered(5.0, ask, LeaseGranted(7, 2.0))
     ask = asked(one.demand(6.0, "c", RATE, BURST, 3, 1.0))
-    one.answered(9.0, ask, w.Granted(8, 1.0))
+    one.answered(9.0, ask, LeaseGranted(8, 1.0))
     ask = asked(one.demand(10.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask.operation, w.Lease) and ask.operation.back == ((8, 0.75),) and not left
-    state = Holdings()
+    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.back == ((8, 0.75),) and not left
+    state = ReplicatedState()
     operations: list[w.Operation] = [
-        w.Open(), w.Lease("c", RATE, BURST, BURST, 1.0, 1e9), w.Lease("c", RATE, BURST, 9.0, 1.0, 1e9),
-        w.Lease("c", RATE, BURST, 9.0, 1.0, 1e9, ((1, 50.0), (1, 0.0), (5, 0.0))),
+        w.OpenSession(), w.AcquireLease("c", RATE, BURST, BURST, 1.0, 1e9),
+        w.AcquireLease("c", RATE, BURST, 9.0, 1.0, 1e9),
+        w.AcquireLease("c", RATE, BURST, 9.0, 1.0, 1e9, ((1, 50.0), (1, 0.0), (5, 0.0))),
     ]  # fmt: skip
     for number, operation in enumerate(operations):
-        result = state.apply(0.0, w.ENCODE(w.Command("h/1", number, 0, operation)))
-        assert isinstance(result, w.Denied) == (number == 2)
-    assert result == w.Granted(2, 9.0)  # 10 of 60 were not spent, and went back once
+        result = state.apply(0.0, w.encode(w.Command("h/1", number, 0, operation)))
+        assert isinstance(result, Denied) == (number == 2)
+    assert result == LeaseGranted(2, 9.0)  # 10 of 60 were not spent, and went back once
 
 
 def test_what_a_lease_was_overspent_by_comes_off_the_store() -> None:
     """True costs above the guess: it was clipped to the lease's units, and nobody paid for it."""
     left = {7: -3.0}
     one = holder(left)
-    one.answered(5.0, asked(one.demand(0.0, "c", RATE, BURST, 3, 1.0)), w.Granted(7, 2.0))
+    one.answered(5.0, asked(one.demand(0.0, "c", RATE, BURST, 3, 1.0)), LeaseGranted(7, 2.0))
     ask = asked(one.demand(6.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask.operation, w.Lease) and ask.operation.back == ((7, 5.0),)
-    state = Holdings()
-    operations: list[w.Operation] = [w.Open(), w.Lease("c", RATE, 10.0, 2.0, 1.0, 1e9), w.Return("c", 1, 5.0)]
+    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.back == ((7, 5.0),)
+    state = ReplicatedState()
+    operations: list[w.Operation] = [
+        w.OpenSession(),
+        w.AcquireLease("c", RATE, 10.0, 2.0, 1.0, 1e9),
+        w.ReturnLease("c", 1, 5.0),
+    ]
     for number, operation in enumerate(operations):
-        result = state.apply(0.0, w.ENCODE(w.Command("h/1", number, 0, operation)))
-    assert result == w.Done(5.0)  # 8 were left of 10, and 3 more were used
+        result = state.apply(0.0, w.encode(w.Command("h/1", number, 0, operation)))
+    assert result == Applied(5.0)  # 8 were left of 10, and 3 more were used
 
 
 def test_one_that_was_denied_asks_again_for_what_the_store_may_have_by_then() -> None:
     one = holder({})
     ask = asked(one.demand(0.0, "c", RATE, BURST, 3, 5.0))
-    one.answered(10.0, ask, w.Denied("store", 2.0))
+    one.answered(10.0, ask, Denied("store", 2.0))
     assert not one.demand(100.0, "c", RATE, BURST, 3, 5.0)  # 2.9 by then
     ask = asked(one.demand(101.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask.operation, w.Lease) and ask.operation.least == 1.0
-    one.answered(110.0, ask, w.Denied("store", 0.0))
+    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.least == 1.0
+    one.answered(110.0, ask, Denied("store", 0.0))
     assert not one.more(150.0, "c", 1.0) and one.more(211.0, "c", 1.0)
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,9 +8,11 @@
 import pytest
 
 from mapleshunt.maintenance import commands as w
-from mapleshunt.maintenance.coordinator import Act, Holder, Sees
-from mapleshunt.maintenance.state import AGING, Refused, Works, contradiction
-from mapleshunt.maintenance.summary import excerpt
+from mapleshunt.maintenance.agent import AgentAction, MaintenanceAgent, RemainingWork
+from mapleshunt.maintenance.budget import Budget, budget_error
+from mapleshunt.maintenance.jobs import URGENCY_STEP_MS, MaintenanceError, MaintenanceJobs
+from mapleshunt.maintenance.records import OUT_STATES, HistoryEntry, MachineJob, MaintenanceSnapshot
+from mapleshunt.maintenance.summary import summarize
 from mapleshunt.simulation.maintenance import PLANTS, stroll, walk
 
 DEPTH = {"AskedTwice": 7, "ReturnTakenForGranted": 8, "ForgetsUnplanned": 7}  # by which each is found; else 5
@@ -42,34 +44,34 @@
     """Six machines in two zones, and the log."""
 
     def __init__(self, **budget: Any) -> None:
-        self.works, self.now, self.wall = Works(), 0.0, 1000.0
+        self.works, self.now, self.wall = MaintenanceJobs(), 0.0, 1000.0
         self.load, self.down, self.sound = 0.1, set[str](), set(NAMES)
         self.versions: dict[str, str] = {}
         plain = {"most": 2, "pause": 0.0, "drain": 10.0}
-        self.do(w.SetBudget(w.Budget(**{**plain, **budget}), "op"))
+        self.do(w.SetBudget(Budget(**{**plain, **budget}), "op"))
 
     def do(self, operation: w.Operation) -> None:
         self.works.apply(1000 * self.now, operation)
 
     def ask(self, id: str, *machines: str, **more: Any) -> None:
-        self.do(w.Ask(id, machines, "disks", "op", **more))
+        self.do(w.RequestMaintenance(id, machines, "disks", "op", **more))
 
     def see(self) -> list[str]:
         """What the coordinator sees: who is at work after that."""
         sights = tuple(
-            w.Sight(name, f"z{n % 2}", name not in self.down, 0, self.load, self.versions.get(name, ""))
+            w.MachineView(name, f"z{n % 2}", name not in self.down, 0, self.load, self.versions.get(name, ""))
             for n, name in enumerate(NAMES)
         )
         voters = ("g0", "g1", "g2")
         up = tuple(one for one in voters if one in self.sound and one not in self.down)
-        self.do(w.Seen(self.wall, sights, (w.Group(voters, up),)))
-        return sorted(one.machine for one in self.works.open() if one.state in w.AT_WORK)
+        self.do(w.FleetView(self.wall, sights, (w.GroupView(voters, up),)))
+        return sorted(one.machine for one in self.works.open() if one.state in OUT_STATES)
 
     def tell(self, machine: str, *what: str) -> None:
         for one in what:
             place = self.works.place_of(machine)
             assert place is not None
-            self.do(w.Told(machine, place.fence, one))
+            self.do(w.ReportProgress(machine, place.fence, one))
 
     def out(self, machine: str) -> None:
         self.tell(machine, "draining", "safe", "out")
@@ -89,10 +91,10 @@
     ],
 )  # fmt: skip
 def test_a_budget_that_lets_nobody_go_is_told_when_it_is_set(budget: dict[str, Any], said: str) -> None:
-    whole = w.Budget(**{"most": 2, **budget})
-    assert said in contradiction(whole)
-    with pytest.raises(Refused, match=said):
-        Works().apply(0.0, w.SetBudget(whole, "op"))
+    whole = Budget(**{"most": 2, **budget})
+    assert said in budget_error(whole)
+    with pytest.raises(MaintenanceError, match=said):
+        MaintenanceJobs().apply(0.0, w.SetBudget(whole, "op"))
 
 
 def test_a_batch_goes_by_zones_in_turn_and_leaves_a_majority_of_each_group() -> None:
@@ -135,13 +137,13 @@
     fence = fleet.works.fence
     fleet.tell("g3", "draining")
     fleet.now += 11
-    with pytest.raises(Refused, match="run out"):
+    with pytest.raises(MaintenanceError, match="run out"):
         fleet.tell("g3", "safe")
     assert fleet.see() == ["g3"] and fleet.works.open()[0].state == "recalled"
     fleet.tell("g3", "undone")
     assert fleet.see() == ["g3"] and fleet.works.fence == fence + 1
-    with pytest.raises(Refused, match="fence"):
-        fleet.do(w.Told("g3", fence, "safe"))
+    with pytest.raises(MaintenanceError, match="fence"):
+        fleet.do(w.ReportProgress("g3", fence, "safe"))
 
 
 def test_what_forbids_a_grant_is_told_and_force_passes_all_but_a_majority() -> None:
@@ -160,14 +162,14 @@
     fleet.back("g3")
     fleet.ask("s", "g4")
     assert not fleet.see() and "pause" in fleet.works.blocked
-    fleet.do(w.Hold(True, "op", "payday"))
+    fleet.do(w.SetHold(True, "op", "payday"))
     fleet.now += 6
     assert not fleet.see() and "held: payday (op)" in fleet.works.blocked
-    fleet.do(w.Force("g4", "op", "it burns"))
+    fleet.do(w.ForceGrant("g4", "op", "it burns"))
     assert fleet.see() == ["g4"]
     fleet.ask("t", "g0")
     fleet.sound = {"g0", "g1"}
-    fleet.do(w.Force("g0", "op", "now"))
+    fleet.do(w.ForceGrant("g0", "op", "now"))
     assert fleet.see() == ["g4"] and "majority" in fleet.works.blocked
 
 
@@ -181,17 +183,17 @@
     assert not fleet.see() and "1 machines failed" in fleet.works.blocked
     story = fleet.works.places["roll", "g3"].story
     assert story[-1].why == "it is back with version 1, not 2"
-    fleet.do(w.Hold(False, "op"))
+    fleet.do(w.SetHold(False, "op"))
     assert fleet.see() == ["g4"]
 
 
 def test_urgency_is_worth_some_waiting_and_no_more() -> None:
     fleet = Fleet(most=1)
     fleet.ask("old", "g3")
-    fleet.do(w.Hold(True, "op"))
-    fleet.now += AGING / 1000 + 1
+    fleet.do(w.SetHold(True, "op"))
+    fleet.now += URGENCY_STEP_MS / 1000 + 1
     fleet.ask("urgent", "g4", urgency=1)
-    fleet.do(w.Hold(False, "op"))
+    fleet.do(w.SetHold(False, "op"))
     assert fleet.see() == ["g3"]
 
 
@@ -199,64 +201,66 @@
     fleet = Fleet(most=1)
     fleet.ask("r", "g3", "g4")
     fleet.ask("r", "g3", "g4")
-    with pytest.raises(Refused, match="g4 is asked for already, by r"):
+    with pytest.raises(MaintenanceError, match="g4 is asked for already, by r"):
         fleet.ask("s", "g4")
     fleet.see()
     fleet.tell("g3", "draining")
-    fleet.do(w.Withdraw("r", "op"))
+    fleet.do(w.WithdrawRequest("r", "op"))
     assert [fleet.works.places["r", one].state for one in ("g3", "g4")] == ["recalled", "withdrawn"]
     fleet.tell("g3", "undone")
     assert not fleet.works.open()
-    again = Works()
+    again = MaintenanceJobs()
     data = msgspec.msgpack.encode(fleet.works.freeze())
-    again.thaw(msgspec.msgpack.decode(data, type=w.Frozen))
+    again.thaw(msgspec.msgpack.decode(data, type=MaintenanceSnapshot))
     assert again.freeze() == fleet.works.freeze()
 
 
-EMPTY, BUSY = Sees(0, 0, 0, 0, True), Sees(2, 1, 1, 1, True)
+EMPTY, BUSY = RemainingWork(0, 0, 0, 0, True), RemainingWork(2, 1, 1, 1, True)
 
 
 def test_a_machine_empties_itself_under_its_grant_and_takes_back_what_ran_out() -> None:
-    holder = Holder()
-    place = w.Place("g3", "r", "granted", fence=4, until=10_000.0)
+    holder = MaintenanceAgent()
+    place = MachineJob("g3", "r", "granted", fence=4, until=10_000.0)
     holder.told(100.0, 0.0, place)
-    acts = holder.step(100.1, place, False, Sees(2, 1, 1, 1, False))
-    assert acts == [Act("drain"), Act("hand_over"), Act("tell", "draining", "", 4)]
+    acts = holder.step(100.1, place, False, RemainingWork(2, 1, 1, 1, False))
+    assert acts == [AgentAction("drain"), AgentAction("hand_over"), AgentAction("tell", "draining", "", 4)]
     place = msgspec.structs.replace(place, state="draining")
     assert holder.step(101.0, place, False, BUSY) == [
-        Act("hand_over", "", "requests 2, clients 1, groups led 1")
+        AgentAction("hand_over", "", "requests 2, clients 1, groups led 1")
     ]
-    slept = Holder()
+    slept = MaintenanceAgent()
     slept.told(100.0, 0.0, place)
     slept.step(100.1, place, True, BUSY)
     assert slept.step(109.95, place, True, EMPTY) == [  # SIGSTOP until then: it may be another's turn
-        Act("resume"),
-        Act("take_back"),
-        Act("tell", "undone", "too late by its own clock", 4),
+        AgentAction("resume"),
+        AgentAction("take_back"),
+        AgentAction("tell", "undone", "too late by its own clock", 4),
     ]
-    assert holder.step(102.0, place, False, EMPTY) == [Act("tell", "safe", "", 4)]
+    assert holder.step(102.0, place, False, EMPTY) == [AgentAction("tell", "safe", "", 4)]
     recalled = msgspec.structs.replace(place, state="recalled")
-    assert holder.step(103.0, recalled, False, EMPTY) == [Act("resume")]
+    assert holder.step(103.0, recalled, False, EMPTY) == [AgentAction("resume")]
     assert holder.step(103.1, recalled, False, EMPTY) == []  # told once it takes clients again
-    assert holder.step(103.2, recalled, False, Sees(0, 0, 0, 0, False))[0].what == "undone"
+    assert holder.step(103.2, recalled, False, RemainingWork(0, 0, 0, 0, False))[0].what == "undone"
 
 
 def test_what_is_told_of_the_state_fits_in_a_reply_and_keeps_all_that_is_not_over() -> None:
-    works, machines = Works(), tuple(f"n{number}" for number in range(200))
+    works, machines = MaintenanceJobs(), tuple(f"n{number}" for number in range(200))
     for number in range(40):
-        works.apply(float(number), w.Ask(f"roll-{number}", machines, "reason" * 20, "op", 60.0))
+        works.apply(
+            float(number), w.RequestMaintenance(f"roll-{number}", machines, "reason" * 20, "op", 60.0)
+        )
         for machine in machines if number < 39 else machines[:100]:
             place = works.places[f"roll-{number}", machine]
-            story = tuple(w.Step(float(step), "granted", "why" * 10) for step in range(20))
+            story = tuple(HistoryEntry(float(step), "granted", "why" * 10) for step in range(20))
             works.places[f"roll-{number}", machine] = msgspec.structs.replace(
                 place, state="done", story=story
             )
     whole, most = works.freeze(), 500_000
-    told = excerpt(whole, most)
+    told = summarize(whole, most)
     assert len(msgspec.msgpack.encode(whole)) > most >= len(msgspec.msgpack.encode(told))
     kept = [one.ask.id for one in told.requests]
     assert kept == [f"roll-{number}" for number in range(40 - len(kept), 40)] and len(kept) > 1
-    thawed = Works()
+    thawed = MaintenanceJobs()
     thawed.thaw(told)
     assert [one.machine for one in thawed.open()] == [one.machine for one in works.open()]
-    assert excerpt(whole, 1 << 30) == whole
+    assert summarize(whole, 1 << 30) == whole
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -164,7 +164,7 @@
         reader, writer = Client(), Client()
         monkeypatch.setattr(host, "_read", lambda what: bytes(2 * wire.MOST_FRAME))
         host.called(reader, wire.Call(1, 0, read="works"))
-        host.called(writer, wire.Call(2, 0, words.ENCODE(words.Command("s", 1, 1, words.Open()))))
+        host.called(writer, wire.Call(2, 0, words.encode(words.Command("s", 1, 1, words.OpenSession()))))
         with contextlib.suppress(ValueError):  # as the follower's link contains it
             await follow(host, "g1/1")
         assert "s" in host.holdings.sessions
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from mapleshunt.maintenance.fleet_view import seen
-from mapleshunt.maintenance.state import Works
+from mapleshunt.maintenance.fleet_view import build_fleet_view
+from mapleshunt.maintenance.jobs import MaintenanceJobs
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
 from mapleshunt.testbed.faults import plain_config
@@ -115,7 +115,7 @@
         "a": status("a", True, "leader", 5000), "b": status("b", False, "follower", 4990),
         "c": status("c", True, "follower", 100), "d": None,
     }  # fmt: skip
-    found = seen(1.0, {"a": "x", "b": "x", "c": "y", "d": "y"}, 2, told, Works())
+    found = build_fleet_view(1.0, {"a": "x", "b": "x", "c": "y", "d": "y"}, 2, told, MaintenanceJobs())
     assert [(one.name, one.here, one.leads) for one in found.machines] == [
         ("a", True, 1), ("b", False, 0), ("c", True, 0), ("d", False, 0)
     ]  # fmt: skip
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -20,7 +20,8 @@
 from mapleshunt.policy.interface import Leased, Request, Settings
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state import state_machine as state
-from mapleshunt.replicated_state.state_machine import Holdings
+from mapleshunt.replicated_state.results import Applied, Denied, Result
+from mapleshunt.replicated_state.state_machine import ReplicatedState
 from mapleshunt.replication import wire
 
 PLAN = Plan("plan", rate=10.0, burst=100.0)
@@ -34,7 +35,7 @@
 
     name: str = "g0"
     section: Any = field(default_factory=lambda: SimpleNamespace(groups=1))
-    holdings: Holdings = field(default_factory=Holdings)
+    holdings: ReplicatedState = field(default_factory=ReplicatedState)
     waiting: dict[int, Callable[[wire.Reply], None]] = field(default_factory=dict)
     calls: dict[int, bytes] = field(default_factory=dict)  # not answered yet, the oldest first
     number: int = 0
@@ -53,14 +54,14 @@
         self.waiting[self.number], self.calls[self.number] = done, command
         return self.number
 
-    def answer(self, number: int) -> w.Result:
+    def answer(self, number: int) -> Result:
         """Apply a call and tell what came of it, if anybody still waits."""
         result = self.holdings.apply(1000 * time.monotonic(), self.calls.pop(number))
         if (done := self.waiting.pop(number, None)) is not None:
-            done(wire.Reply(number, "done", "", w.ENCODE(result)))
+            done(wire.Reply(number, "done", "", w.encode(result)))
         return result
 
-    def answer_all(self) -> list[w.Result]:
+    def answer_all(self) -> list[Result]:
         return [self.answer(number) for number in list(self.calls)]
 
     def abandon(self, call: int) -> None:
@@ -71,7 +72,7 @@
         return f"{self.name}/1.1.{purpose}{self.number}"
 
     def forget_sessions(self) -> None:
-        self.holdings.sessions = Holdings().sessions
+        self.holdings.sessions = ReplicatedState().sessions
 
 
 class Decisions:
@@ -126,7 +127,7 @@
         for customer in CUSTOMERS:
             want(leases, customer)
         first, second = group.calls
-        assert group.answer(first) == w.Denied("session")
+        assert group.answer(first) == Denied("session")
         if second_is_answered:
             group.answer(second)
         else:
@@ -178,19 +179,19 @@
     """Machines are taken out seldom: by then later sessions have pushed this one out."""
 
     async def run() -> None:
-        group, results = Group(), list[w.Result]()
+        group, results = Group(), list[Result]()
         line = Line(group, 0)  # type: ignore[arg-type]
-        line.propose(w.Put("a", "1", 0), results.append)
+        line.propose(w.SetRecord("a", "1", 0), results.append)
         await until(lambda: len(results) == 1, group.answer_all)
         group.forget_sessions()
-        line.propose(w.Put("b", "1", 0), results.append)
+        line.propose(w.SetRecord("b", "1", 0), results.append)
 
         def step() -> None:
             line.tend(group.now())
             group.answer_all()
 
         await until(lambda: len(results) == 2, step)
-        assert results[1] == w.Done(1.0) and "b" in group.holdings.records
+        assert results[1] == Applied(1.0) and "b" in group.holdings.records
 
     asyncio.run(run())
 
@@ -202,14 +203,14 @@
         group, decisions = Group(), Decisions()
         leases = Leases(group, decisions, Counters())  # type: ignore[arg-type]
         leases.start()
-        monkeypatch.setattr(state, "MOST_SESSIONS", 0)
-        monkeypatch.setattr(state, "SESSION_LIFE", math.inf)
+        monkeypatch.setattr(state, "MAX_SESSIONS", 0)
+        monkeypatch.setattr(state, "SESSION_TIMEOUT_MS", math.inf)
         group.holdings.sessions = group.holdings.sessions.set("other", state.Session(0, 0.0))
         want(leases, "c0")
-        assert group.answer_all() == [w.Denied("full")]
+        assert group.answer_all() == [Denied("full")]
         await until(lambda: bool(group.calls))
         monkeypatch.undo()
-        assert group.answer_all() == [w.Done()]
+        assert group.answer_all() == [Applied()]
 
         def step() -> None:  # what was asked for before was given up meanwhile
             want(leases, "c0")
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,13 +23,24 @@
 
 from mapleshunt.lifecycle import warm_state
 from mapleshunt.maintenance import commands as works
-from mapleshunt.maintenance.summary import excerpt
+from mapleshunt.maintenance.budget import Budget
+from mapleshunt.maintenance.records import (
+    FINAL_STATES,
+    OUT_STATES,
+    WAITING_STATES,
+    HistoryEntry,
+    MachineJob,
+    MaintenanceRequest,
+    MaintenanceSnapshot,
+)
+from mapleshunt.maintenance.summary import summarize
 from mapleshunt.net.hot_restart.handover import Handover
 from mapleshunt.net.replication.group_host import AWAY
 from mapleshunt.policy import gossip_codec as gossip
 from mapleshunt.recording import file_format as form
 from mapleshunt.replicated_state import commands as words
 from mapleshunt.replicated_state import state_machine as state
+from mapleshunt.replicated_state.results import Applied, Denied, LeaseGranted, Result, decode_result
 from mapleshunt.replication import messages as replication
 from mapleshunt.replication import wire
 from mapleshunt.storage.durable_store import NAME, Disk, StoreError
@@ -39,7 +50,7 @@
 from .test_record import record
 from .test_second_process import decisions
 
-ReplicatedState = state.Holdings
+ReplicatedState = state.ReplicatedState
 KINDS: dict[str, tuple[type, str]] = {
     # Gossip
     "gossip": (gossip.Report, "pace lines words"),
@@ -64,39 +75,39 @@
     "question": (wire.Ask, "number what group copy"),
     # Commands and their results
     "command": (words.Command, "session number answered operation"),
-    "open": (words.Open, ""),
-    "lease": (words.Lease, "customer rate burst units least term back"),
-    "return": (words.Return, "customer lease used"),
-    "settle": (words.Settle, "customer units"),
-    "count": (words.Count, "customer units"),
-    "reserve": (words.Reserve, "customer name units term"),
-    "release": (words.Release, "customer name"),
-    "put": (words.Put, "key value version"),
-    "done": (words.Done, "value"),
-    "granted": (words.Granted, "lease units"),
-    "denied": (words.Denied, "why value"),
+    "open": (words.OpenSession, ""),
+    "lease": (words.AcquireLease, "customer rate burst units least term back"),
+    "return": (words.ReturnLease, "customer lease used"),
+    "settle": (words.SettleUsage, "customer units"),
+    "count": (words.CountUsage, "customer units"),
+    "reserve": (words.ReserveUnits, "customer name units term"),
+    "release": (words.ReleaseReservation, "customer name"),
+    "put": (words.SetRecord, "key value version"),
+    "done": (Applied, "value"),
+    "granted": (LeaseGranted, "lease units"),
+    "denied": (Denied, "why value"),
     # The replicated state
-    "held": (state.Held, "units until holder"),
-    "store": (state.StoreState, "rate burst level at held names counted"),
+    "held": (state.Allocation, "units until holder"),
+    "store": (state.TokenBucket, "rate burst level at held names counted"),
     "record": (state.Record, "value version author at"),
     "session": (state.Session, "answered at results"),
-    "state": (state.Frozen, "version leases stores records sessions works"),
+    "state": (state.StateSnapshot, "version leases stores records sessions works"),
     # Maintenance
-    "budget": (works.Budget, "most zone load slack pause drain failures closed"),
-    "work": (works.Ask, "id machines reason author expected earliest urgency long version"),
-    "withdraw": (works.Withdraw, "id author"),
-    "hold": (works.Hold, "on author reason"),
-    "force": (works.Force, "machine author reason"),
+    "budget": (Budget, "most zone load slack pause drain failures closed"),
+    "work": (works.RequestMaintenance, "id machines reason author expected earliest urgency long version"),
+    "withdraw": (works.WithdrawRequest, "id author"),
+    "hold": (works.SetHold, "on author reason"),
+    "force": (works.ForceGrant, "machine author reason"),
     "set budget": (works.SetBudget, "budget author"),
-    "machine": (works.Sight, "name zone here leads load version"),
-    "group": (works.Group, "voters sound"),
-    "seen": (works.Seen, "wall machines groups"),
-    "told": (works.Told, "machine fence what why"),
-    "step": (works.Step, "at state why who"),
-    "place": (works.Place, "machine request state fence since until ends story"),
-    "request": (works.Request, "ask at"),
+    "machine": (works.MachineView, "name zone here leads load version"),
+    "group": (works.GroupView, "voters sound"),
+    "seen": (works.FleetView, "wall machines groups"),
+    "told": (works.ReportProgress, "machine fence what why"),
+    "step": (HistoryEntry, "at state why who"),
+    "place": (MachineJob, "machine request state fence since until ends story"),
+    "request": (MaintenanceRequest, "ask at"),
     "works": (
-        works.Frozen,
+        MaintenanceSnapshot,
         "budget held fence failures returned strained requests places blocked chosen",
     ),
     # Recordings
@@ -114,9 +125,9 @@
     "server": (warm_state.ServerNote, "server since pace barred fails silent allowance"),
 }
 # Each type of these has an example among the messages.
-UNIONS: tuple[Any, ...] = (replication.Message, wire.Frame, words.Operation, words.Result)
-PLACE_REPLY = tuple[float, works.Place | None, bool, bool]
-WORKS_REPLY = tuple[float, works.Frozen]
+UNIONS: tuple[Any, ...] = (replication.Message, wire.Frame, words.Operation, Result)
+PLACE_REPLY = tuple[float, MachineJob | None, bool, bool]
+WORKS_REPLY = tuple[float, MaintenanceSnapshot]
 
 DATA = Path(__file__).parent / "data"
 VALUES: dict[str, Any] = json.loads((DATA / "values.json").read_text())
@@ -188,10 +199,10 @@
         lambda value: gossip.encode(value.pace, value.lines, value.words).encode(),
     ),
     "frame": Form(frame, wire.encode),
-    "command": Form(words.DECODE, words.ENCODE),
-    "result": Form(words.RESULT, words.ENCODE),
+    "command": Form(words.decode_command, words.encode),
+    "result": Form(decode_result, words.encode),
     "state": Form(thawed, msgspec.msgpack.encode),
-    "store read": packed(state.StoreState | None),
+    "store read": packed(state.TokenBucket | None),
     "record read": packed(state.Record | None),
     "place read": packed(PLACE_REPLY),
     "works read": packed(WORKS_REPLY),
@@ -230,7 +241,7 @@
     for name in ("works, without what is over", "works, few steps"):
         sent = bytes.fromhex(MESSAGES[name]["hex"])
         most = len(msgspec.msgpack.encode(message(name)[1]))
-        assert msgspec.msgpack.encode((message(name)[0], excerpt(whole, most))) == sent
+        assert msgspec.msgpack.encode((message(name)[0], summarize(whole, most))) == sent
 
 
 def test_a_state_of_another_version_is_refused_by_its_version() -> None:
@@ -247,16 +258,16 @@
     holdings = ReplicatedState()
     for stamp, data, result in log["entries"]:
         found = holdings.apply(stamp, bytes.fromhex(data))
-        assert words.ENCODE(found).hex() == result, (stamp, data)
+        assert words.encode(found).hex() == result, (stamp, data)
     assert exact(plain(holdings.freeze())) == exact(log["holds"])
     assert msgspec.msgpack.encode(holdings.freeze()).hex() == log["hex"]
 
 
 def test_stored_names_are_those_of_98386c1() -> None:
     """States of a machine, and the key of the record that sends replicas away."""
-    assert works.WAITING == ("queued",) and works.OVER == ("done", "withdrawn", "failed")
+    assert WAITING_STATES == ("queued",) and FINAL_STATES == ("done", "withdrawn", "failed")
     states = "granted", "draining", "safe", "out", "returning", "recalled", "overdue"
-    assert states == works.AT_WORK
+    assert states == OUT_STATES
     assert AWAY == "copies/away/"
 
 
@@ -365,9 +376,9 @@
         assert exact(plain(held)) == exact(served["works"])
         _, place, long, some = await caller.read("place", "g1", PLACE_REPLY)
         assert exact(plain((place, long, some))) == exact(served["place of g1"])
-        await caller.do(words.Open())
+        await caller.do(words.OpenSession())
         key, one = served["records"][0]
-        assert plain(await caller.do(words.Put(key, "next", one[2]))) == ["done", one[2] + 1]
+        assert plain(await caller.do(words.SetRecord(key, "next", one[2]))) == ["done", one[2] + 1]
         caller.close()
 
     async def limited(gateway: Gateway) -> None:
