--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -20,7 +20,7 @@
 from tornado.iostream import IOStream
 
 from .invariants import Guard, broken_by_starting
-from .lifecycle.lifecycle import Drainer, Life
+from .lifecycle.lifecycle import DrainRequester, Lifecycle
 from .net import log
 from .net.backoff import TOLD, Backoff
 from .net.client import connection as client
@@ -29,17 +29,17 @@
 from .net.counters import Counters
 from .net.discovery.watcher import Discovery, MemberList, member_list
 from .net.gossip_transport import Peers
-from .net.periodic import Periodic
+from .net.periodic import PeriodicTask
 from .net.policy_driver import Driver
 from .net.protocol import resp
-from .net.startup import StartSteps
+from .net.startup import StartupSteps
 from .net.upstream.endpoint_group import UpstreamGroup
 from .policy import interface as i
 
 if TYPE_CHECKING:
     from .extensions import Extensions
-    from .net.admin.endpoint import Door, Reply
-    from .net.hot_restart.takeover import Succession
+    from .net.admin.endpoint import AdminEndpoint, AdminResponse
+    from .net.hot_restart.takeover import Takeover
 
 BEGAN = time.monotonic()  # s: when this program was imported
 FIRST_WAIT = 0.002  # s that the loop waits, with all made ready, before the gateway listens
@@ -78,22 +78,22 @@
         self.service = client.Service(self.driver, self.counters, config.seed, config.max_open)
         self.service.ready = self.ready
         self.chance = random.Random(config.seed)
-        self.tending = Periodic(self.tend, TEND_EVERY, self.counters.add)
+        self.tending = PeriodicTask(self.tend, TEND_EVERY, self.counters.add)
         self.watching: asyncio.Task[None] | None = None
         self.revision: int | None = None  # of the list known
         self.last_told = -math.inf  # s, on the loop's clock: when discovery last answered
         self.told_early: list[int] = []  # SIGHUPs since before the configuration was read
         self.peers: Peers | None = None
         self.stopped = asyncio.Event()
-        self.life = Life()
+        self.life = Lifecycle()
         self.listeners: list[socket.socket] = []
         self.acceptors: list[Acceptor] = []
         self.accepting = False
         # A client that does not read may make the gateway hold this much: no more than a part of its memory.
         self.most_unwritten = min(client.MAX_UNWRITTEN_BYTES, max(4 * resp.MAX_VALUE, config.memory // 64))
         self.service.ended = self.resume_accepting
-        self.door: Door | None = None
-        self.succession: Succession | None = None
+        self.door: AdminEndpoint | None = None
+        self.succession: Takeover | None = None
         self.extensions: Extensions | None = None
         self.last_try_to_hear = -math.inf
 
@@ -187,13 +187,13 @@
                 known = member_list(self.config.known)
                 self.driver.feed(self.group.update("persisted", known.members, self.driver.now.age))
                 self.revision = known.revision if known.members else None
-            steps = StartSteps(self.counters)
+            steps = StartupSteps(self.counters)
             await self._open_sockets(steps)
             await steps.run("operators", self.load_extensions)
         except (ValueError, OSError) as error:
             raise ConfigError(f"cannot start: {error}") from None
 
-    async def _open_sockets(self, steps: StartSteps) -> None:
+    async def _open_sockets(self, steps: StartupSteps) -> None:
         config = self.config
         if config.accept_fd is not None:
             await steps.run("handover", self._join_succession)
@@ -214,16 +214,16 @@
         ]
 
     def _join_succession(self) -> None:
-        from .net.hot_restart.takeover import Succession
+        from .net.hot_restart.takeover import Takeover
 
         folder = Path(tempfile.gettempdir())
-        self.succession = Succession(folder, self.config.name, self.driver, self.counters)
+        self.succession = Takeover(folder, self.config.name, self.driver, self.counters)
 
     def _open_door(self) -> None:
-        from .net.admin.endpoint import Door
+        from .net.admin.endpoint import AdminEndpoint
 
         assert self.config.management is not None
-        self.door = Door(self.config.management, self.called, self.counters)
+        self.door = AdminEndpoint(self.config.management, self.called, self.counters)
 
     def listener(self) -> socket.socket:
         if self.config.accept_fd is not None:  # the platform's, which other processes have too
@@ -272,27 +272,31 @@
         listen = text_of(self.config.listen)
         log.say("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
 
-    def called(self, method: str, path: str) -> Reply:
+    def called(self, method: str, path: str) -> AdminResponse:
         """What the operators' door answers."""
-        from .net.admin.endpoint import Reply
+        from .net.admin.endpoint import AdminResponse
 
         match method, path:
             case "GET", "/_ready":
-                return Reply(200, "yes\n") if self.life.takes() else Reply(503, "no\n")
+                return AdminResponse(200, "yes\n") if self.life.takes() else AdminResponse(503, "no\n")
             case "POST", "/_lameduck/on":
-                self.drain(Drainer.OPERATORS)
-                return Reply(200, "drained\n") if self.life.phase == "drained" else Reply(503, "no\n")
+                self.drain(DrainRequester.OPERATORS)
+                return (
+                    AdminResponse(200, "drained\n")
+                    if self.life.phase == "drained"
+                    else AdminResponse(503, "no\n")
+                )
             case "POST", "/_lameduck/off":
-                self.work_again(Drainer.OPERATORS)
-                return Reply(200, "working\n") if self.life.takes() else Reply(503, "no\n")
+                self.work_again(DrainRequester.OPERATORS)
+                return AdminResponse(200, "working\n") if self.life.takes() else AdminResponse(503, "no\n")
             case "GET", "/_vars":
-                return Reply(200, self.figures())
-        return Reply(404, "no such call\n")
+                return AdminResponse(200, self.figures())
+        return AdminResponse(404, "no such call\n")
 
-    def drain(self, drainer: Drainer) -> None:
+    def drain(self, drainer: DrainRequester) -> None:
         self._told("drained", self.life.drain(self.time(), drainer))
 
-    def work_again(self, drainer: Drainer) -> None:
+    def work_again(self, drainer: DrainRequester) -> None:
         self._told("back_to_work", self.life.resume(self.time(), drainer))
 
     def held(self) -> tuple[int, int, bool]:
@@ -341,7 +345,7 @@
         return asyncio.get_running_loop().time()
 
     def figures(self) -> str:
-        from .lifecycle import figures
+        from .lifecycle import statistics as figures
 
         listed, now = self.group.servers.values(), self.driver.now()
         known = self.driver.gateway.servers
@@ -360,11 +364,11 @@
             return
         try:
             from .extensions import Extensions
-            from .net.maintenance import Hands
+            from .net.maintenance import GatewayControls
 
-            hands = Hands(
-                lambda: self.drain(Drainer.MAINTENANCE),
-                lambda: self.work_again(Drainer.MAINTENANCE),
+            hands = GatewayControls(
+                lambda: self.drain(DrainRequester.MAINTENANCE),
+                lambda: self.work_again(DrainRequester.MAINTENANCE),
                 self.held,
                 self.load,
             )
@@ -429,9 +433,9 @@
         loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
         loop.add_signal_handler(signal.SIGQUIT, self.counters.trace.log_all)
         sweeps = [
-            Periodic(self.group.sweep, SERVER_SWEEP_EVERY, self.counters.add),
-            Periodic(self.sweep_clients, CLIENT_SWEEP_EVERY, self.counters.add, self.loop_late),
-            Periodic(self.print_counters, COUNTERS_EVERY, self.counters.add),
+            PeriodicTask(self.group.sweep, SERVER_SWEEP_EVERY, self.counters.add),
+            PeriodicTask(self.sweep_clients, CLIENT_SWEEP_EVERY, self.counters.add, self.loop_late),
+            PeriodicTask(self.print_counters, COUNTERS_EVERY, self.counters.add),
         ]
         for sweep in sweeps:
             sweep.start()
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -147,13 +147,13 @@
     It is a record of each group, which holds until it is taken back, whoever leads. Exit status 1 if a group
     could not be told now (nobody leads it): call again, what was told is not told twice.
     """
-    from ..net.replication.group_host import AWAY
+    from ..net.replication.group_host import EVACUATED_PREFIX
 
     section = _section(file)
     if gateway not in (addresses := _addresses(section)):
         raise Trouble(f"no peer is named {gateway!r}; there are {', '.join(sorted(addresses))}")
     groups = list(range(section.groups)) if only is None else [only]
-    rows = asyncio.run(_mark(section, groups, f"{AWAY}{gateway}", "" if back else "1"))
+    rows = asyncio.run(_mark(section, groups, f"{EVACUATED_PREFIX}{gateway}", "" if back else "1"))
     if as_json:
         print_json(rows)
     else:
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -10,17 +10,17 @@
 from pathlib import Path
 
 from .net import log
-from .net.blocking import in_thread
+from .net.blocking import run_in_thread
 from .net.config import Config, ConfigError
 from .net.counters import Counters
-from .net.maintenance import Hands, Maintenance
+from .net.maintenance import GatewayControls, MaintenanceHost
 from .net.policy_driver import Driver
-from .net.replication.host import Copies, HeldElsewhere, open_store
-from .net.replication.leases import Leases
+from .net.replication.host import ReplicationHost, ReplicationInUseError, open_store
+from .net.replication.leases import LeaseClient
 from .recording.writer import Recorder
 from .settings import operators
 from .storage.durable_store import Disk, StoreUnavailable
-from .transient_errors import may_pass
+from .transient_errors import is_transient
 
 STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
 
@@ -28,12 +28,12 @@
 class Extensions:
     """The parts that the operators' file asks for. Without replication of their own they do nothing else."""
 
-    def __init__(self, config: Config, driver: Driver, counters: Counters, hands: Hands) -> None:
+    def __init__(self, config: Config, driver: Driver, counters: Counters, hands: GatewayControls) -> None:
         """Reads the file. Raises `ConfigError`, and OSError where another attempt may succeed."""
         self.config, self.driver, self.counters, self.hands = config, driver, counters, hands
-        self.copies: Copies | None = None
-        self.leases: Leases | None = None
-        self.maintenance: Maintenance | None = None
+        self.copies: ReplicationHost | None = None
+        self.leases: LeaseClient | None = None
+        self.maintenance: MaintenanceHost | None = None
         self.recorder: Recorder | None = None
         self.opening: asyncio.Task[None] | None = None
         try:
@@ -41,7 +41,7 @@
             if self.chosen.record is not None:
                 self._record(self.chosen.record)
             if self.chosen.copies is not None:
-                Copies.check(self.chosen.copies, config.name)
+                ReplicationHost.check(self.chosen.copies, config.name)
         except ValueError as error:
             raise ConfigError(str(error)) from None
 
@@ -51,7 +51,7 @@
         try:
             self.recorder = Recorder(path, size, salt, self.config.settings, self.driver.now())
         except OSError as error:
-            if not may_pass(error):
+            if not is_transient(error):
                 raise ConfigError(str(error)) from None
             log.say("record_failed", path=path, why=error)
             return
@@ -69,8 +69,8 @@
             return
         try:
             self._start_copies(section, open_store(section, self.config.name))
-        except (StoreUnavailable, HeldElsewhere) as error:
-            if isinstance(error, HeldElsewhere) and self.config.accept_fd is None:
+        except (StoreUnavailable, ReplicationInUseError) as error:
+            if isinstance(error, ReplicationInUseError) and self.config.accept_fd is None:
                 raise
             self._store_unavailable(error)
             self.opening = asyncio.get_running_loop().create_task(self._open_store(section))
@@ -80,7 +80,7 @@
         while self.copies is None:
             await asyncio.sleep(STORE_RETRY_DELAY_S)
             try:
-                disk = await in_thread(lambda: open_store(section, self.config.name))
+                disk = await run_in_thread(lambda: open_store(section, self.config.name))
                 self._start_copies(section, disk)
             except (StoreUnavailable, ConfigError) as error:
                 self._store_unavailable(error)
@@ -93,14 +93,14 @@
         log.say("copies_store_unavailable", why=error)
 
     def _start_copies(self, section: operators.Copies, disk: Disk) -> None:
-        copies = Copies(section, self.config.name, disk, self.counters, self.config.seed)
+        copies = ReplicationHost(section, self.config.name, disk, self.counters, self.config.seed)
         copies.start()
         self.copies = copies
         if section.lease:
-            self.leases = Leases(copies, self.driver, self.counters)
+            self.leases = LeaseClient(copies, self.driver, self.counters)
             self.leases.start()
         if self.chosen.maintenance is not None:
-            self.maintenance = Maintenance(copies, self.chosen.maintenance, self.hands, self.counters)
+            self.maintenance = MaintenanceHost(copies, self.chosen.maintenance, self.hands, self.counters)
             self.maintenance.start()
 
     def reload(self) -> None:
--- a/mapleshunt/lifecycle/lifecycle.py
+++ b/mapleshunt/lifecycle/lifecycle.py
@@ -23,20 +23,20 @@
 KILL, KILL_MOST, EARLY = 0.7, 3.0, 0.2
 
 
-class Drainer(enum.Enum):
+class DrainRequester(enum.Enum):
     """Who may drain the gateway. It works again once none of them wants it drained."""
 
     OPERATORS = "operators"  # at the operators' door
     MAINTENANCE = "maintenance"  # by a grant for work on the machine
 
 
-class Life:
+class Lifecycle:
     """Begins in "starting"; "leaving" is never left."""
 
     def __init__(self) -> None:
         self.phase: Phase = "starting"
         self.since = -math.inf  # when the phase began
-        self.drainers: set[Drainer] = set()  # who wants it drained now
+        self.drainers: set[DrainRequester] = set()  # who wants it drained now
         self.succeeded = False  # another process takes the clients by the same address
         self.told_to_leave = math.inf
 
@@ -51,13 +51,13 @@
     def listening(self, now: float) -> bool:
         return self.phase == "starting" and self._enter("working", now)
 
-    def drain(self, now: float, drainer: Drainer) -> bool:
+    def drain(self, now: float, drainer: DrainRequester) -> bool:
         if self.phase not in ("working", "drained"):
             return False
         self.drainers.add(drainer)
         return self._enter("drained", now)
 
-    def resume(self, now: float, drainer: Drainer) -> bool:
+    def resume(self, now: float, drainer: DrainRequester) -> bool:
         self.drainers.discard(drainer)
         return self.phase == "drained" and not self.drainers and self._enter("working", now)
 
--- a/mapleshunt/lifecycle/warm_state.py
+++ b/mapleshunt/lifecycle/warm_state.py
@@ -1,8 +1,9 @@
-"""What one process of a gateway hands on to the next: quotas, slots, paces, and what it knows of servers.
+"""The warm state that one process of a gateway hands to the next: quotas, limits, what it knows of endpoints.
 
-No I/O and no clock. `taken` reads it off the decisions, `encode` and `decode` are its text, and `give` puts
-it into the decisions of the process that follows. Times are the host's, in ms since 1970, and differ from one
-process to the next where the wall clock was stepped in between: `monotonic`, in ms, is the machine's own.
+No I/O and no clock. `capture` reads it off the decisions, `encode` and `decode` convert it to and from JSON,
+and `restore` puts it into the decisions of the process that follows. Times are the host's, in ms since 1970,
+and differ from one process to the next where the wall clock was stepped in between; `monotonic`, in ms, is
+the machine's own clock, which is never stepped.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from ..policy.gateway import Gateway
 
 VERSION: Literal[1] = 1
-MOST_CUSTOMERS = 4000
-MOST_BYTES = 1 << 20
+MAX_CUSTOMERS = 4000
+MAX_ENCODED_BYTES = 1 << 20
 FRESH = 10_000.0  # ms after which what was known is not worth having
 
 
-class CustomerNote(msgspec.Struct, array_like=True, frozen=True):
+class CustomerState(msgspec.Struct, array_like=True, frozen=True):
     tag: int
     plan: int  # its number among the plans' sorted names
     level: float  # of its store, units
@@ -29,7 +30,7 @@
     cost: float  # smoothed, ms
 
 
-class ServerNote(msgspec.Struct, array_like=True, frozen=True):
+class EndpointState(msgspec.Struct, array_like=True, frozen=True):
     server: int
     since: float  # its start, as the list has it
     pace: float
@@ -39,7 +40,7 @@
     allowance: float  # attempts that it may be sent while it is cold
 
 
-class Knowledge(msgspec.Struct, frozen=True):
+class WarmState(msgspec.Struct, frozen=True):
     version: Literal[1]
     at: float  # when it was taken
     plans: tuple[str, ...]
@@ -52,8 +53,8 @@
     alive: float
     mean: dict[str, float]  # answer time by class
     shares: tuple[float, ...]
-    customers: tuple[CustomerNote, ...]
-    servers: tuple[ServerNote, ...]
+    customers: tuple[CustomerState, ...]
+    servers: tuple[EndpointState, ...]
     monotonic: float | None = None  # when it was taken; older versions do not tell
 
     def age(self, now: float, monotonic: float | None) -> float:
@@ -63,23 +64,23 @@
         return monotonic - self.monotonic
 
 
-def taken(gateway: Gateway, now: float, monotonic: float | None = None) -> Knowledge:
+def capture(gateway: Gateway, now: float, monotonic: float | None = None) -> WarmState:
     """What is worth handing on at `now`. Customers whose store is full and unused need no note."""
     known = gateway.customers.values()
     spent = [c for c in known if c.store.fill(now) < c.store.burst or c.use.add(now) > 0.01]
     spent.sort(key=lambda c: c.use.value, reverse=True)
-    return Knowledge(
+    return WarmState(
         version=VERSION, at=now, plans=tuple(gateway.plans), bound=gateway.bound, pace=gateway.pace,
         best=gateway.best, answer=gateway.answer, word_ms=gateway.word_ms,
         warm=gateway.warm.add(now), alive=gateway.alive.add(now),
         mean=dict(gateway.mean), shares=tuple(gateway.shares),
         customers=tuple(
-            CustomerNote(c.tag, c.code, c.store.level, c.use.value,
+            CustomerState(c.tag, c.code, c.store.level, c.use.value,
                          now - c.told_at if now - c.told_at < FRESH * 10 else -1.0, c.crowd, c.k)
-            for c in spent[:MOST_CUSTOMERS]
+            for c in spent[:MAX_CUSTOMERS]
         ),
         servers=tuple(
-            ServerNote(s.entry.server, s.started, s.pace, max(0.0, s.barred - now), s.fails,
+            EndpointState(s.entry.server, s.started, s.pace, max(0.0, s.barred - now), s.fails,
                        max(0.0, now - s.answered), s.allowance.level)
             for s in gateway.servers.values()
         ),
@@ -87,18 +88,18 @@
     )  # fmt: skip
 
 
-def encode(known: Knowledge) -> bytes:
+def encode(known: WarmState) -> bytes:
     return msgspec.json.encode(known)
 
 
-def decode(data: bytes) -> Knowledge:
+def decode(data: bytes) -> WarmState:
     """Raises ValueError for what is not whole, not well formed, or of another version."""
-    if len(data) > MOST_BYTES:
-        raise ValueError(f"more than {MOST_BYTES} bytes")
-    return msgspec.json.decode(data, type=Knowledge)
+    if len(data) > MAX_ENCODED_BYTES:
+        raise ValueError(f"more than {MAX_ENCODED_BYTES} bytes")
+    return msgspec.json.decode(data, type=WarmState)
 
 
-def give(gateway: Gateway, known: Knowledge, now: float, monotonic: float | None = None) -> None:
+def restore(gateway: Gateway, known: WarmState, now: float, monotonic: float | None = None) -> None:
     """Put it into decisions that have heard of the servers and of no request yet.
 
     Raises ValueError, with nothing changed, if it is too old or of other plans. Nobody's store gets more than
@@ -120,7 +121,7 @@
     gateway.alive.add(now, max(0.0, known.alive))
     gateway.mean.update({name: known.mean[name] for name in gateway.mean if known.mean.get(name, 0.0) > 0})
     gateway.shares = list(known.shares)
-    for note in known.customers[:MOST_CUSTOMERS]:
+    for note in known.customers[:MAX_CUSTOMERS]:
         c = gateway.record(note.tag, note.plan)
         c.store.level, c.store.at = min(c.store.burst, note.level), min(now - age, now)
         c.use.value, c.use.at = max(0.0, note.use), min(now - age, now)
@@ -135,7 +136,7 @@
             server.allowance.level = min(server.allowance.burst, mark.allowance)
 
 
-def charge(gateway: Gateway, tag: int, units: float, now: float) -> None:
+def charge_usage(gateway: Gateway, tag: int, units: float, now: float) -> None:
     """The other process of this gateway used `units` of a customer's since it handed on what it knew.
 
     It has told the customer's home itself; here only this view of the store, and of its use, is lowered.
--- a/mapleshunt/net/admin/endpoint.py
+++ b/mapleshunt/net/admin/endpoint.py
@@ -20,26 +20,28 @@
 from ..protocol import http
 from ..protocol.read_buffer import ReadBuffer, TooLong
 
-CALLERS = 16  # connections held at once
-DESCRIPTORS = CALLERS + 1  # that it may hold in all
+MAX_CONNECTIONS = 16  # connections held at once
+DESCRIPTORS = MAX_CONNECTIONS + 1  # that it may hold in all
 PATIENCE = 6.0  # s that a caller may take for its call
 LINGER = 0.5  # s for which a caller that has its answer may end the connection itself
 BACKLOG = 64
 
 
 @dataclass(slots=True, frozen=True)
-class Reply:
+class AdminResponse:
     status: int
     body: str = ""
 
 
-class Door:
+class AdminEndpoint:
     """Answers calls with what `call(method, path)` returns."""
 
-    def __init__(self, listen: Address, call: Callable[[str, str], Reply], counters: Counters) -> None:
+    def __init__(
+        self, listen: Address, call: Callable[[str, str], AdminResponse], counters: Counters
+    ) -> None:
         """Raises OSError if the address cannot be had."""
         self.call, self.counters = call, counters
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        self.callers: dict[AdminConnection, None] = {}  # the oldest first
         self.listener = bound(listen)
         self.acceptor = Acceptor(self.listener, self._take, counters, "door_")
 
@@ -48,10 +50,10 @@
         self.acceptor.start()
 
     def _take(self, connection: socket.socket) -> None:
-        if len(self.callers) >= CALLERS:
+        if len(self.callers) >= MAX_CONNECTIONS:
             waiting = (one for one in self.callers if not one.answered)
             next(waiting, next(iter(self.callers))).end("made_room")
-        caller = Caller(IOStream(connection, max_buffer_size=2 * http.MAX_HEAD), self)
+        caller = AdminConnection(IOStream(connection, max_buffer_size=2 * http.MAX_HEAD), self)
         self.callers[caller] = None
         caller.task = asyncio.get_running_loop().create_task(caller.run())
 
@@ -62,10 +64,10 @@
             caller.end("shutdown")
 
 
-class Caller:
+class AdminConnection:
     """One connection to the door."""
 
-    def __init__(self, stream: IOStream, door: Door) -> None:
+    def __init__(self, stream: IOStream, door: AdminEndpoint) -> None:
         self.stream, self.door = stream, door
         self.answered, self.said = False, "none"
         self.task: asyncio.Task[None] | None = None
@@ -93,14 +95,14 @@
             log.trouble("door_exception")
         self.end(reason)
 
-    async def _reply(self) -> Reply:
+    async def _reply(self) -> AdminResponse:
         buffer = ReadBuffer(http.MAX_HEAD)
         try:
             while not (found := http.parse_request(buffer.data, buffer.start, buffer.end)):
                 await buffer.fill(self.stream)
         except (http.ProtocolError, TooLong) as error:
             self.door.counters.add("door_malformed")
-            return Reply(400, f"{error}\n")
+            return AdminResponse(400, f"{error}\n")
         self.said = f"{found.method} {found.path}"
         self.door.counters.add("door_calls")
         try:
@@ -108,7 +110,7 @@
         except Exception:
             self.door.counters.add("exceptions")
             log.trouble("door_exception", call=self.said)
-            return Reply(500, "failed\n")
+            return AdminResponse(500, "failed\n")
 
     def end(self, reason: str) -> None:
         if self in self.door.callers:
--- a/mapleshunt/net/blocking.py
+++ b/mapleshunt/net/blocking.py
@@ -11,7 +11,7 @@
 Result = TypeVar("Result")
 
 
-async def in_thread(call: Callable[[], Result]) -> Result:
+async def run_in_thread(call: Callable[[], Result]) -> Result:
     """What the call returns, or raises. Cancelled, it leaves the call to its end, which nobody is told of.
 
     The thread is a daemon: a call that never returns does not hold up the end of the process, as one in the
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -12,7 +12,7 @@
 
 from ..platform_terms import settings_of
 from ..policy import interface as i
-from ..transient_errors import may_pass
+from ..transient_errors import is_transient
 
 Address = tuple[str, int]
 SEED_BITS = 64
@@ -133,7 +133,7 @@
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as error:
-        passes = isinstance(error, OSError) and may_pass(error)
+        passes = isinstance(error, OSError) and is_transient(error)
         kind = ConfigUnreadable if passes else ConfigError
         raise kind(f"the configuration cannot be read: {error}") from None
     return parse(text, env)
--- a/mapleshunt/net/hot_restart/handover.py
+++ b/mapleshunt/net/hot_restart/handover.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from ...lifecycle.warm_state import MOST_BYTES
+from ...lifecycle.warm_state import MAX_ENCODED_BYTES
 
 READY = b"ready"
 
@@ -94,25 +94,25 @@
     def _read(path: Path) -> bytes | None:
         try:
             with path.open("rb") as file:
-                return file.read(MOST_BYTES + 1)
+                return file.read(MAX_ENCODED_BYTES + 1)
         except OSError:
             return None
 
     # Whom there is
 
-    def others(self) -> tuple[list[int], list[int]]:
+    def other_processes(self) -> tuple[list[int], list[int]]:
         """Processes that are alive: the older and the newer ones, the newest first."""
         numbers = sorted(self._numbers(), reverse=True)
         living = [one for one in numbers if one != self.number and self._alive(one)]
         return [one for one in living if one < self.number], [one for one in living if one > self.number]
 
-    def before(self) -> list[int]:
-        return self.others()[0]
+    def older_processes(self) -> list[int]:
+        return self.other_processes()[0]
 
-    def after(self) -> list[int]:
-        return self.others()[1]
+    def newer_processes(self) -> list[int]:
+        return self.other_processes()[1]
 
-    def ready(self) -> None:
+    def mark_ready(self) -> None:
         """This process takes clients from now on."""
         os.pwrite(self.lock, READY, 0)
 
@@ -121,20 +121,20 @@
 
     # What passes between them
 
-    def hand_on(self, to: int, data: bytes) -> None:
+    def write_warm_state(self, to: int, data: bytes) -> None:
         self._write(self._knowledge(to, self.number), data)
 
-    def handed(self, source: int) -> bytes | None:
+    def take_warm_state(self, source: int) -> bytes | None:
         """What `source` handed on to this process, once."""
         path = self._knowledge(self.number, source)
         data = self._read(path)
         path.unlink(missing_ok=True)
         return data
 
-    def use(self, to: int, units: dict[int, float]) -> None:
+    def write_usage(self, to: int, units: dict[int, float]) -> None:
         self._write(self._used(to, self.number), msgspec.json.encode(units))
 
-    def used(self, source: int) -> dict[int, float]:
+    def read_usage(self, source: int) -> dict[int, float]:
         """Units by customer that `source` used since; empty if it has told none, or what makes no sense."""
         data = self._read(self._used(self.number, source))
         try:
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -10,7 +10,7 @@
 import time
 from pathlib import Path
 
-from ...lifecycle import warm_state as knowledge
+from ...lifecycle import warm_state
 from ...policy import interface as i
 from ...policy.gossip_codec import tag_of
 from .. import log
@@ -27,7 +27,7 @@
     return time.monotonic() * 1000
 
 
-class Succession:
+class Takeover:
     def __init__(self, folder: Path, name: str, driver: Driver, counters: Counters) -> None:
         """Raises OSError if the folder cannot be written to."""
         self.driver, self.counters = driver, counters
@@ -50,12 +50,12 @@
 
     async def _receive(self) -> None:
         end = asyncio.get_running_loop().time() + WAIT
-        while (older := self.handover.before()) and asyncio.get_running_loop().time() < end:
-            if (data := self.handover.handed(older[0])) is not None:
+        while (older := self.handover.older_processes()) and asyncio.get_running_loop().time() < end:
+            if (data := self.handover.take_warm_state(older[0])) is not None:
                 return self._take_over(older[0], data)
             await asyncio.sleep(LOOK)
         for source in older:  # the newest does not answer; one before it may have
-            if (data := self.handover.handed(source)) is not None:
+            if (data := self.handover.take_warm_state(source)) is not None:
                 return self._take_over(source, data)
         if older:
             log.say("knowledge_missing", source=older[0])
@@ -63,8 +63,8 @@
     def _take_over(self, source: int, data: bytes) -> None:
         self.sources[source] = {}
         try:
-            known = knowledge.decode(data)
-            knowledge.give(self.driver.gateway, known, self.driver.now(), monotonic_ms())
+            known = warm_state.decode(data)
+            warm_state.restore(self.driver.gateway, known, self.driver.now(), monotonic_ms())
         except ValueError as error:  # of another version, or spoilt: it starts as one that was killed does
             self.counters.add("knowledge_refused")
             log.say("knowledge_refused", source=source, why=error)
@@ -81,7 +81,7 @@
     def _announce(self) -> None:
         if self.takes_clients and not self.announced:
             try:
-                self.handover.ready()
+                self.handover.mark_ready()
                 self.announced = True
             except OSError as error:
                 self._failed(error)
@@ -93,9 +93,9 @@
     def _charge(self, alive: list[int]) -> None:
         for source, charged in list(self.sources.items()):
             ended = source not in alive
-            for tag, units in self.handover.used(source).items():
+            for tag, units in self.handover.read_usage(source).items():
                 if (more := units - charged.get(tag, 0.0)) > 0:
-                    knowledge.charge(self.driver.gateway, tag, more, self.driver.now())
+                    warm_state.charge_usage(self.driver.gateway, tag, more, self.driver.now())
                     charged[tag] = units
             if ended:  # what it told last has been read
                 del self.sources[source]
@@ -105,19 +105,19 @@
     def succeeded(self) -> bool:
         """Does a newer process take the clients by now? If that cannot be looked up, none does."""
         try:
-            return any(self.handover.is_ready(one) for one in self.handover.after())
+            return any(self.handover.is_ready(one) for one in self.handover.newer_processes())
         except OSError as error:
             self._failed(error)
             return False
 
     def _sent(self, request: i.Request) -> None:
         tag = tag_of(request.customer)
-        if tag in self.units or len(self.units) < knowledge.MOST_CUSTOMERS:
+        if tag in self.units or len(self.units) < warm_state.MAX_CUSTOMERS:
             self.units[tag] = self.units.get(tag, 0.0) + request.units
 
     def _hand_on(self, to: int) -> None:
-        data = knowledge.encode(knowledge.taken(self.driver.gateway, self.driver.now(), monotonic_ms()))
-        self.handover.hand_on(to, data)
+        data = warm_state.encode(warm_state.capture(self.driver.gateway, self.driver.now(), monotonic_ms()))
+        self.handover.write_warm_state(to, data)
         self.to, self.units, self.written = to, {}, {}
         self.driver.sent = self._sent
         log.say("handed_on", to=to, bytes=len(data))
@@ -126,7 +126,7 @@
         """Look for other processes, hand on and take over. Called many times a second."""
         self._announce()
         try:
-            older, newer = self.handover.others()
+            older, newer = self.handover.other_processes()
             self.together = bool(older or newer)
             self._charge(older)
             if newer and newer[0] != self.to and working:
@@ -135,7 +135,7 @@
                 log.say("successor_gone", was=self.to)
                 self.to, self.driver.sent = None, None
             if self.to is not None and self.units != self.written:
-                self.handover.use(self.to, self.units)
+                self.handover.write_usage(self.to, self.units)
                 self.written = dict(self.units)
         except OSError as error:  # no room: the two go on as if each were alone
             self._failed(error)
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -23,10 +23,10 @@
 from ..settings.operators import Maintenance as Section
 from . import log
 from .counters import Counters
-from .periodic import Periodic
-from .replication.group_host import AWAY
-from .replication.host import Copies
-from .replication.own_calls import OPEN_RETRY_DELAY_S
+from .periodic import PeriodicTask
+from .replication.group_host import EVACUATED_PREFIX
+from .replication.host import ReplicationHost
+from .replication.local_calls import OPEN_RETRY_DELAY_S
 
 EVERY = 0.2  # s between two looks
 IDLE = 1.0  # s between two questions while no work is asked for
@@ -49,14 +49,14 @@
     done: Callable[[h.Result], None]
 
 
-class Line:
+class ProposalSession:
     """One operation at a time, each sent until it is answered, by a session of its own at one group.
 
     A group may forget a session that is silent for long: another is begun, and the operation sent again. All
     of them may be done twice: they are fenced, bound to a version, or set what is set already.
     """
 
-    def __init__(self, copies: Copies, group: int) -> None:
+    def __init__(self, copies: ReplicationHost, group: int) -> None:
         self.copies, self.group = copies, group
         self.number = self.call = 0
         self.next = 0.0  # s, when the operation that is out is sent again
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hands:
+class GatewayControls:
     """What a gateway lets be done to it: `sees` tells open requests, client connections, and whether it takes
     no clients; `load` its part of what it can do.
     """
@@ -122,11 +122,13 @@
     load: Callable[[], float]
 
 
-class Maintenance:
-    def __init__(self, copies: Copies, section: Section, hands: Hands, counters: Counters) -> None:
+class MaintenanceHost:
+    def __init__(
+        self, copies: ReplicationHost, section: Section, hands: GatewayControls, counters: Counters
+    ) -> None:
         self.copies, self.section, self.hands, self.counters = copies, section, hands, counters
         self.holder = Holder()
-        self.lines: dict[int, Line] = {}
+        self.lines: dict[int, ProposalSession] = {}
         self.place: w.Place | None = None
         self.known = self.long = self.some = False  # is it known, for long work, and is there work at all
         self.asked = self.saw = float("-inf")
@@ -135,7 +137,7 @@
         self.said = ""
         self.statuses: dict[str, tuple[float, Mapping[str, Any]]] = {}
         copies.serves = self.serves
-        self.tick = Periodic(self._tick, EVERY, counters.add)
+        self.tick = PeriodicTask(self._tick, EVERY, counters.add)
 
     def start(self) -> None:
         self.tick.start()
@@ -157,9 +159,9 @@
     def _budget_set(self, result: h.Result) -> None:
         log.say("maintenance_budget", result=type(result).__name__, why=getattr(result, "why", ""))
 
-    def line(self, group: int) -> Line:
+    def line(self, group: int) -> ProposalSession:
         if group not in self.lines:
-            self.lines[group] = Line(self.copies, group)
+            self.lines[group] = ProposalSession(self.copies, group)
         return self.lines[group]
 
     def _tick(self) -> None:
@@ -231,7 +233,7 @@
 
     def _mark(self, value: str, before: str) -> None:
         """Let groups leave this gateway, or come back, where the mark is still as it was `before`."""
-        key = f"{AWAY}{self.copies.name}"
+        key = f"{EVACUATED_PREFIX}{self.copies.name}"
         for group in range(self.copies.section.groups):
             if not self.line(group).busy():
                 self.copies.call(
--- a/mapleshunt/net/periodic.py
+++ b/mapleshunt/net/periodic.py
@@ -12,7 +12,7 @@
 from . import log
 
 
-class Periodic:
+class PeriodicTask:
     """Calls `work` every `interval` s between `start` and `stop`; missed times are skipped."""
 
     def __init__(
@@ -20,12 +20,12 @@
         work: Callable[[], object],
         interval: float,
         count: Callable[[str], None] = lambda name: None,
-        late: Callable[[float], object] = lambda seconds: None,
+        on_late: Callable[[float], object] = lambda seconds: None,
     ) -> None:
-        """`count` adds one to a counter by its name: to `exceptions`, when the work raises one. `late` is
-        told by how many s each call is later than it should be.
+        """`count` adds one to a counter by its name: to `exceptions`, when the work raises one. `on_late`
+        receives by how many s each call is later than it should be.
         """
-        self.work, self.interval, self.count, self.late = work, interval, count, late
+        self.work, self.interval, self.count, self.on_late = work, interval, count, on_late
         self.timer: asyncio.TimerHandle | None = None
         self.due_at = 0.0  # s, on the loop's clock
 
@@ -48,7 +48,7 @@
         self.timer = loop.call_later(self.interval, self._due)
 
     def _due(self) -> None:
-        self.late(asyncio.get_running_loop().time() - self.due_at)
+        self.on_late(asyncio.get_running_loop().time() - self.due_at)
         self._schedule()  # before the work, which may stop it
         try:
             self.work()
--- a/mapleshunt/net/replication/links.py
+++ b/mapleshunt/net/replication/connections.py
@@ -29,10 +29,10 @@
 ROOM = wire.MOST_FRAME + wire.HEAD.size
 
 
-class Link:
+class PeerConnection:
     """One connection, to a gateway or from a client."""
 
-    def __init__(self, links: Links, stream: IOStream, dialled: str = "") -> None:
+    def __init__(self, links: PeerConnections, stream: IOStream, dialled: str = "") -> None:
         self.links, self.stream, self.dialled = links, stream, dialled
         self.hello: wire.Hello | None = None
         self.waiting: list[tuple[int, Message]] = []
@@ -118,7 +118,7 @@
             waiting = waiting[count:]
 
 
-class Links:
+class PeerConnections:
     """All of a gateway's. `heard(hello, group, message)` takes messages, `called(link, frame)` calls,
     `replied(reply)` what answers its own, and `met(hello)` whoever has come, before anything else of theirs.
     """
@@ -131,7 +131,7 @@
         peers: Mapping[str, Address],
         greeting: Callable[[], wire.Hello],
         heard: Callable[[wire.Hello, int, Message], None],
-        called: Callable[[Link, wire.Call | wire.Ask], None],
+        called: Callable[[PeerConnection, wire.Call | wire.Ask], None],
         replied: Callable[[wire.Reply], None],
         met: Callable[[wire.Hello], None],
         counters: Counters,
@@ -142,8 +142,8 @@
         self.greeting, self.heard, self.called = greeting, heard, called
         self.replied, self.told_met = replied, met
         self.counters, self.chance = counters, chance
-        self.links: dict[str, Link] = {}  # by gateway, greeted
-        self.strangers: dict[Link, None] = {}
+        self.links: dict[str, PeerConnection] = {}  # by gateway, greeted
+        self.strangers: dict[PeerConnection, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.flushing = False
         self.listener = bound(listen)
@@ -164,7 +164,7 @@
     def _take(self, connection: socket.socket) -> None:
         if len(self.strangers) >= MOST_STRANGERS:
             next(iter(self.strangers)).stream.close()
-        link = Link(self, IOStream(connection, max_write_buffer_size=MOST_UNSENT))
+        link = PeerConnection(self, IOStream(connection, max_write_buffer_size=MOST_UNSENT))
         self.strangers[link] = None
         self._task(self._run(link))
 
@@ -177,7 +177,7 @@
                 stream = IOStream(socket.socket(family), max_write_buffer_size=MOST_UNSENT)
                 async with asyncio.timeout(GREETING):
                     await stream.connect(self.peers[peer])
-                await self._run(Link(self, stream, peer))
+                await self._run(PeerConnection(self, stream, peer))
             except (OSError, StreamClosedError, TimeoutError):
                 if stream is not None:
                     stream.close()
@@ -188,7 +188,7 @@
             failures = 0 if lasted > GREETING else min(failures + 1, 10)
             await asyncio.sleep(self.chance.uniform(0.0, min(AGAIN[1], AGAIN[0] * 2**failures)))
 
-    async def _run(self, link: Link) -> None:
+    async def _run(self, link: PeerConnection) -> None:
         reason = await link.run()
         self.strangers.pop(link, None)
         peer = link.hello.name if link.hello is not None and link.hello.incarnation else ""
@@ -197,7 +197,7 @@
         if peer or reason != "closed":
             log.say("link_ended", peer=peer or "none", reason=reason)
 
-    def met(self, link: Link) -> None:
+    def met(self, link: PeerConnection) -> None:
         hello = link.hello
         assert hello is not None
         if not hello.incarnation:
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -18,12 +18,14 @@
 from ...replication import wire
 from ...replication.node import Node
 from .. import log
-from .links import Link
+from .connections import PeerConnection
 
 if TYPE_CHECKING:
-    from .host import Copies
+    from .host import ReplicationHost
 
-AWAY = "copies/away/"  # and a gateway: a record of the group, "1" where that gateway is to hold none of it
+EVACUATED_PREFIX = (
+    "copies/away/"  # and a gateway: a record of the group, "1" where that gateway is to hold none of it
+)
 
 
 class LocalConnection:
@@ -40,7 +42,7 @@
 class GroupHost:
     """One group's copy on this gateway."""
 
-    def __init__(self, copies: Copies, group: int, stored: m.Stored) -> None:
+    def __init__(self, copies: ReplicationHost, group: int, stored: m.Stored) -> None:
         self.copies, self.group = copies, group
         self.holdings = Holdings()
         self.holdings.thaw(stored.snapshot.data)
@@ -48,7 +50,7 @@
         self.node = Node(copies.me, stored, copies.timing, copies.chance.getrandbits(32), now)
         self.timer: asyncio.TimerHandle | None = None
         self.due = float("inf")
-        self.calls: dict[int, tuple[Link | LocalConnection, wire.Call]] = {}
+        self.calls: dict[int, tuple[PeerConnection | LocalConnection, wire.Call]] = {}
         self.begun = False  # it takes part; before that it neither hears nor says anything
         self.seen: Any = None  # the records that `left` was read from
         self.left: set[str] = set()
@@ -64,8 +66,8 @@
         """Gateways that operators want it to leave."""
         if self.seen is not self.holdings.records:  # persistent: another one if anything changed
             self.seen = self.holdings.records
-            marked = (key for key, one in self.seen.items() if key.startswith(AWAY) and one.value)
-            self.left = {key.removeprefix(AWAY) for key in marked}
+            marked = (key for key, one in self.seen.items() if key.startswith(EVACUATED_PREFIX) and one.value)
+            self.left = {key.removeprefix(EVACUATED_PREFIX) for key in marked}
         return self.left
 
     def step(self, event: m.Event) -> None:
@@ -167,8 +169,8 @@
                 how, data = "unknown", b""
             link.write(wire.Reply(asked.number, how, hint, data))
 
-    def called(self, link: Link | LocalConnection, call: wire.Call) -> None:
-        number = self.copies.own_calls.number()
+    def called(self, link: PeerConnection | LocalConnection, call: wire.Call) -> None:
+        number = self.copies.local_calls.number()
         self.calls[number] = (link, call)
         if call.command:
             self.step(m.Propose(number, call.command))
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -23,13 +23,13 @@
 from ...settings.operators import Copies as Section
 from ...storage.durable_store import Disk, StoreError, StoreInUse, StoreUnavailable
 from ...storage.writer import Writer
-from ...transient_errors import may_pass
+from ...transient_errors import is_transient
 from .. import log
 from ..config import Address, ConfigError, address
 from ..counters import Counters
+from .connections import PeerConnection, PeerConnections
 from .group_host import GroupHost, LocalConnection
-from .links import Link, Links
-from .own_calls import OwnCalls
+from .local_calls import LocalCalls
 
 TEND = 0.25  # of an election's timeout: how often membership and forming are looked at
 GRACE = 3.0  # elections that a start waits for the other voters to greet: one may know of a later life
@@ -37,23 +37,23 @@
 MOST_MOVES = 2  # groups led here that are sent to another copy at a time
 
 
-class HeldElsewhere(ConfigError):
+class ReplicationInUseError(ConfigError):
     """Another process has the store or the address of this gateway's replicas."""
 
 
 def open_store(section: Section, name: str) -> Disk:
-    """Open and check the store, which blocks. Raises `ConfigError`, `HeldElsewhere` among them, and
+    """Open and check the store, which blocks. Raises `ConfigError`, `ReplicationInUseError` among them, and
     `StoreUnavailable` where another attempt may succeed.
     """
     try:
         return Disk(Path(section.folder.replace("{name}", name)), section.fleet, name)
     except StoreInUse as error:
-        raise HeldElsewhere(f"copies: {error}") from None
+        raise ReplicationInUseError(f"copies: {error}") from None
     except StoreError as error:
         raise ConfigError(f"copies: {error}") from None
 
 
-class Copies:
+class ReplicationHost:
     @staticmethod
     def check(section: Section, name: str) -> dict[str, Address]:
         """The addresses of all gateways. Raises `ConfigError`."""
@@ -63,12 +63,12 @@
         return addresses
 
     def __init__(self, section: Section, name: str, disk: Disk, counters: Counters, seed: int) -> None:
-        """Takes the address, and closes the disk if it cannot. Raises `ConfigError`, `HeldElsewhere` among
-        them, and `StoreUnavailable` where another attempt may succeed.
+        """Takes the address, and closes the disk if it cannot. Raises `ConfigError`, `ReplicationInUseError`
+        among them, and `StoreUnavailable` where another attempt may succeed.
         """
         self.section, self.name, self.counters = section, name, counters
         self.chance = random.Random(seed)
-        self.own_calls = OwnCalls()
+        self.local_calls = LocalCalls()
         self.zones = {one.name: one.zone for one in section.peer}
         addresses = self.check(section, name)
         election = section.election_ms / 1000
@@ -77,16 +77,16 @@
         if self.disk.set_aside:
             log.say("copies_disk_damaged", set_aside=self.disk.set_aside, incarnation=self.disk.incarnation)
         try:
-            self.links = Links(
+            self.links = PeerConnections(
                 section.fleet, name, addresses[name], {k: v for k, v in addresses.items() if k != name},
-                self.greeting, self._heard, self._called, self.own_calls.reply, self._met, counters,
+                self.greeting, self._heard, self._called, self.local_calls.reply, self._met, counters,
                 self.chance,
             )  # fmt: skip
         except OSError as error:
             self.disk.close()
-            if may_pass(error):
+            if is_transient(error):
                 raise StoreUnavailable(f"cannot listen: {error}") from None
-            kind = HeldElsewhere if error.errno == errno.EADDRINUSE else ConfigError
+            kind = ReplicationInUseError if error.errno == errno.EADDRINUSE else ConfigError
             raise kind(f"copies: cannot listen: {error}") from None
         self.known, self.formed = dict(self.disk.known), self.disk.formed
         self.generations = dict(self.disk.generations)
@@ -96,7 +96,7 @@
         self.present: set[str] = set()  # other gateways that are here
         self.patience = Patience(section.replace_after_s, section.settle_after_s)
         self.ended = self.renewing = False
-        self.here = LocalConnection(self.own_calls.reply)
+        self.here = LocalConnection(self.local_calls.reply)
         self.led: dict[int, str] = {}  # by group: who was last told to lead, of groups without a copy here
         self.serves: Callable[[], dict[str, Any]] = dict  # how the gateway does, for its status
 
@@ -109,7 +109,7 @@
 
     def session_name(self, purpose: str) -> str:
         """A name for a session, which none has had before, of this process or another."""
-        number = self.own_calls.number()
+        number = self.local_calls.number()
         return f"{self.me}.{self.disk.boot}.{purpose}{number}"
 
     def start(self) -> None:
@@ -222,7 +222,7 @@
         known, formed = dict(self.known), self.formed
         self.writer.call(lambda: self.disk.know(known, formed))
 
-    # Links
+    # Connections
 
     def send(self, group: int, to: m.Copy, message: m.Message) -> None:
         gateway, _, incarnation = to.rpartition("/")
@@ -300,7 +300,7 @@
         else:
             host.step(m.Heard(f"{hello.name}/{hello.incarnation}", message))
 
-    def _called(self, link: Link | LocalConnection, frame: wire.Call | wire.Ask) -> None:
+    def _called(self, link: PeerConnection | LocalConnection, frame: wire.Call | wire.Ask) -> None:
         if isinstance(frame, wire.Ask):
             link.write(wire.Reply(frame.number, *self._asked(frame)))
             return
@@ -319,13 +319,13 @@
         self, group: int, command: bytes, to: str, done: Callable[[wire.Reply], None], read: str = ""
     ) -> int:
         """Through that gateway; `done` is told of its reply, if one comes. The number, to stop waiting."""
-        number = self.own_calls.begin(self.now(), done)
+        number = self.local_calls.begin(self.now(), done)
         self._send_call(wire.Call(number, group, command, read), to)
         return number
 
     def ask(self, to: str, what: str, done: Callable[[wire.Reply], None]) -> int:
         """What operators ask, of another gateway."""
-        number = self.own_calls.begin(self.now(), done)
+        number = self.local_calls.begin(self.now(), done)
         self._send_call(wire.Ask(number, what), to)
         return number
 
@@ -337,7 +337,7 @@
 
     def abandon(self, call: int) -> None:
         """Wait no longer for the reply to a call of this gateway's own."""
-        self.own_calls.abandon(call)
+        self.local_calls.abandon(call)
 
     def learn(self, group: int, reply: wire.Reply) -> None:
         """A call was refused: go where the reply points, or anywhere."""
@@ -443,7 +443,7 @@
         if step is not None and step.how == "transfer":
             host.step(m.Transfer(step.copy))
         elif step is not None:
-            host.step(m.Change(self.own_calls.number(), step.how, step.copy))
+            host.step(m.Change(self.local_calls.number(), step.how, step.copy))
 
     def _copy_of(self, gateway: str) -> m.Copy | None:
         hello = self.links.here(gateway)
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -15,10 +15,10 @@
 from ...replication.placement import group_of
 from .. import log
 from ..counters import Counters
-from ..periodic import Periodic
+from ..periodic import PeriodicTask
 from ..policy_driver import Driver
-from .host import Copies
-from .own_calls import OPEN_RETRY_DELAY_S
+from .host import ReplicationHost
+from .local_calls import OPEN_RETRY_DELAY_S
 
 TERM, LONGEST = 2000.0, 10_000.0  # ms of a lease
 HOLD = 100.0  # ms that a request waits at most for a lease that is being asked for
@@ -42,7 +42,7 @@
 class Session:
     """This gateway's operations at one group, each by a number of its own."""
 
-    def __init__(self, leases: Leases, group: int) -> None:
+    def __init__(self, leases: LeaseClient, group: int) -> None:
         self.leases, self.group = leases, group
         self.name = leases.copies.session_name("lease")
         self.number, self.hint = 0, ""
@@ -121,8 +121,8 @@
         return [one.ask for one in operations.values() if one.ask is not None]
 
 
-class Leases:
-    def __init__(self, copies: Copies, driver: Driver, counters: Counters) -> None:
+class LeaseClient:
+    def __init__(self, copies: ReplicationHost, driver: Driver, counters: Counters) -> None:
         self.copies, self.driver, self.counters = copies, driver, counters
         self.leaser = Leaser(TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         # By customer, in their order: until when, which request, and what it needs.
@@ -131,7 +131,7 @@
         self.sessions: dict[int, Session] = {}
         self.sound = True  # some group answers
         driver.asked = self._asked
-        self.tick = Periodic(self._tick, EVERY / 1000, counters.add)
+        self.tick = PeriodicTask(self._tick, EVERY / 1000, counters.add)
 
     def start(self) -> None:
         self.tick.start()
--- a/mapleshunt/net/replication/own_calls.py
+++ b/mapleshunt/net/replication/local_calls.py
@@ -16,18 +16,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OwnCall:
+class PendingCall:
     """A call that is not answered yet."""
 
     replied: Replied
     deadline: float  # s
 
 
-class OwnCalls:
+class LocalCalls:
     """By number. Numbers are not used again while this process lives."""
 
     def __init__(self) -> None:
-        self._open: dict[int, OwnCall] = {}  # the oldest first
+        self._open: dict[int, PendingCall] = {}  # the oldest first
         self._last = 0
 
     def number(self) -> int:
@@ -39,7 +39,7 @@
         """The number of a new call, whose reply goes to `replied` if it comes in time."""
         self._expire(now)
         number = self.number()
-        self._open[number] = OwnCall(replied, now + CALL_TIMEOUT_S)
+        self._open[number] = PendingCall(replied, now + CALL_TIMEOUT_S)
         return number
 
     def abandon(self, number: int) -> None:
--- a/mapleshunt/net/startup.py
+++ b/mapleshunt/net/startup.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from ..transient_errors import may_pass
+from ..transient_errors import is_transient
 from . import log
 from .counters import Counters
 
@@ -16,7 +16,7 @@
 Made = TypeVar("Made")
 
 
-class StartSteps:
+class StartupSteps:
     """The steps of one start, which share `START_TIMEOUT_S`."""
 
     def __init__(self, counters: Counters) -> None:
@@ -33,7 +33,7 @@
                 return step()
             except OSError as error:
                 late = asyncio.get_running_loop().time() > self.deadline
-                if late or not may_pass(error):
+                if late or not is_transient(error):
                     raise
                 self.counters.add("start_retries")
                 log.say("start_retried", step=name, why=error)
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ..net import log
-from ..net.periodic import Periodic
+from ..net.periodic import PeriodicTask
 from ..policy import interface as i
 from .file_format import (
     BLOCK,
@@ -43,7 +43,7 @@
         self.held, self.first = 0, 0.0
         self.hashes: dict[str, bytes] = {}
         self.number = self._open(settings, now)
-        self.flushing = Periodic(self.flush, FLUSH)
+        self.flushing = PeriodicTask(self.flush, FLUSH)
 
     def _open(self, settings: i.Settings, now: float) -> int:
         """Go on in a recording of the same shape, or begin one. The number of the next block."""
--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -12,7 +12,7 @@
 
 from ..maintenance.commands import Budget
 from ..maintenance.state import contradiction
-from ..transient_errors import may_pass
+from ..transient_errors import is_transient
 from .reader import SettingsError, parse
 from .schema import whole
 
@@ -114,7 +114,7 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        if isinstance(error, OSError) and may_pass(error):
+        if isinstance(error, OSError) and is_transient(error):
             raise
         raise SettingsError(str(path), 1, 1, f"cannot be read: {error}") from None
     return check(text, str(path))
--- a/mapleshunt/storage/durable_store.py
+++ b/mapleshunt/storage/durable_store.py
@@ -23,7 +23,7 @@
 import xxhash
 
 from ..replication import messages as m
-from ..transient_errors import may_pass
+from ..transient_errors import is_transient
 from .read_errors import ReadErrorVFS
 
 FORMAT = 1
@@ -67,7 +67,7 @@
 def may_succeed_later(error: Exception) -> bool:
     """Is it an error of the disk that may be gone at the next attempt?"""
     if isinstance(error, OSError):
-        return may_pass(error)
+        return is_transient(error)
     return isinstance(error, (*PASSING_SQLITE_ERRORS, MemoryError))
 
 
--- a/mapleshunt/transient_errors.py
+++ b/mapleshunt/transient_errors.py
@@ -4,7 +4,7 @@
 
 import errno
 
-PASSING_ERRORS = frozenset(
+TRANSIENT_ERRNOS = frozenset(
     {
         errno.EAGAIN,
         errno.EDQUOT,
@@ -19,6 +19,6 @@
 )
 
 
-def may_pass(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Is it worth trying again in a moment?"""
-    return error.errno in PASSING_ERRORS
+    return error.errno in TRANSIENT_ERRNOS
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -53,11 +53,13 @@
 
 def test_answers_beside_callers_that_hold_on(gateway: Gateway) -> None:
     held = []
-    for number in range(3 * door.CALLERS):
+    for number in range(3 * door.MAX_CONNECTIONS):
         held.append(socket.create_connection(gateway.door, timeout=20))
         held[-1].sendall(b"GET /_va"[: number % 9])
     assert gateway.call("GET", "/_ready")[0] == 200
-    assert sum(one.recv(1) == b"" for one in held[: 2 * door.CALLERS]) == 2 * door.CALLERS  # made room
+    assert (
+        sum(one.recv(1) == b"" for one in held[: 2 * door.MAX_CONNECTIONS]) == 2 * door.MAX_CONNECTIONS
+    )  # made room
     held[-1].sendall(b"GET /_ready HTTP/1.1\r\n\r\n"[len(held) % 9 - 1 :])  # the newest may still call
     for one in held:
         one.close()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -25,7 +25,7 @@
     Timer,
 )
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.periodic import Periodic
+from mapleshunt.net.periodic import PeriodicTask
 from mapleshunt.net.policy_driver import GUARD, Driver
 from mapleshunt.net.protocol.command_protocol import SvcMessage
 from mapleshunt.net.request import respond as relay
@@ -276,8 +276,8 @@
 def test_a_loop_that_was_held_up_is_told_by_how_much() -> None:
     async def run() -> list[float]:
         late: list[float] = []
-        work = Periodic(lambda: time.sleep(0.1) if len(late) == 1 else None, 0.01, late=late.append)
-        other = Periodic(lambda: None, 0.02, late=late.append)
+        work = PeriodicTask(lambda: time.sleep(0.1) if len(late) == 1 else None, 0.01, on_late=late.append)
+        other = PeriodicTask(lambda: None, 0.02, on_late=late.append)
         work.start()
         other.start()
         while len(late) < 8:
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mapleshunt.lifecycle.figures import text_of
-from mapleshunt.lifecycle.lifecycle import EARLY, KILL, KILL_MOST, LAST_CALL, STAY, Drainer, Life
+from mapleshunt.lifecycle.lifecycle import EARLY, KILL, KILL_MOST, LAST_CALL, STAY, DrainRequester, Lifecycle
+from mapleshunt.lifecycle.statistics import text_of
 
 
 class LifeMachine(RuleBasedStateMachine):
@@ -18,9 +18,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.life, self.now = Life(), 0.0
+        self.life, self.now = Lifecycle(), 0.0
         self.story: list[tuple[str, float, bool]] = []
-        self.drainers: set[Drainer] = set()
+        self.drainers: set[DrainRequester] = set()
 
     @rule(step=st.sampled_from([0.0, 0.05, 0.3, 0.5, 1.5, 4.0]))
     def wait(self, step: float) -> None:
@@ -31,8 +31,8 @@
         if self.life.listening(self.now):
             self.story.append(("listen", self.now, False))
 
-    @rule(drainer=st.sampled_from(Drainer))
-    def drain(self, drainer: Drainer) -> None:
+    @rule(drainer=st.sampled_from(DrainRequester))
+    def drain(self, drainer: DrainRequester) -> None:
         may = self.story and self.story[-1][0] != "leave"
         assert self.life.drain(self.now, drainer) == bool(may and not self.drainers)
         if may:
@@ -40,8 +40,8 @@
                 self.story.append(("drain", self.now, False))
             self.drainers.add(drainer)
 
-    @rule(drainer=st.sampled_from(Drainer))
-    def resume(self, drainer: Drainer) -> None:
+    @rule(drainer=st.sampled_from(DrainRequester))
+    def resume(self, drainer: DrainRequester) -> None:
         last = self.drainers == {drainer} and self.story[-1][0] != "leave"
         assert self.life.resume(self.now, drainer) == last
         self.drainers.discard(drainer)
@@ -82,11 +82,11 @@
 
 
 def test_the_end_of_work_on_a_machine_does_not_end_the_operators_drain() -> None:
-    life = Life()
+    life = Lifecycle()
     life.listening(0.0)
-    assert life.drain(1.0, Drainer.OPERATORS) and not life.drain(2.0, Drainer.MAINTENANCE)
-    assert not life.resume(3.0, Drainer.MAINTENANCE) and not life.takes()
-    assert life.resume(4.0, Drainer.OPERATORS) and life.takes()
+    assert life.drain(1.0, DrainRequester.OPERATORS) and not life.drain(2.0, DrainRequester.MAINTENANCE)
+    assert not life.resume(3.0, DrainRequester.MAINTENANCE) and not life.takes()
+    assert life.resume(4.0, DrainRequester.OPERATORS) and life.takes()
 
 
 def test_every_class_has_all_its_counts() -> None:
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from mapleshunt.net.replication.group_host import GroupHost
-from mapleshunt.net.replication.host import Copies
+from mapleshunt.net.replication.host import ReplicationHost
 from mapleshunt.replication import messages as m
 
 from .test_replica_stores import NAMES, copies_in
@@ -20,7 +20,7 @@
 class Play:
     """Group 0 on gateways that begin at the same time and hear each other after the same delay."""
 
-    def __init__(self, copies: list[Copies], missing: str) -> None:
+    def __init__(self, copies: list[ReplicationHost], missing: str) -> None:
         voters = (*(one.me for one in copies), missing)
         stored = m.Stored(m.Snapshot(1, 1, 0.0, m.Members(voters), b""), term=1)
         self.nodes = {one.me: GroupHost(one, 0, stored).node for one in copies}
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -19,7 +19,7 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.replication.links import Link
+from mapleshunt.net.replication.connections import PeerConnection
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
@@ -312,13 +312,13 @@
         def greeting(self) -> wire.Hello:
             return wire.Hello("f", 1, 1, "n0", self.incarnation, 3, {}, 0)
 
-        def met(self, link: Link) -> None:
+        def met(self, link: PeerConnection) -> None:
             self.heard.append(link.hello)
 
     async def run() -> str:
         ours, theirs = socket.socketpair()
         stub = Stub()
-        link = Link(stub, IOStream(ours))  # type: ignore[arg-type]
+        link = PeerConnection(stub, IOStream(ours))  # type: ignore[arg-type]
         task = asyncio.create_task(link.run())
         await asyncio.sleep(0)
         stub.incarnation = "new"
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -16,9 +16,9 @@
 from mapleshunt import extensions
 from mapleshunt.net import config
 from mapleshunt.net.counters import Counters
+from mapleshunt.net.replication.connections import PeerConnection
 from mapleshunt.net.replication.group_host import GroupHost
-from mapleshunt.net.replication.host import Copies, open_store
-from mapleshunt.net.replication.links import Link
+from mapleshunt.net.replication.host import ReplicationHost, open_store
 from mapleshunt.replicated_state import commands as words
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
@@ -40,16 +40,16 @@
     return f"(copies {section} {more}{peers})\n"
 
 
-def copies_in(folder: Path, name: str = NAMES[0], election_ms: int = 100) -> Copies:
+def copies_in(folder: Path, name: str = NAMES[0], election_ms: int = 100) -> ReplicationHost:
     """The replication host of a gateway whose peers are not there."""
     section = operators.check(text_of(folder, election_ms=election_ms)).copies
     assert section is not None
     parsed = config.parse(json.dumps({**plain_config(), "name": name}), {})
     disk = open_store(section, parsed.name)
-    return Copies(section, parsed.name, disk, Counters(), parsed.seed)
+    return ReplicationHost(section, parsed.name, disk, Counters(), parsed.seed)
 
 
-def host_in(copies: Copies) -> GroupHost:
+def host_in(copies: ReplicationHost) -> GroupHost:
     """A replica of group 0, which has not begun; the other voters are not there."""
     members = m.Members((copies.me, "g1/1", "g2/1"))
     stored = copies.disk.create(0, m.Snapshot(1, 1, 0.0, members, b""))
@@ -115,7 +115,7 @@
     assert attempts == [False, True]
 
 
-class Client(Link):
+class Client(PeerConnection):
     """A client's connection, of which only what is written to it matters."""
 
     def __init__(self) -> None:
--- a/tests/test_second_process.py
+++ b/tests/test_second_process.py
@@ -20,11 +20,11 @@
 
 from mapleshunt import Gateway as Decisions
 from mapleshunt import Members, ServerEntry, Settings
-from mapleshunt.lifecycle import warm_state as knowledge
+from mapleshunt.lifecycle import warm_state
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.hot_restart import handover
 from mapleshunt.net.hot_restart.handover import Handover
-from mapleshunt.net.hot_restart.takeover import Succession
+from mapleshunt.net.hot_restart.takeover import Takeover
 from mapleshunt.policy.gossip_codec import tag_of
 
 from .conftest import CLASSES, PLANS
@@ -229,8 +229,8 @@
 
     def answer() -> None:
         while not done.is_set():
-            for one in older.after():
-                older.hand_on(one, data)
+            for one in older.newer_processes():
+                older.write_warm_state(one, data)
                 return
             time.sleep(0.001)
 
@@ -292,10 +292,10 @@
     customer.store.level, customer.store.at = 1.5, 1000.0
     one.servers[2].barred, one.servers[2].fails, one.servers[3].pace = 1700.0, 2, 0.7
     other = decisions(1200.0)
-    knowledge.give(other, knowledge.decode(knowledge.encode(knowledge.taken(one, 1000.0))), 1200.0)
+    warm_state.restore(other, warm_state.decode(warm_state.encode(warm_state.capture(one, 1000.0))), 1200.0)
     same = other.customers[tag_of("c")]
     assert same.store.fill(1200.0) == pytest.approx(1.7)  # one unit a second
-    knowledge.charge(other, tag_of("c"), 1.0, 1200.0)
+    warm_state.charge_usage(other, tag_of("c"), 1.0, 1200.0)
     assert same.store.fill(1200.0) == pytest.approx(0.7)
     assert (other.servers[2].barred, other.servers[2].fails, other.servers[3].pace) == (1900.0, 2, 0.7)
 
@@ -308,42 +308,44 @@
     customer.store.level, customer.store.at = 1.5, 1e12
     one.servers[2].barred = 1e12 + 700
     other = decisions(1e12 + step + 200)
-    known = knowledge.decode(knowledge.encode(knowledge.taken(one, 1e12, 50.0)))
-    knowledge.give(other, known, 1e12 + step + 200, 250.0)
+    known = warm_state.decode(warm_state.encode(warm_state.capture(one, 1e12, 50.0)))
+    warm_state.restore(other, known, 1e12 + step + 200, 250.0)
     assert other.customers[tag_of("c")].store.fill(1e12 + step + 200) == pytest.approx(1.7, abs=1e-3)
     assert other.servers[2].barred == 1e12 + step + 900
 
 
 @pytest.mark.parametrize(("late", "said"), [(20_000.0, "ago"), (-20_000.0, "ago")])
 def test_knowledge_from_another_time_is_refused(late: float, said: str) -> None:
-    known = knowledge.taken(decisions(1000.0), 1000.0)
+    known = warm_state.capture(decisions(1000.0), 1000.0)
     with pytest.raises(ValueError, match=said):
-        knowledge.give(decisions(50_000.0), known, 1000.0 + late)
+        warm_state.restore(decisions(50_000.0), known, 1000.0 + late)
 
 
 @given(st.binary(max_size=300), st.integers(0, 400))
 def test_no_bytes_are_more_than_a_value_error(noise: bytes, cut: int) -> None:
-    whole = knowledge.encode(knowledge.taken(decisions(1000.0), 1000.0))
+    whole = warm_state.encode(warm_state.capture(decisions(1000.0), 1000.0))
     for data in (noise, whole[:cut], whole[:cut] + noise):
         with contextlib.suppress(ValueError):
-            knowledge.give(decisions(1000.0), knowledge.decode(data), 1000.0)
+            warm_state.restore(decisions(1000.0), warm_state.decode(data), 1000.0)
 
 
 def test_processes_find_each_other_and_clear_up(tmp_path: Path) -> None:
     first = Handover(tmp_path, "a/b")
     second = Handover(tmp_path, "a/b")
     other = Handover(tmp_path, "c")
-    assert (first.before(), first.after(), second.before(), other.after()) == ([], [2], [1], [])
-    first.hand_on(2, b"known")
-    first.use(2, {7: 1.5})
-    assert second.handed(1) == b"known" and second.handed(1) is None and second.used(1) == {7: 1.5}
+    assert (first.older_processes(), first.newer_processes()) == ([], [2])
+    assert (second.older_processes(), other.newer_processes()) == ([1], [])
+    first.write_warm_state(2, b"known")
+    first.write_usage(2, {7: 1.5})
+    assert second.take_warm_state(1) == b"known" and second.take_warm_state(1) is None
+    assert second.read_usage(1) == {7: 1.5}
     assert not first.is_ready(2)
-    second.ready()
+    second.mark_ready()
     assert first.is_ready(2)
     first.close()
-    assert second.before() == []
+    assert second.older_processes() == []
     third = Handover(tmp_path, "a/b")
-    assert third.number == 3 and third.before() == [2]
+    assert third.number == 3 and third.older_processes() == [2]
     for one in (second, third, other):
         one.close()
     fourth = Handover(tmp_path, "a/b")
@@ -362,10 +364,10 @@
 
     with monkeypatch.context() as patched:
         patched.setattr(handover, "open", no_descriptor, raising=False)
-        assert second.before() == [1]
-    assert second.before() == [1]
+        assert second.older_processes() == [1]
+    assert second.older_processes() == [1]
     first.close()
-    assert second.before() == []
+    assert second.older_processes() == []
     second.close()
 
 
@@ -375,8 +377,8 @@
     # The word that a process takes clients now could not be written: the process ended. So it did at SIGTERM,
     # with all that was open, where the folder could not be listed.
     counters = Counters()
-    older = Succession(tmp_path, "a", cast(Any, None), counters)
-    newer = Succession(tmp_path, "a", cast(Any, None), counters)
+    older = Takeover(tmp_path, "a", cast(Any, None), counters)
+    newer = Takeover(tmp_path, "a", cast(Any, None), counters)
 
     def fails(*args: object) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -14,9 +14,9 @@
 
 from mapleshunt import Plan
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.maintenance import Line
-from mapleshunt.net.replication.leases import Leases
-from mapleshunt.net.replication.own_calls import CALL_TIMEOUT_S, OwnCalls
+from mapleshunt.net.maintenance import ProposalSession
+from mapleshunt.net.replication.leases import LeaseClient
+from mapleshunt.net.replication.local_calls import CALL_TIMEOUT_S, LocalCalls
 from mapleshunt.policy.interface import Leased, Request, Settings
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state import state_machine as state
@@ -93,7 +93,7 @@
         pass
 
 
-def want(leases: Leases, customer: str) -> None:
+def want(leases: LeaseClient, customer: str) -> None:
     """A request of that customer comes."""
     leases._asked(Request(1, "look", PLAN.name, customer, 100.0))
 
@@ -115,7 +115,7 @@
 
     async def run() -> None:
         group, decisions = Group(), Decisions()
-        leases = Leases(group, decisions, Counters())  # type: ignore[arg-type]
+        leases = LeaseClient(group, decisions, Counters())  # type: ignore[arg-type]
         leases.start()
         want(leases, CUSTOMERS[0])
         group.answer_all()  # the session is open
@@ -149,7 +149,7 @@
 
     async def run() -> None:
         group, decisions = Group(), Decisions()
-        leases = Leases(group, decisions, Counters())  # type: ignore[arg-type]
+        leases = LeaseClient(group, decisions, Counters())  # type: ignore[arg-type]
         leases.start()
         want(leases, "c0")
         group.answer_all()
@@ -179,7 +179,7 @@
 
     async def run() -> None:
         group, results = Group(), list[w.Result]()
-        line = Line(group, 0)  # type: ignore[arg-type]
+        line = ProposalSession(group, 0)  # type: ignore[arg-type]
         line.propose(w.Put("a", "1", 0), results.append)
         await until(lambda: len(results) == 1, group.answer_all)
         group.forget_sessions()
@@ -200,7 +200,7 @@
 
     async def run() -> None:
         group, decisions = Group(), Decisions()
-        leases = Leases(group, decisions, Counters())  # type: ignore[arg-type]
+        leases = LeaseClient(group, decisions, Counters())  # type: ignore[arg-type]
         leases.start()
         monkeypatch.setattr(state, "MOST_SESSIONS", 0)
         monkeypatch.setattr(state, "SESSION_LIFE", math.inf)
@@ -222,7 +222,7 @@
 
 
 def test_calls_that_nobody_answers_are_let_go() -> None:
-    calls, replies = OwnCalls(), list[wire.Reply]()
+    calls, replies = LocalCalls(), list[wire.Reply]()
     for number in range(1000):  # one a second, of which the last are still waited for
         last = calls.begin(float(number), replies.append)
     assert len(calls) <= CALL_TIMEOUT_S
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,7 +25,7 @@
 from mapleshunt.maintenance import commands as works
 from mapleshunt.maintenance.summary import excerpt
 from mapleshunt.net.hot_restart.handover import Handover
-from mapleshunt.net.replication.group_host import AWAY
+from mapleshunt.net.replication.group_host import EVACUATED_PREFIX
 from mapleshunt.policy import gossip_codec as gossip
 from mapleshunt.recording import file_format as form
 from mapleshunt.replicated_state import commands as words
@@ -107,11 +107,11 @@
     "attempt": (form.Attempt, "server status sent took"),
     # What one process hands on
     "warm state": (
-        warm_state.Knowledge,
+        warm_state.WarmState,
         "version at plans bound pace best answer word_ms warm alive mean shares customers servers monotonic",
     ),
-    "customer": (warm_state.CustomerNote, "tag plan level use told crowd cost"),
-    "server": (warm_state.ServerNote, "server since pace barred fails silent allowance"),
+    "customer": (warm_state.CustomerState, "tag plan level use told crowd cost"),
+    "server": (warm_state.EndpointState, "server since pace barred fails silent allowance"),
 }
 # Each type of these has an example among the messages.
 UNIONS: tuple[Any, ...] = (replication.Message, wire.Frame, words.Operation, words.Result)
@@ -257,7 +257,7 @@
     assert works.WAITING == ("queued",) and works.OVER == ("done", "withdrawn", "failed")
     states = "granted", "draining", "safe", "out", "returning", "recalled", "overdue"
     assert states == works.AT_WORK
-    assert AWAY == "copies/away/"
+    assert EVACUATED_PREFIX == "copies/away/"
 
 
 # The replica store
@@ -438,8 +438,8 @@
     """Decided with what was known: a store, a server that is left alone, a server that is slow."""
     known = warm_state.decode((DATA / "handover" / "warm-state.json").read_bytes())
     gateway, now = decisions(known.at + 200), known.at + 200
-    warm_state.give(gateway, known, now, (known.monotonic or 0.0) + 200)
-    again = plain(warm_state.taken(gateway, now, (known.monotonic or 0.0) + 200))
+    warm_state.restore(gateway, known, now, (known.monotonic or 0.0) + 200)
+    again = plain(warm_state.capture(gateway, now, (known.monotonic or 0.0) + 200))
     assert exact(rounded(again)) == exact(rounded(VALUES["warm state after 200 ms"]))
 
 
@@ -449,15 +449,15 @@
     data = (DATA / "handover" / "warm-state.json").read_bytes()
     (tmp_path / "example.gateway.2.from.1").write_bytes(data)
     shutil.copy(DATA / "handover" / "used.json", tmp_path / "example.used.2.from.1")
-    assert (old.number, new.number, new.before()) == (1, 2, [1])
-    assert new.handed(1) == data and new.handed(1) is None
-    used = new.used(1)
+    assert (old.number, new.number, new.older_processes()) == (1, 2, [1])
+    assert new.take_warm_state(1) == data and new.take_warm_state(1) is None
+    used = new.read_usage(1)
     assert [[tag, units] for tag, units in used.items()] == VALUES["used"]
-    old.use(2, used)
-    old.hand_on(2, data)
+    old.write_usage(2, used)
+    old.write_warm_state(2, data)
     assert (tmp_path / "example.used.2.from.1").read_bytes() == (DATA / "handover/used.json").read_bytes()
     assert (tmp_path / "example.gateway.2.from.1").read_bytes() == data
-    old.ready()
+    old.mark_ready()
     assert (tmp_path / "example.gateway.1").read_bytes() == b"ready" and new.is_ready(1)
     new.close()
     old.close()
