--- a/benchmarks/copies_calm.py
+++ b/benchmarks/copies_calm.py
@@ -15,7 +15,7 @@
 from mapleshunt.simulation.day import day_of
 from mapleshunt.simulation.score import Score
 from mapleshunt.testbed.fleet import play
-from mapleshunt.testbed.gateways import free_port
+from mapleshunt.testbed.gateway_process import free_port
 
 GATEWAYS = 3
 
--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -19,9 +19,9 @@
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replication import messages as m
 from mapleshunt.storage.durable_store import Disk
-from mapleshunt.testbed import faulty
-from mapleshunt.testbed.faults import FLEET, Faults, plain_config
-from mapleshunt.testbed.workload_clients import Address, Caller
+from mapleshunt.testbed.faults import faulty_gateway as faulty
+from mapleshunt.testbed.faults.replicated_fleet import FLEET, Faults, plain_config
+from mapleshunt.testbed.replica_client import Address, Caller
 
 AT_ONCE = 64  # sessions
 PROCESSES = 4  # that the sessions are in: one alone is slower than the gateways
--- a/benchmarks/copies_faults.py
+++ b/benchmarks/copies_faults.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.testbed.faults import Faults, Report, plain_config
+from mapleshunt.testbed.faults.replicated_fleet import Faults, Report, plain_config
 
 ELECTION = 500.0  # ms
 
--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.testbed.faults import plain_config
+from mapleshunt.testbed.faults.replicated_fleet import plain_config
 from mapleshunt.testbed.rolling_maintenance import Roll, Rolls
 
 
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -47,7 +47,7 @@
 
 
 def _statuses(section: Any) -> dict[str, Any]:
-    from ..testbed.workload_clients import statuses
+    from ..testbed.replica_client import statuses
 
     return asyncio.run(statuses(_addresses(section), section.fleet))
 
@@ -107,7 +107,7 @@
 @json_option
 def groups(file: Path | None, as_json: bool) -> None:
     """Each group: who leads, decides and listens, and how far it is; exit status 1 if one has no leader."""
-    from ..testbed.workload_clients import leading
+    from ..testbed.replica_client import leading
 
     section = _section(file)
     found = _statuses(section)
@@ -173,7 +173,7 @@
     Exit status 0 once that copy leads again, 1 if it is not to be had now, 2 if there is no need, or the word
     is not that of the copy that is furthest.
     """
-    from ..testbed.workload_clients import ask, leading
+    from ..testbed.replica_client import ask, leading
 
     section = _section(file)
     found = _statuses(section)
@@ -228,7 +228,7 @@
 async def _mark(section: Any, groups: list[int], key: str, value: str) -> list[dict[str, Any]]:
     """Set a record of each group, unless it is so already."""
     from ..replicated_state import commands as words
-    from ..testbed.workload_clients import Caller
+    from ..testbed.replica_client import Caller
 
     async def one(group: int) -> dict[str, Any]:
         caller = Caller(
@@ -264,7 +264,7 @@
 def show(customer: str, file: Path | None, as_json: bool) -> None:
     """A customer's store as its group's leader holds it now: level, leases, reservations, counted use."""
     from ..replication.placement import group_of
-    from ..testbed.workload_clients import Caller
+    from ..testbed.replica_client import Caller
 
     section = _section(file)
 
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -32,7 +32,7 @@
 
 def _with(section: Any, do: Callable[[Any], Any]) -> Any:
     """Call group 0 until it is answered."""
-    from ..testbed.workload_clients import Caller
+    from ..testbed.replica_client import Caller
 
     async def run() -> Any:
         caller = Caller(
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -406,7 +406,7 @@
     import tempfile
 
     from ..simulation.check import LEVEL, WIDEST, check
-    from ..testbed.record import play_scored
+    from ..testbed.recording import play_scored
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
         found = check(
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -11,7 +11,7 @@
 from .output import Trouble, json_option, print_json, service_rows, table
 
 if TYPE_CHECKING:
-    from ..testbed.soak_faults import Kind
+    from ..testbed.soak.schedule import Kind
 
 
 @click.group()
@@ -22,7 +22,7 @@
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
     from ..simulation.day import day_of
     from ..testbed import fleet
-    from ..testbed.gateways import GatewayFailed
+    from ..testbed.gateway_process import GatewayFailed
 
     try:
         return fleet.play(day_of(scenario, seed), logs, (program or fleet.HERE).resolve())
@@ -95,7 +95,7 @@
     import asyncio
     import tempfile
 
-    from ..testbed.faults import FAULTS, Faults, plain_config
+    from ..testbed.faults.replicated_fleet import FAULTS, Faults, plain_config
 
     chosen = schedule.read_text().split() if schedule is not None else []
     if odd := [one for one in chosen if one not in FAULTS]:
@@ -154,9 +154,9 @@
     as_json: bool,
 ) -> None:
     """Real gateways under overlapping troubles, judged by the invariants; exit status 1 if one is broken."""
-    from ..testbed import soak as soaks
     from ..testbed.fleet import HERE
-    from ..testbed.soak_faults import REPLICATION_KINDS, WEIGHTS
+    from ..testbed.soak import fleet as soaks
+    from ..testbed.soak.schedule import REPLICATION_KINDS, WEIGHTS
     from ..testbed.syscall_faults import NoCompiler
 
     if odd := [one for one in only if one not in WEIGHTS]:
--- a/mapleshunt/testbed/faulty.py
+++ b/mapleshunt/testbed/faults/faulty_gateway.py
@@ -1,4 +1,6 @@
-"""A gateway with copies that can be told to fail between two steps: `python -m mapleshunt.testbed.faulty`.
+"""A gateway with replicas that can be made to fail between two steps.
+
+Run as `python -m mapleshunt.testbed.faults.faulty_gateway`.
 
 The program as it is, with a few of its functions wrapped before it starts. What to do is in the file that
 `MAPLESHUNT_FAULTS` names, read at the start and on SIGUSR2: die at the nth time that a step is reached, be
@@ -15,10 +17,10 @@
 
 import msgspec
 
-from .. import __main__ as program
-from ..net.replication.group_host import GroupHost
-from ..replication import messages as m
-from ..storage.durable_store import Disk
+from ... import __main__ as program
+from ...net.replication.group_host import GroupHost
+from ...replication import messages as m
+from ...storage.durable_store import Disk
 
 VARIABLE = "MAPLESHUNT_FAULTS"
 # In the order in which an operation passes them: before it is on disk, on disk and not told, told and nothing
--- a/mapleshunt/testbed/faults.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -24,15 +24,15 @@
 
 import msgspec
 
-from ..platform_terms import wire_of
-from ..policy import interface as i
-from ..simulation.promises import Event, broken
-from . import faulty
-from .backends import HOST
-from .gateways import GatewayFailed, free_port, launch
-from .proxy import Direction, FaultProxy
-from .replica_workload import BURST, RATE, final_state, operate
-from .workload_clients import Address, Caller, ask, leading, statuses
+from ...platform_terms import wire_of
+from ...policy import interface as i
+from ...simulation.promises import Event, broken
+from ..backends import HOST
+from ..fault_proxy import Direction, FaultProxy
+from ..gateway_process import GatewayFailed, free_port, launch
+from ..replica_client import Address, Caller, ask, leading, statuses
+from ..replica_workload import BURST, RATE, final_state, operate
+from . import faulty_gateway as faulty
 
 FLEET = "faults"
 FAULTS = (
@@ -189,7 +189,7 @@
         self.folder, self.config, self.seed, self.size = folder, config, seed, size
         self.groups = 1
         self.election_ms, self.replace_after, self.settle_after = election_ms, 600.0, 600.0
-        self.program = program or Path(__file__).parents[2]
+        self.program = program or Path(__file__).parents[3]
         self.random = random.Random(seed)
         self.proxies: dict[tuple[str, str], FaultProxy] = {}
         self.machines: dict[str, Machine] = {}
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -23,8 +23,8 @@
 from .backends import HOST, Out, Till
 from .clients import Clients
 from .clock import Clock
-from .gateways import GatewayFailed, GatewayProcess
-from .services import Agent, CounterServer, Paths
+from .discovery_agent import Agent, CounterServer, Paths
+from .gateway_process import GatewayFailed, GatewayProcess
 
 SOCKET_RULES = Rules(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
 LOOK = 0.5  # s between looks at the gateways' CPU and memory
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..replicated_state import commands as w
-from .workload_clients import Caller
+from .replica_client import Caller
 
 CUSTOMERS = 4
 RECORDS = 2
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -20,9 +20,9 @@
 from ..maintenance import commands as w
 from ..maintenance.state import Works
 from ..replicated_state import commands as h
-from .faults import CALM, Faults, Machine
-from .gateways import GatewayFailed
-from .workload_clients import Caller
+from .faults.replicated_fleet import CALM, Faults, Machine
+from .gateway_process import GatewayFailed
+from .replica_client import Caller
 
 DRAIN = 3.0  # s that a grant holds
 STRIKES = ("kill_coordinator", "kill_it", "pause_it", "cut_it", "kill_all", "lose_disk", "kill_another")
--- a/mapleshunt/testbed/soak_backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -10,13 +10,13 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..fleet.backend import TillServer
-from ..net.protocol import resp
-from .backends import HOST, Out, Till
-from .proxy import RESET_ON_CLOSE
+from ...fleet.backend import TillServer
+from ...net.protocol import resp
+from ..backends import HOST, Out, Till
+from ..fault_proxy import RESET_ON_CLOSE
 
 if TYPE_CHECKING:
-    from .soak import SoakFleet
+    from .fleet import SoakFleet
 
 MAX_RESET_DELAY_S = 0.15  # after a request has come, within which its connection is reset
 BACKLOG_FILLERS = 3  # connections: a backlog of 0 takes one, and one more is on its way
--- a/mapleshunt/testbed/soak_clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -13,15 +13,15 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..net.protocol import resp
-from ..net.protocol.read_buffer import TooLong
-from ..simulation.record import Final, TryRecord
-from .backends import HOST
-from .clients import Clients, Link
-from .soak_backends import MAX_LAG_S
+from ...net.protocol import resp
+from ...net.protocol.read_buffer import TooLong
+from ...simulation.record import Final, TryRecord
+from ..backends import HOST
+from ..clients import Clients, Link
+from .backends import MAX_LAG_S
 
 if TYPE_CHECKING:
-    from .soak import SoakFleet
+    from .fleet import SoakFleet
 
 Habit = Literal["plain", "fresh", "leaves", "pieces", "pipelines"]
 HABITS: tuple[Habit, ...] = ("plain", "fresh", "leaves", "pieces", "pipelines")
--- a/mapleshunt/testbed/soak_agent.py
+++ b/mapleshunt/testbed/soak/discovery_agent.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from ..fleet.discovery import Entry
-from .fleet import Fleet
-from .proxy import FaultProxy
-from .services import Agent
+from ...fleet.discovery import Entry
+from ..discovery_agent import Agent
+from ..fault_proxy import FaultProxy
+from ..fleet import Fleet
 
 
 class SoakAgent(Agent):
--- a/mapleshunt/testbed/soak_fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -13,20 +13,20 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from ..fleet.faults import Fault
-from . import soak_faults as soak_troubles
-from .backends import HOST
-from .fleet import Fleet
-from .gateways import GatewayFailed, GatewayProcess
-from .proxy import FaultProxy
-from .soak_agent import SoakAgent
-from .soak_backends import Misbehaviour, SoakBackend
-from .soak_clients import SoakClients
-from .soak_copies import SoakCopies
-from .soak_faults import Trouble
-from .soak_maintenance import MachineWork
-from .soak_report import SoakReport
-from .syscall_faults import FaultControl, FaultRates
+from ...fleet.faults import Fault
+from ..backends import HOST
+from ..fault_proxy import FaultProxy
+from ..fleet import Fleet
+from ..gateway_process import GatewayFailed, GatewayProcess
+from ..syscall_faults import FaultControl, FaultRates
+from . import schedule as soak_troubles
+from .backends import Misbehaviour, SoakBackend
+from .clients import SoakClients
+from .discovery_agent import SoakAgent
+from .maintenance import MachineWork
+from .replicas import SoakCopies
+from .report import SoakReport
+from .schedule import Trouble
 
 LATE_START_MS = 700.0  # after SIGTERM, from which on what SIGKILL finds unanswered is no loss
 LONGEST_MS = 3000.0  # as which longer deadlines count between SIGTERM and SIGKILL
--- a/mapleshunt/testbed/soak.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -20,23 +20,23 @@
 from pathlib import Path
 from typing import Any, cast
 
-from ..fleet.discovery import Entry
-from ..simulation.day import Day, Rules, Scenario, day_of
-from ..simulation.record import TryRecord
-from . import soak_faults as soak_troubles
-from .backends import HOST
-from .fleet import HERE
-from .gateways import GatewayFailed
-from .rolling_maintenance import shared_grants
-from .services import Agent
-from .soak_agent import SoakAgent
-from .soak_backends import SoakBackend
-from .soak_clients import LATEST_MS, SoakClients
-from .soak_copies import SoakCopies
-from .soak_fault_injection import KILL_TAKES_MS, LATE_START_MS, TroubledFleet
-from .soak_faults import Trouble
-from .soak_report import SoakReport
-from .syscall_faults import FaultControl, FaultRates, build
+from ...fleet.discovery import Entry
+from ...simulation.day import Day, Rules, Scenario, day_of
+from ...simulation.record import TryRecord
+from ..backends import HOST
+from ..discovery_agent import Agent
+from ..fleet import HERE
+from ..gateway_process import GatewayFailed
+from ..rolling_maintenance import shared_grants
+from ..syscall_faults import FaultControl, FaultRates, build
+from . import schedule as soak_troubles
+from .backends import SoakBackend
+from .clients import LATEST_MS, SoakClients
+from .discovery_agent import SoakAgent
+from .fault_injection import KILL_TAKES_MS, LATE_START_MS, TroubledFleet
+from .replicas import SoakCopies
+from .report import SoakReport
+from .schedule import Trouble
 
 SOAK_RULES = Rules(answer_slack=LATEST_MS + 8.0, drain_grace=550.0)
 TOLD_MS = 6000.0  # after discovery has a change and can be reached, at which it counts as told
--- a/mapleshunt/testbed/soak_maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from ..maintenance import commands as w
-from ..replicated_state import commands as h
-from .rolling_maintenance import read_works
-from .workload_clients import Caller
+from ...maintenance import commands as w
+from ...replicated_state import commands as h
+from ..replica_client import Caller
+from ..rolling_maintenance import read_works
 
 MAINTENANCE = "(maintenance (most 1) (zone 1) (pause-s 0.2) (drain-s 4.0) (failures 99) (most-load 9.0))"
 LOOK_S = 0.1  # between two looks at a machine's state
--- a/mapleshunt/testbed/soak_copies.py
+++ b/mapleshunt/testbed/soak/replicas.py
@@ -10,13 +10,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ..simulation.promises import Event, broken
-from .backends import HOST
-from .gateways import free_port
-from .proxy import FaultProxy
-from .replica_workload import BURST, final_state, operate
-from .soak_maintenance import MAINTENANCE
-from .workload_clients import Address, Caller, leading, statuses
+from ...simulation.promises import Event, broken
+from ..backends import HOST
+from ..fault_proxy import FaultProxy
+from ..gateway_process import free_port
+from ..replica_client import Address, Caller, leading, statuses
+from ..replica_workload import BURST, final_state, operate
+from .maintenance import MAINTENANCE
 
 FLEET = "soak"
 GROUPS = 4
--- a/mapleshunt/testbed/soak_faults.py
+++ b/mapleshunt/testbed/soak/schedule.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Literal
 
-from .syscall_faults import FaultRates
+from ..syscall_faults import FaultRates
 
 Kind = Literal[
     "term", "kill", "upgrade", "reload", "reload_twice", "pause", "clock_step", "calls_fail", "short_io",
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -26,7 +26,7 @@
 from mapleshunt.replication.placement import group_of, place, rank
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
-from mapleshunt.testbed.faults import FAULTS, Faults, Report, plain_config
+from mapleshunt.testbed.faults.replicated_fleet import FAULTS, Faults, Report, plain_config
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -20,7 +20,7 @@
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.leases import Action, Ask, Leaser, Use
 from mapleshunt.replicated_state.state_machine import Holdings
-from mapleshunt.testbed.faults import Faults
+from mapleshunt.testbed.faults.replicated_fleet import Faults
 
 from .conftest import Driver
 from .processes import EXAMPLE, query, toy
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -24,7 +24,7 @@
 from mapleshunt.replication import wire
 from mapleshunt.settings import operators
 from mapleshunt.storage.durable_store import Disk, StoreUnavailable
-from mapleshunt.testbed.faults import plain_config
+from mapleshunt.testbed.faults.replicated_fleet import plain_config
 
 from .processes import free_port
 from .test_sessions import WAIT_S, until
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -23,7 +23,7 @@
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
 from mapleshunt.testbed.clock import Clock
-from mapleshunt.testbed.gateways import GatewayFailed
+from mapleshunt.testbed.gateway_process import GatewayFailed
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -12,7 +12,7 @@
 from mapleshunt.maintenance.state import Works
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
-from mapleshunt.testbed.faults import plain_config
+from mapleshunt.testbed.faults.replicated_fleet import plain_config
 from mapleshunt.testbed.rolling_maintenance import Rolls
 
 from .test_faults import PEERS, command
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from mapleshunt.testbed import soak
-from mapleshunt.testbed import soak_faults as soak_troubles
+from mapleshunt.testbed.soak import fleet as soak
+from mapleshunt.testbed.soak import schedule as soak_troubles
 from mapleshunt.testbed.syscall_faults import FaultControl, FaultRates, build
 
 from .test_rig import BAD, checkout
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -33,7 +33,7 @@
 from mapleshunt.replication import messages as replication
 from mapleshunt.replication import wire
 from mapleshunt.storage.durable_store import NAME, Disk, StoreError
-from mapleshunt.testbed.workload_clients import Caller, ask
+from mapleshunt.testbed.replica_client import Caller, ask
 
 from .processes import LONG, Gateway, free_port, toy
 from .test_record import record
