--- a/mapleshunt/rig/syscall_faults.c
+++ b/mapleshunt/testbed/syscall_faults.c
@@ -1,6 +1,6 @@
 /* A library for LD_PRELOAD that makes calls of the C library fail by chance, as Linux documents that they may.
  *
- * It belongs to the soak test (soak.py) and is driven by a control file that the test maps too: first the rates
+ * It belongs to the soak test (testbed/soak) and is driven by a control file that the test maps too: first the rates
  * that hold now, which the test writes, then one counter for each kind of fault, which this library writes.
  * MAPLESHUNT_FAULT_CONTROL names the file, MAPLESHUNT_FAULT_SEED seeds the choice, MAPLESHUNT_FAULT_FOLDER is the
  * folder whose files fail. Only TCP sockets are touched. Without a control file every call passes through.
