--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -30,7 +30,7 @@
 from .net.discovery.watcher import Discovery, MemberList, member_list
 from .net.gossip_transport import Peers
 from .net.periodic import Periodic
-from .net.policy_driver import Driver
+from .net.policy_driver import PolicyDriver
 from .net.protocol import resp
 from .net.startup import StartSteps
 from .net.upstream.endpoint_group import UpstreamGroup
@@ -74,7 +74,7 @@
         self.usable = max(16, self.sockets - kept)
         self.group = UpstreamGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
         self.share(1)
-        self.driver = Driver(config.settings, config.seed, self.group, self.counters)
+        self.driver = PolicyDriver(config.settings, config.seed, self.group, self.counters)
         self.service = client.Service(self.driver, self.counters, config.seed, config.max_open)
         self.service.ready = self.ready
         self.chance = random.Random(config.seed)
@@ -111,7 +111,7 @@
 
     def told(self, found: MemberList) -> None:
         kind: i.ListKind = "complete" if found.complete else "partial"
-        self.driver.feed(self.group.update(kind, found.members, self.age))
+        self.driver.apply_event(self.group.update(kind, found.members, self.age))
         self.revision = found.revision
         self.last_told = self.time()
         if found.complete or found.members:
@@ -127,7 +127,7 @@
 
     def print_counters(self) -> None:
         self.counters.print(
-            open=len(self.driver.open),
+            open=len(self.driver.open_requests),
             client_connections_now=len(self.service.connections),
             server_connections_now=len(self.group.connections),
             **self.driver.gateway.figures(self.driver.now()),
@@ -185,7 +185,7 @@
         try:
             if self.config.known is not None:
                 known = member_list(self.config.known)
-                self.driver.feed(self.group.update("persisted", known.members, self.driver.now.age))
+                self.driver.apply_event(self.group.update("persisted", known.members, self.driver.now.age))
                 self.revision = known.revision if known.members else None
             steps = StartSteps(self.counters)
             await self._open_sockets(steps)
@@ -242,7 +242,7 @@
             self.peers = Peers(
                 config.peer_listen, config.peers, config.peers_all, self.heard, self.counters, shared
             )
-            self.driver.tell = self.peers.tell
+            self.driver.send_gossip = self.peers.tell
 
     def hear_if_possible(self) -> None:
         """A process of a version that does not share the address may still have it: try again later."""
@@ -297,7 +297,7 @@
 
     def held(self) -> tuple[int, int, bool]:
         """Requests that are owed an answer, client connections, and whether it takes no clients."""
-        return len(self.driver.open), len(self.service.connections), not self.life.takes()
+        return len(self.driver.open_requests), len(self.service.connections), not self.life.takes()
 
     def load(self) -> float:
         """The part of this gateway's slots at its servers that tries hold."""
@@ -307,7 +307,9 @@
     def _told(self, event: str, changed: bool) -> None:
         if changed:
             self.counters.trace.add("process", event)
-            log.log_event(event, open=len(self.driver.open), client_connections=len(self.service.connections))
+            log.log_event(
+                event, open=len(self.driver.open_requests), client_connections=len(self.service.connections)
+            )
         self.tend()
         self.keep_tending()
 
@@ -349,7 +351,11 @@
             one.member.state != "ready" or (number in known and known[number].barred > now)
             for number, one in self.group.servers.items()
         )
-        gauges = {"pending": len(self.driver.open), "members": len(listed), "members_unavailable": avoided}
+        gauges = {
+            "pending": len(self.driver.open_requests),
+            "members": len(listed),
+            "members_unavailable": avoided,
+        }
         return figures.text_of(self.config.settings.classes, self.counters.classes, gauges)
 
     def load_extensions(self) -> None:
@@ -466,7 +472,7 @@
         self.life.leave(self.time(), succeeded)
         self.service.ends = self.life.last_answer(longest)
         self.counters.trace.add("process", "stopping")
-        log.log_event("stopping", open=len(self.driver.open), succeeded=succeeded)
+        log.log_event("stopping", open=len(self.driver.open_requests), succeeded=succeeded)
         while self.life.accepts(self.time()):
             await asyncio.sleep(0.01)
         self._tend_contained()
@@ -482,16 +488,16 @@
         self.keep_tending()
         try:
             async with asyncio.timeout(longest + LATE):
-                while self.service.connections or self.driver.open:
+                while self.service.connections or self.driver.open_requests:
                     await asyncio.sleep(0.01)
         except TimeoutError:  # a client that does not read must not hold up the restart
             left = len(self.service.connections)
-            log.log_event("stopped_late", open=len(self.driver.open), client_connections=left)
+            log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
             for connection in list(self.service.connections):
                 connection.end("stopped")
 
     def heard(self, peer: int, text: str) -> None:
-        self.driver.feed(i.PeerMessage(peer, text))
+        self.driver.apply_event(i.PeerMessage(peer, text))
 
 
 def descriptors() -> int:
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -14,7 +14,7 @@
 from .net.config import Config, ConfigError
 from .net.counters import Counters
 from .net.maintenance import Hands, Maintenance
-from .net.policy_driver import Driver
+from .net.policy_driver import PolicyDriver
 from .net.replication.host import Copies, HeldElsewhere, open_store
 from .net.replication.leases import Leases
 from .recording.writer import Recorder
@@ -28,7 +28,7 @@
 class Extensions:
     """The parts that the operators' file asks for. Without replication of their own they do nothing else."""
 
-    def __init__(self, config: Config, driver: Driver, counters: Counters, hands: Hands) -> None:
+    def __init__(self, config: Config, driver: PolicyDriver, counters: Counters, hands: Hands) -> None:
         """Reads the file. Raises `ConfigError`, and OSError where another attempt may succeed."""
         self.config, self.driver, self.counters, self.hands = config, driver, counters, hands
         self.copies: Copies | None = None
@@ -56,7 +56,7 @@
             log.log_event("record_failed", path=path, why=error)
             return
         self.recorder.start()
-        self.driver.seen = self.recorder.seen
+        self.driver.on_request_released = self.recorder.seen
         log.log_event("recording", path=path, bytes=size)
 
     def start(self) -> None:
--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -19,13 +19,13 @@
 from ...invariants import Guard, broken_by_closing
 from .. import log
 from ..counters import Counters
-from ..policy_driver import Driver
+from ..policy_driver import PolicyDriver
 from ..protocol import command_protocol as svc
 from ..protocol import resp
 from ..protocol.read_buffer import CHUNK, ReadBuffer, TooLong
 from ..request.admit import admit
 from ..request.context import RequestContext
-from ..request.parse import Unacceptable, take_in
+from ..request.parse import UnacceptableRequestError, parse
 
 MAX_PIPELINED_COMMANDS = 32  # commands of a connection that wait for their answer before reading pauses
 MAX_REFUSED_COMMANDS = 4096  # of such a connection that wait to be told that they are refused
@@ -58,7 +58,7 @@
 class Service:
     """What all client connections share."""
 
-    def __init__(self, driver: Driver, counters: Counters, seed: int, max_open: int) -> None:
+    def __init__(self, driver: PolicyDriver, counters: Counters, seed: int, max_open: int) -> None:
         self.driver, self.counters, self.max_open = driver, counters, max_open
         # Peers name a request by a part of its number: one that begins anew after a restart must not meet
         # the answers to questions from before.
@@ -335,12 +335,12 @@
             intake = svc.intake(words)
             # Behind others its time runs already, and it ends with the process.
             now = self.loop.time()
-            left = min(intake.patience - (now - arrived) * 1000, (self.service.ends - now) * 1000)
-            if left <= intake.patience - 1:
-                intake = replace(intake, patience=max(1.0, left))
+            left = min(intake.timeout_ms - (now - arrived) * 1000, (self.service.ends - now) * 1000)
+            if left <= intake.timeout_ms - 1:
+                intake = replace(intake, timeout_ms=max(1.0, left))
             ref, ids = next(self.service.refs), self.service.ids
-            context = take_in(intake, slot, driver.settings, ref, driver.now(), ids)
-        except (svc.BadCommand, Unacceptable) as error:
+            context = parse(intake, slot, driver.settings, ref, driver.now(), ids)
+        except (svc.BadCommand, UnacceptableRequestError) as error:
             self.service.counters.add("commands_unacceptable")
             slot.put(resp.error(f"ERR {error}"))
             return False
@@ -380,10 +380,12 @@
     def _check_close(self, reason: str) -> None:
         trace = self.service.counters.trace
         trace.closed("client_connections", reason)
-        open_contexts = [slot.context for slot in self.slots if slot.context and slot.context.open]
+        open_contexts = [
+            slot.context for slot in self.slots if slot.context and slot.context.awaiting_response
+        ]
         # Where no answer was written the reset can take none along: the request crossed the close unread.
         unread = bool(self.wrote) and self.lingering is None and self.unread()
-        subject = open_contexts[0].id if open_contexts else "connection"
+        subject = open_contexts[0].client_request_id if open_contexts else "connection"
         trace.check(Guard.CLOSE, broken_by_closing(reason, len(open_contexts), unread), subject)
 
     def writing(self) -> bool:
@@ -474,7 +476,7 @@
         self.stream.close()
         log.log_event("client_connection_ended", reason=reason, commands=self.commands, owed=len(self.slots))
         for slot in self.slots:
-            if slot.context is not None and slot.context.open:
-                self.service.driver.gone(slot.context)
+            if slot.context is not None and slot.context.awaiting_response:
+                self.service.driver.client_disconnected(slot.context)
         self.slots.clear()
         self.service.ended()
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -15,7 +15,7 @@
 from ...policy.gossip_codec import tag_of
 from .. import log
 from ..counters import Counters
-from ..policy_driver import Driver
+from ..policy_driver import PolicyDriver
 from .handover import Handover
 
 WAIT = 0.5  # s that a new process waits for what the one before knows: it answers within 50 ms or is stuck
@@ -28,7 +28,7 @@
 
 
 class Succession:
-    def __init__(self, folder: Path, name: str, driver: Driver, counters: Counters) -> None:
+    def __init__(self, folder: Path, name: str, driver: PolicyDriver, counters: Counters) -> None:
         """Raises OSError if the folder cannot be written to."""
         self.driver, self.counters = driver, counters
         self.handover = Handover(folder, name)
@@ -119,7 +119,7 @@
         data = knowledge.encode(knowledge.taken(self.driver.gateway, self.driver.now(), monotonic_ms()))
         self.handover.hand_on(to, data)
         self.to, self.units, self.written = to, {}, {}
-        self.driver.sent = self._sent
+        self.driver.on_first_attempt = self._sent
         log.log_event("handed_on", to=to, bytes=len(data))
 
     def tend(self, working: bool) -> None:
@@ -133,7 +133,7 @@
                 self._hand_on(newer[0])
             elif not newer and self.to is not None:
                 log.log_event("successor_gone", was=self.to)
-                self.to, self.driver.sent = None, None
+                self.to, self.driver.on_first_attempt = None, None
             if self.to is not None and self.units != self.written:
                 self.handover.use(self.to, self.units)
                 self.written = dict(self.units)
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -16,19 +16,19 @@
 from ..policy.gateway import Gateway
 from . import log
 from .counters import Counters
-from .request import respond as relay
-from .request.context import Ending, RequestContext, Try
-from .request.dispatch import send
-from .request.record import book
+from .request import respond
+from .request.context import Attempt, AttemptResult, RequestContext
+from .request.dispatch import dispatch
+from .request.record import record
 from .request.route import route
 from .upstream.endpoint_group import ServerConnection, UpstreamGroup
 
 # ms before a request's patience ends at which the driver answers if the decisions have not. They do so four
 # ticks before, of 1 ms or more: at the same time as theirs, the net came first, failing what may be rejected.
-GUARD = 1.0
+RESPONSE_GUARD_MS = 1.0
 
 
-class Clock:
+class UnixClock:
     """Unix time in ms that advances evenly: servers' starts, which are told in Unix time, are on it."""
 
     def __init__(self) -> None:
@@ -46,187 +46,197 @@
         return max(0.0, min(self(), time.time() * 1000) - started)
 
 
-class Driver:
+class PolicyDriver:
     def __init__(self, settings: i.Settings, seed: int, group: UpstreamGroup, counters: Counters) -> None:
         self.settings, self.group, self.counters = settings, group, counters
         self.trace = counters.trace
-        self.now = Clock()
-        self.tell: Callable[[int, str], None] = lambda peer, text: None
+        self.now = UnixClock()
+        self.send_gossip: Callable[[int, str], None] = lambda peer, text: None
         self.gateway = Gateway(settings, seed, self.now())
         self.loop = asyncio.get_running_loop()
-        self.open: dict[int, RequestContext] = {}  # requests that are owed an answer
-        self.out: dict[tuple[int, int], Try] = {}  # tries that have not ended
-        self.events: deque[i.Event] = deque()
-        self.busy = False
-        self.seen: Callable[[RequestContext], None] | None = None  # told of requests that are over, if any is
-        self.sent: Callable[[i.Request], None] | None = None  # told of requests' first tries, if any is
+        self.open_requests: dict[int, RequestContext] = {}  # requests that are owed an answer
+        self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}  # tries that have not ended
+        self.pending_events: deque[i.Event] = deque()
+        self.applying = False
+        self.on_request_released: Callable[[RequestContext], None] | None = (
+            None  # told of requests that are over, if any is
+        )
+        self.on_first_attempt: Callable[[i.Request], None] | None = (
+            None  # told of requests' first tries, if any is
+        )
         # Told of requests before the decisions are: does one wait until `resume`?
-        self.asked: Callable[[i.Request], bool] | None = None
-        self._carry_out(self.gateway.start())
+        self.delay_admission: Callable[[i.Request], bool] | None = None
+        self._execute(self.gateway.start())
 
     # Events
 
-    def take(self, context: RequestContext) -> None:
-        self.open[context.ref] = context
-        self.trace.add(context.id, "taken", context.request.cls)
-        left = context.due - GUARD - self.now()
-        context.guard = self.loop.call_later(left / 1000, self._guard, context)
-        if self.asked is None or not self.asked(context.request):
-            self.feed(context.request)
+    def submit(self, context: RequestContext) -> None:
+        self.open_requests[context.request_id] = context
+        self.trace.add(context.client_request_id, "taken", context.request.cls)
+        left = context.deadline - RESPONSE_GUARD_MS - self.now()
+        context.deadline_timer = self.loop.call_later(left / 1000, self._answer_overdue, context)
+        if self.delay_admission is None or not self.delay_admission(context.request):
+            self.apply_event(context.request)
 
     def resume(self, ref: int) -> None:
         """What it waited for has come, or is not waited for any longer."""
-        if (context := self.open.get(ref)) is not None:
-            self.feed(replace(context.request, patience=max(0.0, context.due - self.now())))
+        if (context := self.open_requests.get(ref)) is not None:
+            self.apply_event(replace(context.request, patience=max(0.0, context.deadline - self.now())))
 
-    def gone(self, context: RequestContext) -> None:
+    def client_disconnected(self, context: RequestContext) -> None:
         """The client has left: nothing is owed to it any more."""
-        if context.end():
+        if context.claim_response():
             self.counters.add("clients_gone")
-            self.trace.add(context.id, "client_gone")
-            self._story("client_gone", context)
-            self.feed(i.ClientGone(context.ref))  # forgotten as it is handled: what was decided comes first
-            self.over(context)
-
-    def _story(self, event: str, context: RequestContext) -> None:
+            self.trace.add(context.client_request_id, "client_gone")
+            self._log_request("client_gone", context)
+            self.apply_event(
+                i.ClientGone(context.request_id)
+            )  # forgotten as it is handled: what was decided comes first
+            self.release(context)
+
+    def _log_request(self, event: str, context: RequestContext) -> None:
         """The story of a request that was not served, for whoever follows its id."""
         now = self.now()
-        tries = " ".join(f"{one.server}:{one.status or 'out'}:{now - one.sent:.0f}" for one in context.tries)
+        tries = " ".join(
+            f"{one.server}:{one.status or 'out'}:{now - one.sent_at:.0f}" for one in context.attempts
+        )
         log.log_event(
-            event, id=context.id, cls=context.request.cls, patience=context.request.patience,
-            after=now - context.taken, tries=tries,
+            event, id=context.client_request_id, cls=context.request.cls, patience=context.request.patience,
+            after=now - context.received_at, tries=tries,
         )  # fmt: skip
 
-    def forget(self, context: RequestContext) -> None:
-        self.open.pop(context.ref, None)
+    def remove(self, context: RequestContext) -> None:
+        self.open_requests.pop(context.request_id, None)
 
-    def over(self, context: RequestContext) -> None:
+    def release(self, context: RequestContext) -> None:
         """Something of a request has ended: tell of it once nothing of it is left."""
-        if self.seen is None or context.open:
+        if self.on_request_released is None or context.awaiting_response:
             return
-        context.ended = context.ended or self.now()
-        if not any((context.ref, one.number) in self.out for one in context.tries):
+        context.released_at = context.released_at or self.now()
+        if not any((context.request_id, one.number) in self.attempts_in_flight for one in context.attempts):
             try:
-                self.seen(context)
+                self.on_request_released(context)
             except Exception:
                 self.counters.add("exceptions")
-                log.log_exception("record_exception", ref=context.ref)
+                log.log_exception("record_exception", ref=context.request_id)
 
-    def feed(self, event: i.Event) -> None:
+    def apply_event(self, event: i.Event) -> None:
         """Handle an event and what it leads to. Events that come up meanwhile follow in their order."""
-        self.events.append(event)
-        if self.busy:
+        self.pending_events.append(event)
+        if self.applying:
             return
-        self.busy = True
+        self.applying = True
         try:
-            while self.events:
-                self._handle(self.events.popleft())
+            while self.pending_events:
+                self._handle(self.pending_events.popleft())
         finally:
-            self.busy = False
+            self.applying = False
 
     def _handle(self, event: i.Event) -> None:
         if isinstance(event, i.ClientGone):
-            self.open.pop(event.ref, None)
+            self.open_requests.pop(event.ref, None)
         try:
             actions = self.gateway.handle(self.now(), event)
         except Exception:
             # One bad event must not end the program: its request is answered, the others go on.
             self.counters.add("exceptions")
             log.log_exception("decision_exception", kind=type(event).__name__)
-            if isinstance(event, i.Request | i.Outcome) and (context := self.open.pop(event.ref, None)):
-                relay.fail(context, self.counters)
-                self.over(context)
+            if isinstance(event, i.Request | i.Outcome) and (
+                context := self.open_requests.pop(event.ref, None)
+            ):
+                respond.fail(context, self.counters)
+                self.release(context)
             return
-        self._carry_out(actions)
+        self._execute(actions)
 
-    def _guard(self, context: RequestContext) -> None:
+    def _answer_overdue(self, context: RequestContext) -> None:
         """Rule 1's net: whatever went wrong, a request gets its answer before its client gives up."""
-        if context.open:
+        if context.awaiting_response:
             self.counters.add("guard_answers")
-            self.trace.add(context.id, "guard_answer")
-            self._story("guard_answer", context)
-            self.forget(context)
-            relay.fail(context, self.counters)
-            self.feed(i.ClientGone(context.ref))
-            self.over(context)
+            self.trace.add(context.client_request_id, "guard_answer")
+            self._log_request("guard_answer", context)
+            self.remove(context)
+            respond.fail(context, self.counters)
+            self.apply_event(i.ClientGone(context.request_id))
+            self.release(context)
 
     # Actions
 
-    def _carry_out(self, actions: list[i.Action]) -> None:
+    def _execute(self, actions: list[i.Action]) -> None:
         for action in actions:
             try:
-                self._do(action)
+                self._execute_action(action)
             except Exception:
                 self.counters.add("exceptions")
                 log.log_exception("action_exception", kind=type(action).__name__)
 
-    def _do(self, action: i.Action) -> None:
+    def _execute_action(self, action: i.Action) -> None:
         match action:
             case i.Send():
-                self._send(action)
+                self._start_attempt(action)
             case i.Refuse(ref, wait):
-                if context := self.open.pop(ref, None):
+                if context := self.open_requests.pop(ref, None):
                     self.counters.add(f"rejected_{action.why}")
-                    self.trace.add(context.id, "refused", action.why)
-                    relay.reject(context, wait, self.counters)
-                    self.over(context)
+                    self.trace.add(context.client_request_id, "refused", action.why)
+                    respond.reject(context, wait, self.counters)
+                    self.release(context)
             case i.Fail(ref):
-                if context := self.open.pop(ref, None):
-                    self.trace.add(context.id, "failed")
-                    self._story("request_failed", context)
-                    relay.fail(context, self.counters)
-                    self.over(context)
+                if context := self.open_requests.pop(ref, None):
+                    self.trace.add(context.client_request_id, "failed")
+                    self._log_request("request_failed", context)
+                    respond.fail(context, self.counters)
+                    self.release(context)
             case i.Cancel(ref, number):
-                if attempt := self.out.get((ref, number)):
-                    attempt.give_up("cancelled")
+                if attempt := self.attempts_in_flight.get((ref, number)):
+                    attempt.cancel("cancelled")
             case i.SetTimer(at, token):
                 self._set_timer(at, token)
             case i.Tell(peer, data):
-                self.tell(peer, data)
+                self.send_gossip(peer, data)
             case i.Watch():
                 pass  # discovery is always watched
 
     def _set_timer(self, at: float, token: int) -> None:
         left = max(0, math.ceil(at - self.now()))
-        self.loop.call_later(left / 1000, self._fire, at, token)
+        self.loop.call_later(left / 1000, self._timer_fired, at, token)
 
-    def _fire(self, at: float, token: int) -> None:
+    def _timer_fired(self, at: float, token: int) -> None:
         # uvloop counts whole ms from the start of its turn, so it may fire early. The decisions take an early
         # timer for one of the past and set no other: what it was for would wait for the next event.
         if self.now() < at:
             self._set_timer(at, token)
         else:
-            self.feed(i.Timer(token))
+            self.apply_event(i.Timer(token))
 
-    def _send(self, action: i.Send) -> None:
-        if (context := self.open.get(action.ref)) is None:
+    def _start_attempt(self, action: i.Send) -> None:
+        if (context := self.open_requests.get(action.ref)) is None:
             self.counters.add("sends_too_late")
             return
         attempt = route(context, action, self.now())
-        if not context.open:  # its client left while an action before this one was carried out
-            return book(context, attempt, Ending("unsent"), self)
-        self.out[context.ref, attempt.number] = attempt
+        if not context.awaiting_response:  # its client left while an action before this one was carried out
+            return record(context, attempt, AttemptResult("unsent"), self)
+        self.attempts_in_flight[context.request_id, attempt.number] = attempt
         self.counters.add("tries_sent")
         self._guarded(self._trace_send, context, attempt)
-        if self.sent is not None and not attempt.number:
-            self.sent(context.request)
-        attempt.task = self.loop.create_task(self._try(context, attempt))
+        if self.on_first_attempt is not None and not attempt.number:
+            self.on_first_attempt(context.request)
+        attempt.task = self.loop.create_task(self._run_attempt(context, attempt))
 
-    async def _try(self, context: RequestContext, attempt: Try) -> None:
-        limit = self.loop.call_later((attempt.until - self.now()) / 1000, attempt.give_up, "timeout")
+    async def _run_attempt(self, context: RequestContext, attempt: Attempt) -> None:
+        limit = self.loop.call_later((attempt.deadline - self.now()) / 1000, attempt.cancel, "timeout")
         try:
-            ending = await send(context, attempt, self.group, self.now, self._check)
+            ending = await dispatch(context, attempt, self.group, self.now, self._check)
         except Exception:
             self.counters.add("exceptions")
-            log.log_exception("try_exception", ref=context.ref)
-            attempt.give_up("reset")
-            ending = Ending("reset")  # nobody knows how far it came: it may have run
+            log.log_exception("try_exception", ref=context.request_id)
+            attempt.cancel("reset")
+            ending = AttemptResult("reset")  # nobody knows how far it came: it may have run
         finally:
             limit.cancel()
-        del self.out[context.ref, attempt.number]
-        self.trace.add(context.id, "attempt_ended", f"{attempt.number} {ending.status}")
-        book(context, attempt, ending, self)
-        self.over(context)
+        del self.attempts_in_flight[context.request_id, attempt.number]
+        self.trace.add(context.client_request_id, "attempt_ended", f"{attempt.number} {ending.status}")
+        record(context, attempt, ending, self)
+        self.release(context)
 
     # Invariants
 
@@ -241,34 +251,38 @@
     def _check(self, *arguments: object) -> None:
         self._guarded(self._check_send, *arguments)
 
-    def _trace_send(self, context: RequestContext, attempt: Try) -> None:
+    def _trace_send(self, context: RequestContext, attempt: Attempt) -> None:
         """Record the decision to send, with the reason for a retry, and check it against slow start."""
-        self.trace.add(context.id, "attempt_decided", f"{attempt.number} to {attempt.server}")
+        self.trace.add(context.client_request_id, "attempt_decided", f"{attempt.number} to {attempt.server}")
         if attempt.number:
-            self.counters.add(f"retries_after_{context.tries[attempt.number - 1].status or 'out'}")
+            self.counters.add(f"retries_after_{context.attempts[attempt.number - 1].status or 'out'}")
         server = self.gateway.servers.get(attempt.server)
         if server is not None:
             cold = slow_start.capacity(server, self.settings, self.now()) < 1
             broken = invariants.broken_by_slow_start(cold, server.allowance.level)
-            self.trace.check(Guard.START, broken, context.id)
+            self.trace.check(Guard.START, broken, context.client_request_id)
 
     def _check_send(
-        self, context: RequestContext, attempt: Try, connection: ServerConnection, passed_on: float
+        self, context: RequestContext, attempt: Attempt, connection: ServerConnection, passed_on: float
     ) -> None:
         """Check the invariants of sending and repeating, right before an attempt's first byte is written."""
         now, member = self.now(), connection.member
         attempt.zone, attempt.cell = member.zone, member.cell
-        self.trace.add(context.id, "attempt_written", f"{attempt.number} for {passed_on:.0f} ms")
+        self.trace.add(
+            context.client_request_id, "attempt_written", f"{attempt.number} for {passed_on:.0f} ms"
+        )
         ready = self.group.wanted(attempt.server) and self.group.current(connection)
-        since_end = None if context.open else 1000 * (time.monotonic() - context.ended_at)
-        facts = invariants.SendFacts(since_end, ready, passed_on, context.due - now)
-        self.trace.check(Guard.SEND, invariants.broken_by_sending(facts), context.id)
+        since_end = (
+            None if context.awaiting_response else 1000 * (time.monotonic() - context.response_claimed_at)
+        )
+        facts = invariants.SendFacts(since_end, ready, passed_on, context.deadline - now)
+        self.trace.check(Guard.SEND, invariants.broken_by_sending(facts), context.client_request_id)
         if attempt.number:
             earlier = [
-                invariants.EarlierAttempt(one.sent, one.status, one.zone, one.cell)
-                for one in context.tries[: attempt.number]
+                invariants.EarlierAttempt(one.sent_at, one.status, one.zone, one.cell)
+                for one in context.attempts[: attempt.number]
             ]
             repeat = invariants.RepeatFacts(now, member.zone, member.cell, earlier)
             cls = self.settings.classes[context.request.cls]
             broken = invariants.broken_by_repeating(repeat, cls, self.settings)
-            self.trace.check(Guard.REPEAT, broken, context.id)
+            self.trace.check(Guard.REPEAT, broken, context.client_request_id)
--- a/mapleshunt/net/protocol/command_protocol.py
+++ b/mapleshunt/net/protocol/command_protocol.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Sequence
 
-from ..request.context import Ending, Intake
+from ..request.context import AttemptResult, ParsedRequest
 from . import resp
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
@@ -54,7 +54,7 @@
     return value
 
 
-def intake(words: Sequence[memoryview]) -> Intake:
+def intake(words: Sequence[memoryview]) -> ParsedRequest:
     """Read a request. Raises `BadCommand`."""
     verb = bytes(words[0]).upper()
     if verb not in (QUERY, SUBMIT):
@@ -73,18 +73,18 @@
         raise BadCommand("d is missing or malformed")
     if "k" in pairs and not HEX.fullmatch(pairs["k"]):
         raise BadCommand("k must be 16 hex digits")
-    return Intake(
-        id=request,
+    return ParsedRequest(
+        request_id=request,
         cls=pairs.get("c", ""),
         plan=pairs.get("t", ""),
         customer=customer,
-        patience=patience,
+        timeout_ms=patience,
         units=float(_figure(pairs, "units", UNITS, "1")),
         spread=int(_figure(pairs, "spread", COUNT, "1")),
         first=int(_figure(pairs, "first", COUNT, "0")),
-        retry=pairs.get("r") == "1",
-        key=bool(pairs.get("k")),
-        query=verb == QUERY,
+        is_retry=pairs.get("r") == "1",
+        has_idempotency_key=bool(pairs.get("k")),
+        is_query=verb == QUERY,
         message=SvcMessage(words, pairs),
     )
 
@@ -99,13 +99,13 @@
     return 0.0
 
 
-def ending(reply: resp.Reply) -> Ending:
+def ending(reply: resp.Reply) -> AttemptResult:
     """How a try ended that a till server replied to. Raises `resp.ProtocolError`."""
     match reply:
         case [memoryview() as value, *more]:  # whatever the rest is like, the value is good
-            return Ending("ok", value, _cost(more[0] if more else None))
+            return AttemptResult("ok", value, _cost(more[0] if more else None))
         case resp.ErrorLine(text):
-            return Ending("full" if text.split(" ", 1)[0] == "BUSY" else "error")
+            return AttemptResult("full" if text.split(" ", 1)[0] == "BUSY" else "error")
     raise resp.ProtocolError("a till server's reply has none of the known forms")
 
 
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -16,7 +16,7 @@
 from .. import log
 from ..counters import Counters
 from ..periodic import Periodic
-from ..policy_driver import Driver
+from ..policy_driver import PolicyDriver
 from .host import Copies
 from .own_calls import OPEN_RETRY_DELAY_S
 
@@ -122,7 +122,7 @@
 
 
 class Leases:
-    def __init__(self, copies: Copies, driver: Driver, counters: Counters) -> None:
+    def __init__(self, copies: Copies, driver: PolicyDriver, counters: Counters) -> None:
         self.copies, self.driver, self.counters = copies, driver, counters
         self.leaser = Leaser(TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         # By customer, in their order: until when, which request, and what it needs.
@@ -130,7 +130,7 @@
         self.plans: dict[str, str] = {}  # of customers that are leased for
         self.sessions: dict[int, Session] = {}
         self.sound = True  # some group answers
-        driver.asked = self._asked
+        driver.delay_admission = self._asked
         self.tick = Periodic(self._tick, EVERY / 1000, counters.add)
 
     def start(self) -> None:
@@ -215,7 +215,7 @@
                 plan = self.plans.get(action.customer)
                 if plan is not None:
                     self.counters.add("leases_had", int(action.lease > 0))
-                    self.driver.feed(
+                    self.driver.apply_event(
                         i.Leased(action.customer, plan, action.lease, action.units, action.until)
                     )
             else:
--- a/mapleshunt/net/request/admit.py
+++ b/mapleshunt/net/request/admit.py
@@ -4,18 +4,20 @@
 
 from typing import TYPE_CHECKING
 
-from . import respond as relay
+from . import respond
 from .context import RequestContext
 
 if TYPE_CHECKING:
-    from ..policy_driver import Driver
+    from ..policy_driver import PolicyDriver
 
 
-def admit(context: RequestContext, driver: Driver, most: int, elsewhere: float = 0.0) -> None:
+def admit(context: RequestContext, driver: PolicyDriver, most: int, elsewhere: float = 0.0) -> None:
     """`elsewhere`: ms after which it may ask on another connection, where this one takes no more; else 0."""
     driver.counters.add("requests_taken")
-    if elsewhere or len(driver.open) >= most:  # memory is bounded; nothing was sent: asking again is harmless
-        relay.reject(context, elsewhere or driver.settings.max_retry_after, driver.counters)
-        driver.over(context)
+    if (
+        elsewhere or len(driver.open_requests) >= most
+    ):  # memory is bounded; nothing was sent: asking again is harmless
+        respond.reject(context, elsewhere or driver.settings.max_retry_after, driver.counters)
+        driver.release(context)
     else:
-        driver.take(context)
+        driver.submit(context)
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -11,14 +11,14 @@
 from ...policy import interface as i
 
 
-class Message(Protocol):
+class RequestMessage(Protocol):
     """The request as its client worded it, to be passed on."""
 
     def encode(self, wait: int) -> bytes:
         """What goes to a till server, told that the gateway waits `wait` ms."""
 
 
-class Answer(Protocol):
+class ResponseSink(Protocol):
     """Where the one final answer goes. Each protocol words the three answers in its own way."""
 
     def serve(self, value: memoryview) -> None: ...
@@ -28,32 +28,32 @@
     def fail(self) -> None: ...
 
 
-class Connection(Protocol):
+class AttemptConnection(Protocol):
     """What a try is out on."""
 
     def close(self, reason: str) -> None: ...
 
 
 @dataclass(slots=True, frozen=True)
-class Intake:
+class ParsedRequest:
     """What a request says of itself, read but not yet checked against the settings."""
 
-    id: str  # as its client named it
+    request_id: str  # as its client named it
     cls: str
     plan: str
     customer: str
-    patience: float
+    timeout_ms: float
     units: float
     spread: int
     first: int
-    retry: bool
-    key: bool  # it carries an idempotency key
-    query: bool  # it says that it may be repeated
-    message: Message
+    is_retry: bool
+    has_idempotency_key: bool  # it carries an idempotency key
+    is_query: bool  # it says that it may be repeated
+    message: RequestMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Ending:
+class AttemptResult:
     """How a try ended; `value` only with "ok"."""
 
     status: i.Status
@@ -62,56 +62,56 @@
 
 
 @dataclass(slots=True)
-class Try:
+class Attempt:
     number: int
     server: int
-    sent: float  # on the driver's clock
-    until: float  # when the gateway stops waiting
-    before: float = math.inf  # from then on none of its bytes may go out
-    connection: Connection | None = None
-    given_up: i.Status | None = None
+    sent_at: float  # on the driver's clock
+    deadline: float  # when the gateway stops waiting
+    send_before: float = math.inf  # from then on none of its bytes may go out
+    connection: AttemptConnection | None = None
+    cancel_status: i.Status | None = None
     task: asyncio.Task[None] | None = None
     status: i.Status | None = None  # how it ended; None while it is out
     zone: str = ""  # of its server, known once its bytes go out
     cell: int = 0
-    took: float = 0.0  # ms
+    latency_ms: float = 0.0  # ms
     cost: float = 0.0  # true units, as told
 
-    def give_up(self, status: i.Status) -> None:
+    def cancel(self, status: i.Status) -> None:
         """Stop waiting. The connection ends too: an answer still to come on it would be the next try's."""
-        if self.given_up is None:
-            self.given_up = status
+        if self.cancel_status is None:
+            self.cancel_status = status
             if self.connection is not None:
                 self.connection.close(status)
 
 
 @dataclass(slots=True)
 class RequestContext:
-    ref: int
+    request_id: int
     request: i.Request
-    message: Message
-    answer: Answer
-    taken: float  # on the driver's clock
-    id: str = ""
-    ids: set[str] = field(default_factory=set)  # of all requests that are open
-    tries: list[Try] = field(default_factory=list)
-    guard: asyncio.TimerHandle | None = None
-    open: bool = True  # the final answer is still owed
-    final: str = "gone"  # served, refused or failed once it was given
-    ended: float = 0.0  # on the driver's clock; known where requests are recorded
-    ended_at: float = math.inf  # s, monotonic: when its final answer was given or its client left
+    message: RequestMessage
+    response_sink: ResponseSink
+    received_at: float  # on the driver's clock
+    client_request_id: str = ""
+    open_client_ids: set[str] = field(default_factory=set)  # of all requests that are open
+    attempts: list[Attempt] = field(default_factory=list)
+    deadline_timer: asyncio.TimerHandle | None = None
+    awaiting_response: bool = True  # the final answer is still owed
+    final_result: str = "gone"  # served, refused or failed once it was given
+    released_at: float = 0.0  # on the driver's clock; known where requests are recorded
+    response_claimed_at: float = math.inf  # s, monotonic: when its final answer was given or its client left
 
     @property
-    def due(self) -> float:
-        return self.taken + self.request.patience
+    def deadline(self) -> float:
+        return self.received_at + self.request.patience
 
-    def end(self) -> bool:
+    def claim_response(self) -> bool:
         """Claim the right to give the final answer; False if that has been done."""
-        was, self.open = self.open, False
+        was, self.awaiting_response = self.awaiting_response, False
         if was:
-            self.ids.discard(self.id)
-            self.ended_at = time.monotonic()
-        if self.guard is not None:
-            self.guard.cancel()
-            self.guard = None
+            self.open_client_ids.discard(self.client_request_id)
+            self.response_claimed_at = time.monotonic()
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
+            self.deadline_timer = None
         return was
--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable
 
 from ..upstream.endpoint_group import ConnectionLost, DialFailed, NoRoom, ServerConnection, UpstreamGroup
-from .context import Ending, RequestContext, Try
+from .context import Attempt, AttemptResult, RequestContext
 
 # Called with the time that the server is told, right before the first byte is written.
-Check = Callable[[RequestContext, Try, ServerConnection, float], None]
+BeforeWrite = Callable[[RequestContext, Attempt, ServerConnection, float], None]
 
 
-async def send(
+async def dispatch(
     context: RequestContext,
-    attempt: Try,
+    attempt: Attempt,
     group: UpstreamGroup,
     now: Callable[[], float],
-    check: Check = lambda context, attempt, connection, passed_on: None,
-) -> Ending:
+    check: BeforeWrite = lambda context, attempt, connection, passed_on: None,
+) -> AttemptResult:
     """The till server is told for how long the gateway will wait once it is connected: dialling takes time.
 
     Whether a try may have run decides if it may be repeated. It may have, once its last byte was written;
@@ -29,12 +29,12 @@
         decision its client may have left, its server be told to drain, its window or its patience have ended.
         """
         time = now()
-        going = context.open and attempt.given_up is None and attempt.until - time >= 1
-        return going and time < attempt.before and group.wanted(attempt.server)
+        going = context.awaiting_response and attempt.cancel_status is None and attempt.deadline - time >= 1
+        return going and time < attempt.send_before and group.wanted(attempt.server)
 
     try:
         if not wanted():
-            return Ending("unsent")
+            return AttemptResult("unsent")
         connection = group.idle(attempt.server)
         if connection is None:
             connection = group.connection(attempt.server)
@@ -43,8 +43,8 @@
         attempt.connection = connection
         if not wanted() or not group.current(connection):
             group.release(connection)
-            return Ending("unsent")
-        left = attempt.until - now()
+            return AttemptResult("unsent")
+        left = attempt.deadline - now()
         check(context, attempt, connection, left)
         reply = await connection.exchange(
             context.message.encode(int(left)),
@@ -52,12 +52,12 @@
             left / 2000,
         )
     except NoRoom:
-        return Ending("unsent")
+        return AttemptResult("unsent")
     except DialFailed as failed:
-        return Ending("unsent" if failed.local or attempt.given_up is not None else "unreachable")
+        return AttemptResult("unsent" if failed.local or attempt.cancel_status is not None else "unreachable")
     except ConnectionLost as lost:
-        if attempt.given_up is not None:
-            return Ending(attempt.given_up if lost.written else "unsent")
-        return Ending("reset" if lost.written else "unreachable")
+        if attempt.cancel_status is not None:
+            return AttemptResult(attempt.cancel_status if lost.written else "unsent")
+        return AttemptResult("reset" if lost.written else "unreachable")
     group.release(connection)
     return reply
--- a/mapleshunt/net/request/parse.py
+++ b/mapleshunt/net/request/parse.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from ...policy import interface as i
-from .context import Answer, Intake, RequestContext
+from .context import ParsedRequest, RequestContext, ResponseSink
 
 
-class Unacceptable(Exception):
+class UnacceptableRequestError(Exception):
     """The request is not one the settings know; nothing of it is sent on."""
 
 
-def take_in(
-    intake: Intake, answer: Answer, settings: i.Settings, ref: int, now: float, ids: set[str]
+def parse(
+    intake: ParsedRequest, answer: ResponseSink, settings: i.Settings, ref: int, now: float, ids: set[str]
 ) -> RequestContext:
     """`ids` are those of the open requests; the new one's is added to them.
 
@@ -20,29 +20,29 @@
     """
     cls = settings.classes.get(intake.cls)
     if cls is None:
-        raise Unacceptable("unknown class")
+        raise UnacceptableRequestError("unknown class")
     if intake.plan not in settings.plans:
-        raise Unacceptable("unknown plan")
-    if intake.query != (cls.effect == "safe"):
-        raise Unacceptable("this class goes by the other command")
-    if cls.effect == "keyed" and not intake.key:
-        raise Unacceptable("this class needs a key")
+        raise UnacceptableRequestError("unknown plan")
+    if intake.is_query != (cls.effect == "safe"):
+        raise UnacceptableRequestError("this class goes by the other command")
+    if cls.effect == "keyed" and not intake.has_idempotency_key:
+        raise UnacceptableRequestError("this class needs a key")
     if not 0 < intake.units <= settings.largest:
-        raise Unacceptable("units are out of range")
+        raise UnacceptableRequestError("units are out of range")
     if not (1 <= intake.spread <= settings.instances and 0 <= intake.first < settings.instances):
-        raise Unacceptable("the customer's set is out of range")
-    if intake.id in ids:
-        raise Unacceptable("a request of this id is open")
+        raise UnacceptableRequestError("the customer's set is out of range")
+    if intake.request_id in ids:
+        raise UnacceptableRequestError("a request of this id is open")
     request = i.Request(
         ref=ref,
         cls=intake.cls,
         plan=intake.plan,
         customer=intake.customer,
-        patience=intake.patience,
+        patience=intake.timeout_ms,
         units=intake.units,
         spread=intake.spread,
         first=intake.first,
-        retry=intake.retry,
+        retry=intake.is_retry,
     )
-    ids.add(intake.id)
-    return RequestContext(ref, request, intake.message, answer, now, intake.id, ids)
+    ids.add(intake.request_id)
+    return RequestContext(ref, request, intake.message, answer, now, intake.request_id, ids)
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -5,30 +5,30 @@
 from typing import TYPE_CHECKING
 
 from ...policy import interface as i
-from . import respond as relay
-from .context import Ending, RequestContext, Try
+from . import respond
+from .context import Attempt, AttemptResult, RequestContext
 
 if TYPE_CHECKING:
-    from ..policy_driver import Driver
+    from ..policy_driver import PolicyDriver
 
 
-def book(context: RequestContext, attempt: Try, ending: Ending, driver: Driver) -> None:
+def record(context: RequestContext, attempt: Attempt, ending: AttemptResult, driver: PolicyDriver) -> None:
     driver.counters.add(f"tries_{ending.status}")
-    if ending.value is not None and context.open:
-        driver.trace.add(context.id, "served", f"attempt {attempt.number}")
-        relay.serve(context, ending.value, driver.counters)
-        driver.forget(context)
-    attempt.status, attempt.took = ending.status, driver.now() - attempt.sent
+    if ending.value is not None and context.awaiting_response:
+        driver.trace.add(context.client_request_id, "served", f"attempt {attempt.number}")
+        respond.serve(context, ending.value, driver.counters)
+        driver.remove(context)
+    attempt.status, attempt.latency_ms = ending.status, driver.now() - attempt.sent_at
     # No request counts more than the settings' largest: such a figure is unreadable.
     attempt.cost = ending.cost if ending.cost <= driver.settings.largest else 0.0
-    driver.feed(
+    driver.apply_event(
         i.Outcome(
-            ref=context.ref,
+            ref=context.request_id,
             status=ending.status,
-            closed=not context.open,
+            closed=not context.awaiting_response,
             attempt=attempt.number,
             server=attempt.server,
-            latency=attempt.took,
+            latency=attempt.latency_ms,
             cost=attempt.cost,
         )
     )
--- a/mapleshunt/net/request/respond.py
+++ b/mapleshunt/net/request/respond.py
@@ -7,24 +7,24 @@
 
 
 def serve(context: RequestContext, value: memoryview, counters: Counters) -> None:
-    if context.end():
-        context.final = "served"
+    if context.claim_response():
+        context.final_result = "served"
         counters.add("answers_served")
         counters.add_class("completed", context.request.cls)
-        context.answer.serve(value)
+        context.response_sink.serve(value)
 
 
 def reject(context: RequestContext, wait: float, counters: Counters) -> None:
-    if context.end():
-        context.final = "refused"
+    if context.claim_response():
+        context.final_result = "refused"
         counters.add("answers_rejected")
         counters.add_class("rejected", context.request.cls)
-        context.answer.reject(wait)
+        context.response_sink.reject(wait)
 
 
 def fail(context: RequestContext, counters: Counters) -> None:
-    if context.end():
-        context.final = "failed"
+    if context.claim_response():
+        context.final_result = "failed"
         counters.add("answers_failed")
         counters.add_class("failed", context.request.cls)
-        context.answer.fail()
+        context.response_sink.fail()
--- a/mapleshunt/net/request/route.py
+++ b/mapleshunt/net/request/route.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 from ...policy import interface as i
-from .context import RequestContext, Try
+from .context import Attempt, RequestContext
 
 
-def route(context: RequestContext, action: i.Send, now: float) -> Try:
-    until = min(now + action.timeout, context.due) if action.timeout else context.due
-    number = len(context.tries)
-    attempt = Try(number=number, server=action.server, sent=now, until=until, before=action.before)
-    context.tries.append(attempt)
+def route(context: RequestContext, action: i.Send, now: float) -> Attempt:
+    until = min(now + action.timeout, context.deadline) if action.timeout else context.deadline
+    number = len(context.attempts)
+    attempt = Attempt(
+        number=number, server=action.server, sent_at=now, deadline=until, send_before=action.before
+    )
+    context.attempts.append(attempt)
     return attempt
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -23,7 +23,7 @@
 from ..protocol import command_protocol as svc
 from ..protocol import resp
 from ..protocol.read_buffer import ReadBuffer, TooLong
-from ..request.context import Ending
+from ..request.context import AttemptResult
 
 STALL = 0.1  # s that a reply that has begun may stand still
 SETTLE = 0.01  # s before a connection that has answered carries the next try
@@ -97,7 +97,7 @@
         self.server, self.member, self.group = server, server.member, group
         self.stream = IOStream(socket.socket(family_of(server.address)), max_buffer_size=4 * resp.MAX_MESSAGE)
         self.buffer = ReadBuffer(resp.MAX_MESSAGE)
-        self.waiting: asyncio.Future[Ending] | None = None
+        self.waiting: asyncio.Future[AttemptResult] | None = None
         self.tries, self.reason = 0, ""
         self.idle_since = 0.0
         self.stall: asyncio.TimerHandle | None = None
@@ -135,7 +135,7 @@
 
     async def exchange(
         self, data: bytes, whole: Callable[[], None] = lambda: None, longest: float = math.inf
-    ) -> Ending:
+    ) -> AttemptResult:
         """Write a command and wait for how it ends; `whole` is called once its last byte is written, and a
         reply that has begun has `longest` s to come whole. Raises `ConnectionLost`.
         """
@@ -207,7 +207,7 @@
         self.group.counters.add("malformed_replies")
         log.log_event("malformed_reply", server=self.server.member.id, why=why)
         if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(Ending("error"))
+            self.waiting.set_result(AttemptResult("error"))
         self.close("malformed_reply")
 
     def close(self, reason: str) -> None:
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -76,19 +76,20 @@
         """A request is over, and so are its tries."""
         if self.file < 0:
             return
-        request, tries = context.request, context.tries[:MOST_ATTEMPTS]
+        request, tries = context.request, context.attempts[:MOST_ATTEMPTS]
         row = ENCODER.encode(Row(
-            round(context.taken, 2), request.cls, request.plan, self.customer(request.customer),
+            round(context.received_at, 2), request.cls, request.plan, self.customer(request.customer),
             request.units,
             max((one.cost for one in tries), default=0.0), round(request.patience, 1), request.spread,
-            request.first, request.retry, context.final, round(context.ended - context.taken, 2),
-            tuple(Attempt(one.server, one.status or "out", round(one.sent - context.taken, 2),
-                          round(one.took, 2)) for one in tries),
+            request.first, request.retry, context.final_result,
+            round(context.released_at - context.received_at, 2),
+            tuple(Attempt(one.server, one.status or "out", round(one.sent_at - context.received_at, 2),
+                          round(one.latency_ms, 2)) for one in tries),
         ))  # fmt: skip
         if self.held + len(row) > RAW:
             self.flush(done=True)
         if not self.rows:
-            self.first = context.taken
+            self.first = context.received_at
         self.rows.append(row)
         self.held += len(row)
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -18,11 +18,11 @@
 
 from mapleshunt.net.client import connection as client
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.policy_driver import Driver
+from mapleshunt.net.policy_driver import PolicyDriver
 from mapleshunt.net.protocol import command_protocol as svc
 from mapleshunt.net.protocol import resp
 from mapleshunt.net.request.context import RequestContext
-from mapleshunt.net.request.parse import take_in
+from mapleshunt.net.request.parse import parse
 from mapleshunt.policy.interface import Settings
 
 from .conftest import CLASSES, PLANS
@@ -39,18 +39,18 @@
 
     def __init__(self) -> None:
         self.settings = Settings(me=0, instances=1, classes=CLASSES, plans=PLANS)
-        self.counters, self.open = Counters(), dict[int, RequestContext]()
+        self.counters, self.open_requests = Counters(), dict[int, RequestContext]()
         self.left: list[RequestContext] = []
-        self.over: Callable[[RequestContext], None] = lambda context: None
+        self.release: Callable[[RequestContext], None] = lambda context: None
 
     def now(self) -> float:
         return 0.0
 
-    def take(self, context: RequestContext) -> None:
-        self.open[context.ref] = context
+    def submit(self, context: RequestContext) -> None:
+        self.open_requests[context.request_id] = context
 
-    def gone(self, context: RequestContext) -> None:
-        if context.end():
+    def client_disconnected(self, context: RequestContext) -> None:
+        if context.claim_response():
             self.left.append(context)
 
 
@@ -65,7 +65,7 @@
     async def run() -> None:
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
-        service = client.Service(cast(Driver, decisions), decisions.counters, 1, 1000)
+        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.serve(IOStream(ours, max_write_buffer_size=client.MAX_UNWRITTEN_BYTES))
         (connection,) = service.connections
         await steps(connection, theirs)
@@ -89,8 +89,10 @@
         sending = loop.create_task(loop.sock_sendall(theirs, commands))
         while connection.written is None or connection.written.done():  # until the kernel holds no more
             await rest()
-            for context in list(decisions.open.values()):
-                decisions.open.pop(context.ref).answer.serve(memoryview(bytes(resp.MAX_VALUE)))
+            for context in list(decisions.open_requests.values()):
+                decisions.open_requests.pop(context.request_id).response_sink.serve(
+                    memoryview(bytes(resp.MAX_VALUE))
+                )
         await rest()
         held = connection.commands
         await rest()
@@ -130,13 +132,13 @@
         def odd(*args: Any) -> RequestContext:
             if error := next(calls):
                 raise error
-            return take_in(*args)
+            return parse(*args)
 
-        monkeypatch.setattr(client, "take_in", odd)
+        monkeypatch.setattr(client, "parse", odd)
         theirs.send(query() + query())
         await rest()
-        (context,) = cast(Decisions, connection.service.driver).open.values()
-        context.answer.fail()
+        (context,) = cast(Decisions, connection.service.driver).open_requests.values()
+        context.response_sink.fail()
         assert theirs.recv(100) == b"-ERR failed\r\n-ERR failed\r\n"
 
     assert play(steps).counters.counts["exceptions"] == 1
@@ -160,8 +162,8 @@
         theirs.send(query())
         await rest()
         assert not connection.service.evict_idle()
-        (context,) = cast(Decisions, connection.service.driver).open.values()
-        context.answer.fail()
+        (context,) = cast(Decisions, connection.service.driver).open_requests.values()
+        context.response_sink.fail()
         assert connection.service.evict_idle() and not connection.stream.closed()
         assert theirs.recv(100) == b"-ERR failed\r\n" and theirs.recv(1) == b""
         assert not connection.service.evict_idle()  # the newest stays: its request may be on its way
@@ -305,9 +307,9 @@
         decisions, whole = cast(Decisions, connection.service.driver), query()
         theirs.send(2 * whole)
         await rest()
-        (context,) = decisions.open.values()
-        context.answer.reject(5)
-        assert context.end()
+        (context,) = decisions.open_requests.values()
+        context.response_sink.reject(5)
+        assert context.claim_response()
         await rest()
         assert theirs.recv(100) == b"-BUSY 5\r\n-ERR a request of this id is open\r\n"
         assert not connection.service.ids
@@ -357,14 +359,14 @@
 
     async def steps(_: client.ClientConnection, __: socket.socket) -> None:
         decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = client.Service(cast(Driver, decisions), decisions.counters, 1, 1000)
+        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.serve(IOStream(ours))
         (connection,) = service.connections
         flood = b"".join(query() for _ in range(3 * resp.MAX_MESSAGE // len(query())))
         await asyncio.get_running_loop().sock_sendall(theirs, flood)
         buffer = connection.buffer
         await until(lambda: connection.consumed + buffer.end - buffer.start == len(flood))
-        assert not decisions.left and len(decisions.open) == client.MAX_PIPELINED_COMMANDS < len(
+        assert not decisions.left and len(decisions.open_requests) == client.MAX_PIPELINED_COMMANDS < len(
             connection.slots
         )
         assert connection.buffer.limit >= buffer.end - buffer.start
@@ -396,7 +398,7 @@
             slept.append(delay)
             await rested(0)
 
-        service = client.Service(cast(Driver, decisions), decisions.counters, 1, 1000)
+        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.serve(IOStream(ours))
         theirs.setblocking(True)
         flood = b"".join(query() for _ in range(3 * client.MAX_REFUSED_COMMANDS // 2)) + bytes(1 << 22)
@@ -411,7 +413,7 @@
         await until(lambda: not service.connections)
         monkeypatch.undo()
         sending.join()
-        assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS == len(decisions.open)
+        assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS == len(decisions.open_requests)
         assert sum(slept) <= 0.2, "that is how long it went on beside what the reading takes"
 
     play(steps)
@@ -428,7 +430,7 @@
         await until(lambda: connection.paused)
         connection.arrivals = deque((end, at - 0.3) for end, at in connection.arrivals)
         connection._go_on()
-        (context,) = cast(Decisions, connection.service.driver).open.values()
+        (context,) = cast(Decisions, connection.service.driver).open_requests.values()
         assert context.request.patience <= 180.0
 
     play(steps)
@@ -440,12 +442,12 @@
         decisions, ping = cast(Decisions, connection.service.driver), resp.command([b"PING"])
         connection.service.ready = lambda: False
         theirs.send(query())
-        await until(lambda: decisions.open)
+        await until(lambda: decisions.open_requests)
         connection.service.close_idle(draining=True, rejecting_new_requests=True)
         theirs.send(query() + ping + query())
         await until(lambda: connection.commands == 4)
-        (context,) = decisions.open.values()  # none of the others was put before the decisions
-        context.answer.serve(memoryview(b"v"))
+        (context,) = decisions.open_requests.values()  # none of the others was put before the decisions
+        context.response_sink.serve(memoryview(b"v"))
         await rest()
         no = b"-ERR not ready\r\n"
         assert received(theirs) == resp.bulk(b"v") + b"-BUSY 1\r\n" + no + b"-BUSY 1\r\n"
@@ -466,13 +468,13 @@
 
     async def steps(_: client.ClientConnection, __: socket.socket) -> None:
         decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = client.Service(cast(Driver, decisions), decisions.counters, 1, 1000)
+        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.serve(IOStream(ours))
         (connection,) = service.connections
         long = resp.bulk(memoryview(bytes(resp.MAX_VALUE)))
         theirs.send(query())
-        await until(lambda: decisions.open)
-        decisions.open.popitem()[1].answer.serve(memoryview(bytes(resp.MAX_VALUE)))
+        await until(lambda: decisions.open_requests)
+        decisions.open_requests.popitem()[1].response_sink.serve(memoryview(bytes(resp.MAX_VALUE)))
         await until(lambda: not connection.busy())
         crossing = iter([b"", query()])
 
@@ -493,7 +495,7 @@
         assert connection.reason == how and connection.lingering is not None
         theirs.sendall(query())
         await rest()
-        assert await asyncio.to_thread(received, theirs) == long and not decisions.open
+        assert await asyncio.to_thread(received, theirs) == long and not decisions.open_requests
         theirs.close()
         await until(lambda: connection not in connection.service.connections)
 
@@ -573,7 +575,7 @@
         self.theirs.setblocking(False)
 
         def start() -> None:
-            self.service = client.Service(cast(Driver, self.decisions), Counters(), 1, 1000)
+            self.service = client.Service(cast(PolicyDriver, self.decisions), Counters(), 1, 1000)
             self.service.serve(IOStream(ours))
             (self.connection,) = self.service.connections
 
@@ -591,12 +593,12 @@
             self.half, self.ended = bool(self.expected), not self.expected
 
     def sends(self, data: bytes, answer: bytes | None, whole: bool = True) -> None:
-        before = set(self.decisions.open)
+        before = set(self.decisions.open_requests)
         self.do(lambda: self.theirs.send(data))
         if whole and not self.malformed:
-            new = set(self.decisions.open) - before
+            new = set(self.decisions.open_requests) - before
             assert len(new) == (answer is None)
-            self.order.append([self.decisions.open[new.pop()] if new else None, answer])
+            self.order.append([self.decisions.open_requests[new.pop()] if new else None, answer])
 
     open_now = precondition(
         lambda self: not (self.ended or self.half or self.left or self.rest or self.malformed)
@@ -659,16 +661,19 @@
         self.order.append([None, b"-ERR " + why + b"\r\n"])
         self.model()
 
-    @precondition(lambda self: self.decisions.open)
+    @precondition(lambda self: self.decisions.open_requests)
     @rule(pick=st.integers(0, 99), how=st.sampled_from(["serve", "reject", "fail"]))
     def answers(self, pick: int, how: str) -> None:
-        ref = sorted(self.decisions.open)[pick % len(self.decisions.open)]
-        context = self.decisions.open.pop(ref)
-        if context.end():
+        ref = sorted(self.decisions.open_requests)[pick % len(self.decisions.open_requests)]
+        context = self.decisions.open_requests.pop(ref)
+        if context.claim_response():
             step, data = {
-                "serve": (lambda: context.answer.serve(memoryview(b"v%d" % ref)), resp.bulk(b"v%d" % ref)),
-                "reject": (lambda: context.answer.reject(12.4), b"-BUSY 12\r\n"),
-                "fail": (lambda: context.answer.fail(), b"-ERR failed\r\n"),
+                "serve": (
+                    lambda: context.response_sink.serve(memoryview(b"v%d" % ref)),
+                    resp.bulk(b"v%d" % ref),
+                ),
+                "reject": (lambda: context.response_sink.reject(12.4), b"-BUSY 12\r\n"),
+                "fail": (lambda: context.response_sink.fail(), b"-ERR failed\r\n"),
             }[how]
             for place in self.order:
                 if place[0] is context:
@@ -685,7 +690,7 @@
     @precondition(lambda self: self.calm <= 0 and not self.ended and not self.left)
     @rule()
     def leaves(self) -> None:
-        owed = [place[0] for place in self.order if place[0] is not None and place[0].open]
+        owed = [place[0] for place in self.order if place[0] is not None and place[0].awaiting_response]
         self.do(self.theirs.close)
         self.left = self.ended = True
         assert self.decisions.left == owed
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -8,7 +8,7 @@
 
 from benchmarks.cold_servers import Case, worst
 from mapleshunt import Members, ServerEntry
-from mapleshunt.net.policy_driver import Clock
+from mapleshunt.net.policy_driver import UnixClock
 
 from .conftest import Driver
 
@@ -41,7 +41,7 @@
 ) -> None:
     # Its start was told in a time that the gateway's clock, which began before the step, took for long ago:
     # a cold server got what a warm one gets. Or for the future: it stayed cold until the hour was over.
-    clock, wall = Clock(), time.time
+    clock, wall = UnixClock(), time.time
     monkeypatch.setattr(time, "time", lambda: wall() + step / 1000)
     driver = Driver(cold=10_000.0, cold_from=0.25)
     driver.now = clock()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -26,9 +26,9 @@
 )
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.periodic import Periodic
-from mapleshunt.net.policy_driver import GUARD, Driver
+from mapleshunt.net.policy_driver import RESPONSE_GUARD_MS, PolicyDriver
 from mapleshunt.net.protocol.command_protocol import SvcMessage
-from mapleshunt.net.request import respond as relay
+from mapleshunt.net.request import respond
 from mapleshunt.net.request.admit import admit
 from mapleshunt.net.request.context import RequestContext
 from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
@@ -63,11 +63,13 @@
         return self.does(event)
 
 
-def play(does: Callable[[Event], list[Any]], steps: Callable[[Driver, Scripted], Awaitable[None]]) -> Driver:
-    async def run() -> Driver:
+def play(
+    does: Callable[[Event], list[Any]], steps: Callable[[PolicyDriver, Scripted], Awaitable[None]]
+) -> PolicyDriver:
+    async def run() -> PolicyDriver:
         counters = Counters()
         group = UpstreamGroup(counters, 250, 1000, 10)
-        driver = Driver(Settings(me=0, instances=1, classes=CLASSES, plans=PLANS), 1, group, counters)
+        driver = PolicyDriver(Settings(me=0, instances=1, classes=CLASSES, plans=PLANS), 1, group, counters)
         scripted = Scripted(does)
         driver.gateway = scripted  # type: ignore[assignment]
         await steps(driver, scripted)
@@ -76,7 +78,9 @@
     return asyncio.run(run())
 
 
-def ask(driver: Driver, ref: int = 1, patience: float = 5000, most: int = 10) -> tuple[RequestContext, Told]:
+def ask(
+    driver: PolicyDriver, ref: int = 1, patience: float = 5000, most: int = 10
+) -> tuple[RequestContext, Told]:
     told = Told()
     request = Request(ref, "look", "wide", "c", patience)
     context = RequestContext(ref, request, SvcMessage([], {}), told, driver.now())
@@ -93,30 +97,30 @@
 def test_client_that_leaves_in_the_step_in_which_its_answer_is_read(
     monkeypatch: pytest.MonkeyPatch, first: str, status: str
 ) -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             member = Member("s-1", listener.getsockname(), "", 0, "ready", 0.0)
             driver.group.update("complete", [member])
             context, told = ask(driver)
             with (await asyncio.to_thread(listener.accept))[0] as server:
                 await asyncio.to_thread(server.recv, 65536)
-                connection: Any = driver.out[1, 0].connection
+                connection: Any = driver.attempts_in_flight[1, 0].connection
                 reads = connection._take_reply
 
                 def both() -> None:  # the bytes have come, and so has the client's end
                     if first == "client":
-                        driver.gone(context)
+                        driver.client_disconnected(context)
                     reads()
-                    driver.gone(context)
+                    driver.client_disconnected(context)
 
                 monkeypatch.setattr(connection, "_take_reply", both)
                 server.send(b"*1\r\n$1\r\nv\r\n")
-                while driver.out:
+                while driver.attempts_in_flight:
                     await asyncio.sleep(0)
             gone, ended = decisions.told[1:]
             assert gone == ClientGone(1) and isinstance(ended, Outcome)
             assert (ended.status, ended.closed) == (status, True)
-            assert not (told.answers or driver.open or driver.group.connections)
+            assert not (told.answers or driver.open_requests or driver.group.connections)
             assert not driver.counters.counts["exceptions"]
 
     def does(event: Event) -> list[Any]:
@@ -135,16 +139,16 @@
     the decisions were never told how that try ended, and kept its slot at the till server for good.
     """
 
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         refused, _ = ask(driver, 1)
-        refused.answer.reject = lambda wait: driver.gone(sent)  # type: ignore[method-assign]
+        refused.response_sink.reject = lambda wait: driver.client_disconnected(sent)  # type: ignore[method-assign]
         sent, told = ask(driver, 2)
-        driver.feed(Timer(0))
+        driver.apply_event(Timer(0))
         gone, ended = decisions.told[-2:]
         assert gone == ClientGone(2) and isinstance(ended, Outcome)
         assert (ended.ref, ended.attempt, ended.server) == (2, 0, 7)
         assert ended.status == "unsent" and ended.closed
-        assert not driver.open and not driver.out and not told.answers
+        assert not driver.open_requests and not driver.attempts_in_flight and not told.answers
 
     def does(event: Event) -> list[Any]:
         return [Refuse(1), Send(2, 7)] if isinstance(event, Timer) else []
@@ -153,11 +157,11 @@
 
 
 def test_request_the_decisions_forget_is_answered_before_its_client_gives_up() -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
-        context, told = ask(driver, patience=GUARD + 10)
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+        context, told = ask(driver, patience=RESPONSE_GUARD_MS + 10)
         await answered(told)
-        assert told.answers == ["failed"] and decisions.told[-1] == ClientGone(context.ref)
-        assert driver.counters.counts["guard_answers"] == 1 and not driver.open
+        assert told.answers == ["failed"] and decisions.told[-1] == ClientGone(context.request_id)
+        assert driver.counters.counts["guard_answers"] == 1 and not driver.open_requests
 
     play(lambda event: [], steps)
 
@@ -168,14 +172,14 @@
             raise RuntimeError("odd")
         return [Refuse(event.ref, 20.0)] if isinstance(event, Request) else []
 
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         assert [ask(driver, ref)[1].answers for ref in (1, 2)] == [["failed"], ["rejected 20"]]
 
     assert play(does, steps).counters.counts["exceptions"] == 1
 
 
 def test_refusals_are_counted_by_their_reason() -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         assert [ask(driver, ref)[1].answers for ref in (1, 2)] == [["rejected 5"], ["rejected 5"]]
 
     def does(event: Event) -> list[Any]:
@@ -187,25 +191,25 @@
 
 
 def test_exception_in_an_action_does_not_stop_those_behind_it() -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
-        driver.tell = lambda peer, text: 1 / 0  # type: ignore[assignment]
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+        driver.send_gossip = lambda peer, text: 1 / 0  # type: ignore[assignment]
         assert ask(driver)[1].answers == ["failed"]
 
     play(lambda event: [Tell(0, "x"), Fail(1)] if isinstance(event, Request) else [], steps)
 
 
 def test_there_is_one_final_answer_only() -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         context, told = ask(driver)
-        relay.serve(context, memoryview(b"late"), driver.counters)
-        driver.gone(context)
+        respond.serve(context, memoryview(b"late"), driver.counters)
+        driver.client_disconnected(context)
         assert told.answers == ["rejected 5"] and len(decisions.told) == 1
 
     play(lambda event: [Refuse(1, 5.0), Fail(1)], steps)
 
 
 def test_more_than_may_be_held_is_rejected_without_a_decision() -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         assert [ask(driver, ref, most=1)[1].answers for ref in (1, 2)] == [[], ["rejected 1000"]]
         assert len(decisions.told) == 1
 
@@ -219,9 +223,9 @@
         first = isinstance(event, Outcome) and event.attempt == 0
         return [Send(1, server=78), Fail(1)] if first else []
 
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         _, told = ask(driver)
-        while driver.out or not told.answers:
+        while driver.attempts_in_flight or not told.answers:
             await asyncio.sleep(0)
         ends = [(e.status, e.attempt, e.server, e.closed) for e in decisions.told if isinstance(e, Outcome)]
         assert ends == [("unsent", 0, 77, False), ("unsent", 1, 78, True)] and told.answers == ["failed"]
@@ -230,19 +234,19 @@
 
 
 def test_timer_fires_no_earlier_than_it_was_set_for() -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         context, _ = ask(driver)
         while not isinstance(decisions.told[-1], Timer):
             await asyncio.sleep(0.001)
-        assert driver.now() >= context.taken + 5 - 0.01 and decisions.told[-1] == Timer(3)
-        driver.gone(context)
+        assert driver.now() >= context.received_at + 5 - 0.01 and decisions.told[-1] == Timer(3)
+        driver.client_disconnected(context)
 
     play(lambda event: [SetTimer(event_time() + 5, 3)] if isinstance(event, Request) else [], steps)
 
 
 def test_timer_that_the_loop_fires_early_waits_for_its_time() -> None:
     # uvloop did: the decisions then saw a timer of the past, and answers came as late as the driver's guard.
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         real, early = driver.loop.call_later, 2
 
         def call_later(delay: float, *what: Any) -> asyncio.TimerHandle:
@@ -253,7 +257,7 @@
         monkeypatch = pytest.MonkeyPatch()
         monkeypatch.setattr(driver.loop, "call_later", call_later)
         at = driver.now() + 20
-        driver._carry_out([SetTimer(at, 7)])
+        driver._execute([SetTimer(at, 7)])
         while not decisions.told:
             await asyncio.sleep(0.001)
         monkeypatch.undo()
@@ -267,7 +271,7 @@
 
 
 def test_clock_is_unix_time_because_starts_of_servers_are() -> None:
-    async def steps(driver: Driver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         assert driver.now() == pytest.approx(time.time() * 1000, abs=10_000)
 
     play(lambda event: [], steps)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from mapleshunt import Request, Settings
-from mapleshunt.net.request.context import RequestContext, Try
+from mapleshunt.net.request.context import Attempt, RequestContext
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.writer import Recorder
 
@@ -26,10 +26,10 @@
     name = os.urandom(400).hex() if noise else customer or f"{number:016x}"
     request = Request(number, "look", "wide", name, 2000.0, 3.0, 2, 1, number % 5 == 0)
     one: Any = RequestContext(number, request, None, None, 1000.0 * number)  # type: ignore[arg-type]
-    one.final, one.open, one.ended = "served", False, 1000.0 * number + 90
-    one.tries = [
-        Try(0, 7, 1000.0 * number + 2, 0.0, status="full", took=3.0),
-        Try(1, 8, 1000.0 * number + 6, 0.0, status="ok", took=80.0, cost=4.0),
+    one.final_result, one.awaiting_response, one.released_at = "served", False, 1000.0 * number + 90
+    one.attempts = [
+        Attempt(0, 7, 1000.0 * number + 2, 0.0, status="full", latency_ms=3.0),
+        Attempt(1, 8, 1000.0 * number + 6, 0.0, status="ok", latency_ms=80.0, cost=4.0),
     ]
     return one  # type: ignore[no-any-return]
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -18,14 +18,14 @@
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.protocol import resp
 from mapleshunt.net.protocol.command_protocol import SvcMessage
-from mapleshunt.net.request.context import Answer, Ending, RequestContext, Try
-from mapleshunt.net.request.dispatch import send
+from mapleshunt.net.request.context import Attempt, AttemptResult, RequestContext, ResponseSink
+from mapleshunt.net.request.dispatch import dispatch
 from mapleshunt.net.upstream import endpoint_group as upstream
 from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
 from mapleshunt.policy.interface import Status
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=4\r\n$-1\r\n"
-Steps = Callable[[UpstreamGroup, int, socket.socket], Awaitable[list[Ending]]]
+Steps = Callable[[UpstreamGroup, int, socket.socket], Awaitable[list[AttemptResult]]]
 WORDS = [memoryview(b"SVC.QUERY"), memoryview(b"c" * 16), memoryview(b"i" * 16), memoryview(b"c=look")]
 
 
@@ -35,10 +35,10 @@
     def fail(self) -> None: ...
 
 
-def play(steps: Steps) -> list[Ending]:
+def play(steps: Steps) -> list[AttemptResult]:
     """Run steps against a group of one till server, whose listening socket the steps are given."""
 
-    async def run() -> list[Ending]:
+    async def run() -> list[AttemptResult]:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(10)
             group = UpstreamGroup(Counters(), 5000, 10000, 2)
@@ -52,16 +52,16 @@
     return asyncio.run(run())
 
 
-def request_at(number: int) -> tuple[RequestContext, Try]:
-    answer: Answer = Silent()
+def request_at(number: int) -> tuple[RequestContext, Attempt]:
+    answer: ResponseSink = Silent()
     message = SvcMessage(WORDS, {"c": "look", "d": "480", "r": "1"})
     context = RequestContext(1, Request(1, "look", "wide", "c", 480), message, answer, 0.0)
-    return context, Try(0, number, 0.0, 480.0)
+    return context, Attempt(0, number, 0.0, 480.0)
 
 
-def attempt_at(group: UpstreamGroup, number: int) -> tuple[Try, asyncio.Task[Ending]]:
+def attempt_at(group: UpstreamGroup, number: int) -> tuple[Attempt, asyncio.Task[AttemptResult]]:
     context, attempt = request_at(number)
-    return attempt, asyncio.create_task(send(context, attempt, group, lambda: 179.3))
+    return attempt, asyncio.create_task(dispatch(context, attempt, group, lambda: 179.3))
 
 
 async def taken(server: socket.socket) -> bytes:
@@ -81,27 +81,27 @@
 @pytest.mark.parametrize(
     ("data", "ending"),
     [
-        (GOOD, Ending("ok", memoryview(b"value"), 4.0)),
-        (b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nqps=1\r\n", Ending("ok", memoryview(b"v"))),
-        (b"-ERR failed\r\n", Ending("error")),
-        (b"-BUSY\r\n", Ending("full")),
-        (b"-ERR failed used=1,cost=2 inflight=7\r\n", Ending("error")),
-        (b"", Ending("reset")),
-        (b"*3\r\n$1\r\n", Ending("reset")),
-        (b"*1\r\n$1\r\nv\r\n", Ending("ok", memoryview(b"v"))),
-        (b"*3\r\n$1\r\nv\r\n$4\r\n\x00=\xff,\r\n:5\r\n", Ending("ok", memoryview(b"v"))),
-        (GOOD + GOOD, Ending("ok", memoryview(b"value"), 4.0)),
+        (GOOD, AttemptResult("ok", memoryview(b"value"), 4.0)),
+        (b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nqps=1\r\n", AttemptResult("ok", memoryview(b"v"))),
+        (b"-ERR failed\r\n", AttemptResult("error")),
+        (b"-BUSY\r\n", AttemptResult("full")),
+        (b"-ERR failed used=1,cost=2 inflight=7\r\n", AttemptResult("error")),
+        (b"", AttemptResult("reset")),
+        (b"*3\r\n$1\r\n", AttemptResult("reset")),
+        (b"*1\r\n$1\r\nv\r\n", AttemptResult("ok", memoryview(b"v"))),
+        (b"*3\r\n$1\r\nv\r\n$4\r\n\x00=\xff,\r\n:5\r\n", AttemptResult("ok", memoryview(b"v"))),
+        (GOOD + GOOD, AttemptResult("ok", memoryview(b"value"), 4.0)),
         # Spoilt: it may have run, and the till server lives.
-        (b"nonsense\r\n", Ending("error")),
-        (b"*1\r\n$70000\r\n", Ending("error")),
-        (b"*3\r\n$3000000000\r\nvvvv", Ending("error")),
-        (b"+" + 2000 * b"x", Ending("error")),
-        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Ending("error")),
-        (b":1\r\n", Ending("error")),
+        (b"nonsense\r\n", AttemptResult("error")),
+        (b"*1\r\n$70000\r\n", AttemptResult("error")),
+        (b"*3\r\n$3000000000\r\nvvvv", AttemptResult("error")),
+        (b"+" + 2000 * b"x", AttemptResult("error")),
+        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", AttemptResult("error")),
+        (b":1\r\n", AttemptResult("error")),
     ],
 )
-def test_reply_or_end_after_the_last_byte(data: bytes, ending: Ending) -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+def test_reply_or_end_after_the_last_byte(data: bytes, ending: AttemptResult) -> None:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             assert b"c=look,d=300,r=1" in await taken(server)  # all as it came, but for the wait
@@ -113,34 +113,34 @@
 
 
 def test_refused_connection_proves_that_it_never_ran() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         listener.close()
         return [await attempt_at(group, number)[1]]
 
-    assert play(steps) == [Ending("unreachable")]
+    assert play(steps) == [AttemptResult("unreachable")]
 
 
 def test_connection_that_never_comes_up_is_bounded_and_never_ran() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.dial_timeout = 0.0
         return [await attempt_at(group, number)[1]]
 
-    assert play(steps) == [Ending("unreachable")]
+    assert play(steps) == [AttemptResult("unreachable")]
 
 
 def test_unknown_server_and_spent_descriptors_leave_it_unsent() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.most = 0
         return [await attempt_at(group, number + 1)[1], await attempt_at(group, number)[1]]
 
-    assert play(steps) == [Ending("unsent"), Ending("unsent")]
+    assert play(steps) == [AttemptResult("unsent"), AttemptResult("unsent")]
 
 
 def test_given_up_before_it_is_written_it_never_ran_after_that_it_may_have() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         early, task = attempt_at(group, number)
         await asyncio.sleep(0)  # it dials
-        early.give_up("cancelled")
+        early.cancel("cancelled")
         endings = [await task]
         statuses: tuple[Status, ...] = ("cancelled", "timeout")
         for status in statuses:
@@ -148,21 +148,21 @@
             server = await accept(listener)
             with contextlib.suppress(ConnectionResetError):
                 await taken(server)  # unless it is the first one, which may have come up for a moment
-                late.give_up(status)
-            if not late.given_up:
+                late.cancel(status)
+            if not late.cancel_status:
                 server = await accept(listener)
                 await taken(server)
-                late.give_up(status)
+                late.cancel(status)
             endings.append(await task)
             assert await asyncio.to_thread(server.recv, 1) == b""  # the connection ends with it
             server.close()
         return endings
 
-    assert play(steps) == [Ending("unsent"), Ending("cancelled"), Ending("timeout")]
+    assert play(steps) == [AttemptResult("unsent"), AttemptResult("cancelled"), AttemptResult("timeout")]
 
 
 def test_connection_is_used_again_unless_its_end_has_come() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         server = await accept(listener)
         await taken(server)
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize("more", [b"*3\r\n$5\r\nval", b"\r\n", b"+", GOOD])
 def test_what_follows_an_answer_never_reaches_the_next_try(more: bytes) -> None:
     # A part of a reply stayed in the buffer, and the next answer was read as its end.
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, first = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
@@ -206,7 +206,7 @@
     # Noise that came a moment behind an answer would have been taken for the next one's.
     monkeypatch.setattr(upstream, "SETTLE", 3600.0)
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.connection(number)
         with await accept_while(connection.connect(), listener):
             group.release(connection)
@@ -221,14 +221,14 @@
 def test_reply_that_does_not_end_is_spoilt_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "STALL", 0.01)
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
             server.send(b"*3\r\n$50\r\nshort\r\n")
             return [await task]
 
-    assert play(steps) == [Ending("error")]
+    assert play(steps) == [AttemptResult("error")]
 
 
 def test_connections_that_end_without_a_word_are_trusted_for_a_shorter_time(
@@ -237,7 +237,7 @@
     # Each try on one of them ended as reset: it may have run, and its till server was held for dead.
     monkeypatch.setattr(upstream, "AT_ONCE", 10.0)
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
@@ -261,7 +261,7 @@
 
 
 def test_servers_that_are_gone_are_forgotten_and_their_connections_end() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.connection(number)
         with await accept_while(connection.connect(), listener):
             address = listener.getsockname()
@@ -276,7 +276,7 @@
 
 
 def test_reply_to_nothing_ends_the_connection() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.connection(number)
         with await accept_while(connection.connect(), listener) as server:
             group.release(connection)
@@ -295,7 +295,7 @@
 
 
 def test_idle_connections_are_closed_in_time_and_when_the_server_goes() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         for close in (group.sweep, lambda: group.update("complete", [])):
             connection = group.connection(number)
             with await accept_while(connection.connect(), listener):
@@ -317,14 +317,14 @@
     return change
 
 
-CROSSINGS: dict[str, Callable[[UpstreamGroup, int, RequestContext, Try, list[float]], Any]] = {
+CROSSINGS: dict[str, Callable[[UpstreamGroup, int, RequestContext, Attempt, list[float]], Any]] = {
     "drained": lambda group, number, *_: listed_as(state="draining")(group, number),
     "gone": lambda group, number, *_: listed_as(state="gone")(group, number),
     "restarted": lambda group, number, *_: listed_as(started=5.0)(group, number),
     "moved": lambda group, number, *_: listed_as(address=("127.0.0.1", 1))(group, number),
-    "left": lambda _group, _number, context, *_: context.end(),
-    "given up": lambda _group, _number, _context, attempt, _clock: attempt.give_up("cancelled"),
-    "window over": lambda _group, _number, _context, attempt, _clock: setattr(attempt, "before", 179.0),
+    "left": lambda _group, _number, context, *_: context.claim_response(),
+    "given up": lambda _group, _number, _context, attempt, _clock: attempt.cancel("cancelled"),
+    "window over": lambda _group, _number, _context, attempt, _clock: setattr(attempt, "send_before", 179.0),
     "patience over": lambda _group, _number, _context, _attempt, clock: clock.append(479.5),
 }
 
@@ -342,7 +342,7 @@
     whose client had left, or whose window for repeats had ended.
     """
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.connection(number)
         server = await accept_while(connection.connect(), listener)
         if kept:
@@ -351,7 +351,7 @@
         else:  # the next one's dial is the turn of the loop in which all changes
             connection.close("test")
         (context, attempt), clock = request_at(number), [179.3]
-        task = asyncio.create_task(send(context, attempt, group, lambda: clock[-1]))
+        task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
         if not kept:
             await asyncio.sleep(0)  # it dials
             assert attempt.connection is not None
@@ -371,12 +371,12 @@
         server.close()
         return [ending]
 
-    assert play(steps) == [Ending("unsent")]
+    assert play(steps) == [AttemptResult("unsent")]
 
 
 def test_long_answer_that_comes_slowly_but_goes_on_is_not_spoilt() -> None:
     # It counted as spoilt 0.1 s after its first part, however it went on.
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
@@ -397,7 +397,7 @@
 
 
 def test_answer_that_goes_on_without_end_is_spoilt_while_there_is_time_left() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.connection(number)
         with await accept_while(connection.connect(), listener) as server:
             task = asyncio.create_task(connection.exchange(b"x", longest=0.0))
@@ -405,21 +405,21 @@
             server.send(GOOD[:1])
             return [await task]
 
-    assert play(steps) == [Ending("error")]
+    assert play(steps) == [AttemptResult("error")]
 
 
 @pytest.mark.parametrize("crossing", ["drained", "gone", "left", "given up", "window over", "patience over"])
 def test_what_is_no_longer_wanted_is_not_dialled_for(crossing: str) -> None:
     # A try given up before its task began dialled all the same: work for the till server, and for nobody.
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         (context, attempt), clock = request_at(number), [179.3]
-        task = asyncio.create_task(send(context, attempt, group, lambda: clock[-1]))
+        task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
         CROSSINGS[crossing](group, number, context, attempt, clock)
         ending = await task
         assert not group.counters.counts["dials"]
         return [ending]
 
-    assert play(steps) == [Ending("unsent")]
+    assert play(steps) == [AttemptResult("unsent")]
 
 
 @pytest.mark.parametrize(
@@ -441,7 +441,7 @@
         stream.close(exc_info=OSError(error, os.strerror(error)))
         raise StreamClosedError(real_error=OSError(error, os.strerror(error)))
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         monkeypatch.setattr(IOStream, "connect", connect)
         _, task = attempt_at(group, number)
         return [await task]
@@ -455,7 +455,7 @@
 ) -> None:
     """An answer that was read counts; what a reset ended may have run, whoever gave it up meanwhile."""
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[Ending]:
+    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
@@ -466,12 +466,12 @@
 
             def read_and_given_up(*args: str) -> None:
                 reads(*args)
-                attempt.give_up("timeout")  # before the task that waits for the end has its turn
+                attempt.cancel("timeout")  # before the task that waits for the end has its turn
 
             monkeypatch.setattr(connection, ended, read_and_given_up)
             server.send(data)
         ending = await task
-        assert attempt.given_up == "timeout" and not group.connections
+        assert attempt.cancel_status == "timeout" and not group.connections
         return [ending]
 
     assert [one.status for one in play(steps)] == [status]
