--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -20,8 +20,8 @@
 from mapleshunt.replication import messages as m
 from mapleshunt.storage.durable_store import Disk
 from mapleshunt.testbed.faults import faulty_gateway as faulty
-from mapleshunt.testbed.faults.replicated_fleet import FLEET, Faults, plain_config
-from mapleshunt.testbed.replica_client import Address, Caller
+from mapleshunt.testbed.faults.replicated_fleet import FLEET, Faults, replicas_only_config
+from mapleshunt.testbed.replica_client import Address, ReplicaClient
 
 AT_ONCE = 64  # sessions
 PROCESSES = 4  # that the sessions are in: one alone is slower than the gateways
@@ -49,7 +49,7 @@
     async def run() -> list[float]:
         end = time.perf_counter() + SECONDS
         some = [
-            Caller(f"s{n}", where, FLEET, 0, [], time.monotonic, random.Random(n))
+            ReplicaClient(f"s{n}", where, FLEET, 0, [], time.monotonic, random.Random(n))
             for n in range(first, first + count)
         ]
         parts = await asyncio.gather(*(count_up(one, end, "c") for one in some))
@@ -58,7 +58,7 @@
     return asyncio.run(run())
 
 
-async def count_up(caller: Caller, until: float, prefix: str) -> list[float]:
+async def count_up(caller: ReplicaClient, until: float, prefix: str) -> list[float]:
     took: list[float] = []
     await caller.do(w.Open())
     while time.perf_counter() < until:
@@ -72,7 +72,7 @@
     print(f"commits {1000 * slow:g} ms slower than this disk's")
     for turn in range(ROUNDS):
         raw = bare(folder / f"bare{turn}", slow)
-        played = Faults(folder / f"fleet{turn}", plain_config(), 3, 1, 3)
+        played = Faults(folder / f"fleet{turn}", replicas_only_config(), 3, 1, 3)
         try:
             await played.up()
             for machine in played.machines.values():
@@ -95,12 +95,12 @@
 
 async def recovery(folder: Path) -> None:
     for customers in (100, 2000, 10_000):
-        played = Faults(folder / f"size{customers}", plain_config(), 4, 1, 3)
+        played = Faults(folder / f"size{customers}", replicas_only_config(), 4, 1, 3)
         try:
             await played.up()
             some = [played.caller(number) for number in range(AT_ONCE)]
 
-            async def fill(caller: Caller, count: int) -> None:
+            async def fill(caller: ReplicaClient, count: int) -> None:
                 await caller.do(w.Open())
                 for _ in range(count):
                     await caller.do(w.Count(f"{caller.name}-{caller.number}", 1.0))
--- a/benchmarks/copies_faults.py
+++ b/benchmarks/copies_faults.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.testbed.faults.replicated_fleet import Faults, Report, plain_config
+from mapleshunt.testbed.faults.replicated_fleet import Faults, Report, replicas_only_config
 
 ELECTION = 500.0  # ms
 
@@ -22,7 +22,7 @@
     gateways = (3, 5, 7, 9)[seed % 4]
     with tempfile.TemporaryDirectory() as folder:
         size = 5 if gateways >= 5 and seed % 8 > 3 else 3
-        played = Faults(Path(folder), plain_config(), gateways, seed, size, election_ms=ELECTION)
+        played = Faults(Path(folder), replicas_only_config(), gateways, seed, size, election_ms=ELECTION)
         report = asyncio.run(played.play(faults))
         if report.broken:
             keep = Path(tempfile.mkdtemp(prefix=f"faults-{seed}-"))
--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.testbed.faults.replicated_fleet import plain_config
+from mapleshunt.testbed.faults.replicated_fleet import replicas_only_config
 from mapleshunt.testbed.rolling_maintenance import Roll, Rolls
 
 
@@ -20,7 +20,7 @@
     """5, 7 or 9 gateways by seed."""
     gateways = (5, 5, 7, 9)[seed % 4]
     with tempfile.TemporaryDirectory() as folder:
-        played = Rolls(Path(folder), plain_config(), gateways, seed)
+        played = Rolls(Path(folder), replicas_only_config(), gateways, seed)
         roll = asyncio.run(played.run(strikes=strikes))
         if roll.broken:
             keep = Path(tempfile.mkdtemp(prefix=f"rolls-{seed}-"))
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -47,9 +47,9 @@
 
 
 def _statuses(section: Any) -> dict[str, Any]:
-    from ..testbed.replica_client import statuses
+    from ..testbed.replica_client import gateway_statuses
 
-    return asyncio.run(statuses(_addresses(section), section.fleet))
+    return asyncio.run(gateway_statuses(_addresses(section), section.fleet))
 
 
 settings_option = click.option(
@@ -107,14 +107,14 @@
 @json_option
 def groups(file: Path | None, as_json: bool) -> None:
     """Each group: who leads, decides and listens, and how far it is; exit status 1 if one has no leader."""
-    from ..testbed.replica_client import leading
+    from ..testbed.replica_client import leader_status
 
     section = _section(file)
     found = _statuses(section)
     rows, lacking = [], 0
     for number in range(section.groups):
         told = [one for each in found.values() if each for one in each["groups"] if one["group"] == number]
-        leads = leading(found, number)
+        leads = leader_status(found, number)
         best = leads or max(told, key=lambda one: (one["term"], one["commit"]), default=None)
         lacking += leads is None
         rows.append({
@@ -173,13 +173,13 @@
     Exit status 0 once that copy leads again, 1 if it is not to be had now, 2 if there is no need, or the word
     is not that of the copy that is furthest.
     """
-    from ..testbed.replica_client import ask, leading
+    from ..testbed.replica_client import leader_status, query_operator_port
 
     section = _section(file)
     found = _statuses(section)
     if not 0 <= group < section.groups:
         raise Trouble(f"there is no group {group}")
-    if leading(found, group) is not None:
+    if leader_status(found, group) is not None:
         raise Trouble(f"group {group} has a leader: nothing is to be recovered")
     held = [(name, one) for name, told in found.items() if told for one in told["groups"]
             if one["group"] == group and one["last"] and one["voters"]]  # fmt: skip
@@ -192,10 +192,12 @@
     if confirm is not None:
         if confirm != best["state"]:
             raise Trouble(f"the copy that is furthest is {best['state']}, not {confirm}: look again")
-        reply = asyncio.run(ask(_addresses(section)[name], section.fleet, "recover", group, confirm))
+        reply = asyncio.run(
+            query_operator_port(_addresses(section)[name], section.fleet, "recover", group, confirm)
+        )
         end = time.monotonic() + PATIENCE
         while reply is not None and reply.how == "done" and time.monotonic() < end:
-            if (leads := leading(_statuses(section), group)) is not None:
+            if (leads := leader_status(_statuses(section), group)) is not None:
                 click.echo(f"group {group} goes on at {leads['leader']}; other copies follow")
                 return
             time.sleep(0.1)
@@ -228,10 +230,10 @@
 async def _mark(section: Any, groups: list[int], key: str, value: str) -> list[dict[str, Any]]:
     """Set a record of each group, unless it is so already."""
     from ..replicated_state import commands as words
-    from ..testbed.replica_client import Caller
+    from ..testbed.replica_client import ReplicaClient
 
     async def one(group: int) -> dict[str, Any]:
-        caller = Caller(
+        caller = ReplicaClient(
             f"cli-{os.getpid()}-{random.getrandbits(32):x}", _addresses(section), section.fleet, group, [],
             time.monotonic, random.Random(),
         )  # fmt: skip
@@ -264,12 +266,12 @@
 def show(customer: str, file: Path | None, as_json: bool) -> None:
     """A customer's store as its group's leader holds it now: level, leases, reservations, counted use."""
     from ..replication.placement import group_of
-    from ..testbed.replica_client import Caller
+    from ..testbed.replica_client import ReplicaClient
 
     section = _section(file)
 
     async def read() -> Any:
-        caller = Caller(
+        caller = ReplicaClient(
             f"cli-{os.getpid()}", _addresses(section), section.fleet, group_of(customer, section.groups), [],
             time.monotonic, random.Random(),
         )  # fmt: skip
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -32,10 +32,10 @@
 
 def _with(section: Any, do: Callable[[Any], Any]) -> Any:
     """Call group 0 until it is answered."""
-    from ..testbed.replica_client import Caller
+    from ..testbed.replica_client import ReplicaClient
 
     async def run() -> Any:
-        caller = Caller(
+        caller = ReplicaClient(
             f"cli-{os.getpid()}-{random.getrandbits(32):x}", _addresses(section), section.fleet, 0, [],
             time.monotonic, random.Random(),
         )  # fmt: skip
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -406,11 +406,11 @@
     import tempfile
 
     from ..simulation.check import LEVEL, WIDEST, check
-    from ..testbed.recording import play_scored
+    from ..testbed.recording import play_and_record
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
         found = check(
-            play_scored,
+            play_and_record,
             Path(place),
             days,
             seed,
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -11,7 +11,7 @@
 from .output import Trouble, json_option, print_json, service_rows, table
 
 if TYPE_CHECKING:
-    from ..testbed.soak.schedule import Kind
+    from ..testbed.soak.schedule import FaultKind
 
 
 @click.group()
@@ -22,11 +22,11 @@
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
     from ..simulation.day import day_of
     from ..testbed import fleet
-    from ..testbed.gateway_process import GatewayFailed
+    from ..testbed.gateway_process import GatewayError
 
     try:
-        return fleet.play(day_of(scenario, seed), logs, (program or fleet.HERE).resolve())
-    except (GatewayFailed, OSError) as error:
+        return fleet.play_day(day_of(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
+    except (GatewayError, OSError) as error:
         raise Trouble(str(error)) from None
 
 
@@ -57,12 +57,12 @@
     """Play one day of a scenario in real time."""
     day = scenario_named(scenario, gateways, servers, rate, seconds)
     fleet, found = _play(day, seed, logs, program)
-    found.stories += [f"a client of request {one.ref} heard nothing in time" for one in fleet.late[:5]]
+    found.stories += [f"a client of request {one.ref} heard nothing in time" for one in fleet.timed_out[:5]]
     extra = {
         "late_ms": fleet.clock.late,
-        "unanswered": len(fleet.late),
-        "strangers": fleet.strangers,
-        "memory_kb": [g.memory for g in fleet.gateways],
+        "unanswered": len(fleet.timed_out),
+        "strangers": fleet.unknown_requests,
+        "memory_kb": [g.peak_memory_kb for g in fleet.gateways],
     }
     if as_json:
         print_json({**found.as_dict(), **extra})
@@ -95,7 +95,7 @@
     import asyncio
     import tempfile
 
-    from ..testbed.faults.replicated_fleet import FAULTS, Faults, plain_config
+    from ..testbed.faults.replicated_fleet import FAULTS, Faults, replicas_only_config
 
     chosen = schedule.read_text().split() if schedule is not None else []
     if odd := [one for one in chosen if one not in FAULTS]:
@@ -103,7 +103,7 @@
     if gateways < size:
         raise Trouble(f"{size} copies need {size} gateways at least")
     with tempfile.TemporaryDirectory() as spare:
-        played = Faults(folder or Path(spare), plain_config(), gateways, seed, size)
+        played = Faults(folder or Path(spare), replicas_only_config(), gateways, seed, size)
         report = asyncio.run(played.play(count, schedule=chosen))
     if as_json:
         print_json(report)
@@ -154,13 +154,13 @@
     as_json: bool,
 ) -> None:
     """Real gateways under overlapping troubles, judged by the invariants; exit status 1 if one is broken."""
-    from ..testbed.fleet import HERE
+    from ..testbed.fleet import CHECKOUT_ROOT
     from ..testbed.soak import fleet as soaks
-    from ..testbed.soak.schedule import REPLICATION_KINDS, WEIGHTS
-    from ..testbed.syscall_faults import NoCompiler
+    from ..testbed.soak.schedule import FAULT_WEIGHTS, REPLICATION_KINDS
+    from ..testbed.syscall_faults import LibraryBuildError
 
-    if odd := [one for one in only if one not in WEIGHTS]:
-        raise Trouble(f"no trouble is named {odd[0]!r}; there are {', '.join(WEIGHTS)}")
+    if odd := [one for one in only if one not in FAULT_WEIGHTS]:
+        raise Trouble(f"no trouble is named {odd[0]!r}; there are {', '.join(FAULT_WEIGHTS)}")
     if 0 < replicas < 3 or replicas > gateways:
         raise Trouble("replicas are on three gateways at least, and on no more than there are")
     if not replicas and set(only) & set(REPLICATION_KINDS):
@@ -168,11 +168,11 @@
     broken = 0
     for number in range(seed, seed + seeds):
         place = folder / str(number) if folder is not None else None
-        checkout = (program or HERE).resolve()
+        checkout = (program or CHECKOUT_ROOT).resolve()
         try:
-            kinds = cast("tuple[Kind, ...]", only)
+            kinds = cast("tuple[FaultKind, ...]", only)
             report = soaks.play(number, place, gateways, backends, rate, seconds, kinds, checkout, replicas)
-        except (NoCompiler, OSError) as error:
+        except (LibraryBuildError, OSError) as error:
             raise Trouble(str(error)) from None
         broken += len(report.broken)
         if as_json:
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -17,13 +17,13 @@
 from ..simulation.record import AttemptRecord, TryRecord
 
 if TYPE_CHECKING:
-    from .fleet import Fleet
+    from .fleet import LoopbackFleet
 
 HOST = "127.0.0.1"
 
 
 @dataclass(slots=True, eq=False)
-class Out:
+class InFlightAttempt:
     """An attempt that is out, on the connection it came by."""
 
     one: TryRecord
@@ -32,10 +32,10 @@
     done: asyncio.Future[str] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
 
-class Till:
+class SocketBackend:
     """One till server. Its address stays the same when its process comes back."""
 
-    def __init__(self, machine: TillServer, fleet: Fleet) -> None:
+    def __init__(self, machine: TillServer, fleet: LoopbackFleet) -> None:
         self.machine, self.fleet = machine, fleet
         self.listener = bound(0)
         self.port: int = self.listener.getsockname()[1]
@@ -43,7 +43,7 @@
         self.listening: Callable[[], None] | None = None
         self.listen()
         self.streams: set[IOStream] = set()
-        self.held: dict[Work, Out] = {}
+        self.held: dict[Work, InFlightAttempt] = {}
         self.alarm: asyncio.TimerHandle | None = None
         self.alarm_at = float("inf")
 
@@ -103,7 +103,7 @@
         machine.connections = len(self.streams)
         machine.extra(clock.now(), self.fleet.handshake)
         self._plan()
-        buffer, current = ReadBuffer(resp.MAX_MESSAGE), list[Out]()
+        buffer, current = ReadBuffer(resp.MAX_MESSAGE), list[InFlightAttempt]()
         stream.set_close_callback(lambda: self._closed(stream, current))
         try:
             while True:
@@ -114,13 +114,13 @@
         except (StreamClosedError, resp.ProtocolError, TooLong):
             stream.close()
 
-    def _closed(self, stream: IOStream, current: list[Out]) -> None:
+    def _closed(self, stream: IOStream, current: list[InFlightAttempt]) -> None:
         self.streams.discard(stream)
         self.machine.connections = len(self.streams)
         for out in current:
             self.give_up(out)
 
-    def give_up(self, out: Out) -> None:
+    def give_up(self, out: InFlightAttempt) -> None:
         """Its gateway has ended the connection."""
         if out.attempt.status is None:
             out.attempt.status = "cancelled"
@@ -130,7 +130,9 @@
             if not out.done.done():
                 out.done.set_result("cancelled")
 
-    async def _command(self, stream: IOStream, words: list[memoryview], current: list[Out]) -> None:
+    async def _command(
+        self, stream: IOStream, words: list[memoryview], current: list[InFlightAttempt]
+    ) -> None:
         if bytes(words[0]) not in (b"SVC.QUERY", b"SVC.SUBMIT") or len(words) < 4:
             await stream.write(
                 b"+PONG\r\n" if bytes(words[0]) == b"PING" else resp.error("ERR unknown command")
@@ -139,11 +141,11 @@
         fleet, clock = self.fleet, self.fleet.clock
         found = fleet.by_id.get(bytes(words[2]).decode("latin-1"))
         if found is None:
-            fleet.strangers += 1
+            fleet.unknown_requests += 1
             await stream.write(resp.error("SYNTAX no client sent this"))
             return
         one, now = found[0], clock.now()
-        for earlier in fleet.out.get(one.ref, ()):
+        for earlier in fleet.in_flight.get(one.ref, ()):
             if gone(earlier.stream):  # it has ended before this one came, though its end is not yet read
                 fleet.give_up(earlier)
         work = fleet.work(one, len(one.attempts), one.sent + one.patience)
@@ -151,8 +153,8 @@
         fleet.watchman.sending(one, attempt, one.gateway, fleet.sent_at(now))
         one.attempts.append(attempt)
         fleet.books.arrived(one, now)
-        out = Out(one, attempt, stream)
-        fleet.out.setdefault(one.ref, []).append(out)
+        out = InFlightAttempt(one, attempt, stream)
+        fleet.in_flight.setdefault(one.ref, []).append(out)
         current[:] = [out]
         word: str | None
         if self.machine.silent:
@@ -189,7 +191,7 @@
         cost = f"cost={one.ask.units:.0f}".encode()
         return b"*3\r\n" + resp.bulk(value) + resp.bulk(cost) + resp.bulk(load.encode())
 
-    async def _answer(self, stream: IOStream, out: Out, data: bytes) -> None:
+    async def _answer(self, stream: IOStream, out: InFlightAttempt, data: bytes) -> None:
         """Write a good answer."""
         await stream.write(data)
 
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -15,15 +15,15 @@
 from .backends import HOST
 
 if TYPE_CHECKING:
-    from .fleet import Fleet
+    from .fleet import LoopbackFleet
 
 IDLE = 1.5  # s for which a client uses a connection again
 
 
-class Link:
+class ClientConnection:
     """A client connection, one request at a time."""
 
-    def __init__(self, fleet: Fleet, gateway: int) -> None:
+    def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
         self.stream = IOStream(socket.socket())
         self.buffer = ReadBuffer(resp.MAX_MESSAGE)
         self.fleet, self.gateway = fleet, gateway
@@ -54,12 +54,12 @@
         return False
 
 
-class Clients:
+class SocketClients:
     """All clients of a day, behind the front."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: LoopbackFleet) -> None:
         self.fleet = fleet
-        self.idle: list[list[Link]] = [[] for _ in fleet.gateways]
+        self.idle: list[list[ClientConnection]] = [[] for _ in fleet.gateways]
         self.tasks: set[asyncio.Task[None]] = set()
         self.wrong_values = self.strange = 0
 
@@ -79,14 +79,14 @@
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
-    def _link(self, gateway: int) -> Link:
+    def _link(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             link = pool.pop()
             if now - link.at < IDLE and not link.stream.closed():
                 return link
             link.stream.close()
-        return Link(self.fleet, gateway)
+        return ClientConnection(self.fleet, gateway)
 
     def drop(self, gateway: int) -> None:
         for link in self.idle[gateway]:
@@ -98,7 +98,7 @@
         one = fleet.new_try(record, number)
         if one is None:
             return
-        name = f"{fleet.mark + one.ref:016x}"
+        name = f"{fleet.request_id_base + one.ref:016x}"
         fleet.by_id[name] = (one, record)
         told, wait = await self._send(one, name)
         pause = fleet.client_told(record, one, told, wait)
@@ -132,7 +132,7 @@
                     reply = await link.ask(command)
             except TimeoutError:
                 link.stream.close()
-                fleet.late.append(one)
+                fleet.timed_out.append(one)
                 return "late", 0.0
             except StreamClosedError:
                 link.stream.close()
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -21,23 +21,23 @@
 from .backends import HOST
 
 if TYPE_CHECKING:
-    from .fleet import Fleet
+    from .fleet import LoopbackFleet
 
 PHASES = {state: phase for phase, state in STATES.items()}
 DATAGRAM = 256
 
 
-class Agent:
+class DiscoveryAgent:
     """Discovery's agent beside one gateway: what it has been sent, and watches that wait for more."""
 
-    def __init__(self, fleet: Fleet, gateway: int) -> None:
+    def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
         self.fleet, self.gateway = fleet, gateway
         self.changes: list[Entry] = []  # by revision, from 1
         self.news = asyncio.Event()
         (listener,) = bind_sockets(0, HOST)
         self.port: int = listener.getsockname()[1]
         self.server = HTTPServer(
-            Application([("/catalog/members", Members, {"agent": self})], log_function=quiet)
+            Application([("/catalog/members", CatalogHandler, {"agent": self})], log_function=quiet)
         )
         self.server.add_sockets([listener])
 
@@ -68,7 +68,7 @@
         started = round(self.fleet.clock.unix + entry.started) if entry.started else 0
         return {
             "id": f"s-{entry.server:08x}",
-            "host_port": f"{HOST}:{self.fleet.tills_on[entry.server].port}",
+            "host_port": f"{HOST}:{self.fleet.backends[entry.server].port}",
             "locality": self.fleet.zone,
             "flavor": "std-3core",
             "cell": entry.cell,
@@ -78,8 +78,8 @@
         }
 
 
-class Members(RequestHandler):
-    def initialize(self, agent: Agent) -> None:
+class CatalogHandler(RequestHandler):
+    def initialize(self, agent: DiscoveryAgent) -> None:
         self.agent = agent
 
     async def get(self) -> None:
@@ -106,7 +106,7 @@
 class CounterServer(TCPServer):
     """The counter as one gateway sees it."""
 
-    def __init__(self, fleet: Fleet, gateway: int) -> None:
+    def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
         super().__init__()
         self.fleet, self.gateway = fleet, gateway
         (listener,) = bind_sockets(0, HOST)
@@ -148,14 +148,14 @@
             self.streams.discard(stream)
 
 
-class Paths:
+class GossipRelay:
     """Datagrams between gateways: each has a socket here for every peer, and one for all of them.
 
     A gateway is known by the address that it sends from; what arrives for it leaves from the socket that
     stands for the sender.
     """
 
-    def __init__(self, fleet: Fleet, count: int) -> None:
+    def __init__(self, fleet: LoopbackFleet, count: int) -> None:
         self.fleet, self.count = fleet, count
         self.sockets: dict[tuple[int, int], socket.socket] = {}  # (gateway, peer or -1)
         self.home: dict[int, tuple[str, int]] = {}  # where each gateway listens
@@ -179,7 +179,7 @@
                 except OSError:
                     return
                 if len(data) > DATAGRAM:
-                    self.fleet.too_long += 1
+                    self.fleet.oversized_datagrams += 1
                     continue
                 for other in range(self.count) if peer < 0 else (peer,):
                     if other != gateway:
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -29,9 +29,9 @@
 from ...simulation.promises import Event, broken
 from ..backends import HOST
 from ..fault_proxy import Direction, FaultProxy
-from ..gateway_process import GatewayFailed, free_port, launch
-from ..replica_client import Address, Caller, ask, leading, statuses
-from ..replica_workload import BURST, RATE, final_state, operate
+from ..gateway_process import GatewayError, free_port, launch_gateway
+from ..replica_client import Address, ReplicaClient, gateway_statuses, leader_status, query_operator_port
+from ..replica_workload import BURST, RATE, read_final_state, run_workload
 from . import faulty_gateway as faulty
 
 FLEET = "faults"
@@ -104,7 +104,7 @@
         self.plan = None  # it reads at its start: a signal before it listens for one would end it
         self.tell(faulty.Plan())
         env[faulty.VARIABLE] = str(self.folder / "faults")
-        self.process = launch(self.program, env, self.folder / "log", faulty.__name__)
+        self.process = launch_gateway(self.program, env, self.folder / "log", faulty.__name__)
         self.paused = False
 
     def tell(self, plan: faulty.Plan) -> None:
@@ -169,7 +169,7 @@
             shutil.copytree(self.saved, self.folder / "disk")
 
 
-def plain_config() -> dict[str, Any]:
+def replicas_only_config() -> dict[str, Any]:
     """A gateway's configuration with nobody around it: only its copies are played with."""
     settings = i.Settings(
         me=0, instances=1, classes={"look": i.RequestClass("look", aim=500, deadline=2000)},
@@ -213,18 +213,18 @@
 
     async def statuses(self) -> dict[str, dict[str, Any]]:
         up = {one.name: one.where for one in self.machines.values() if one.process and not one.paused}
-        told = await statuses(up, FLEET)
+        told = await gateway_statuses(up, FLEET)
         return {name: status for name, status in told.items() if status is not None}
 
     async def leader(self, but: str = "", patience: float = CALM) -> Machine:
-        """Whoever leads the group, in the highest term that is told. Raises `GatewayFailed`."""
+        """Whoever leads the group, in the highest term that is told. Raises `GatewayError`."""
         end = time.monotonic() + patience
         while time.monotonic() < end:
-            leads = leading(await self.statuses(), 0)
+            leads = leader_status(await self.statuses(), 0)
             if leads is not None and leads["leader"] != but:
                 return self.machines[leads["leader"]]
             await asyncio.sleep(0.03)
-        raise GatewayFailed(f"nobody leads after {patience:g} s")
+        raise GatewayError(f"nobody leads after {patience:g} s")
 
     async def whole(self, patience: float = CALM) -> None:
         """Wait until all are here, and the group's voters are of the present incarnations."""
@@ -232,12 +232,12 @@
         while time.monotonic() < end:
             told = await self.statuses()
             present = {f"{name}/{status['incarnation']}" for name, status in told.items()}
-            leads = leading(told, 0)
+            leads = leader_status(told, 0)
             voters = set(leads["voters"]) if leads is not None else set()
             if len(told) == len(self.machines) and voters <= present and len(voters) == self.size:
                 return
             await asyncio.sleep(0.05)
-        raise GatewayFailed(f"the group is not whole after {patience:g} s: {await self.statuses()}")
+        raise GatewayError(f"the group is not whole after {patience:g} s: {await self.statuses()}")
 
     # Faults
 
@@ -350,7 +350,7 @@
                     one.tell(faulty.Plan(clock=off))
                 await self.more(calls)
             case "transfer":
-                await ask(leader.where, FLEET, "transfer", 0)
+                await query_operator_port(leader.where, FLEET, "transfer", 0)
                 await self.more(calls)
 
     async def up(self) -> None:
@@ -374,12 +374,12 @@
         """So many faults as the seed draws them, or those of the schedule."""
         begun = time.monotonic()
         tasks: list[asyncio.Task[None]] = []
-        some: list[Caller] = []
+        some: list[ReplicaClient] = []
         try:
             await self.up()
             for number in range(callers):
                 some.append(self.caller(number))
-                tasks.append(asyncio.create_task(operate(some[-1], lambda: self.over)))
+                tasks.append(asyncio.create_task(run_workload(some[-1], lambda: self.over)))
             await self.more(20, CALM)
             for what in schedule or self.random.choices(FAULTS, k=faults):
                 self.report.faults.append(what)
@@ -389,8 +389,8 @@
                 await self.more(20, CALM)
             self.over = True
             await asyncio.wait_for(asyncio.gather(*tasks), CALM)
-            self.report.broken = broken(self.history, await final_state(some[0], CALM), BURST)
-        except (GatewayFailed, TimeoutError) as error:
+            self.report.broken = broken(self.history, await read_final_state(some[0], CALM), BURST)
+        except (GatewayError, TimeoutError) as error:
             stuck = [f"{e.session} {e.number}" for e in self.history if not e.ended][:3]
             self.report.broken.append(f"not mended in time: {error!r} {stuck}")
         finally:
@@ -406,7 +406,7 @@
         self.report.seconds = round(time.monotonic() - begun, 2)
         return self.report
 
-    def caller(self, number: int) -> Caller:
+    def caller(self, number: int) -> ReplicaClient:
         where = {name: machine.where for name, machine in self.machines.items()}
         chance = random.Random(self.seed * 1000 + number)
-        return Caller(f"s{number}", where, FLEET, 0, self.history, self.now, chance)
+        return ReplicaClient(f"s{number}", where, FLEET, 0, self.history, self.now, chance)
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -20,47 +20,47 @@
 from ..simulation.host import Host
 from ..simulation.record import AskRecord, TryRecord
 from ..simulation.score import Score, score
-from .backends import HOST, Out, Till
-from .clients import Clients
+from .backends import HOST, InFlightAttempt, SocketBackend
+from .clients import SocketClients
 from .clock import Clock
-from .discovery_agent import Agent, CounterServer, Paths
-from .gateway_process import GatewayFailed, GatewayProcess
+from .discovery_agent import CounterServer, DiscoveryAgent, GossipRelay
+from .gateway_process import GatewayError, GatewayProcess
 
 SOCKET_RULES = Rules(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
-LOOK = 0.5  # s between looks at the gateways' CPU and memory
-HERE = Path(__file__).parent.parent.parent
+USAGE_SAMPLE_INTERVAL_S = 0.5  # s between looks at the gateways' CPU and memory
+CHECKOUT_ROOT = Path(__file__).parent.parent.parent
 
 
-class Fleet(Host):
+class LoopbackFleet(Host):
     """One run. `program` is the checkout whose gateways run; `env` is added to theirs."""
 
-    backend_class: type[Till] = Till
-    clients_class: type[Clients] = Clients
+    backend_class: type[SocketBackend] = SocketBackend
+    clients_class: type[SocketClients] = SocketClients
 
     def __init__(
         self,
         day: Day,
         folder: Path,
-        program: Path = HERE,
+        program: Path = CHECKOUT_ROOT,
         env: Mapping[str, str] | None = None,
         limits: Mapping[str, float] | None = None,
     ) -> None:
         self.folder, self.clock = folder, Clock()
-        self.tills_on: dict[int, Till] = {}
+        self.backends: dict[int, SocketBackend] = {}
         super().__init__(day)
         self.zone = self.settings[0].zone
         self.by_id: dict[str, tuple[TryRecord, AskRecord]] = {}
-        self.out: dict[int, list[Out]] = {}
-        self.late: list[TryRecord] = []
-        self.mark = day.streams.integer("ids") >> 8 << 8
-        self.strangers = self.too_long = 0
+        self.in_flight: dict[int, list[InFlightAttempt]] = {}
+        self.timed_out: list[TryRecord] = []
+        self.request_id_base = day.streams.integer("ids") >> 8 << 8
+        self.unknown_requests = self.oversized_datagrams = 0
         self.down: set[int] = set()
-        self.ended_by_themselves: list[int] = []
+        self.exited_gateways: list[int] = []
         self.kills: list[tuple[float, int]] = []  # when each was killed
         count = day.scenario.gateways
         self.agents = [self._make_agent(number) for number in range(count)]
         self.counters = [CounterServer(self, number) for number in range(count)]
-        self.paths = Paths(self, count)
+        self.paths = GossipRelay(self, count)
         self.gateways = [
             GatewayProcess(number, folder, program, self._config(number, limits or {}), env)
             for number in range(count)
@@ -80,7 +80,7 @@
         self.clock.at(when, call, *arguments)
 
     def _take_in(self, till: TillServer) -> None:
-        self.tills_on[till.number] = self.backend_class(till, self)
+        self.backends[till.number] = self.backend_class(till, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
         paths, count = self.paths, self.day.scenario.gateways
@@ -100,14 +100,14 @@
     # Running
 
     async def run(self) -> Score:
-        """Play the day. Raises `GatewayFailed` if a gateway does not start or ends by itself."""
+        """Play the day. Raises `GatewayError` if a gateway does not start or ends by itself."""
         begun = time.process_time_ns()
         wall = time.perf_counter()
         try:
             for gateway in self.gateways:
                 self._hand_list(gateway.number)
                 gateway.spawn(self._known(gateway.number))
-            await asyncio.gather(*(gateway.ready() for gateway in self.gateways))
+            await asyncio.gather(*(gateway.wait_until_ready() for gateway in self.gateways))
             self.clock.begin()
             for number in range(len(self.gateways)):
                 self._hand_list(number)
@@ -122,11 +122,11 @@
         finally:
             await self._stop_gateways()
             self.close()
-        self.gateway_ns = int(1e9 * sum(gateway.cpu for gateway in self.gateways))
+        self.gateway_ns = int(1e9 * sum(gateway.cpu_s for gateway in self.gateways))
         self.cpu_ns = time.process_time_ns() - begun + self.gateway_ns
         self.events = sum(len(one.attempts) + 1 for one in self.watchman.tries)
-        if self.ended_by_themselves:
-            raise GatewayFailed(f"gateways {self.ended_by_themselves} ended by themselves; see {self.folder}")
+        if self.exited_gateways:
+            raise GatewayError(f"gateways {self.exited_gateways} ended by themselves; see {self.folder}")
         found = score(self)
         found.wall_s = time.perf_counter() - wall
         return found
@@ -137,24 +137,24 @@
     async def _stop_gateways(self) -> None:
         await asyncio.gather(*(gateway.stop() for gateway in self.gateways))
 
-    def _make_agent(self, number: int) -> Agent:
-        return Agent(self, number)
+    def _make_agent(self, number: int) -> DiscoveryAgent:
+        return DiscoveryAgent(self, number)
 
     async def _look(self) -> None:
         while True:
             for gateway in self.gateways:
-                gateway.look()
-                ended = gateway.process is not None and not gateway.alive()
+                gateway.sample_usage()
+                ended = gateway.process is not None and not gateway.is_running()
                 if ended and not self._may_be_down(gateway.number):
-                    self.ended_by_themselves.append(gateway.number)
+                    self.exited_gateways.append(gateway.number)
                     self.down.add(gateway.number)
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(USAGE_SAMPLE_INTERVAL_S)
 
     def _may_be_down(self, gateway: int) -> bool:
         return gateway in self.down
 
     def close(self) -> None:
-        for till in self.tills_on.values():
+        for till in self.backends.values():
             till.stop()
             till.close_all()
         for agent in self.agents:
@@ -190,19 +190,19 @@
         words = [b"SVC.QUERY" if safe else b"SVC.SUBMIT", who.name.encode(), name.encode(), pairs.encode()]
         return resp.command(words)
 
-    def ended(self, out: Out) -> None:
-        there = self.out.get(out.one.ref, [])
+    def ended(self, out: InFlightAttempt) -> None:
+        there = self.in_flight.get(out.one.ref, [])
         if out in there:
             there.remove(out)
         if not there:
-            self.out.pop(out.one.ref, None)
+            self.in_flight.pop(out.one.ref, None)
 
-    def give_up(self, out: Out) -> None:
-        self.tills_on[out.attempt.server].give_up(out)
+    def give_up(self, out: InFlightAttempt) -> None:
+        self.backends[out.attempt.server].give_up(out)
 
     def unwell(self, gateway: int) -> bool:
         """It has been killed, or told to end: connections that it ends are no loss of its own."""
-        return gateway in self.down or not self.gateways[gateway].alive()
+        return gateway in self.down or not self.gateways[gateway].is_running()
 
     # Faults
 
@@ -210,13 +210,13 @@
         self.agents[gateway].change(entry)
 
     def _die(self, number: int) -> None:
-        self.tills_on[number].die()
+        self.backends[number].die()
 
     def _fall_silent(self, number: int) -> None:
-        self.tills_on[number].fall_silent()
+        self.backends[number].fall_silent()
 
     def _start_again(self, number: int) -> None:
-        self.tills_on[number].come_back()
+        self.backends[number].come_back()
 
     def _kill(self, number: int) -> None:
         self.down.add(number)
@@ -236,9 +236,9 @@
 
         async def take_in() -> None:
             try:
-                await gateway.ready()
-            except GatewayFailed:
-                self.ended_by_themselves.append(number)
+                await gateway.wait_until_ready()
+            except GatewayError:
+                self.exited_gateways.append(number)
                 return
             self.down.discard(number)
             self.seen_down.discard(number)
@@ -249,7 +249,7 @@
 
     def _on_leave(self, fault: Fault) -> None:
         for number in fault.who:
-            self.gateways[number].term()
+            self.gateways[number].terminate()
             self.clock.at(self.clock.now() + 300.0, self.seen_down.add, number)
             self.clock.at(self.clock.now() + 300.0, self.clients.drop, number)
             stop = self.clock.now() + self.window + 1000.0
@@ -270,21 +270,21 @@
 
 async def _play(
     day: Day, folder: Path, program: Path, env: Mapping[str, str] | None, limits: Mapping[str, float] | None
-) -> tuple[Fleet, Score]:
-    fleet = Fleet(on_sockets(day), folder, program, env, limits)
+) -> tuple[LoopbackFleet, Score]:
+    fleet = LoopbackFleet(on_sockets(day), folder, program, env, limits)
     return fleet, await fleet.run()
 
 
-def play(
+def play_day(
     day: Day,
     folder: Path | None = None,
-    program: Path = HERE,
+    program: Path = CHECKOUT_ROOT,
     env: Mapping[str, str] | None = None,
     limits: Mapping[str, float] | None = None,
-) -> tuple[Fleet, Score]:
+) -> tuple[LoopbackFleet, Score]:
     """Play a day on loopback with real gateways; logs and configurations stay in `folder`.
 
-    Raises `GatewayFailed`.
+    Raises `GatewayError`.
     """
     import uvloop
 
--- a/mapleshunt/testbed/gateway_process.py
+++ b/mapleshunt/testbed/gateway_process.py
@@ -20,47 +20,47 @@
 
 BACKLOG = 512
 READY_CALL = b"GET /_ready HTTP/1.1\r\nHost: gateway\r\n\r\n"
-READY = 10.0  # s within which a gateway must answer PING
+READY_TIMEOUT_S = 10.0  # s within which a gateway must answer PING
 
 
-class GatewayFailed(Exception):
+class GatewayError(Exception):
     """A gateway did not start, or ended by itself; its text is for the operator."""
 
 
 PORTS = range(20000, 32000)  # below those that the system gives to outgoing connections
 
 
-_drawn: set[int] = set()  # by this process, whose own locks do not keep it away
-_locks: list[TextIO] = []
+_drawn_ports: set[int] = set()  # by this process, whose own locks do not keep it away
+_lock_files: list[TextIO] = []
 
 
-def _mine(port: int) -> bool:
+def _lock_port(port: int) -> bool:
     """Take it from all other rigs, for as long as this process lives: what is drawn is bound only later."""
-    if not _locks:
-        _locks.append((Path(tempfile.gettempdir()) / "mapleshunt-rig-ports").open("a"))
+    if not _lock_files:
+        _lock_files.append((Path(tempfile.gettempdir()) / "mapleshunt-rig-ports").open("a"))
     try:
-        fcntl.lockf(_locks[0], fcntl.LOCK_EX | fcntl.LOCK_NB, 1, port)
+        fcntl.lockf(_lock_files[0], fcntl.LOCK_EX | fcntl.LOCK_NB, 1, port)
     except OSError:
         return False
     return True
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    """A port that nobody holds now, and no rig draws again. Raises `GatewayFailed`."""
+    """A port that nobody holds now, and no rig draws again. Raises `GatewayError`."""
     for port in random.sample(PORTS, 1000):
-        if port in _drawn or not _mine(port):
+        if port in _drawn_ports or not _lock_port(port):
             continue
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
                 probe.bind((HOST, port))
             except OSError:
                 continue
-            _drawn.add(port)
+            _drawn_ports.add(port)
             return port
-    raise GatewayFailed("no port is free")
+    raise GatewayError("no port is free")
 
 
-def launch(
+def launch_gateway(
     program: Path,
     env: Mapping[str, str],
     log: Path,
@@ -100,9 +100,9 @@
         self.admin_port = 0  # of the process that was started last, where it inherits the listener
         self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
-        self.ticks = 0.0  # s of CPU of processes that have ended
-        self.last = 0.0  # of the one that runs, as last read
-        self.memory = 0  # kB, the most seen
+        self.ended_cpu_s = 0.0  # s of CPU of processes that have ended
+        self.running_cpu_s = 0.0  # of the one that runs, as last read
+        self.peak_memory_kb = 0  # kB, the most seen
 
     @property
     def log(self) -> Path:
@@ -140,23 +140,23 @@
         path = self.folder / f"gateway-{self.number}.json"
         path.write_text(json.dumps(config))
         env = {"PROXY_CONFIG": str(path), **self.env}
-        self.process = launch(self.program, env, self.log, pass_fds=pass_fds)
+        self.process = launch_gateway(self.program, env, self.log, pass_fds=pass_fds)
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until it takes clients: the process that was started last, where another may answer PING on
-        the same socket. Raises `GatewayFailed`.
+        the same socket. Raises `GatewayError`.
         """
-        deadline = asyncio.get_running_loop().time() + READY
+        deadline = asyncio.get_running_loop().time() + READY_TIMEOUT_S
         while asyncio.get_running_loop().time() < deadline:
             if self.process is None or self.process.poll() is not None:
                 last = self.log.read_text(errors="replace").strip().splitlines()[-1:]
-                raise GatewayFailed(f"gateway {self.number} ended at its start: {' '.join(last)}")
-            if await self._takes_clients():
+                raise GatewayError(f"gateway {self.number} ended at its start: {' '.join(last)}")
+            if await self._accepts_requests():
                 return
             await asyncio.sleep(0.02)
-        raise GatewayFailed(f"gateway {self.number} does not answer PING")
+        raise GatewayError(f"gateway {self.number} does not answer PING")
 
-    async def _takes_clients(self) -> bool:
+    async def _accepts_requests(self) -> bool:
         port, question, answer = self.port, b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
         if self.listener is not None:
             port, question, answer = self.admin_port, READY_CALL, b"HTTP/1.1 200 OK\r\n"
@@ -170,49 +170,49 @@
             return False
         return line == answer
 
-    def alive(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def look(self) -> None:
+    def sample_usage(self) -> None:
         """Read its CPU and memory."""
-        if not self.alive() or self.process is None:
+        if not self.is_running() or self.process is None:
             return
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-            self.last = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+            self.running_cpu_s = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
             for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
                 if line.startswith("VmRSS"):
-                    self.memory = max(self.memory, int(line.split()[1]))
+                    self.peak_memory_kb = max(self.peak_memory_kb, int(line.split()[1]))
         except (OSError, IndexError, ValueError):
             return
 
     @property
-    def cpu(self) -> float:
-        return self.ticks + self.last
+    def cpu_s(self) -> float:
+        return self.ended_cpu_s + self.running_cpu_s
 
-    def _over(self) -> None:
-        self.ticks, self.last = self.ticks + self.last, 0.0
+    def _forget_process(self) -> None:
+        self.ended_cpu_s, self.running_cpu_s = self.ended_cpu_s + self.running_cpu_s, 0.0
         self.process = None
 
     def kill(self, wait: bool = True) -> None:
         """SIGKILL, and wait for its end; else whoever starts the next process reaps it."""
         if self.process is not None:
-            self.look()
+            self.sample_usage()
             self.process.kill()
             if wait:
                 self.process.wait()
-            self._over()
+            self._forget_process()
 
-    def term(self) -> None:
-        if self.alive() and self.process is not None:
+    def terminate(self) -> None:
+        if self.is_running() and self.process is not None:
             self.process.send_signal(signal.SIGTERM)
 
-    async def stop(self, patience: float = 8.0) -> None:
+    async def stop(self, grace_s: float = 8.0) -> None:
         """SIGTERM, then SIGKILL if it has not ended by then."""
-        self.look()
-        self.term()
-        deadline = asyncio.get_running_loop().time() + patience
-        while self.alive() and asyncio.get_running_loop().time() < deadline:
+        self.sample_usage()
+        self.terminate()
+        deadline = asyncio.get_running_loop().time() + grace_s
+        while self.is_running() and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.02)
         self.kill()
 
--- a/mapleshunt/testbed/recording.py
+++ b/mapleshunt/testbed/recording.py
@@ -7,15 +7,15 @@
 
 from ..simulation.day import Scenario, day_of
 from ..simulation.score import Score
-from .fleet import play
+from .fleet import play_day
 
 
-def play_scored(scenario: Scenario, seed: int, folder: Path | None) -> Score:
-    """Play a day; with a folder, each gateway leaves its recording there. Raises `GatewayFailed`."""
+def play_and_record(scenario: Scenario, seed: int, folder: Path | None) -> Score:
+    """Play a day; with a folder, each gateway leaves its recording there. Raises `GatewayError`."""
     with tempfile.TemporaryDirectory() as place:
         env = {}
         if folder is not None:
             chosen = Path(place) / "operators.sexp"
             chosen.write_text(f'(record (file "{folder}/{{name}}.rec") (size-mb 64) (salt "rig"))')
             env["PROXY_OPERATORS"] = str(chosen)
-        return play(day_of(scenario, seed), Path(place), env=env)[1]
+        return play_day(day_of(scenario, seed), Path(place), env=env)[1]
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -17,10 +17,10 @@
 
 Address = tuple[str, int]
 
-PATIENCE = 0.7  # s for an answer, after which another gateway is asked
+REPLY_TIMEOUT_S = 0.7  # s for an answer, after which another gateway is asked
 
 
-class Line:
+class ReplicaConnection:
     """One connection to one gateway's port."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -28,7 +28,7 @@
         self.data = bytearray()
 
     @classmethod
-    async def open(cls, where: Address, fleet: str) -> Line:
+    async def open(cls, where: Address, fleet: str) -> ReplicaConnection:
         reader, writer = await asyncio.open_connection(*where)
         line = cls(reader, writer)
         writer.write(wire.encode(wire.Hello(fleet, wire.LOWEST, wire.HIGHEST, "client", "", 0, {}, 0)))
@@ -50,11 +50,13 @@
         self.writer.close()
 
 
-async def ask(where: Address, fleet: str, what: str, group: int = -1, copy: str = "") -> wire.Reply | None:
+async def query_operator_port(
+    where: Address, fleet: str, what: str, group: int = -1, copy: str = ""
+) -> wire.Reply | None:
     """An operator's question; None if nobody answers."""
     with contextlib.suppress(OSError, TimeoutError, wire.Strange):
-        async with asyncio.timeout(PATIENCE):
-            line = await Line.open(where, fleet)
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
+            line = await ReplicaConnection.open(where, fleet)
             try:
                 line.writer.write(wire.encode(wire.Ask(1, what, group, copy)))
                 reply: wire.Reply = await line.next(wire.Reply)
@@ -64,21 +66,21 @@
     return None
 
 
-async def statuses(where: Mapping[str, Address], fleet: str) -> dict[str, dict[str, Any] | None]:
+async def gateway_statuses(where: Mapping[str, Address], fleet: str) -> dict[str, dict[str, Any] | None]:
     """What each gateway tells of itself; None of one that does not answer."""
-    replies = await asyncio.gather(*(ask(one, fleet, "status") for one in where.values()))
+    replies = await asyncio.gather(*(query_operator_port(one, fleet, "status") for one in where.values()))
     told = (msgspec.msgpack.decode(one.data) if one is not None else None for one in replies)
     return dict(zip(where, told, strict=True))
 
 
-def leading(told: Mapping[str, dict[str, Any] | None], group: int) -> dict[str, Any] | None:
+def leader_status(told: Mapping[str, dict[str, Any] | None], group: int) -> dict[str, Any] | None:
     """The group as it is told by who leads it, in the highest term; None if nobody does."""
     groups = (one for status in told.values() if status is not None for one in status["groups"])
     leads = (one for one in groups if one["group"] == group and one["role"] == "leader")
     return max(leads, key=lambda one: one["term"], default=None)
 
 
-class Caller:
+class ReplicaClient:
     """One session: its operations, each repeated until its answer has come."""
 
     def __init__(
@@ -88,15 +90,15 @@
         self.name, self.gateways, self.fleet, self.group = name, gateways, fleet, group
         self.history, self.now, self.chance = history, now, chance
         self.number = 0
-        self.line: Line | None = None
+        self.line: ReplicaConnection | None = None
         self.at = chance.choice(list(gateways))
         self.repeats = 0
 
     async def _once(self, call: wire.Call) -> wire.Reply | None:
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 if self.line is None:
-                    self.line = await Line.open(self.gateways[self.at], self.fleet)
+                    self.line = await ReplicaConnection.open(self.gateways[self.at], self.fleet)
                 self.line.writer.write(wire.encode(call))
                 while True:
                     reply: wire.Reply = await self.line.next(wire.Reply)
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..replicated_state import commands as w
-from .replica_client import Caller
+from .replica_client import ReplicaClient
 
 CUSTOMERS = 4
 RECORDS = 2
@@ -17,7 +17,7 @@
 KINDS = ("lease", "lease", "return", "count", "count", "read", "put", "reserve")
 
 
-async def operate(caller: Caller, over: Callable[[], bool], pause: float = PAUSE_S) -> None:
+async def run_workload(caller: ReplicaClient, over: Callable[[], bool], pause: float = PAUSE_S) -> None:
     """Operations as a gateway would have them, until it is over."""
     chance = caller.chance
     await caller.do(w.Open())
@@ -47,7 +47,7 @@
         await asyncio.sleep(pause)
 
 
-async def final_state(caller: Caller, patience: float) -> dict[str, Any]:
+async def read_final_state(caller: ReplicaClient, patience: float) -> dict[str, Any]:
     """What stores and records hold in the end. Raises TimeoutError if one is not told within `patience` s."""
     found: dict[str, Any] = {}
     for number in range(CUSTOMERS):
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -21,8 +21,8 @@
 from ..maintenance.state import Works
 from ..replicated_state import commands as h
 from .faults.replicated_fleet import CALM, Faults, Machine
-from .gateway_process import GatewayFailed
-from .replica_client import Caller
+from .gateway_process import GatewayError
+from .replica_client import ReplicaClient
 
 DRAIN = 3.0  # s that a grant holds
 STRIKES = ("kill_coordinator", "kill_it", "pause_it", "cut_it", "kill_all", "lose_disk", "kill_another")
@@ -41,7 +41,7 @@
     story: list[str] = field(default_factory=list)
 
 
-async def read_works(caller: Caller) -> Works:
+async def read_maintenance_state(caller: ReplicaClient) -> Works:
     """The state of maintenance, as the group's leader tells it."""
     works = Works()
     _, frozen = await caller.read("works", "", tuple[float, w.Frozen])
@@ -49,7 +49,7 @@
     return works
 
 
-def shared_grants(logs: Mapping[str, Path]) -> dict[str, set[str]]:
+def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
     """By number, the grants under which two machines were drained, from the gateways' logs by name."""
     drained: dict[str, set[str]] = {}
     for name, log in logs.items():
@@ -72,8 +72,8 @@
         self.out: set[str] = set()
         self.works = Works()
 
-    async def read(self, caller: Caller) -> Works:
-        self.works = await asyncio.wait_for(read_works(caller), CALM)
+    async def read(self, caller: ReplicaClient) -> Works:
+        self.works = await asyncio.wait_for(read_maintenance_state(caller), CALM)
         return self.works
 
     async def works_on(self, machine: Machine, number: int) -> None:
@@ -89,7 +89,7 @@
             await asyncio.sleep(0.1)
         caller.close()
 
-    async def work(self, machine: Machine, caller: Caller, fence: int) -> None:
+    async def work(self, machine: Machine, caller: ReplicaClient, fence: int) -> None:
         self.out.add(machine.name)
         self.roll.times[machine.name] = self.roll.times.get(machine.name, 0) + 1
         if len(self.out) > self.most:
@@ -115,7 +115,7 @@
                 self.roll.broken.append(f"{sorted(drained)} take no clients, {self.most} may not")
             await asyncio.sleep(0.05)
 
-    async def when(self, caller: Caller, state: str) -> Machine:
+    async def when(self, caller: ReplicaClient, state: str) -> Machine:
         """The machine that is in that state next."""
         end = time.monotonic() + CALM
         while time.monotonic() < end:
@@ -123,9 +123,9 @@
                 if place.state == state:
                     return self.machines[place.machine]
             await asyncio.sleep(0.02)
-        raise GatewayFailed(f"no machine is {state} after {CALM:g} s: {self.works.blocked}")
+        raise GatewayError(f"no machine is {state} after {CALM:g} s: {self.works.blocked}")
 
-    async def strike(self, what: str, state: str, caller: Caller) -> None:
+    async def strike(self, what: str, state: str, caller: ReplicaClient) -> None:
         it = await self.when(caller, state)
         self.roll.strikes.append(f"{what} while {it.name} is {state}")
         worked_on = it.name in self.out  # whoever works on it ends and starts it
@@ -188,7 +188,7 @@
             self.over = True
             await asyncio.wait_for(asyncio.gather(*tasks), CALM)
             self._judge()
-        except (GatewayFailed, TimeoutError) as error:
+        except (GatewayError, TimeoutError) as error:
             self.roll.broken.append(f"not in time: {error!r}; {self._told()}")
         finally:
             for task in tasks:
@@ -213,7 +213,7 @@
             broken.append(f"out more than once: {odd}")
         # Each grant's number was one machine's alone, whoever coordinated.
         logs = {machine.name: machine.folder / "log" for machine in self.machines.values()}
-        if twice := shared_grants(logs):
+        if twice := grants_of_two_machines(logs):
             broken.append(f"two machines under one grant: {twice}")
         if len(Counter(self.roll.times)) != len(self.machines):
             broken.append(f"only {sorted(self.roll.times)} were out")
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -12,7 +12,7 @@
 
 from ...fleet.backend import TillServer
 from ...net.protocol import resp
-from ..backends import HOST, Out, Till
+from ..backends import HOST, InFlightAttempt, SocketBackend
 from ..fault_proxy import RESET_ON_CLOSE
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     forget_after: float | None = None
 
 
-class SoakBackend(Till):
+class SoakBackend(SocketBackend):
     """A backend that misbehaves as it is told, and that judges what comes by the deadlines of clients."""
 
     def __init__(self, machine: TillServer, fleet: SoakFleet) -> None:
@@ -50,7 +50,9 @@
     def soak(self) -> SoakFleet:
         return cast("SoakFleet", self.fleet)
 
-    async def _command(self, stream: IOStream, words: list[memoryview], current: list[Out]) -> None:
+    async def _command(
+        self, stream: IOStream, words: list[memoryview], current: list[InFlightAttempt]
+    ) -> None:
         loop = asyncio.get_running_loop()
         since, self.used[stream] = loop.time() - self.used.get(stream, loop.time()), loop.time()
         forget = self.misbehaviour.forget_after
@@ -80,7 +82,7 @@
             late = now - one.left
             self.soak.break_rule("sent_after_leaving", f"request {one.ref}, {late:.0f} ms after its client")
 
-    async def _answer(self, stream: IOStream, out: Out, data: bytes) -> None:
+    async def _answer(self, stream: IOStream, out: InFlightAttempt, data: bytes) -> None:
         chance = self.random.random()
         if chance < self.misbehaviour.truncated:
             await stream.write(data[: len(data) // 2])
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -17,7 +17,7 @@
 from ...net.protocol.read_buffer import TooLong
 from ...simulation.record import Final, TryRecord
 from ..backends import HOST
-from ..clients import Clients, Link
+from ..clients import ClientConnection, SocketClients
 from .backends import MAX_LAG_S
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 
 Habit = Literal["plain", "fresh", "leaves", "pieces", "pipelines"]
 HABITS: tuple[Habit, ...] = ("plain", "fresh", "leaves", "pieces", "pipelines")
-WEIGHTS = (60, 20, 10, 5, 5)
+HABIT_WEIGHTS = (60, 20, 10, 5, 5)
 LATEST_MS = 550.0  # after its time, until which an answer only earns nothing
 MAX_IDLE_S = 4.0  # for which a client uses a connection again: past the gateway's own limit, to cross it
 MAX_PIECES = 4
@@ -37,7 +37,7 @@
 PING = resp.command([b"PING"])
 
 
-class SoakClients(Clients):
+class SoakClients(SocketClients):
     """All clients of a soak, each request with a habit drawn by seed."""
 
     def __init__(self, fleet: SoakFleet) -> None:
@@ -51,14 +51,14 @@
     def soak(self) -> SoakFleet:
         return cast("SoakFleet", self.fleet)
 
-    def _link(self, gateway: int) -> Link:
+    def _link(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             link = pool.pop(0)
             if now - link.at < MAX_IDLE_S and not link.stream.closed():
                 return link
             link.stream.close()
-        return Link(self.fleet, gateway)
+        return ClientConnection(self.fleet, gateway)
 
     def _leaving(self) -> int | None:
         """A gateway that was told to end and to which a connection is open."""
@@ -69,11 +69,11 @@
         leaving = self._leaving()
         if leaving is not None:
             one.gateway = leaving
-        habit: Habit = self.random.choices(HABITS, WEIGHTS)[0]
+        habit: Habit = self.random.choices(HABITS, HABIT_WEIGHTS)[0]
         self.habits[habit] += 1
         for last in (False, True):
             fresh = habit == "fresh" or last
-            link = Link(self.fleet, one.gateway) if fresh else self._link(one.gateway)
+            link = ClientConnection(self.fleet, one.gateway) if fresh else self._link(one.gateway)
             used = link.used
             try:
                 if not used:
@@ -116,7 +116,9 @@
             return (told, wait) if one.answered - one.sent <= one.patience else ("late", 0.0)
         return "failed", 0.0
 
-    async def _exchange(self, link: Link, one: TryRecord, name: str, habit: Habit) -> resp.Reply | None:
+    async def _exchange(
+        self, link: ClientConnection, one: TryRecord, name: str, habit: Habit
+    ) -> resp.Reply | None:
         """The answer; None if the client left before it came."""
         command = self.fleet.command(one, name)
         if habit == "pieces":
@@ -132,7 +134,7 @@
                 return await self._next(link)
             return await link.ask(command)
 
-    async def _write_first_pieces(self, link: Link, command: bytes) -> bytes:
+    async def _write_first_pieces(self, link: ClientConnection, command: bytes) -> bytes:
         """Write all but the last piece; what is left."""
         for _ in range(self.random.randint(1, MAX_PIECES - 1)):
             size = self.random.randint(0, len(command) // 2)
@@ -141,7 +143,7 @@
             await asyncio.sleep(self.random.uniform(0.0, MAX_PIECE_PAUSE_S))
         return command
 
-    async def _leave(self, link: Link, one: TryRecord, command: bytes) -> resp.Reply | None:
+    async def _leave(self, link: ClientConnection, one: TryRecord, command: bytes) -> resp.Reply | None:
         try:
             async with asyncio.timeout(self.random.uniform(0.0, one.patience / 2000)):
                 return await link.ask(command)
@@ -151,7 +153,7 @@
             self.left += 1
             return None
 
-    async def _next(self, link: Link) -> resp.Reply:
+    async def _next(self, link: ClientConnection) -> resp.Reply:
         while not (found := resp.parse_reply(link.buffer.data, link.buffer.start, link.buffer.end)):
             await link.buffer.fill(link.stream)
         link.buffer.consume(found[1])
--- a/mapleshunt/testbed/soak/discovery_agent.py
+++ b/mapleshunt/testbed/soak/discovery_agent.py
@@ -5,15 +5,15 @@
 from typing import Any
 
 from ...fleet.discovery import Entry
-from ..discovery_agent import Agent
+from ..discovery_agent import DiscoveryAgent
 from ..fault_proxy import FaultProxy
-from ..fleet import Fleet
+from ..fleet import LoopbackFleet
 
 
-class SoakAgent(Agent):
+class SoakDiscoveryAgent(DiscoveryAgent):
     """A discovery agent whose revisions count from a number of its own, behind a proxy."""
 
-    def __init__(self, fleet: Fleet, gateway: int, base: int) -> None:
+    def __init__(self, fleet: LoopbackFleet, gateway: int, base: int) -> None:
         super().__init__(fleet, gateway)
         self.base = base
         self.proxy = FaultProxy(self.port)
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -16,17 +16,17 @@
 from ...fleet.faults import Fault
 from ..backends import HOST
 from ..fault_proxy import FaultProxy
-from ..fleet import Fleet
-from ..gateway_process import GatewayFailed, GatewayProcess
-from ..syscall_faults import FaultControl, FaultRates
-from . import schedule as soak_troubles
+from ..fleet import LoopbackFleet
+from ..gateway_process import GatewayError, GatewayProcess
+from ..syscall_faults import SyscallFaultControl, SyscallFaultRates
+from . import schedule
 from .backends import Misbehaviour, SoakBackend
 from .clients import SoakClients
-from .discovery_agent import SoakAgent
+from .discovery_agent import SoakDiscoveryAgent
 from .maintenance import MachineWork
-from .replicas import SoakCopies
+from .replicas import SoakReplicas
 from .report import SoakReport
-from .schedule import Trouble
+from .schedule import ScheduledFault
 
 LATE_START_MS = 700.0  # after SIGTERM, from which on what SIGKILL finds unanswered is no loss
 LONGEST_MS = 3000.0  # as which longer deadlines count between SIGTERM and SIGKILL
@@ -46,7 +46,7 @@
     ended: float = math.inf
 
 
-class TroubledFleet(Fleet):
+class FaultInjectedFleet(LoopbackFleet):
     """A fleet that troubles strike. Times in ms since the soak began."""
 
     report: SoakReport
@@ -57,22 +57,22 @@
     impaired: dict[int, int]  # gateways whose discovery is slow or refuses: by how many troubles
     repaired_at: dict[int, float]  # when it was no more
     moved_at: dict[int, float]
-    rates: dict[int, FaultRates]
+    rates: dict[int, SyscallFaultRates]
     upgrading: set[int]  # gateways that have two processes
     drained: set[int]  # gateways that the front sends no clients, for work on their machines
     # By gateway whose listening socket is held here: spans in which no process accepts from it.
     absences: dict[int, list[Absence]]
     extra: set[asyncio.Task[None]]
-    controls: list[FaultControl]
-    copies: SoakCopies
-    spare: list[SoakAgent]  # that a reload moves to
-    current: list[SoakAgent]
+    controls: list[SyscallFaultControl]
+    copies: SoakReplicas
+    spare: list[SoakDiscoveryAgent]  # that a reload moves to
+    current: list[SoakDiscoveryAgent]
 
     def break_rule(self, rule: str, story: str) -> None:
         if len(self.report.broken) < 50:
             self.report.broken.append(f"{rule}: {story}")
 
-    def strike(self, trouble: Trouble) -> None:
+    def strike(self, trouble: ScheduledFault) -> None:
         getattr(self, f"_trouble_{trouble.kind}")(trouble)
 
     def _later(self, seconds: float, call: Any, *arguments: Any) -> None:
@@ -88,7 +88,7 @@
 
     def _up(self, gateway: int) -> bool:
         busy = gateway in self.down or gateway in self.leaving or gateway in self.upgrading
-        return not busy and self.gateways[gateway].alive()
+        return not busy and self.gateways[gateway].is_running()
 
     def absent(self, gateway: int, when: float) -> bool:
         """Did new connections only wait in the backlog then?"""
@@ -98,7 +98,7 @@
         if self.gateways[gateway].listener is not None:
             self.absences.setdefault(gateway, []).append(Absence(begun))
 
-    def _trouble_term(self, trouble: Trouble) -> None:
+    def _trouble_term(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
             self._tell_to_end(number)
 
@@ -109,7 +109,7 @@
 
     def _tell_to_end(self, number: int) -> None:
         self.leaving[number] = self.now()
-        self.gateways[number].term()
+        self.gateways[number].terminate()
         # The front sends no new connections to one that is drained.
         self._begin_absence(number, self.now() + (0.0 if number in self.drained else NEW_CONNECTIONS_MS))
         self.at(self.now() + SEEN_DOWN_MS, self.seen_down.add, number)
@@ -118,13 +118,13 @@
     def _end_leaving(self, number: int) -> None:
         told = self.leaving.pop(number)
         self.down.add(number)
-        if self.gateways[number].alive():
+        if self.gateways[number].is_running():
             self.deaths.setdefault(number, []).append((self.now(), told))
         self.gateways[number].kill(wait=False)
         self.clients.drop(number)
         self._later(0.3, self._revive, number)
 
-    def _trouble_kill(self, trouble: Trouble) -> None:
+    def _trouble_kill(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
             self.deaths.setdefault(number, []).append((self.now(), None))
             self._begin_absence(number, self.now() - KILL_TAKES_MS)
@@ -145,8 +145,8 @@
 
     async def _take_in_again(self, gateway: GatewayProcess, begun: float) -> None:
         try:
-            await gateway.ready()
-        except GatewayFailed as error:
+            await gateway.wait_until_ready()
+        except GatewayError as error:
             self.break_rule("start", str(error))
             return
         if time.monotonic() - begun > MAX_READY_S:
@@ -157,7 +157,7 @@
         if gateway.number not in self.drained:
             self.seen_down.discard(gateway.number)
 
-    def _trouble_upgrade(self, trouble: Trouble) -> None:
+    def _trouble_upgrade(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
             if self.gateways[number].listener is not None:
                 self.upgrading.add(number)
@@ -170,8 +170,8 @@
         gateway = self._spawn(number)
         self.report.upgrades += 1
         try:
-            await gateway.ready()
-        except GatewayFailed as error:
+            await gateway.wait_until_ready()
+        except GatewayError as error:
             self.break_rule("start", f"of a second process: {error}")
         await self._end_older(number, older)
         self.upgrading.discard(number)
@@ -192,27 +192,27 @@
         rows = [agent.row(entry) for entry in self.lists[number].values()]
         return {"revision": agent.revision, "complete": True, "members": rows}
 
-    def _trouble_reload(self, trouble: Trouble) -> None:
+    def _trouble_reload(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
             self._move_discovery(number)
 
-    def _trouble_reload_twice(self, trouble: Trouble) -> None:
+    def _trouble_reload_twice(self, trouble: ScheduledFault) -> None:
         self._trouble_reload(trouble)
         self._later(0.3 * trouble.size, self._trouble_reload, trouble)
 
     def _move_discovery(self, number: int) -> None:
         gateway, agents = self.gateways[number], (self.agents[number], self.spare[number])
-        self.current[number] = cast(SoakAgent, agents[self.current[number] is agents[0]])
+        self.current[number] = cast(SoakDiscoveryAgent, agents[self.current[number] is agents[0]])
         gateway.config["discovery"] = f"{HOST}:{self.current[number].proxy.port}"
         path = self.folder / f"gateway-{number}.json"
         path.write_text(
             json.dumps({**json.loads(path.read_text()), "discovery": gateway.config["discovery"]})
         )
         self.moved_at[number] = self.now()
-        if gateway.alive() and gateway.process is not None:
+        if gateway.is_running() and gateway.process is not None:
             gateway.process.send_signal(signal.SIGHUP)
 
-    def _trouble_pause(self, trouble: Trouble) -> None:
+    def _trouble_pause(self, trouble: ScheduledFault) -> None:
         for number in trouble.who:
             process = self.gateways[number].process
             if process is not None and process.poll() is None:
@@ -224,35 +224,37 @@
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
 
-    def _calls(self, trouble: Trouble) -> None:
+    def _calls(self, trouble: ScheduledFault) -> None:
         for number in trouble.who:
-            self.rates[number] = soak_troubles.rates(trouble, self.rates.get(number, FaultRates()))
+            self.rates[number] = schedule.syscall_fault_rates(
+                trouble, self.rates.get(number, SyscallFaultRates())
+            )
             self.controls[number].set(self.rates[number])
         self._later(trouble.lasts, self._calls_succeed, trouble.who)
 
     def _calls_succeed(self, who: Sequence[int]) -> None:
         for number in who:
-            step = self.rates.get(number, FaultRates()).clock_step  # a clock that was stepped stays so
-            self.rates[number] = FaultRates(clock_step=step)
+            step = self.rates.get(number, SyscallFaultRates()).clock_step  # a clock that was stepped stays so
+            self.rates[number] = SyscallFaultRates(clock_step=step)
             self.controls[number].set(self.rates[number])
 
     _trouble_clock_step = _trouble_calls_fail = _trouble_short_io = _trouble_hold = _calls
     _trouble_disk_fails = _trouble_disk_slow = _calls
 
-    def _links(self, trouble: Trouble) -> list[FaultProxy]:
+    def _links(self, trouble: ScheduledFault) -> list[FaultProxy]:
         return self.copies.of([f"n{number}" for number in trouble.who])
 
-    def _trouble_links_cut(self, trouble: Trouble) -> None:
+    def _trouble_links_cut(self, trouble: ScheduledFault) -> None:
         for proxy in self._links(trouble):
             proxy.cut()
             self._later(trouble.lasts, proxy.heal)
 
-    def _trouble_links_reset(self, trouble: Trouble) -> None:
+    def _trouble_links_reset(self, trouble: ScheduledFault) -> None:
         for proxy in self._links(trouble):
             proxy.back.left = self.chance.randint(1, 4000)
             self._later(trouble.lasts, proxy.heal)
 
-    def _trouble_roll(self, trouble: Trouble) -> None:
+    def _trouble_roll(self, trouble: ScheduledFault) -> None:
         self.report.rolls += 1
         name = f"roll-{self.report.rolls}"
         work = MachineWork(self.copies.caller(name, 0), self._restart, self._take_clients)
@@ -278,71 +280,71 @@
             if self._up(number):
                 self.seen_down.discard(number)
 
-    def _backends(self, trouble: Trouble) -> list[SoakBackend]:
-        there = (self.tills_on[number] for number in trouble.who if number in self.tills_on)
+    def _backends(self, trouble: ScheduledFault) -> list[SoakBackend]:
+        there = (self.backends[number] for number in trouble.who if number in self.backends)
         return [cast(SoakBackend, one) for one in there if one.machine.up and not one.machine.silent]
 
-    def _numbers(self, trouble: Trouble) -> tuple[int, ...]:
+    def _numbers(self, trouble: ScheduledFault) -> tuple[int, ...]:
         ready = {n for n, entry in self.discovery.entries.items() if entry.state == "ready"}
         return tuple(one.machine.number for one in self._backends(trouble) if one.machine.number in ready)
 
-    def _trouble_backend_crash(self, trouble: Trouble) -> None:
+    def _trouble_backend_crash(self, trouble: ScheduledFault) -> None:
         self._on_crash(Fault(self.now(), "crash", 1000 * trouble.lasts, self._numbers(trouble)))
 
-    def _trouble_backend_drain(self, trouble: Trouble) -> None:
+    def _trouble_backend_drain(self, trouble: ScheduledFault) -> None:
         who = self._numbers(trouble)
         self._on_drain(Fault(self.now(), "drain", 1000 * trouble.lasts, who))
         self._on_add(Fault(self.now(), "add", size=len(who)))
 
-    def _trouble_backend_add(self, trouble: Trouble) -> None:
+    def _trouble_backend_add(self, trouble: ScheduledFault) -> None:
         self._on_add(Fault(self.now(), "add", size=min(3, len(trouble.who))))
 
-    def _trouble_backend_hang(self, trouble: Trouble) -> None:
+    def _trouble_backend_hang(self, trouble: ScheduledFault) -> None:
         for backend in self._backends(trouble):
             backend.hang()
             self._later(trouble.lasts, backend.go_on)
 
-    def _trouble_backend_unreachable(self, trouble: Trouble) -> None:
+    def _trouble_backend_unreachable(self, trouble: ScheduledFault) -> None:
         for backend in self._backends(trouble):
             backend.stop_accepting()
             self._later(trouble.lasts, backend.accept_again)
 
-    def _misbehave(self, trouble: Trouble, how: Misbehaviour) -> None:
+    def _misbehave(self, trouble: ScheduledFault, how: Misbehaviour) -> None:
         for backend in self._backends(trouble):
             backend.misbehaviour = how
             self._later(trouble.lasts, setattr, backend, "misbehaviour", Misbehaviour())
 
-    def _trouble_backend_resets(self, trouble: Trouble) -> None:
+    def _trouble_backend_resets(self, trouble: ScheduledFault) -> None:
         self._misbehave(trouble, Misbehaviour(reset=0.3))
 
-    def _trouble_backend_spoils(self, trouble: Trouble) -> None:
+    def _trouble_backend_spoils(self, trouble: ScheduledFault) -> None:
         self._misbehave(trouble, Misbehaviour(truncated=0.1, second=0.2))
 
-    def _trouble_backend_forgets(self, trouble: Trouble) -> None:
+    def _trouble_backend_forgets(self, trouble: ScheduledFault) -> None:
         self._misbehave(trouble, Misbehaviour(forget_after=0.2))
 
-    def _trouble_backend_closes_idle(self, trouble: Trouble) -> None:
+    def _trouble_backend_closes_idle(self, trouble: ScheduledFault) -> None:
         for backend in self._backends(trouble):
             for step in range(5):
                 self._later(trouble.lasts * step / 5, backend.close_idle)
 
-    def _proxies(self, trouble: Trouble) -> list[FaultProxy]:
+    def _proxies(self, trouble: ScheduledFault) -> list[FaultProxy]:
         return [self.current[number].proxy for number in trouble.who]
 
-    def _trouble_discovery_down(self, trouble: Trouble) -> None:
+    def _trouble_discovery_down(self, trouble: ScheduledFault) -> None:
         lasts = 2 * trouble.lasts
         for number in [one for one in trouble.who if one not in self.down_since]:
             self.down_since[number] = self.now()
-            for agent in (cast(SoakAgent, self.agents[number]), self.spare[number]):
+            for agent in (cast(SoakDiscoveryAgent, self.agents[number]), self.spare[number]):
                 agent.proxy.cut()
             self._later(lasts, self._discovery_back, number)
 
     def _discovery_back(self, number: int) -> None:
         self.down_since.pop(number, None)
-        for agent in (cast(SoakAgent, self.agents[number]), self.spare[number]):
+        for agent in (cast(SoakDiscoveryAgent, self.agents[number]), self.spare[number]):
             agent.proxy.heal()
 
-    def _trouble_discovery_resets(self, trouble: Trouble) -> None:
+    def _trouble_discovery_resets(self, trouble: ScheduledFault) -> None:
         for proxy in self._proxies(trouble):
             proxy.reset()
             self._later(0.5 * trouble.size, proxy.reset)
@@ -356,7 +358,7 @@
             del self.impaired[number]
             self.repaired_at[number] = self.now()
 
-    def _trouble_discovery_slow(self, trouble: Trouble) -> None:
+    def _trouble_discovery_slow(self, trouble: ScheduledFault) -> None:
         for number in trouble.who:
             self._impair(number)
             proxy = self.current[number].proxy
@@ -367,7 +369,7 @@
         proxy.back.delay, proxy.back.piece = 0.0, 65536
         self._repair(number)
 
-    def _trouble_discovery_refuses(self, trouble: Trouble) -> None:
+    def _trouble_discovery_refuses(self, trouble: ScheduledFault) -> None:
         for number in trouble.who:
             self._impair(number)
             proxy = self.current[number].proxy
@@ -379,26 +381,26 @@
         self._repair(number)
         self._task(proxy.accept_again())
 
-    def _trouble_peers_cut(self, trouble: Trouble) -> None:
+    def _trouble_peers_cut(self, trouble: ScheduledFault) -> None:
         self._on_cut(Fault(self.now(), "cut", 1000 * trouble.lasts, trouble.who))
 
-    def _trouble_peers_lose(self, trouble: Trouble) -> None:
+    def _trouble_peers_lose(self, trouble: ScheduledFault) -> None:
         self._on_loss(Fault(self.now(), "loss", 1000 * trouble.lasts, size=0.5))
 
     @property
     def _soak_clients(self) -> SoakClients:
         return cast(SoakClients, self.clients)
 
-    def _trouble_bad_clients(self, trouble: Trouble) -> None:
+    def _trouble_bad_clients(self, trouble: ScheduledFault) -> None:
         starts = (b"*2\r\n$4\r\nPI", b"*1\r\n$9\r\nSVC.", b"*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n0000")
         for number in [one for one in trouble.who if self._up(one)]:
             self._task(self._soak_clients.stop_halfway(number, self.chance.choice(starts)))
 
-    def _trouble_floods(self, trouble: Trouble) -> None:
+    def _trouble_floods(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
             self._task(self._soak_clients.flood(number, self.chance.choice([100, 1000, 10000])))
 
-    def _trouble_resting_clients(self, trouble: Trouble) -> None:
+    def _trouble_resting_clients(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)][:MAX_CROWDED]:
             for _ in range(RESTING_CLIENTS):
                 stay = self.chance.uniform(0.1, 4.0)
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -24,19 +24,19 @@
 from ...simulation.day import Day, Rules, Scenario, day_of
 from ...simulation.record import TryRecord
 from ..backends import HOST
-from ..discovery_agent import Agent
-from ..fleet import HERE
-from ..gateway_process import GatewayFailed
-from ..rolling_maintenance import shared_grants
-from ..syscall_faults import FaultControl, FaultRates, build
-from . import schedule as soak_troubles
+from ..discovery_agent import DiscoveryAgent
+from ..fleet import CHECKOUT_ROOT
+from ..gateway_process import GatewayError
+from ..rolling_maintenance import grants_of_two_machines
+from ..syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
+from . import schedule
 from .backends import SoakBackend
 from .clients import LATEST_MS, SoakClients
-from .discovery_agent import SoakAgent
-from .fault_injection import KILL_TAKES_MS, LATE_START_MS, TroubledFleet
-from .replicas import SoakCopies
+from .discovery_agent import SoakDiscoveryAgent
+from .fault_injection import KILL_TAKES_MS, LATE_START_MS, FaultInjectedFleet
+from .replicas import SoakReplicas
 from .report import SoakReport
-from .schedule import Trouble
+from .schedule import ScheduledFault
 
 SOAK_RULES = Rules(answer_slack=LATEST_MS + 8.0, drain_grace=550.0)
 TOLD_MS = 6000.0  # after discovery has a change and can be reached, at which it counts as told
@@ -53,14 +53,14 @@
 FORBIDDEN_LOG = ("Traceback", "Exception in callback", "never retrieved", "event=invariant_violated")
 
 
-class SoakFleet(TroubledFleet):
+class SoakFleet(FaultInjectedFleet):
     """One soak. Times in ms since it began."""
 
     backend_class = SoakBackend
     clients_class = SoakClients
 
     def __init__(
-        self, day: Day, folder: Path, troubles: Sequence[Trouble], program: Path, replicas: int = 0
+        self, day: Day, folder: Path, troubles: Sequence[ScheduledFault], program: Path, replicas: int = 0
     ) -> None:
         """The first `replicas` gateways hold replicas."""
         self.troubles = troubles
@@ -73,15 +73,15 @@
         self.report = SoakReport(day.seed, day.scenario.gateways, troubles=[str(one) for one in troubles])
         self.extra = set()
         count = day.scenario.gateways
-        library = build(folder)
+        library = build_library(folder)
         self.controls = [
-            FaultControl(library, folder / f"faults-{number}", day.seed * 1000 + number)
+            SyscallFaultControl(library, folder / f"faults-{number}", day.seed * 1000 + number)
             for number in range(count)
         ]
         super().__init__(day, folder, program, limits={"sockets": SOCKETS})
-        self.copies = SoakCopies(folder, replicas, day.seed)
-        self.spare = [SoakAgent(self, number, 500) for number in range(count)]
-        self.current = list(cast("list[SoakAgent]", self.agents))
+        self.copies = SoakReplicas(folder, replicas, day.seed)
+        self.spare = [SoakDiscoveryAgent(self, number, 500) for number in range(count)]
+        self.current = list(cast("list[SoakDiscoveryAgent]", self.agents))
         for gateway in self.gateways[INHERITED_FIRST::INHERITED_EACH]:
             gateway.inherit_listener()
         for gateway, control in zip(self.gateways, self.controls, strict=True):
@@ -90,11 +90,11 @@
                 gateway.env.update(self.copies.environment(f"n{gateway.number}"))
             gateway.env.update(control.environment())
 
-    def _make_agent(self, number: int) -> Agent:
-        return SoakAgent(self, number, 0)
+    def _make_agent(self, number: int) -> DiscoveryAgent:
+        return SoakDiscoveryAgent(self, number, 0)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
-        agent = cast(SoakAgent, self.agents[number])
+        agent = cast(SoakDiscoveryAgent, self.agents[number])
         return {**super()._config(number, limits), "discovery": f"{HOST}:{agent.proxy.port}"}
 
     def _begun(self) -> None:
@@ -136,7 +136,7 @@
         left = self.leaving.get(one.gateway)
         since = f", {one.sent - left:.0f} ms after SIGTERM" if left is not None else ""
         tried = " ".join(f"{a.server}:{a.status}" for a in one.attempts) or "none"
-        name = f"{self.mark + one.ref:016x}"
+        name = f"{self.request_id_base + one.ref:016x}"
         self.break_rule(
             "lost",
             f"{what}: request {one.ref} ({name}) sent at {one.sent:.0f} to gateway {one.gateway}{since}, "
@@ -146,7 +146,7 @@
     # Discovery
 
     def _told(self, gateway: int, entry: Entry) -> None:
-        for agent in (cast(SoakAgent, self.agents[gateway]), self.spare[gateway]):
+        for agent in (cast(SoakDiscoveryAgent, self.agents[gateway]), self.spare[gateway]):
             agent.change(entry)
         if entry.state == "ready":
             self.watchman.told(gateway, entry, self.now())  # it may be sent to as soon as anybody can know it
@@ -174,20 +174,20 @@
 
     async def soak(self) -> SoakReport:
         """Play it to its end, heal all, and look for what is left over."""
-        for agent in [*cast("list[SoakAgent]", self.agents), *self.spare]:
+        for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare]:
             await agent.proxy.start()
         await self.copies.start()
         measuring = asyncio.create_task(self._measure_lag())
         try:
             await self.run()
-        except GatewayFailed as error:
+        except GatewayError as error:
             self.break_rule("ended", str(error))
         finally:
             measuring.cancel()
             self.injected = [control.counts() for control in self.controls]
             for control in self.controls:
                 control.close()
-            for agent in [*cast("list[SoakAgent]", self.agents), *self.spare]:
+            for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare]:
                 await agent.proxy.close()
             await self.copies.close()
         self._judge()
@@ -196,14 +196,14 @@
     async def _stop_gateways(self) -> None:
         """Let all that is owed end, look for what is left over, and end all."""
         for number, control in enumerate(self.controls):
-            step = self.rates.get(number, FaultRates()).clock_step
-            control.set(FaultRates(clock_step=step))
+            step = self.rates.get(number, SyscallFaultRates()).clock_step
+            control.set(SyscallFaultRates(clock_step=step))
         await self._end_troubles()
         for number in range(len(self.gateways)):
             self.clients.drop(number)
         await asyncio.sleep(SETTLE_S)
         for gateway in self.gateways:
-            if gateway.alive() and gateway.process is not None:
+            if gateway.is_running() and gateway.process is not None:
                 gateway.process.send_signal(signal.SIGUSR1)
         await asyncio.sleep(0.5)
         if self.copies.names:
@@ -211,7 +211,7 @@
             for story in [*stories, *await self.copies.faults(), *self.copies.damaged()]:
                 self.break_rule("replication", story)
             logs = {f"n{one.number}": one.log for one in self.gateways}
-            for fence, names in shared_grants(logs).items():
+            for fence, names in grants_of_two_machines(logs).items():
                 self.break_rule("maintenance", f"{sorted(names)} under grant {fence}")
             self.report.replica_calls = sum(map(len, self.copies.histories.values()))
         for gateway in self.gateways:
@@ -242,7 +242,7 @@
         for counts in self.injected:
             injected.update(counts)
         report.injected = dict(injected)
-        report.memory_mb = sum(gateway.memory for gateway in self.gateways) / 1024
+        report.memory_mb = sum(gateway.peak_memory_kb for gateway in self.gateways) / 1024
         calm = [one for one in self.asks if one.ask.at > self.day.length - 1000 * CALM_S]
         report.calm_share = sum(one.served is not None for one in calm) / max(1, len(calm))
         if report.calm_share < MIN_CALM_SHARE:
@@ -268,7 +268,7 @@
 
 async def _play(
     seed: int, folder: Path, gateways: int, backends: int, rate: float, seconds: float,
-    only: Sequence[soak_troubles.Kind], program: Path, replicas: int,
+    only: Sequence[schedule.FaultKind], program: Path, replicas: int,
 ) -> SoakReport:  # fmt: skip
     begun = time.monotonic()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -277,7 +277,7 @@
     gc.disable()  # a collection holds up all that this process plays, and what it keeps is needed to the end
     try:
         day = day_of(scenario(gateways, backends, rate, seconds), seed)
-        troubles = soak_troubles.schedule(seed, seconds - CALM_S, gateways, backends, replicas, only)
+        troubles = schedule.draw_schedule(seed, seconds - CALM_S, gateways, backends, replicas, only)
         fleet = SoakFleet(replace(day, rules=SOAK_RULES), folder, troubles, program, replicas)
         report = await fleet.soak()
     finally:
@@ -288,9 +288,16 @@
 
 
 def play(
-    seed: int, folder: Path | None = None, gateways: int = 24, backends: int = 30, rate: float = 200.0,
-    seconds: float = 30.0, only: Sequence[soak_troubles.Kind] = (), program: Path = HERE, replicas: int = 0,
-) -> SoakReport:  # fmt: skip
+    seed: int,
+    folder: Path | None = None,
+    gateways: int = 24,
+    backends: int = 30,
+    rate: float = 200.0,
+    seconds: float = 30.0,
+    only: Sequence[schedule.FaultKind] = (),
+    program: Path = CHECKOUT_ROOT,
+    replicas: int = 0,
+) -> SoakReport:
     """Soak for so long; logs and configurations stay in `folder`, if one is named. Raises `FileExistsError`
     if there is something in it: stores of another soak would be taken for this one's.
     """
--- a/mapleshunt/testbed/soak/maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -7,8 +7,8 @@
 
 from ...maintenance import commands as w
 from ...replicated_state import commands as h
-from ..replica_client import Caller
-from ..rolling_maintenance import read_works
+from ..replica_client import ReplicaClient
+from ..rolling_maintenance import read_maintenance_state
 
 MAINTENANCE = "(maintenance (most 1) (zone 1) (pause-s 0.2) (drain-s 4.0) (failures 99) (most-load 9.0))"
 LOOK_S = 0.1  # between two looks at a machine's state
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        caller: Caller,
+        caller: ReplicaClient,
         restart: Callable[[str], Awaitable[None]],
         take_clients: Callable[[str, bool], None],
     ) -> None:
@@ -46,7 +46,7 @@
             self.take_clients(machine, True)
 
     async def _open_places(self, request: str) -> list[w.Place]:
-        works = await read_works(self.caller)
+        works = await read_maintenance_state(self.caller)
         return [one for one in works.open() if one.request == request]
 
     async def _work_on(self, place: w.Place) -> None:
--- a/mapleshunt/testbed/soak/replicas.py
+++ b/mapleshunt/testbed/soak/replicas.py
@@ -14,8 +14,8 @@
 from ..backends import HOST
 from ..fault_proxy import FaultProxy
 from ..gateway_process import free_port
-from ..replica_client import Address, Caller, leading, statuses
-from ..replica_workload import BURST, final_state, operate
+from ..replica_client import Address, ReplicaClient, gateway_statuses, leader_status
+from ..replica_workload import BURST, read_final_state, run_workload
 from .maintenance import MAINTENANCE
 
 FLEET = "soak"
@@ -28,14 +28,14 @@
 REPLACE_AFTER_S = 600.0
 
 
-class SoakCopies:
+class SoakReplicas:
     """The first gateways of a fleet hold replicas, each pair of them linked by a proxy."""
 
     def __init__(self, folder: Path, count: int, seed: int) -> None:
         self.folder, self.names = folder, [f"n{number}" for number in range(count)]
         self.random = random.Random(f"{seed} copies")
         self.histories: dict[int, list[Event]] = {}  # by group
-        self.callers: list[Caller] = []
+        self.callers: list[ReplicaClient] = []
         self.calls: list[asyncio.Task[None]] = []
         self.over = False
         self.ports = {name: free_port(socket.SOCK_STREAM) for name in self.names}
@@ -81,13 +81,13 @@
                 caller = self.caller(f"s{number}", group)
                 caller.history = self.histories.setdefault(group, [])
                 self.callers.append(caller)
-                call = operate(caller, lambda: self.over, CALL_PAUSE_S)
+                call = run_workload(caller, lambda: self.over, CALL_PAUSE_S)
                 self.calls.append(asyncio.create_task(call))
 
-    def caller(self, name: str, group: int) -> Caller:
+    def caller(self, name: str, group: int) -> ReplicaClient:
         """A further client of a group, whose operations are not among those that are judged."""
         chance = random.Random(self.random.getrandbits(64))
-        return Caller(name, self.addresses(), FLEET, group, [], time.monotonic, chance)
+        return ReplicaClient(name, self.addresses(), FLEET, group, [], time.monotonic, chance)
 
     async def broken_promises(self) -> list[str]:
         """End the calls, each of which has to be answered now that all is healed, and judge what was told."""
@@ -96,7 +96,7 @@
             await asyncio.wait_for(asyncio.gather(*self.calls), CALM_S)
             found: list[str] = []
             for group, history in self.histories.items():
-                final = await final_state(self.callers[CALLERS * group], CALM_S)
+                final = await read_final_state(self.callers[CALLERS * group], CALM_S)
                 found += [f"group {group}: {one}" for one in broken(history, final, BURST)]
             return found
         except TimeoutError:
@@ -117,10 +117,10 @@
 
     async def faults(self) -> list[str]:
         """What is wrong with the groups: each must have a leader and all its replicas."""
-        told = await statuses(self.addresses(), FLEET)
+        told = await gateway_statuses(self.addresses(), FLEET)
         found = [f"{name} does not answer on its replication port" for name, one in told.items() if not one]
         for group in range(GROUPS):
-            leads = leading(told, group)
+            leads = leader_status(told, group)
             if leads is None:
                 found.append(f"group {group} has no leader")
             elif len(leads["voters"]) != SIZE:
--- a/mapleshunt/testbed/soak/schedule.py
+++ b/mapleshunt/testbed/soak/schedule.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, replace
 from typing import Literal
 
-from ..syscall_faults import FaultRates
+from ..syscall_faults import SyscallFaultRates
 
-Kind = Literal[
+FaultKind = Literal[
     "term", "kill", "upgrade", "reload", "reload_twice", "pause", "clock_step", "calls_fail", "short_io",
     "hold", "backend_crash", "backend_hang", "backend_drain", "backend_add", "backend_resets",
     "backend_spoils", "backend_closes_idle", "backend_forgets", "backend_unreachable", "discovery_down",
@@ -17,7 +17,7 @@
     "floods", "resting_clients", "disk_fails", "disk_slow", "links_cut", "links_reset", "roll",
 ]  # fmt: skip
 # Chances relative to each other: what ends or moves processes comes most often.
-WEIGHTS: dict[Kind, int] = {
+FAULT_WEIGHTS: dict[FaultKind, int] = {
     "term": 6, "kill": 3, "upgrade": 5, "reload": 3, "reload_twice": 2, "pause": 3, "clock_step": 3,
     "calls_fail": 5, "short_io": 3, "hold": 3, "backend_crash": 3, "backend_hang": 4, "backend_drain": 5,
     "backend_add": 3, "backend_resets": 3, "backend_spoils": 3, "backend_closes_idle": 2,
@@ -26,7 +26,7 @@
     "floods": 2, "resting_clients": 2, "disk_fails": 6, "disk_slow": 4, "links_cut": 3, "links_reset": 3,
     "roll": 4,
 }  # fmt: skip
-REPLICATION_KINDS: tuple[Kind, ...] = ("disk_fails", "disk_slow", "links_cut", "links_reset", "roll")
+REPLICATION_KINDS: tuple[FaultKind, ...] = ("disk_fails", "disk_slow", "links_cut", "links_reset", "roll")
 GATEWAY_KINDS = {
     "term", "kill", "upgrade", "reload", "reload_twice", "pause", "clock_step", "calls_fail", "short_io",
     "hold", "bad_clients", "floods", "resting_clients", "peers_cut", "discovery_down", "discovery_resets",
@@ -39,11 +39,11 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class ScheduledFault:
     """One trouble: `at` and `lasts` in s; `who` are gateways or backends, by kind."""
 
     at: float
-    kind: Kind
+    kind: FaultKind
     lasts: float
     who: tuple[int, ...]
     size: float = 0.0
@@ -52,13 +52,13 @@
         return f"{self.at:.1f} s {self.kind} {','.join(map(str, self.who))} for {self.lasts:.1f} s"
 
 
-def schedule(
-    seed: int, seconds: float, gateways: int, backends: int, replicas: int, only: Sequence[Kind] = ()
-) -> list[Trouble]:
+def draw_schedule(
+    seed: int, seconds: float, gateways: int, backends: int, replicas: int, only: Sequence[FaultKind] = ()
+) -> list[ScheduledFault]:
     """Episodes from the first second on; the last of them is over before `seconds`."""
     chance = random.Random(f"soak {seed}")
-    kinds = list(only or [kind for kind in WEIGHTS if replicas or kind not in REPLICATION_KINDS])
-    found: list[Trouble] = []
+    kinds = list(only or [kind for kind in FAULT_WEIGHTS if replicas or kind not in REPLICATION_KINDS])
+    found: list[ScheduledFault] = []
     begin = 1.0
     while begin + OVERLAP_S + EPISODE_S < seconds:
         for kind in _kinds(chance, kinds):
@@ -68,28 +68,30 @@
     return sorted(found, key=lambda one: one.at)
 
 
-def _kinds(chance: random.Random, kinds: Sequence[Kind]) -> list[Kind]:
+def _kinds(chance: random.Random, kinds: Sequence[FaultKind]) -> list[FaultKind]:
     """Two or three different ones."""
-    count, drawn = min(len(kinds), chance.choice([2, 2, 3])), list[Kind]()
+    count, drawn = min(len(kinds), chance.choice([2, 2, 3])), list[FaultKind]()
     while len(drawn) < count:
-        kind = chance.choices(kinds, [WEIGHTS[one] for one in kinds])[0]
+        kind = chance.choices(kinds, [FAULT_WEIGHTS[one] for one in kinds])[0]
         if kind not in drawn:
             drawn.append(kind)
     return drawn
 
 
-def _trouble(chance: random.Random, kind: Kind, begin: float, gateways: int, backends: int) -> Trouble:
+def _trouble(
+    chance: random.Random, kind: FaultKind, begin: float, gateways: int, backends: int
+) -> ScheduledFault:
     most, part = (gateways, 0.25) if kind in GATEWAY_KINDS else (backends, 0.15)
     if kind in ("kill", "term"):
         part = 0.15
     size = max(1, round(most * chance.uniform(0.0, 2 * part)))
     who = tuple(sorted(chance.sample(range(most), min(size, most))))
     at, lasts = begin + chance.uniform(0.0, OVERLAP_S), chance.uniform(0.5, 3.0)
-    trouble = Trouble(at, kind, lasts, who, chance.random())
+    trouble = ScheduledFault(at, kind, lasts, who, chance.random())
     return replace(trouble, size=chance.choice(CLOCK_STEPS_S)) if kind == "clock_step" else trouble
 
 
-def rates(trouble: Trouble, before: FaultRates) -> FaultRates:
+def syscall_fault_rates(trouble: ScheduledFault, before: SyscallFaultRates) -> SyscallFaultRates:
     """The rates of failing calls while a trouble lasts."""
     match trouble.kind:
         case "calls_fail":
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -6,7 +6,7 @@
 
 from ..fleet.quota import Store
 from ..simulation.record import TryRecord
-from .fleet import Fleet
+from .fleet import LoopbackFleet
 
 NO_ANSWER = "no answer"
 UNREACHABLE = "no gateway"
@@ -35,7 +35,7 @@
     return "its gateway was down" if one.attempts or one.known else "lost"
 
 
-def reasons(fleet: Fleet) -> dict[str, Counter[str]]:
+def reasons(fleet: LoopbackFleet) -> dict[str, Counter[str]]:
     """Counts of tries by final answer and reason."""
     found: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
     stores: dict[int, Store] = {}
@@ -50,7 +50,7 @@
     return found
 
 
-def exactly_once(fleet: Fleet) -> bool:
+def exactly_once(fleet: LoopbackFleet) -> bool:
     """Did every request that a gateway took get one final answer, and no connection bring a second?"""
     return not fleet.clients.strange and all(
         one.answer is not None for one in fleet.watchman.tries if one.taken
--- a/mapleshunt/testbed/syscall_faults.c
+++ b/mapleshunt/testbed/syscall_faults.c
@@ -23,7 +23,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* In the order of FaultRates in syscall_faults.py. */
+/* In the order of SyscallFaultRates in syscall_faults.py. */
 enum kind {
     ACCEPT, CONNECT, SOCKET, SHORT_IO, INTERRUPT, BROKEN_AS, HOLD, DISK, DISK_READ, CLOCK_STEP, DISK_SLOW, KINDS
 };
--- a/mapleshunt/testbed/syscall_faults.py
+++ b/mapleshunt/testbed/syscall_faults.py
@@ -19,12 +19,12 @@
 COMPILERS = ("cc", "gcc", "clang")
 
 
-class NoCompiler(Exception):
+class LibraryBuildError(Exception):
     """The library cannot be built here; the text says why."""
 
 
 @dataclass(frozen=True)
-class FaultRates:
+class SyscallFaultRates:
     """Chance of each fault at one call, in the order of the library's `enum kind`."""
 
     accept: float = 0.0  # ECONNABORTED, ENFILE, ENOBUFS, EPERM, EINTR, ENETUNREACH
@@ -40,25 +40,25 @@
     disk_slow: float = 0.0  # s that each sync under the folder takes longer; no chance
 
 
-KINDS = tuple(field.name for field in fields(FaultRates))
+KINDS = tuple(field.name for field in fields(SyscallFaultRates))
 RATES = struct.Struct(f"<{len(KINDS)}d")
 COUNTS = struct.Struct(f"<{len(KINDS)}Q")
 
 
-def build(folder: Path) -> Path:
-    """Compile the library into the folder. Raises `NoCompiler`."""
+def build_library(folder: Path) -> Path:
+    """Compile the library into the folder. Raises `LibraryBuildError`."""
     compiler = next((found for name in COMPILERS if (found := shutil.which(name))), None)
     if compiler is None:
-        raise NoCompiler(f"none of {', '.join(COMPILERS)} is installed")
+        raise LibraryBuildError(f"none of {', '.join(COMPILERS)} is installed")
     library = folder / "syscall_faults.so"
     command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
     done = subprocess.run(command, capture_output=True, text=True)
     if done.returncode:
-        raise NoCompiler(done.stderr.strip().splitlines()[-1])
+        raise LibraryBuildError(done.stderr.strip().splitlines()[-1])
     return library
 
 
-class FaultControl:
+class SyscallFaultControl:
     """The rates that hold for one process, and what the library has done to it."""
 
     def __init__(self, library: Path, file: Path, seed: int, folder: Path | None = None) -> None:
@@ -81,7 +81,7 @@
             chosen["LD_PRELOAD"] += f":{before}"
         return chosen
 
-    def set(self, rates: FaultRates) -> None:
+    def set(self, rates: SyscallFaultRates) -> None:
         """Make these rates hold from now on."""
         self.shared[: RATES.size] = RATES.pack(*astuple(rates))
 
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -23,7 +23,7 @@
 from mapleshunt.replication import messages as m
 from mapleshunt.storage.durable_store import Damaged, Disk
 from mapleshunt.storage.writer import Writer
-from mapleshunt.testbed.syscall_faults import FaultControl, FaultRates, build
+from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 
 from .processes import EXAMPLE, ROOT, free_port
 from .test_store import FIRST, filled
@@ -77,7 +77,7 @@
 """
 
 
-def script(code: str, store: Path, control: FaultControl) -> subprocess.CompletedProcess[str]:
+def script(code: str, store: Path, control: SyscallFaultControl) -> subprocess.CompletedProcess[str]:
     """Run that code with the store's folder as its argument, its system calls failing as the control says."""
     command = [sys.executable, "-c", code, str(store)]
     return subprocess.run(command, env=control.environment(), capture_output=True, text=True)
@@ -85,7 +85,7 @@
 
 @pytest.fixture(scope="module")
 def library(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    return build(tmp_path_factory.mktemp("library"))
+    return build_library(tmp_path_factory.mktemp("library"))
 
 
 def test_reads_that_fail_for_a_while_do_not_set_a_whole_store_aside(tmp_path: Path, library: Path) -> None:
@@ -94,8 +94,8 @@
     disk = filled(tmp_path / "store")
     incarnation = disk.incarnation
     disk.close()
-    control = FaultControl(library, tmp_path / "control", 5, tmp_path / "store")
-    control.set(FaultRates(disk_read=0.1))
+    control = SyscallFaultControl(library, tmp_path / "control", 5, tmp_path / "store")
+    control.set(SyscallFaultRates(disk_read=0.1))
     done = script(OPEN_AGAIN_AND_AGAIN, tmp_path / "store", control)
     assert not done.returncode, done.stderr
     opened, failed = json.loads(done.stdout)
@@ -126,8 +126,8 @@
     store = tmp_path / "store"
     store.mkdir()
     filled(store).close()
-    control = FaultControl(library, tmp_path / "control", 5, store)
-    control.set(FaultRates(disk_slow=SYNC_S))
+    control = SyscallFaultControl(library, tmp_path / "control", 5, store)
+    control.set(SyscallFaultRates(disk_slow=SYNC_S))
     done = script(WRITE_WHILE_LOOKING, store, control)
     worst, took = map(float, done.stdout.split())
     assert took > 3 * SYNC_S and worst < MAX_STALL_S, (worst, took)
@@ -185,11 +185,11 @@
 
 
 def test_a_disk_that_is_full_at_a_start_is_no_bad_configuration(tmp_path: Path, library: Path) -> None:
-    control = FaultControl(library, tmp_path / "control", 6, tmp_path)
-    control.set(FaultRates(disk=1.0))
+    control = SyscallFaultControl(library, tmp_path / "control", 6, tmp_path)
+    control.set(SyscallFaultRates(disk=1.0))
     done = script(OPEN_ONCE, tmp_path / "store", control)
     assert "StoreUnavailable" in done.stderr, done.stderr
-    control.set(FaultRates())
+    control.set(SyscallFaultRates())
     disk = Disk(tmp_path / "store", "fleet", "a")
     assert disk.create(3, FIRST).snapshot == FIRST and not disk.set_aside
 
@@ -220,11 +220,11 @@
 
 
 def test_sockets_that_fail_for_a_moment_do_not_end_a_start(tmp_path: Path, library: Path) -> None:
-    control = FaultControl(library, tmp_path / "control", 7)
-    control.set(FaultRates(socket=1.0))
+    control = SyscallFaultControl(library, tmp_path / "control", 7)
+    control.set(SyscallFaultRates(socket=1.0))
     with process(tmp_path, **control.environment()) as started:
         logged(tmp_path, started, "event=start_retried")
-        control.set(FaultRates())
+        control.set(SyscallFaultRates())
         logged(tmp_path, started, "event=started")
 
 
@@ -238,13 +238,13 @@
         + ")\n"
     )
     store.mkdir()
-    control = FaultControl(library, tmp_path / "control", 8, store)
-    control.set(FaultRates(disk=1.0))
+    control = SyscallFaultControl(library, tmp_path / "control", 8, store)
+    control.set(SyscallFaultRates(disk=1.0))
     env = {"PROXY_OPERATORS": str(operators), **control.environment()}
     with process(tmp_path, **env) as started:
         logged(tmp_path, started, "event=started")
         logged(tmp_path, started, "event=copies_store_unavailable")
-        control.set(FaultRates())
+        control.set(SyscallFaultRates())
         logged(tmp_path, started, "event=copies_started")
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -26,7 +26,7 @@
 from mapleshunt.replication.placement import group_of, place, rank
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
-from mapleshunt.testbed.faults.replicated_fleet import FAULTS, Faults, Report, plain_config
+from mapleshunt.testbed.faults.replicated_fleet import FAULTS, Faults, Report, replicas_only_config
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize(("gateways", "seed", "schedule"), SCHEDULES)
 def test_promises_hold(gateways: int, seed: int, schedule: list[str], tmp_path: Path) -> None:
-    played = Faults(tmp_path, plain_config(), gateways, seed, gateways, election_ms=600.0)
+    played = Faults(tmp_path, replicas_only_config(), gateways, seed, gateways, election_ms=600.0)
     report = asyncio.run(played.play(schedule=schedule))
     assert not report.broken and report.faults == schedule and sum(report.calls.values()) > 60
     logs = "".join(one.read_text() for one in tmp_path.glob("*/log"))
@@ -66,7 +66,7 @@
     file = newer / "mapleshunt" / "copies" / "wire.py"
     file.write_text(file.read_text().replace("LOWEST, HIGHEST = 1, 1 ", "LOWEST, HIGHEST = 1, 2 "))
     assert "HIGHEST = 1, 2" in file.read_text()
-    played = Faults(tmp_path / "play", plain_config(), 3, 7, 3, election_ms=600.0)
+    played = Faults(tmp_path / "play", replicas_only_config(), 3, 7, 3, election_ms=600.0)
     first, second, third = played.machines.values()
     first.program = second.program = newer
 
@@ -100,7 +100,7 @@
 
 def test_operators_move_a_copy_and_look_at_it(tmp_path: Path) -> None:
     """The command line against four real gateways, a group on three of them."""
-    played = Faults(tmp_path, plain_config(), 4, 9, 3, election_ms=600.0)
+    played = Faults(tmp_path, replicas_only_config(), 4, 9, 3, election_ms=600.0)
     played.replace_after = played.settle_after = 3.0
 
     async def play() -> None:
@@ -147,7 +147,7 @@
     tmp_path: Path,
 ) -> None:
     """Two of three machines are lost with their disks; later one is found after all."""
-    played = Faults(tmp_path, plain_config(), 3, 11, 3, election_ms=600.0)
+    played = Faults(tmp_path, replicas_only_config(), 3, 11, 3, election_ms=600.0)
     played.lease = False
 
     async def play() -> None:
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -24,7 +24,7 @@
 from mapleshunt.replication import wire
 from mapleshunt.settings import operators
 from mapleshunt.storage.durable_store import Disk, StoreUnavailable
-from mapleshunt.testbed.faults.replicated_fleet import plain_config
+from mapleshunt.testbed.faults.replicated_fleet import replicas_only_config
 
 from .processes import free_port
 from .test_sessions import WAIT_S, until
@@ -44,7 +44,7 @@
     """The replication host of a gateway whose peers are not there."""
     section = operators.check(text_of(folder, election_ms=election_ms)).copies
     assert section is not None
-    parsed = config.parse(json.dumps({**plain_config(), "name": name}), {})
+    parsed = config.parse(json.dumps({**replicas_only_config(), "name": name}), {})
     disk = open_store(section, parsed.name)
     return Copies(section, parsed.name, disk, Counters(), parsed.seed)
 
@@ -100,7 +100,7 @@
     monkeypatch.setenv(operators.VARIABLE, str(file))
     monkeypatch.setattr(extensions, "open_store", open_slowly)
     monkeypatch.setattr(extensions, "STORE_RETRY_DELAY_S", 0.01)
-    parsed = config.parse(json.dumps({**plain_config(), "name": NAMES[0]}), {})
+    parsed = config.parse(json.dumps({**replicas_only_config(), "name": NAMES[0]}), {})
 
     async def run() -> None:
         made = extensions.Extensions(parsed, None, Counters(), None)  # type: ignore[arg-type]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -23,7 +23,7 @@
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
 from mapleshunt.testbed.clock import Clock
-from mapleshunt.testbed.gateway_process import GatewayFailed
+from mapleshunt.testbed.gateway_process import GatewayError
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -57,15 +57,15 @@
         Fault(1200, "add", size=1), Fault(500, "loss", 2000, size=0.5), Fault(600, "counter_down", 900),
         fixed={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
     ), 5)  # fmt: skip
-    found, score = fleet.play(day, tmp_path)
+    found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     tries = found.watchman.tries
     assert any(t.gateway == 1 and t.taken and t.answer is None for t in tries), "nothing was open at the kill"
     # A machine that stands still may keep the gateway from a few answers until their clients have gone.
     silent = [t for t in tries if t.taken and t.gateway == 0 and t.answer is None]
-    assert all(t in found.late for t in silent) and len(silent) <= len(tries) / 100
+    assert all(t in found.timed_out for t in silent) and len(silent) <= len(tries) / 100
     assert any(t.gateway == 1 and t.answer is not None and t.sent > 1700 for t in tries), "it is back"
-    assert found.gateways[1].starts == 2 and found.strangers == 0 and found.too_long == 0
+    assert found.gateways[1].starts == 2 and found.unknown_requests == 0 and found.oversized_datagrams == 0
     after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent > 1500 + 300 + 550 + 400]
     assert not after, "sent to a draining server"
     assert any(a.server == 4 for t in tries for a in t.attempts), "the new server was not used"
@@ -87,27 +87,27 @@
         await reader.read()
         writer.close()
 
-    async def connect(link: clients.Link) -> None:
+    async def connect(link: clients.ClientConnection) -> None:
         await asyncio.sleep(connecting)
         await really(link)
 
-    really = clients.Link.connect
-    monkeypatch.setattr(clients.Link, "connect", connect)
+    really = clients.ClientConnection.connect
+    monkeypatch.setattr(clients.ClientConnection, "connect", connect)
 
     async def play() -> tuple[Any, Any, Any]:
         server = await asyncio.start_server(gateway, "127.0.0.1", 0)
         heard: list[str] = []
         day: Any = SimpleNamespace(
-            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=Clock(), late=[],
+            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=Clock(), timed_out=[],
             day=SimpleNamespace(rules=Rules(answer_slack=2000.0)), command=lambda *_: b"PING\r\n",
             watchman=SimpleNamespace(answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
         one: Any = TryRecord(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
-        found = clients.Clients(day)
+        found = clients.SocketClients(day)
         ended = await found._send(one, "x")
         found.drop(0)
         server.close()
-        return ended[0], heard, day.late
+        return ended[0], heard, day.timed_out
 
     assert asyncio.run(play()) == (told, ["refused"], [])
 
@@ -119,7 +119,7 @@
     """
     day = day_of(sized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
     program = checkout(tmp_path, ("control.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
-    _, score = fleet.play(day, tmp_path / "logs", program)
+    _, score = fleet.play_day(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
 
@@ -127,7 +127,7 @@
 def test_a_silent_machine_is_left_alone_and_found_again(tmp_path: Path) -> None:
     fault = Fault(500, "silent", 1500, (0,))
     day = day_of(scenario(fault, seconds=5.0, fixed={"silent_notice_ms": 5000, "add_ms": 100}), 6)
-    found, score = fleet.play(day, tmp_path)
+    found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     at = [a.sent for t in found.watchman.tries for a in t.attempts if a.server == 0]
     assert sum(1200 < one < 2000 for one in at) < sum(one < 500 for one in at)
@@ -136,7 +136,7 @@
 
 def test_a_planned_leave_loses_nothing(tmp_path: Path) -> None:
     day = day_of(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
-    found, score = fleet.play(day, tmp_path)
+    found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     assert all(t.answer is not None for t in found.watchman.tries if t.taken)
 
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize("rule", BAD)
 def test_the_rig_sees_a_bad_program_break_a_rule(tmp_path: Path, rule: str) -> None:
     day = day_of(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
-    _, score = fleet.play(day, tmp_path / "logs", checkout(tmp_path, *BAD[rule]))
+    _, score = fleet.play_day(day, tmp_path / "logs", checkout(tmp_path, *BAD[rule]))
     assert score.rules[rule] > 0, score.rules
 
 
@@ -197,8 +197,8 @@
         tmp_path / "a",
         ("__main__.py", "def daemon() -> int:\n", "def daemon() -> int:\n    raise SystemExit(3)\n"),
     )
-    with pytest.raises(GatewayFailed, match="ended at its start"):
-        fleet.play(day, tmp_path / "logs", broken)
+    with pytest.raises(GatewayError, match="ended at its start"):
+        fleet.play_day(day, tmp_path / "logs", broken)
     dies = checkout(
         tmp_path / "b",
         (
@@ -208,14 +208,14 @@
             "            os._exit(4)\n",
         ),
     )
-    with pytest.raises(GatewayFailed, match="ended by themselves"):
-        fleet.play(day, tmp_path / "logs", dies)
+    with pytest.raises(GatewayError, match="ended by themselves"):
+        fleet.play_day(day, tmp_path / "logs", dies)
 
 
 def test_gateways_record_what_crossed_the_sockets(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text(f'(record (file "{tmp_path}/{{name}}.rec") (salt "s"))')
     day = day_of(scenario(seconds=2.0, rate=60.0), 10)
-    found, _ = fleet.play(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
+    found, _ = fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
     rows = [row for n in range(2) for row in form.read((tmp_path / f"n{n}.rec").read_bytes()).rows]
     tries = [t for t in found.watchman.tries if t.taken]
     assert len(rows) == len(tries)
@@ -229,5 +229,5 @@
 def test_an_operators_file_that_makes_no_sense_is_one_line_and_exit_status_2(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text("(record (file 3))")
     day = day_of(scenario(seconds=1.0), 9)
-    with pytest.raises(GatewayFailed, match=r"mapleshunt: .*o\.sexp:1:15: file: expected `str`, got `int`"):
-        fleet.play(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
+    with pytest.raises(GatewayError, match=r"mapleshunt: .*o\.sexp:1:15: file: expected `str`, got `int`"):
+        fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -12,7 +12,7 @@
 from mapleshunt.maintenance.state import Works
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
-from mapleshunt.testbed.faults.replicated_fleet import plain_config
+from mapleshunt.testbed.faults.replicated_fleet import replicas_only_config
 from mapleshunt.testbed.rolling_maintenance import Rolls
 
 from .test_faults import PEERS, command
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("number", range(len(SCHEDULES)))
 def test_each_machine_goes_once_and_never_more_than_may(number: int, tmp_path: Path) -> None:
-    played = Rolls(tmp_path, plain_config(), 5, seed=number + 1)
+    played = Rolls(tmp_path, replicas_only_config(), 5, seed=number + 1)
     roll = asyncio.run(played.run(SCHEDULES[number]))
     assert not roll.broken and len(roll.strikes) == len(SCHEDULES[number]), roll
     assert roll.times == dict.fromkeys(played.machines, 1) and roll.most == 1
@@ -40,7 +40,7 @@
 
 
 def test_operators_take_machines_out_by_the_command_line(tmp_path: Path) -> None:
-    played = Rolls(tmp_path, plain_config(), 3, seed=7)
+    played = Rolls(tmp_path, replicas_only_config(), 3, seed=7)
 
     async def play() -> None:
         try:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,8 +11,8 @@
 import pytest
 
 from mapleshunt.testbed.soak import fleet as soak
-from mapleshunt.testbed.soak import schedule as soak_troubles
-from mapleshunt.testbed.syscall_faults import FaultControl, FaultRates, build
+from mapleshunt.testbed.soak import schedule
+from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 
 from .test_rig import BAD, checkout
 
@@ -32,24 +32,24 @@
 
 
 def test_a_seed_draws_the_same_troubles_and_those_of_an_episode_overlap() -> None:
-    drawn = soak_troubles.schedule(7, 30.0, 24, 30, 5)
-    assert drawn == soak_troubles.schedule(7, 30.0, 24, 30, 5) != soak_troubles.schedule(8, 30.0, 24, 30, 5)
+    drawn = schedule.draw_schedule(7, 30.0, 24, 30, 5)
+    assert drawn == schedule.draw_schedule(7, 30.0, 24, 30, 5) != schedule.draw_schedule(8, 30.0, 24, 30, 5)
     begins = [one.at for one in drawn]
-    close = sum(b - a < soak_troubles.OVERLAP_S for a, b in itertools.pairwise(begins))
+    close = sum(b - a < schedule.OVERLAP_S for a, b in itertools.pairwise(begins))
     assert close >= len(drawn) // 2 and all(one.at < 30.0 and one.who for one in drawn)
-    only = soak_troubles.schedule(7, 30.0, 24, 30, 0, ("term", "kill"))
+    only = schedule.draw_schedule(7, 30.0, 24, 30, 0, ("term", "kill"))
     assert {one.kind for one in only} == {"term", "kill"}
-    assert not {one.kind for one in soak_troubles.schedule(7, 300.0, 24, 30, 0)} & set(
-        soak_troubles.REPLICATION_KINDS
+    assert not {one.kind for one in schedule.draw_schedule(7, 300.0, 24, 30, 0)} & set(
+        schedule.REPLICATION_KINDS
     )
 
 
 def test_calls_fail_as_often_as_they_are_told_to(tmp_path: Path) -> None:
-    control = FaultControl(build(tmp_path), tmp_path / "control", 3)
+    control = SyscallFaultControl(build_library(tmp_path), tmp_path / "control", 3)
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
         command = [sys.executable, "-c", CONNECT, str(listener.getsockname()[1])]
         for rate, fewest, most in (0.0, 0, 0), (0.25, 20, 90), (1.0, 200, 200):
-            control.set(FaultRates(connect=rate))
+            control.set(SyscallFaultRates(connect=rate))
             done = subprocess.run(command, env=control.environment(), capture_output=True, text=True)
             assert fewest <= int(done.stdout) <= most, done.stderr
     assert control.counts()["connect"] > 200
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -33,7 +33,7 @@
 from mapleshunt.replication import messages as replication
 from mapleshunt.replication import wire
 from mapleshunt.storage.durable_store import NAME, Disk, StoreError
-from mapleshunt.testbed.replica_client import Caller, ask
+from mapleshunt.testbed.replica_client import ReplicaClient, query_operator_port
 
 from .processes import LONG, Gateway, free_port, toy
 from .test_record import record
@@ -338,7 +338,7 @@
         """As the gateway tells it once it leads group 0."""
         while True:
             assert gateway.process.poll() is None, gateway.said()
-            reply = await ask(where, FLEET, "status")
+            reply = await query_operator_port(where, FLEET, "status")
             if reply is not None:
                 told: dict[str, Any] = msgspec.msgpack.decode(reply.data)
                 if [one["role"] for one in told["groups"]][:1] == ["leader"]:
@@ -353,7 +353,7 @@
         assert [sorted(one) for one in told["groups"]] == [served["group keys"]] * 2
         assert told["groups"][0]["voters"] == [f"{GATEWAY}/{expected['incarnation']}"]
         assert {key: told["groups"][1][key] for key in served["group 1"]} == served["group 1"]
-        caller = Caller("later", {GATEWAY: where}, FLEET, 0, [], time.monotonic, random.Random(1))
+        caller = ReplicaClient("later", {GATEWAY: where}, FLEET, 0, [], time.monotonic, random.Random(1))
         for customer, one in served["stores"]:
             # The log's time, at position 4, has gone on meanwhile; at a rate of 0 nothing else does.
             found = plain(await caller.read("store", customer))
