--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -16,7 +16,7 @@
 from .. import log
 from ..counters import Counters
 from ..periodic import PeriodicTask
-from ..policy_driver import Driver
+from ..policy_driver import PolicyDriver
 from .host import ReplicationHost
 from .local_calls import OPEN_RETRY_DELAY_S
 
@@ -122,7 +122,7 @@
 
 
 class LeaseClient:
-    def __init__(self, copies: ReplicationHost, driver: Driver, counters: Counters) -> None:
+    def __init__(self, copies: ReplicationHost, driver: PolicyDriver, counters: Counters) -> None:
         self.copies, self.driver, self.counters = copies, driver, counters
         self.leaser = Leaser(TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         # By customer, in their order: until when, which request, and what it needs.
@@ -130,7 +130,7 @@
         self.plans: dict[str, str] = {}  # of customers that are leased for
         self.sessions: dict[int, Session] = {}
         self.sound = True  # some group answers
-        driver.asked = self._asked
+        driver.delay_admission = self._asked
         self.tick = PeriodicTask(self._tick, EVERY / 1000, counters.add)
 
     def start(self) -> None:
@@ -215,7 +215,7 @@
                 plan = self.plans.get(action.customer)
                 if plan is not None:
                     self.counters.add("leases_had", int(action.lease > 0))
-                    self.driver.feed(
+                    self.driver.apply_event(
                         i.Leased(action.customer, plan, action.lease, action.units, action.until)
                     )
             else:
