--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -80,13 +80,13 @@
     def __init__(self) -> None:
         self.settings = Settings(me=0, instances=1, classes={}, plans={PLAN.name: PLAN})
         self.gateway = SimpleNamespace(customers={})
-        self.asked: Callable[[Request], bool] = lambda _: False
+        self.delay_admission: Callable[[Request], bool] = lambda _: False
         self.leased: list[Leased] = []
 
     def now(self) -> float:
         return 1000 * time.monotonic()
 
-    def feed(self, event: Leased) -> None:
+    def apply_event(self, event: Leased) -> None:
         self.leased.append(event)
 
     def resume(self, ref: int) -> None:
