--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -118,7 +118,7 @@
     whoever its view refuses shows that the day would tell.
     """
     day = day_of(sized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
-    program = checkout(tmp_path, ("control.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
+    program = checkout(tmp_path, ("policy/gateway.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
     _, score = fleet.play_day(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
@@ -142,13 +142,15 @@
 
 
 def checkout(tmp_path: Path, *changes: tuple[str, str, str]) -> Path:
-    """A copy of the program with some lines changed: the file's name, the line, and what takes its place."""
+    """A copy of the program with some lines changed: file below the package, line, replacement."""
     target, left = tmp_path / "program", list(changes)
-    for source in (ROOT / "mapleshunt").rglob("*.py"):
+    package = ROOT / "mapleshunt"
+    for source in package.rglob("*.py"):
         place = target / source.relative_to(ROOT)
         place.parent.mkdir(parents=True, exist_ok=True)
         text = source.read_text()
-        for change in [one for one in left if one[0] == source.name and one[1] in text]:
+        file = source.relative_to(package).as_posix()
+        for change in [one for one in left if one[0] == file and one[1] in text]:
             text = text.replace(change[1], change[2])
             left.remove(change)
         place.write_text(text)
@@ -162,12 +164,13 @@
             self.actions.append(i.Send(job.ref, server.entry.server))
 """
 BAD = {
-    "two_out": [("control.py", APPENDED, APPENDED + TWICE)],
-    "lost": [("relay.py", "        context.answer.serve(value)\n",
+    "two_out": [("policy/gateway.py", APPENDED, APPENDED + TWICE)],
+    "lost": [("net/request/respond.py", "        context.answer.serve(value)\n",
               "        context.answer.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
-    "drain": [("control.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
-              ("upstream.py", 'server.member.state == "ready"', 'server.member.state != "gone"')],
+    "drain": [("policy/gateway.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
+              ("net/upstream/endpoint_group.py", 'server.member.state == "ready"',
+               'server.member.state != "gone"')],
 }  # fmt: skip
 
 
@@ -202,7 +205,7 @@
     dies = checkout(
         tmp_path / "b",
         (
-            "driver.py",
+            "net/policy_driver.py",
             "        self._carry_out(actions)\n",
             "        self._carry_out(actions)\n        if len(self.open) > 2:\n            import os\n\n"
             "            os._exit(4)\n",
