--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -10,16 +10,16 @@
 from ...policy.gossip_codec import tag_of
 from ...policy.state import Customer
 from ...replicated_state import commands as w
-from ...replicated_state.leases import Action, LeaseClient, LeaseUpdate, ProposeOperation
+from ...replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from ...replicated_state.results import Applied, Denied, Result, decode_result
 from ...replication import wire
 from ...replication.placement import group_of
 from .. import log
 from ..counters import Counters
-from ..periodic import Periodic
-from ..policy_driver import Driver
-from .host import Copies
-from .own_calls import OPEN_RETRY_DELAY_S
+from ..periodic import PeriodicTask
+from ..policy_driver import PolicyDriver
+from .host import ReplicationHost
+from .local_calls import OPEN_RETRY_DELAY_S
 
 TERM, LONGEST = 2000.0, 10_000.0  # ms of a lease
 HOLD = 100.0  # ms that a request waits at most for a lease that is being asked for
@@ -47,7 +47,7 @@
 class Session:
     """This gateway's operations at one group, each by a number of its own."""
 
-    def __init__(self, leases: Leases, group: int) -> None:
+    def __init__(self, leases: LeaseClient, group: int) -> None:
         self.leases, self.group = leases, group
         self.name = leases.copies.session_name("lease")
         self.number, self.hint = 0, ""
@@ -126,17 +126,17 @@
         return [one.ask for one in operations.values() if one.ask is not None]
 
 
-class Leases:
-    def __init__(self, copies: Copies, driver: Driver, counters: Counters) -> None:
+class LeaseClient:
+    def __init__(self, copies: ReplicationHost, driver: PolicyDriver, counters: Counters) -> None:
         self.copies, self.driver, self.counters = copies, driver, counters
-        self.leaser = LeaseClient(TERM, LONGEST, self._rest, self._left, self._level, self._owed)
+        self.leaser = LeaseHolder(TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         # By customer, in their order: until when, which request, and what it needs.
         self.waiting: dict[str, list[tuple[float, int, float]]] = {}
         self.plans: dict[str, str] = {}  # of customers that are leased for
         self.sessions: dict[int, Session] = {}
         self.sound = True  # some group answers
-        driver.asked = self._asked
-        self.tick = Periodic(self._tick, EVERY / 1000, counters.add)
+        driver.delay_admission = self._asked
+        self.tick = PeriodicTask(self._tick, EVERY / 1000, counters.add)
 
     def start(self) -> None:
         self.tick.start()
@@ -220,7 +220,7 @@
                 plan = self.plans.get(action.customer)
                 if plan is not None:
                     self.counters.add("leases_had", int(action.lease > 0))
-                    self.driver.feed(
+                    self.driver.apply_event(
                         i.Leased(action.customer, plan, action.lease, action.units, action.until)
                     )
             else:
--- a/mapleshunt/replicated_state/leases.py
+++ b/mapleshunt/replicated_state/leases.py
@@ -70,7 +70,7 @@
     back_by: float = math.inf
 
 
-class LeaseClient:
+class LeaseHolder:
     """`rest(customer, lease)` is what of a lease is not spent; `left` tells that and takes the lease away
     from the decisions; `level(customer, at)` is what they may still spend of leases in force at that time;
     `owed(customer)` what they spent without a lease since it was last asked.
--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from ..maintenance.budget import Budget, budget_error
-from ..transient_errors import may_pass
+from ..transient_errors import is_transient
 from .reader import SettingsError, parse
 from .schema import whole
 
@@ -113,7 +113,7 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        if isinstance(error, OSError) and may_pass(error):
+        if isinstance(error, OSError) and is_transient(error):
             raise
         raise SettingsError(str(path), 1, 1, f"cannot be read: {error}") from None
     return check(text, str(path))
--- a/mapleshunt/simulation/copies_fleet.py
+++ b/mapleshunt/simulation/copies_fleet.py
@@ -20,7 +20,7 @@
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
 from ..replicated_state import commands as w
-from ..replicated_state.leases import Action, LeaseClient, LeaseUpdate, ProposeOperation
+from ..replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from ..replicated_state.results import Applied, Result
 from ..replicated_state.state_machine import ReplicatedState
 from ..replication import messages as m
@@ -72,7 +72,7 @@
 
     def __init__(self, engine: CopiesEngine, number: int) -> None:
         self.engine, self.number, self.epoch = engine, number, engine.epochs[number]
-        self.leaser = LeaseClient(LEASE_TERM, LONGEST, self._rest, self._left, self._level, self._owed)
+        self.leaser = LeaseHolder(LEASE_TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         self.waiting: dict[str, list[tuple[float, i.Request, float]]] = {}  # until when, what, since when
         self.sound = True
         self.plans: dict[str, str] = {}
--- a/mapleshunt/testbed/soak_maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from ..maintenance import commands as w
-from ..maintenance.records import MachineJob
-from ..replicated_state import commands as h
-from ..replicated_state.results import Applied
-from .rolling_maintenance import read_works
-from .workload_clients import Caller
+from ...maintenance import commands as w
+from ...maintenance.records import MachineJob
+from ...replicated_state import commands as h
+from ...replicated_state.results import Applied
+from ..replica_client import ReplicaClient
+from ..rolling_maintenance import read_maintenance_state
 
 MAINTENANCE = "(maintenance (most 1) (zone 1) (pause-s 0.2) (drain-s 4.0) (failures 99) (most-load 9.0))"
 LOOK_S = 0.1  # between two looks at a machine's state
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        caller: Caller,
+        caller: ReplicaClient,
         restart: Callable[[str], Awaitable[None]],
         take_clients: Callable[[str, bool], None],
     ) -> None:
@@ -48,7 +48,7 @@
             self.take_clients(machine, True)
 
     async def _open_places(self, request: str) -> list[MachineJob]:
-        works = await read_works(self.caller)
+        works = await read_maintenance_state(self.caller)
         return [one for one in works.open() if one.request == request]
 
     async def _work_on(self, place: MachineJob) -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -18,10 +18,10 @@
 from mapleshunt.policy.gossip_codec import tag_of
 from mapleshunt.policy.interface import Leased
 from mapleshunt.replicated_state import commands as w
-from mapleshunt.replicated_state.leases import Action, LeaseClient, LeaseUpdate, ProposeOperation
+from mapleshunt.replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from mapleshunt.replicated_state.results import Applied, Denied, LeaseGranted
 from mapleshunt.replicated_state.state_machine import ReplicatedState
-from mapleshunt.testbed.faults import Faults
+from mapleshunt.testbed.faults.replicated_fleet import Faults
 
 from .conftest import Driver
 from .processes import EXAMPLE, query, toy
@@ -89,7 +89,7 @@
         self.name, self.world = f"h{number}/1", world
         self.leases: dict[int, list[float]] = {}
         self.number = 0
-        self.leaser = LeaseClient(TERM, 4 * TERM, self.rest, self.left, self.level, lambda _: 0.0)
+        self.leaser = LeaseHolder(TERM, 4 * TERM, self.rest, self.left, self.level, lambda _: 0.0)
         world.state.apply(world.log, w.encode(w.Command(self.name, 0, 0, w.OpenSession())))
 
     def left(self, _: str, lease: int) -> float:
@@ -171,8 +171,8 @@
 TestHolders.settings = settings(derandomize=True, max_examples=80, stateful_step_count=40, deadline=None)
 
 
-def holder(left: dict[int, float]) -> LeaseClient:
-    return LeaseClient(
+def holder(left: dict[int, float]) -> LeaseHolder:
+    return LeaseHolder(
         TERM, 10 * TERM, lambda _, lease: left.get(lease, 0.0), lambda _, lease: left.pop(lease, 0.0),
         lambda *_: sum(left.values()), lambda _: 0.0,
     )  # fmt: skip
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -35,7 +35,7 @@
 )
 from mapleshunt.maintenance.summary import summarize
 from mapleshunt.net.hot_restart.handover import Handover
-from mapleshunt.net.replication.group_host import AWAY
+from mapleshunt.net.replication.group_host import EVACUATED_PREFIX
 from mapleshunt.policy import gossip_codec as gossip
 from mapleshunt.recording import file_format as form
 from mapleshunt.replicated_state import commands as words
@@ -44,7 +44,7 @@
 from mapleshunt.replication import messages as replication
 from mapleshunt.replication import wire
 from mapleshunt.storage.durable_store import NAME, Disk, StoreError
-from mapleshunt.testbed.workload_clients import Caller, ask
+from mapleshunt.testbed.replica_client import ReplicaClient, query_operator_port
 
 from .processes import LONG, Gateway, free_port, toy
 from .test_record import record
@@ -118,11 +118,11 @@
     "attempt": (form.Attempt, "server status sent took"),
     # What one process hands on
     "warm state": (
-        warm_state.Knowledge,
+        warm_state.WarmState,
         "version at plans bound pace best answer word_ms warm alive mean shares customers servers monotonic",
     ),
-    "customer": (warm_state.CustomerNote, "tag plan level use told crowd cost"),
-    "server": (warm_state.ServerNote, "server since pace barred fails silent allowance"),
+    "customer": (warm_state.CustomerState, "tag plan level use told crowd cost"),
+    "server": (warm_state.EndpointState, "server since pace barred fails silent allowance"),
 }
 # Each type of these has an example among the messages.
 UNIONS: tuple[Any, ...] = (replication.Message, wire.Frame, words.Operation, Result)
@@ -268,7 +268,7 @@
     assert WAITING_STATES == ("queued",) and FINAL_STATES == ("done", "withdrawn", "failed")
     states = "granted", "draining", "safe", "out", "returning", "recalled", "overdue"
     assert states == OUT_STATES
-    assert AWAY == "copies/away/"
+    assert EVACUATED_PREFIX == "copies/away/"
 
 
 # The replica store
@@ -349,7 +349,7 @@
         """As the gateway tells it once it leads group 0."""
         while True:
             assert gateway.process.poll() is None, gateway.said()
-            reply = await ask(where, FLEET, "status")
+            reply = await query_operator_port(where, FLEET, "status")
             if reply is not None:
                 told: dict[str, Any] = msgspec.msgpack.decode(reply.data)
                 if [one["role"] for one in told["groups"]][:1] == ["leader"]:
@@ -364,7 +364,7 @@
         assert [sorted(one) for one in told["groups"]] == [served["group keys"]] * 2
         assert told["groups"][0]["voters"] == [f"{GATEWAY}/{expected['incarnation']}"]
         assert {key: told["groups"][1][key] for key in served["group 1"]} == served["group 1"]
-        caller = Caller("later", {GATEWAY: where}, FLEET, 0, [], time.monotonic, random.Random(1))
+        caller = ReplicaClient("later", {GATEWAY: where}, FLEET, 0, [], time.monotonic, random.Random(1))
         for customer, one in served["stores"]:
             # The log's time, at position 4, has gone on meanwhile; at a rate of 0 nothing else does.
             found = plain(await caller.read("store", customer))
@@ -449,8 +449,8 @@
     """Decided with what was known: a store, a server that is left alone, a server that is slow."""
     known = warm_state.decode((DATA / "handover" / "warm-state.json").read_bytes())
     gateway, now = decisions(known.at + 200), known.at + 200
-    warm_state.give(gateway, known, now, (known.monotonic or 0.0) + 200)
-    again = plain(warm_state.taken(gateway, now, (known.monotonic or 0.0) + 200))
+    warm_state.restore(gateway, known, now, (known.monotonic or 0.0) + 200)
+    again = plain(warm_state.capture(gateway, now, (known.monotonic or 0.0) + 200))
     assert exact(rounded(again)) == exact(rounded(VALUES["warm state after 200 ms"]))
 
 
@@ -460,15 +460,15 @@
     data = (DATA / "handover" / "warm-state.json").read_bytes()
     (tmp_path / "example.gateway.2.from.1").write_bytes(data)
     shutil.copy(DATA / "handover" / "used.json", tmp_path / "example.used.2.from.1")
-    assert (old.number, new.number, new.before()) == (1, 2, [1])
-    assert new.handed(1) == data and new.handed(1) is None
-    used = new.used(1)
+    assert (old.number, new.number, new.older_processes()) == (1, 2, [1])
+    assert new.take_warm_state(1) == data and new.take_warm_state(1) is None
+    used = new.read_usage(1)
     assert [[tag, units] for tag, units in used.items()] == VALUES["used"]
-    old.use(2, used)
-    old.hand_on(2, data)
+    old.write_usage(2, used)
+    old.write_warm_state(2, data)
     assert (tmp_path / "example.used.2.from.1").read_bytes() == (DATA / "handover/used.json").read_bytes()
     assert (tmp_path / "example.gateway.2.from.1").read_bytes() == data
-    old.ready()
+    old.mark_ready()
     assert (tmp_path / "example.gateway.1").read_bytes() == b"ready" and new.is_ready(1)
     new.close()
     old.close()
