--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -63,7 +63,7 @@
     """Half of the group speaks one version more than the other half, and goes on with it."""
     newer = tmp_path / "newer"
     shutil.copytree(ROOT / "mapleshunt", newer / "mapleshunt", ignore=shutil.ignore_patterns("__pycache__"))
-    file = newer / "mapleshunt" / "copies" / "wire.py"
+    file = newer / "mapleshunt" / "replication" / "wire.py"
     file.write_text(file.read_text().replace("LOWEST, HIGHEST = 1, 1 ", "LOWEST, HIGHEST = 1, 2 "))
     assert "HIGHEST = 1, 2" in file.read_text()
     played = Faults(tmp_path / "play", plain_config(), 3, 7, 3, election_ms=600.0)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+import shutil
 import subprocess
 import sys
 from dataclasses import replace
@@ -226,14 +227,13 @@
 
 def test_a_checkout_whose_code_raises_is_reported_and_the_other_goes_on(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
-    package.mkdir()
-    for name in ("interface", "state", "report", "slow_start", "control"):
-        text = (ROOT / "mapleshunt" / f"{name}.py").read_text()
-        if name == "control":
-            text = text.replace(
-                "    def arrive(self", "    def arrive(self, event):\n        1 / 0\n\n    def was(self"
-            )
-        (package / f"{name}.py").write_text(text)
+    shutil.copytree(ROOT / "mapleshunt" / "policy", package / "policy")
+    gateway = package / "policy" / "gateway.py"
+    text = gateway.read_text()
+    gateway.write_text(
+        text.replace("    def arrive(self", "    def arrive(self, event):\n        1 / 0\n\n    def was(self")
+    )
+    assert gateway.read_text() != text
     (package / "__init__.py").write_text("")
     found = experiments.compare(
         short("quiet", 5.0), parse("here"), parse(f"path:{tmp_path}"), range(1, 4), jobs=2
@@ -245,9 +245,10 @@
 
 def test_a_variant_that_ends_its_process_does_not_end_the_experiment(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
-    package.mkdir()
+    (package / "policy").mkdir(parents=True)
     (package / "__init__.py").write_text("")
-    (package / "control.py").write_text("import os\nos._exit(3)\n")
+    (package / "policy" / "__init__.py").write_text("")
+    (package / "policy" / "gateway.py").write_text("import os\nos._exit(3)\n")
     found = experiments.compare(
         short("quiet", 4.0), parse("here"), parse(f"path:{tmp_path}"), range(1, 3), jobs=2
     )
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -118,7 +118,7 @@
     whoever its view refuses shows that the day would tell.
     """
     day = day_of(sized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
-    program = checkout(tmp_path, ("control.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
+    program = checkout(tmp_path, ("gateway.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
     _, score = fleet.play(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
@@ -162,12 +162,12 @@
             self.actions.append(i.Send(job.ref, server.entry.server))
 """
 BAD = {
-    "two_out": [("control.py", APPENDED, APPENDED + TWICE)],
-    "lost": [("relay.py", "        context.answer.serve(value)\n",
+    "two_out": [("gateway.py", APPENDED, APPENDED + TWICE)],
+    "lost": [("respond.py", "        context.answer.serve(value)\n",
               "        context.answer.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
-    "drain": [("control.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
-              ("upstream.py", 'server.member.state == "ready"', 'server.member.state != "gone"')],
+    "drain": [("gateway.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
+              ("endpoint_group.py", 'server.member.state == "ready"', 'server.member.state != "gone"')],
 }  # fmt: skip
 
 
@@ -202,7 +202,7 @@
     dies = checkout(
         tmp_path / "b",
         (
-            "driver.py",
+            "policy_driver.py",
             "        self._carry_out(actions)\n",
             "        self._carry_out(actions)\n        if len(self.open) > 2:\n            import os\n\n"
             "            os._exit(4)\n",
