--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -32,7 +32,7 @@
 OPEN_AGAIN_AND_AGAIN = f"""
 import json, sys
 from pathlib import Path
-from mapleshunt.storage.disk import Disk
+from mapleshunt.storage.durable_store import Disk
 opened, failed = [], []
 for _ in range({OPENS}):
     try:
@@ -47,7 +47,7 @@
 OPEN_ONCE = """
 import sys
 from pathlib import Path
-from mapleshunt.storage.disk import Disk
+from mapleshunt.storage.durable_store import Disk
 Disk(Path(sys.argv[1]), "fleet", "a")
 """
 
@@ -57,8 +57,8 @@
 WRITE_WHILE_LOOKING = """
 import sys, threading, time
 from pathlib import Path
-from mapleshunt.copies import messages as m
-from mapleshunt.storage.disk import Disk
+from mapleshunt.replication import messages as m
+from mapleshunt.storage.durable_store import Disk
 
 def write():
     disk = Disk(Path(sys.argv[1]), "fleet", "a")
