--- a/benchmarks/copies_fleet.py
+++ b/benchmarks/copies_fleet.py
@@ -10,9 +10,9 @@
 
 from joblib import Parallel, delayed
 
-from mapleshunt.simulation.copies_fleet import CopiesEngine, scenario
-from mapleshunt.simulation.day import day_of
-from mapleshunt.simulation.score import Score, score
+from mapleshunt.simulation.copies_fleet import ReplicatedFleetEngine, replication_scenario
+from mapleshunt.simulation.day import draw_day
+from mapleshunt.simulation.score import Score, score_day
 from mapleshunt.simulation.stats import interval
 
 # Seconds by trouble: the burst lasts six tenths of them, and what breaks begins at three tenths.
@@ -22,9 +22,9 @@
 
 def play(what: str, gateways: int, seed: int, leased: bool) -> tuple[Score, dict[str, float]]:
     seconds = TROUBLES[what]
-    engine = CopiesEngine(day_of(scenario(what, gateways, seconds), seed), leased)
+    engine = ReplicatedFleetEngine(draw_day(replication_scenario(what, gateways, seconds), seed), leased)
     engine.run()
-    found = score(engine)
+    found = score_day(engine)
     load = {
         "frames": engine.frames / seconds, "bytes": engine.bytes / seconds,
         "operations": 100 * engine.operations / found.requests, "elections": engine.elections,
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -11,9 +11,9 @@
 import simpy
 
 from mapleshunt.policy.gateway import Gateway
-from mapleshunt.simulation.day import day_of, sized
+from mapleshunt.simulation.day import draw_day, resized
 from mapleshunt.simulation.engine import Engine
-from mapleshunt.simulation.event_queue import Agenda
+from mapleshunt.simulation.event_queue import EventQueue
 from mapleshunt.simulation.scenarios import SCENARIOS
 
 REPEATS = 3
@@ -25,7 +25,7 @@
         ratios, walls = [], []
         for seed in range(REPEATS):
             begun = time.perf_counter()
-            engine = Engine(day_of(sized(SCENARIOS[name], seconds=48), seed), Gateway)
+            engine = Engine(draw_day(resized(SCENARIOS[name], seconds=48), seed), Gateway)
             engine.run()
             walls.append(time.perf_counter() - begun)
             ratios.append((engine.cpu_ns - engine.gateway_ns) / engine.gateway_ns)
@@ -64,7 +64,9 @@
     for gateways, servers, seconds in ((3, 30, 40.0), (200, 2000, 0.6)):
         found = []
         for seed in range(REPEATS):
-            engine = Engine(day_of(sized(SCENARIOS["busy"], gateways, servers, seconds=seconds), seed), Quick)
+            engine = Engine(
+                draw_day(resized(SCENARIOS["busy"], gateways, servers, seconds=seconds), seed), Quick
+            )
             engine.run()
             found.append((engine.cpu_ns - engine.gateway_ns) / engine.events / 1000)
         costs[gateways] = statistics.median(found)
@@ -77,7 +79,7 @@
 
 def lists(count: int = 200_000) -> None:
     def ours() -> float:
-        agenda = Agenda()
+        agenda = EventQueue()
         left = [count]
 
         def step(n: int) -> None:
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -51,13 +51,13 @@
 def scenario_named(
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
-    from ..simulation.day import sized
+    from ..simulation.day import resized
     from ..simulation.scenarios import scenario_of
 
     try:
         if ":" in name:
             return _recorded(name, gateways, servers, rate, seconds)
-        return sized(scenario_of(name), gateways, servers, rate, seconds)
+        return resized(scenario_of(name), gateways, servers, rate, seconds)
     except (ValueError, OSError) as error:
         raise Trouble(str(error)) from None
 
@@ -67,7 +67,7 @@
 ) -> Any:
     """`fit:FILE[,KIND][,xSCALE][,rates]`: days of a fitted fleet, with a scenario's troubles, scaled."""
     from ..simulation import fit
-    from ..simulation.day import sized
+    from ..simulation.day import resized
     from ..simulation.scenarios import scenario_of
 
     kind, _, rest = name.partition(":")
@@ -89,7 +89,7 @@
         import msgspec
 
         found = msgspec.structs.replace(found, servers=servers)
-    return fit.scenario_from(found, sized(base, seconds=seconds), scale, by)
+    return fit.scenario_from(found, resized(base, seconds=seconds), scale, by)
 
 
 def _variant(text: str) -> Any:
@@ -230,7 +230,7 @@
     as_json: bool,
 ) -> None:
     """A figure over the values of one or two settings."""
-    from ..simulation.experiments import plain
+    from ..simulation.experiments import intervals_as_dict
     from ..simulation.experiments import sweep as sweep_settings
     from ..simulation.variants import pair
 
@@ -260,7 +260,9 @@
 
         plots.sweep(points, figure, f"{scenario}, {seeds} days a point", plot)
     if as_json:
-        print_json([{"at": p.at, "errors": p.errors, "figures": plain(p.figures)} for p in points])
+        print_json(
+            [{"at": p.at, "errors": p.errors, "figures": intervals_as_dict(p.figures)} for p in points]
+        )
         return
     rows = [
         [
@@ -313,7 +315,7 @@
     """Fit a world to the recordings of a fleet's gateways."""
     import json
 
-    from ..fleet.parameters import check as check_figures
+    from ..fleet.parameters import check_overrides
     from ..simulation import fit, recorded
     from ..simulation.variants import pair
 
@@ -334,7 +336,7 @@
         ]
         known = {key: float(value) for key, value in (pair(f"world.{one}") for one in know)}
         known = {key[6:]: value for key, value in known.items()}
-        check_figures(known)
+        check_overrides(known)
         worths = {name: float(value) for name, _, value in (one.partition("=") for one in worth)}
         traffic = recorded.together(list(files))
         for line in traffic.trouble:
@@ -405,11 +407,11 @@
     """Hold the model against days of real gateways on loopback: minutes of real time."""
     import tempfile
 
-    from ..simulation.check import LEVEL, WIDEST, check
+    from ..simulation.check import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
     from ..testbed.record import play_scored
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
-        found = check(
+        found = validate_model(
             play_scored,
             Path(place),
             days,
@@ -458,8 +460,8 @@
             ],
         )
         for figure, number in within.items():
-            click.echo(f"{figure}: inside its {LEVEL:.0%} bars on {number} of {count} days")
-        click.echo(f"widest bar on service {found.widest():.3f} (at most {WIDEST} wanted)")
+            click.echo(f"{figure}: inside its {PREDICTION_LEVEL:.0%} bars on {number} of {count} days")
+        click.echo(f"widest bar on service {found.widest():.3f} (at most {MAX_SERVICE_INTERVAL} wanted)")
         for error in found.errors:
             click.echo(f"not played: {error}")
     if not found.good() or found.errors:
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -20,12 +20,12 @@
 
 
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
-    from ..simulation.day import day_of
+    from ..simulation.day import draw_day
     from ..testbed import fleet
     from ..testbed.gateways import GatewayFailed
 
     try:
-        return fleet.play(day_of(scenario, seed), logs, (program or fleet.HERE).resolve())
+        return fleet.play(draw_day(scenario, seed), logs, (program or fleet.HERE).resolve())
     except (GatewayFailed, OSError) as error:
         raise Trouble(str(error)) from None
 
--- a/mapleshunt/fleet/backend.py
+++ b/mapleshunt/fleet/backend.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from .parameters import Figures
-from .random_streams import Draws
+from .parameters import Parameters
+from .random_streams import BufferedDraws
 
-Word = Literal["ok", "error", "full"]
-COLD_STEP = 100.0  # ms after which a cold server's pace is looked at anew
-SEEN_SWEEP = 256  # keys that a cell holds before old ones are forgotten
+BackendStatus = Literal["ok", "error", "full"]
+WARMUP_STEP_MS = 100.0  # ms after which a cold server's pace is looked at anew
+SWEEP_INTERVAL_KEYS = 256  # keys that a cell holds before old ones are forgotten
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class BackendRequest:
     """One attempt at a till server. `work` is ms of a core at speed 1; `expires` the end of its time-out."""
 
     token: object  # the host's
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Cell:
+class IdempotencyStore:
     """Till servers that share which keys they have seen."""
 
     window: float
@@ -49,14 +49,14 @@
         known = self.seen.get(key)
         if known is not None and now - known <= self.window:
             return False
-        if len(self.seen) >= SEEN_SWEEP and len(self.seen) % SEEN_SWEEP == 0:
+        if len(self.seen) >= SWEEP_INTERVAL_KEYS and len(self.seen) % SWEEP_INTERVAL_KEYS == 0:
             self.seen = {k: at for k, at in self.seen.items() if now - at <= self.window}
         self.seen[key] = now
         return True
 
 
 @dataclass(slots=True)
-class Report:
+class LoadReport:
     """Load as a till server tells it: refreshed now and then, late, a little noisy."""
 
     qps: float = 0.0
@@ -64,17 +64,17 @@
     inflight: float = 0.0
 
 
-class TillServer:
+class Backend:
     """See the module. Times in ms."""
 
     def __init__(
         self,
         number: int,
-        figures: Figures,
+        figures: Parameters,
         speed: float,
         cell: int,
-        keys: Cell,
-        chance: Draws,
+        keys: IdempotencyStore,
+        chance: BufferedDraws,
         tip_after: float = 1000.0,
         fall_multiple: float = 4.0,
     ) -> None:
@@ -104,15 +104,15 @@
 
     def _reset(self) -> None:
         self.at, self.passed, self.pace = 0.0, 0.0, 0.0  # work done for each in work, as of `at`; per ms
-        self.working: list[tuple[float, int, Work]] = []
-        self.waiting: deque[Work] = deque()
+        self.working: list[tuple[float, int, BackendRequest]] = []
+        self.waiting: deque[BackendRequest] = deque()
         self.count = self.order = 0
         self.due = math.inf
         self.pushes: deque[tuple[float, float, bool]] = (
             deque()
         )  # sent while cold: when, work, sender was told
         self.pushed = 0.0
-        self.reports: deque[tuple[float, Report]] = deque([(-math.inf, Report())])
+        self.reports: deque[tuple[float, LoadReport]] = deque([(-math.inf, LoadReport())])
         self.served, self.took, self.since = 0, 0.0, 0.0
 
     # Capacity
@@ -143,7 +143,9 @@
 
     # Events
 
-    def offer(self, now: float, work: Work, told: bool = True) -> tuple[Word | None, list[Work]]:
+    def offer(
+        self, now: float, work: BackendRequest, told: bool = True
+    ) -> tuple[BackendStatus | None, list[BackendRequest]]:
         """Take an attempt in. "full": turned away, never begun; None: taken. Also those that ended meanwhile.
 
         `told`: its gateway knows of the server's start. Work that is turned away pushes a cold server too.
@@ -164,13 +166,13 @@
         self._plan(now)
         return None, ended
 
-    def cancel(self, now: float, work: Work) -> None:
+    def cancel(self, now: float, work: BackendRequest) -> None:
         """Its gateway has given it up. Work begun goes on; waiting work is dropped on some days."""
         work.cancelled = True
 
-    def advance(self, now: float) -> list[Work]:
+    def advance(self, now: float) -> list[BackendRequest]:
         """Go on to now; the attempts that are done, in their order."""
-        ended: list[Work] = []
+        ended: list[BackendRequest] = []
         while self.due <= now:
             self._go(self.due)
             at = self.due
@@ -189,7 +191,7 @@
         self._go(now)
         return ended
 
-    def answer(self, work: Work) -> Word:
+    def answer(self, work: BackendRequest) -> BackendStatus:
         return "error" if self.error_rate and self.chance.next() < self.error_rate else "ok"
 
     def extra(self, now: float, work: float) -> None:
@@ -200,7 +202,7 @@
         self.spent += work
         self._plan(now)
 
-    def crash(self, now: float) -> list[Work]:
+    def crash(self, now: float) -> list[BackendRequest]:
         """The process dies; what it held is returned."""
         self._go(now)
         held = [one[2] for one in self.working] + list(self.waiting)
@@ -214,7 +216,7 @@
         self.up, self.silent, self.at = True, False, now
         self.started, self.warmed = now, 0.0
 
-    def report(self, now: float) -> Report:
+    def report(self, now: float) -> LoadReport:
         """The load it would tell in an answer now."""
         newest = self.reports[-1][0]
         if now - newest >= self.report_period:
@@ -222,7 +224,7 @@
             noise = 1 + self.report_noise * (2 * self.chance.next() - 1)
             took = self.took / self.served if self.served else 0.0
             self.reports.append(
-                (now, Report(1000 * self.served / span * noise, took * noise, float(self.held())))
+                (now, LoadReport(1000 * self.served / span * noise, took * noise, float(self.held())))
             )
             self.served, self.took, self.since = 0, 0.0, now
         while len(self.reports) > 1 and now - self.reports[1][0] >= self.report_delay:
@@ -231,7 +233,7 @@
 
     # Inside
 
-    def _begin(self, now: float, work: Work) -> None:
+    def _begin(self, now: float, work: BackendRequest) -> None:
         work.begun = True
         need = work.work
         if work.key is not None and not self.keys.first(work.key, now):
@@ -257,7 +259,7 @@
             return
         self.due = now + max(0.0, self.working[0][0] - self.passed) / self.pace
         if self.started and now - self.started < self.cold_ms:
-            self.due = min(self.due, now + COLD_STEP)
+            self.due = min(self.due, now + WARMUP_STEP_MS)
 
     def _push(self, now: float, work: float, told: bool) -> None:
         """Count what is sent to a cold server; over its budget of the last second it falls and stays down."""
--- a/mapleshunt/fleet/clients.py
+++ b/mapleshunt/fleet/clients.py
@@ -15,12 +15,12 @@
 import numpy.typing as npt
 
 from .faults import Fault
-from .parameters import Figures
-from .random_streams import Rng, Streams, lognormal
+from .parameters import Parameters
+from .random_streams import RandomStreams, Rng, lognormal
 
-Told = Literal["served", "refused", "failed", "unreachable", "late"]
+ClientResult = Literal["served", "refused", "failed", "unreachable", "late"]
 Floats = npt.NDArray[np.float64]
-STEP = 250.0  # ms over which a customer's rate is held even
+RATE_STEP_MS = 250.0  # ms over which a customer's rate is held even
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class ClientRequest:
     """A first try as drawn: what is asked, and the chances of its further tries (uniform in 0 to 1)."""
 
     at: float
@@ -56,7 +56,7 @@
     """The customers and all first tries of a run, by time."""
 
     customers: Sequence[Customer]
-    asks: Sequence[Ask]
+    asks: Sequence[ClientRequest]
     weights: Floats  # [shift, customer, place in the set], cumulative
     shift: float  # ms
 
@@ -76,7 +76,7 @@
         return (who.first + place) % gateways
 
 
-def customers_of(figures: Figures, gateways: int, units_per_s: float, rng: Rng) -> list[Customer]:
+def draw_customers(figures: Parameters, gateways: int, units_per_s: float, rng: Rng) -> list[Customer]:
     """Customers whose use inside quotas comes to `units_per_s` in all, by the plans' shares."""
     found: list[Customer] = []
     for number, plan in enumerate(figures.plans):
@@ -112,12 +112,12 @@
     return found
 
 
-def rates_of(
-    figures: Figures, customers: Sequence[Customer], length: float, faults: Sequence[Fault], rng: Rng
+def draw_rates(
+    figures: Parameters, customers: Sequence[Customer], length: float, faults: Sequence[Fault], rng: Rng
 ) -> Floats:
     """[customer, step] multiples of each customer's rate: the day's wave, spells, spikes, plans' bursts."""
-    steps = math.ceil(length / STEP)
-    times = (np.arange(steps) + 0.5) * STEP
+    steps = math.ceil(length / RATE_STEP_MS)
+    times = (np.arange(steps) + 0.5) * RATE_STEP_MS
     period = float(rng.uniform(0.6, 1.2)) * max(length, 1.0)
     wave = 1 + figures["swing"] * np.sin(2 * np.pi * (times / period + float(rng.random())))
     rates = np.tile(wave, (len(customers), 1))
@@ -135,18 +135,20 @@
             plan = figures.plans[who.plan]
             at = float(rng.random()) * figures["spike_every_ms"]
             while at < length:
-                inside = (times >= at - STEP / 2) & (times < at + figures["spike_ms"] + STEP / 2)
+                inside = (times >= at - RATE_STEP_MS / 2) & (
+                    times < at + figures["spike_ms"] + RATE_STEP_MS / 2
+                )
                 rates[n, inside] = figures["spike_x"] * plan.rate / who.rate
                 at += figures["spike_every_ms"] * float(rng.uniform(0.6, 1.4))
-    raise_bursts(figures, customers, faults, rates)
+    apply_bursts(figures, customers, faults, rates)
     return rates
 
 
-def raise_bursts(
-    figures: Figures, customers: Sequence[Customer], faults: Sequence[Fault], rates: Floats
+def apply_bursts(
+    figures: Parameters, customers: Sequence[Customer], faults: Sequence[Fault], rates: Floats
 ) -> None:
     """Multiply the rates of a plan's customers, [customer, step], while a burst of their plan lasts."""
-    times = (np.arange(rates.shape[1]) + 0.5) * STEP
+    times = (np.arange(rates.shape[1]) + 0.5) * RATE_STEP_MS
     for fault in faults:
         if fault.kind == "burst":
             rise = np.clip((times - fault.at) / 1000, 0, 1) * np.clip((fault.end - times) / 1000, 0, 1)
@@ -155,69 +157,71 @@
                     rates[n] *= 1 + (fault.size - 1) * rise
 
 
-def mean_work(figures: Figures) -> float:
+def mean_work(figures: Parameters) -> float:
     return sum(cls.share * cls.work for cls in figures.classes)
 
 
-def units_of(figures: Figures, work: Floats) -> Floats:
+def units_for_work(figures: Parameters, work: Floats) -> Floats:
     return np.clip(np.ceil(work / figures["unit_ms"]), 1, figures["most_units"])
 
 
-def mean_units(figures: Figures) -> float:
+def mean_units(figures: Parameters) -> float:
     """Mean true units of a request, by a fixed sample."""
     rng = np.random.default_rng(7)
     return float(
         sum(
-            cls.share * units_of(figures, lognormal(rng, cls.work, cls.cv, 20000)).mean()
+            cls.share * units_for_work(figures, lognormal(rng, cls.work, cls.cv, 20000)).mean()
             for cls in figures.classes
         )
     )
 
 
-def traffic(
-    figures: Figures,
+def draw_traffic(
+    figures: Parameters,
     gateways: int,
     units_per_s: float,
     length: float,
     faults: Sequence[Fault],
-    streams: Streams,
+    streams: RandomStreams,
 ) -> Traffic:
     """Draw a run's traffic: `length` ms of first tries whose use inside quotas is about `units_per_s`."""
-    customers = customers_of(figures, gateways, units_per_s, streams.of("customers"))
-    rates = rates_of(figures, customers, length, faults, streams.of("rates"))
-    return traffic_of(figures, gateways, customers, rates, length, streams)
+    customers = draw_customers(figures, gateways, units_per_s, streams.of("customers"))
+    rates = draw_rates(figures, customers, length, faults, streams.of("rates"))
+    return draw_traffic_for(figures, gateways, customers, rates, length, streams)
 
 
-def traffic_of(
-    figures: Figures,
+def draw_traffic_for(
+    figures: Parameters,
     gateways: int,
     customers: Sequence[Customer],
     rates: Floats,
     length: float,
-    streams: Streams,
+    streams: RandomStreams,
 ) -> Traffic:
     """First tries of given customers with given multiples of their rates, [customer, step of `STEP` ms]."""
     per_request = mean_units(figures)
     rng = streams.of("arrivals")
     usual = np.array([who.rate for who in customers]) / per_request  # requests a second
-    counts = rng.poisson(usual[:, None] * rates * STEP / 1000)
+    counts = rng.poisson(usual[:, None] * rates * RATE_STEP_MS / 1000)
     who, step = np.nonzero(counts)
     many = counts[who, step]
     who, step = np.repeat(who, many), np.repeat(step, many)
-    at = (step + rng.random(len(step))) * STEP
+    at = (step + rng.random(len(step))) * RATE_STEP_MS
     keep = at < length
     who, at = who[keep], at[keep]
     order = np.argsort(at, kind="stable")
     who, at = who[order], at[order]
     return Traffic(
         customers,
-        asks_of(figures, at, who, streams),
-        weights_of(figures, gateways, customers, length, streams),
+        draw_requests(figures, at, who, streams),
+        draw_gateway_weights(figures, gateways, customers, length, streams),
         figures["shift_ms"],
     )
 
 
-def asks_of(figures: Figures, at: Floats, who: npt.NDArray[np.intp], streams: Streams) -> list[Ask]:
+def draw_requests(
+    figures: Parameters, at: Floats, who: npt.NDArray[np.intp], streams: RandomStreams
+) -> list[ClientRequest]:
     """First tries at these times of these customers, with their sizes and chances drawn."""
     size, rng, chances = len(at), streams.of("sizes"), streams.of("tries")
     shares = np.cumsum([cls.share for cls in figures.classes])
@@ -226,7 +230,7 @@
     for number, shape in enumerate(figures.classes):
         drawn = lognormal(rng, shape.work, shape.cv, size)
         work = np.where(cls == number, drawn, work)
-    units = units_of(figures, work)
+    units = units_for_work(figures, work)
     off = lognormal(rng, 1.0, figures["guess_cv"], size)
     guess = np.clip(np.round(units * off), 1, figures["most_units"])
     pick, patience, heeds = (
@@ -248,11 +252,11 @@
         noise.tolist(),
         strict=True,
     )
-    return [Ask(*row) for row in rows]
+    return [ClientRequest(*row) for row in rows]
 
 
-def weights_of(
-    figures: Figures, gateways: int, customers: Sequence[Customer], length: float, streams: Streams
+def draw_gateway_weights(
+    figures: Parameters, gateways: int, customers: Sequence[Customer], length: float, streams: RandomStreams
 ) -> Floats:
     """Cumulative weights of the gateways of each set, [shift, customer, place], drawn anew at every shift."""
     rng = streams.of("spread")
@@ -265,16 +269,18 @@
     return np.asarray(total / total[:, :, -1:], dtype=np.float64)
 
 
-class Habits:
+class ClientBehaviour:
     """How clients of a day repeat: `next_try` says when, or that it is over. Times in ms."""
 
-    def __init__(self, figures: Figures, max_retry_after: float) -> None:
+    def __init__(self, figures: Parameters, max_retry_after: float) -> None:
         self.retries = int(figures["retries"])
         self.backoff, self.grows = figures["backoff_ms"], figures["backoff_grows"] > 0
         self.honour, self.elsewhere = figures["honour"], figures["elsewhere"]
         self.max_retry_after = max_retry_after
 
-    def next_try(self, ask: Ask, tries: int, told: Told, wait: float, repeatable: bool) -> float | None:
+    def next_try(
+        self, ask: ClientRequest, tries: int, told: ClientResult, wait: float, repeatable: bool
+    ) -> float | None:
         """How long after a final answer the client tries again (ms); None: it does not.
 
         A request that may be repeated is, after any failure; another only after a refusal, or when no
@@ -293,7 +299,7 @@
             own = max(own, min(wait, self.max_retry_after))
         return own
 
-    def elsewhere_pick(self, ask: Ask, tries: int) -> float:
+    def elsewhere_pick(self, ask: ClientRequest, tries: int) -> float:
         """Where in the set's weights a further try falls: mostly where the first did, or drawn anew."""
         drawn = (ask.noise * (tries + 7) * 2654435761) % 1048573 / 1048573
         return ask.pick if drawn > self.elsewhere else (drawn * 7919) % 1.0
--- a/mapleshunt/fleet/discovery.py
+++ b/mapleshunt/fleet/discovery.py
@@ -5,34 +5,34 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from .parameters import Figures
+from .parameters import Parameters
 from .random_streams import Rng
 
-State = Literal["ready", "draining", "gone"]
+EndpointState = Literal["ready", "draining", "gone"]
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class EndpointEntry:
     """A row of the list, in the world's words."""
 
     server: int
     cell: int
-    state: State = "ready"
+    state: EndpointState = "ready"
     started: float = 0.0
 
 
 class Discovery:
     """What discovery knows, and when each gateway is told. Times in ms."""
 
-    def __init__(self, figures: Figures, rng: Rng) -> None:
+    def __init__(self, figures: Parameters, rng: Rng) -> None:
         self.figures, self.rng = figures, rng
-        self.entries: dict[int, Entry] = {}
+        self.entries: dict[int, EndpointEntry] = {}
         self.told: dict[
             int, float
         ] = {}  # until when news to a gateway are on their way: they keep their order
 
     def change(
-        self, now: float, entry: Entry, gateways: int, silent: bool = False
+        self, now: float, entry: EndpointEntry, gateways: int, silent: bool = False
     ) -> list[tuple[float, int]]:
         """Take in a change; (when, gateway) for each that is told of it.
 
--- a/mapleshunt/fleet/faults.py
+++ b/mapleshunt/fleet/faults.py
@@ -8,7 +8,7 @@
 
 from .random_streams import Rng
 
-Kind = Literal[
+FaultKind = Literal[
     "crash",  # till servers `who` die, and come back cold after `lasts`
     "silent",  # their machines say nothing for `lasts`, and come back cold
     "drain",  # they are drained, end what they hold, and are gone after `lasts`
@@ -30,7 +30,7 @@
     """One dated entry. Times in ms from the start; `who` are numbers of machines of the kind it is about."""
 
     at: float
-    kind: Kind
+    kind: FaultKind
     lasts: float = 0.0
     who: tuple[int, ...] = ()
     size: float = 1.0
@@ -41,21 +41,21 @@
         return self.at + self.lasts
 
 
-def in_order(faults: Iterable[Fault]) -> tuple[Fault, ...]:
+def sorted_by_time(faults: Iterable[Fault]) -> tuple[Fault, ...]:
     return tuple(sorted(faults, key=lambda one: (one.at, one.kind, one.who)))
 
 
-def some(rng: Rng, count: int, part: float) -> tuple[int, ...]:
+def sample_machines(rng: Rng, count: int, part: float) -> tuple[int, ...]:
     """A drawn part of `count` machines, one at least."""
     size = max(1, min(count, round(part * count)))
     return tuple(sorted(int(n) for n in rng.choice(count, size, replace=False)))
 
 
-def roll(
+def rolling_restart(
     rng: Rng, gateways: int, begin: float, within: float, part: float, batch: float, down: float
 ) -> list[Fault]:
     """A rolling restart of a part of the gateways, some at a time, spread over `within` ms."""
-    who = list(some(rng, gateways, part))
+    who = list(sample_machines(rng, gateways, part))
     rng.shuffle(who)
     size = max(1, round(batch * gateways))
     groups = [who[n : n + size] for n in range(0, len(who), size)]
--- a/mapleshunt/fleet/network.py
+++ b/mapleshunt/fleet/network.py
@@ -2,30 +2,30 @@
 
 from __future__ import annotations
 
-from .parameters import Figures
-from .random_streams import Draws, Streams
+from .parameters import Parameters
+from .random_streams import BufferedDraws, RandomStreams
 
-SECOND = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 class Network:
     """Delays, one way, in ms. Every kind of path draws from a stream of its own."""
 
-    def __init__(self, figures: Figures, streams: Streams) -> None:
+    def __init__(self, figures: Parameters, streams: RandomStreams) -> None:
         jitter = figures["jitter"]
         rngs = {
             name: streams.of("network", number)
             for number, name in enumerate(("till", "client", "peer", "loss"))
         }
 
-        def path(name: str, mean: float) -> Draws:
+        def path(name: str, mean: float) -> BufferedDraws:
             rng = rngs[name]
-            return Draws(lambda n: mean * (1 - jitter + rng.exponential(jitter, n)))
+            return BufferedDraws(lambda n: mean * (1 - jitter + rng.exponential(jitter, n)))
 
         self.till = path("till", figures["same_ms"])
         self.client = path("client", figures["client_ms"])
         self.peer = path("peer", figures["peer_ms"])
-        self.lost = Draws(lambda n: rngs["loss"].random(n))
+        self.lost = BufferedDraws(lambda n: rngs["loss"].random(n))
         self.loss = figures["peer_loss"]
         self.split: frozenset[int] = frozenset()  # gateways that messages of the others do not reach
 
@@ -36,13 +36,13 @@
         return self.peer.next()
 
 
-class Intake:
+class MessageRateLimiter:
     """How many messages a gateway takes in: over `per_s` in a second the rest are dropped."""
 
     __slots__ = ("at", "left", "most", "per_ms")
 
     def __init__(self, per_s: float) -> None:
-        self.per_ms, self.most = per_s / SECOND, max(1.0, per_s / 4)
+        self.per_ms, self.most = per_s / MS_PER_SECOND, max(1.0, per_s / 4)
         self.left, self.at = self.most, 0.0
 
     def take(self, now: float) -> bool:
--- a/mapleshunt/fleet/quota.py
+++ b/mapleshunt/fleet/quota.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Store:
+class TokenBucket:
     """A customer's store: `rate` units a second, at most `burst`; starts full, may be settled below 0."""
 
     __slots__ = ("at", "burst", "level", "rate")
--- a/mapleshunt/fleet/random_streams.py
+++ b/mapleshunt/fleet/random_streams.py
@@ -8,11 +8,16 @@
 import numpy as np
 
 Rng = np.random.Generator
-BLOCK = 4096
-LASTING = ("figures", "load", "customers", "speeds")  # purposes whose draws belong to an installation
+BLOCK_SIZE = 4096
+INSTALLATION_PURPOSES = (
+    "figures",
+    "load",
+    "customers",
+    "speeds",
+)  # purposes whose draws belong to an installation
 
 
-class Streams:
+class RandomStreams:
     """Independent generators by name from one seed (numpy's `SeedSequence`, keyed by the name)."""
 
     def __init__(self, seed: int, world: int | None = None) -> None:
@@ -20,7 +25,7 @@
         self.seed, self.world = seed, seed if world is None else world
 
     def of(self, purpose: str, number: int = 0) -> Rng:
-        seed = self.world if purpose in LASTING else self.seed
+        seed = self.world if purpose in INSTALLATION_PURPOSES else self.seed
         key = (zlib.crc32(purpose.encode()), number)
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence(seed, spawn_key=key)))
 
@@ -28,7 +33,7 @@
         return int(self.of(purpose, number).integers(1 << 62))
 
 
-class Draws:
+class BufferedDraws:
     """Floats one by one from a generator that is asked for many at once: a call into numpy costs a µs."""
 
     __slots__ = ("block", "left", "make")
@@ -39,7 +44,7 @@
 
     def next(self) -> float:
         if not self.left:
-            self.left = self.make(BLOCK).tolist()
+            self.left = self.make(BLOCK_SIZE).tolist()
         return self.left.pop()
 
 
--- a/mapleshunt/simulation/check.py
+++ b/mapleshunt/simulation/check.py
@@ -15,22 +15,22 @@
 
 from . import fit as fits
 from . import recorded
-from .day import Scenario, day_of, sized
-from .experiments import replicas
+from .day import Scenario, draw_day, resized
+from .experiments import run_seeds
 from .scenarios import SCENARIOS
 from .score import Score
 from .stats import prediction
 from .variants import Variant
 
-RECORDED = "quiet"  # the kind of day that is recorded
-DAYS = ("quiet", "payday", "crash", "roll", "counter", "silent")  # those that are foretold
-WIDEST = 0.06  # of the bar on service
-LEVEL = 0.9
-SKIP = ("probes", "counter")  # of which the program makes none
+RECORDED_SCENARIO = "quiet"  # the kind of day that is recorded
+PREDICTED_SCENARIOS = ("quiet", "payday", "crash", "roll", "counter", "silent")  # those that are foretold
+MAX_SERVICE_INTERVAL = 0.06  # of the bar on service
+PREDICTION_LEVEL = 0.9
+SKIPPED_PENALTIES = ("probes", "counter")  # of which the program makes none
 
 
 @dataclass(slots=True)
-class Line:
+class ValidationLine:
     """One figure of one day: what was foretold and what was."""
 
     kind: str
@@ -47,8 +47,8 @@
 
 
 @dataclass(slots=True)
-class Check:
-    lines: list[Line] = field(default_factory=list)
+class ValidationReport:
+    lines: list[ValidationLine] = field(default_factory=list)
     errors: list[str] = field(default_factory=list)
     fit: fits.Fit | None = None
 
@@ -69,17 +69,17 @@
         days = len(self.days())
         return (
             bool(days)
-            and self.widest() <= WIDEST
+            and self.widest() <= MAX_SERVICE_INTERVAL
             and all(self.within(figure) >= least * days for figure in self.figures())
         )
 
 
 # Plays a day on sockets, recording into a folder if one is given. The rig imports the model: it is handed in.
-Play = Callable[[Scenario, int, Path | None], Score]
+PlayDay = Callable[[Scenario, int, Path | None], Score]
 
 
-def check(
-    play: Play,
+def validate_model(
+    play: PlayDay,
     folder: Path,
     days: int = 10,
     seed: int = 1,
@@ -92,14 +92,14 @@
     at_once: int = 4,
     jobs: int = -1,
     say: Callable[[str], None] = lambda line: None,
-) -> Check:
+) -> ValidationReport:
     """Record, fit, foretell and compare. `at_once`: rigs that run side by side."""
-    base = replace(sized(SCENARIOS[RECORDED], gateways, servers, seconds=seconds), world=seed)
+    base = replace(resized(SCENARIOS[RECORDED_SCENARIO], gateways, servers, seconds=seconds), world=seed)
     first = seed * 1000
     folder.mkdir(parents=True, exist_ok=True)
-    say(f"playing and recording a {RECORDED} day")
+    say(f"playing and recording a {RECORDED_SCENARIO} day")
     play(base, first, folder)
-    day = day_of(base, first)
+    day = draw_day(base, first)
     traffic = recorded.together(sorted(folder.glob("*.rec")))
     say(f"fitting a world to {len(traffic.rows)} requests")
     fit = fits.fit(
@@ -113,8 +113,8 @@
         seed,
         jobs,
     )
-    result = Check(fit=fit)
-    kinds = [DAYS[n % len(DAYS)] for n in range(days)]
+    result = ValidationReport(fit=fit)
+    kinds = [PREDICTED_SCENARIOS[n % len(PREDICTED_SCENARIOS)] for n in range(days)]
     tests = [
         (
             replace(
@@ -136,27 +136,29 @@
         if isinstance(found, str):
             result.errors.append(f"{scenario.name}, seed {number}: {found}")
             continue
-        known = day_of(scenario, number).faults
+        known = draw_day(scenario, number).faults
         told = fits.scenario_from(fit, replace(scenario, troubles=lambda rng, s, known=known: list(known)))  # type: ignore[misc]
         seeds = range(10**6 + 1000 * number, 10**6 + 1000 * number + foretold)
-        model = [one.score for one in replicas(told, seeds, Variant("here", "here"), 0, jobs) if one.score]
-        result.lines += compare(scenario.name, number, model, found)
+        model = [one.score for one in run_seeds(told, seeds, Variant("here", "here"), 0, jobs) if one.score]
+        result.lines += compare_with_prediction(scenario.name, number, model, found)
     return result
 
 
-def _played(play: Play, scenario: Scenario, seed: int) -> Score | str:
+def _played(play: PlayDay, scenario: Scenario, seed: int) -> Score | str:
     try:
         return play(scenario, seed, None)
     except Exception as error:
         return f"{type(error).__name__}: {error}"
 
 
-def compare(kind: str, seed: int, model: Sequence[Score], real: Score) -> list[Line]:
+def compare_with_prediction(
+    kind: str, seed: int, model: Sequence[Score], real: Score
+) -> list[ValidationLine]:
     """A line for service and for each penalty that the program can have."""
     lines = []
-    for name in ("service", *(n for n in real.penalties if n not in SKIP)):
+    for name in ("service", *(n for n in real.penalties if n not in SKIPPED_PENALTIES)):
         values = [one.service if name == "service" else one.penalties[name] for one in model]
-        bar = prediction(values, LEVEL)
+        bar = prediction(values, PREDICTION_LEVEL)
         found = real.service if name == "service" else real.penalties[name]
-        lines.append(Line(kind, seed, name, bar.low, bar.mean, bar.high, found))
+        lines.append(ValidationLine(kind, seed, name, bar.low, bar.mean, bar.high, found))
     return lines
--- a/mapleshunt/simulation/copies.py
+++ b/mapleshunt/simulation/copies.py
@@ -18,25 +18,25 @@
 from ..replication.node import Node, Timing
 
 TIMING = Timing(election=1.0, heartbeat=0.2, batch=400, window=4, piece=200, keep=4, compact=20, queue=64)
-MOVES = (
+FAULT_MOVES = (
     "kill", "start", "cut", "one_way", "heal", "pause", "go_on", "wipe", "transfer", "slow_disk",
     "add", "promote", "remove",
 )  # fmt: skip
 # By mood, what comes how often: a play of one mood meets what an even mix of all hardly ever does.
-MOODS: dict[str, tuple[str, ...]] = {
-    "mixed": MOVES,
+FAULT_MIXES: dict[str, tuple[str, ...]] = {
+    "mixed": FAULT_MOVES,
     "elections": ("kill_leader", "kill_leader", "kill", "start", "start", "cut_leader", "heal", "slow_disk"),
     "takeovers": ("kill_leader", "kill_leader", "cut_leader", "cut_leader", "start", "heal", "heal"),
     "members": ("add", "promote", "remove", "remove", "cut", "cut_leader", "heal", "heal", "kill", "start"),
 }
 
 
-class Broken(Exception):
+class InvariantViolationError(Exception):
     """A rule did not hold; the text tells which and where."""
 
 
 @dataclass
-class Disk:
+class VirtualDisk:
     """What is durable, and the writes that are not yet."""
 
     stored: m.Stored
@@ -54,9 +54,9 @@
 
 
 @dataclass
-class Machine:
+class VirtualReplica:
     copy: m.Copy
-    disk: Disk
+    disk: VirtualDisk
     node: Node | None = None
     paused: float = 0.0  # until then it does nothing, and does not know
     life: int = 0  # of the process: what was meant for the one before is lost
@@ -64,17 +64,17 @@
     last: int = 0  # index of the last entry that its state knows of
 
 
-Make = Callable[[m.Copy, m.Stored, Timing, int, float], Node]
+NodeFactory = Callable[[m.Copy, m.Stored, Timing, int, float], Node]
 
 
-class Group:
+class ReplicaGroupPlay:
     """A play. `make` builds each copy, so that a planted fault can take its place."""
 
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = Node) -> None:
+    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = Node) -> None:
         self.random, self.make, self.now = random.Random(seed), make, 0.0
         names = [f"g{n}/1" for n in range(copies + spare)]
         self.first = m.Snapshot(0, 0, 0.0, m.Members(tuple(names[:copies])), b"")
-        self.machines = {name: Machine(name, Disk(m.Stored(self.first))) for name in names}
+        self.machines = {name: VirtualReplica(name, VirtualDisk(m.Stored(self.first))) for name in names}
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
         self.cut: set[tuple[m.Copy, m.Copy]] = set()  # ordered pairs that hear nothing
@@ -87,7 +87,7 @@
         self.told = self.elections = self.installs = self.reads = 0
         self.lossy = self.random.choice([0.0, 0.02, 0.1])
         self.incarnations = 1
-        self.mood = self.random.choice(list(MOODS))
+        self.mood = self.random.choice(list(FAULT_MIXES))
         self.timing = replace(TIMING, batch=1) if self.mood in ("elections", "takeovers") else TIMING
 
     # The world
@@ -125,7 +125,7 @@
         self.step(copy, m.Tick())
         self.at(max(one.node.wake(), self.now + 0.01), lambda: self.tick(copy, life))
 
-    def later(self, one: Machine, event: m.Event) -> None:
+    def later(self, one: VirtualReplica, event: m.Event) -> None:
         life = one.life
         self.at(self.now, lambda: self.step(one.copy, event) if one.life == life else None)
 
@@ -140,7 +140,7 @@
         for output in one.node.step(self.now, event):
             self.do(one, output)
 
-    def do(self, one: Machine, output: m.Output) -> None:
+    def do(self, one: VirtualReplica, output: m.Output) -> None:
         match output:
             case m.Send(to, message):
                 self.send(one.copy, to, message)
@@ -164,10 +164,12 @@
             case m.Role(role, term, _, _) if role == "leader":
                 self.elections += 1
                 if self.leaders.setdefault(term, one.copy) != one.copy:
-                    raise Broken(f"two leaders in term {term}: {self.leaders[term]} and {one.copy}")
+                    raise InvariantViolationError(
+                        f"two leaders in term {term}: {self.leaders[term]} and {one.copy}"
+                    )
                 self.complete(one)
 
-    def written(self, one: Machine, number: int, life: int) -> None:
+    def written(self, one: VirtualReplica, number: int, life: int) -> None:
         if one.life != life or one.node is None:
             return
         while one.disk.pending and one.disk.pending[0].number <= number:
@@ -187,20 +189,22 @@
 
     # What must hold
 
-    def applied(self, one: Machine, entry: m.Entry, call: int | None) -> None:
+    def applied(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         was = self.committed.setdefault(entry.index, (entry.term, entry.data))
         if was != (entry.term, entry.data):
-            raise Broken(f"{one.copy} applied another entry at {entry.index}: {entry.term} and {was[0]}")
+            raise InvariantViolationError(
+                f"{one.copy} applied another entry at {entry.index}: {entry.term} and {was[0]}"
+            )
         assert one.node is not None
         self.committed_in.setdefault(entry.index, one.node.term)
         if entry.index != one.last + 1:
-            raise Broken(f"{one.copy} applied {entry.index} after {one.last}")
+            raise InvariantViolationError(f"{one.copy} applied {entry.index} after {one.last}")
         one.last = entry.index
         self.take(one, entry, call)
         if call is not None and call in self.calls:
             mine = self.calls.pop(call)
             if mine["data"] is not None and mine["data"] != entry.data:
-                raise Broken(f"call {call} was answered with another's entry")
+                raise InvariantViolationError(f"call {call} was answered with another's entry")
             self.acknowledged = max(self.acknowledged, entry.index)
             self.told += 1
 
@@ -212,20 +216,22 @@
     def freeze(self, state: Any) -> bytes:
         return b"\n".join(state)
 
-    def take(self, one: Machine, entry: m.Entry, call: int | None) -> None:
+    def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         if entry.data:
             one.state.append(entry.data)
 
-    def answered(self, one: Machine, answer: m.Answer) -> None:
+    def answered(self, one: VirtualReplica, answer: m.Answer) -> None:
         call = self.calls.pop(answer.call, None)
         if call is None or answer.how != "read":
             return
         assert one.node is not None
         self.reads += 1
         if answer.index < call["known"]:
-            raise Broken(f"a stale read at {one.copy}: {answer.index}, though {call['known']} was told")
+            raise InvariantViolationError(
+                f"a stale read at {one.copy}: {answer.index}, though {call['known']} was told"
+            )
 
-    def complete(self, one: Machine) -> None:
+    def complete(self, one: VirtualReplica) -> None:
         """A new leader holds every entry that was committed in a term before its own (thesis: leader
         completeness). One that slept while a later term began may still come to lead the one it asked for.
         """
@@ -235,7 +241,9 @@
             if self.committed_in[index] >= one.node.term:
                 continue
             if index > one.node.snapshot.index and known != term:
-                raise Broken(f"leader {one.copy} of term {one.node.term} lacks the committed entry {index}")
+                raise InvariantViolationError(
+                    f"leader {one.copy} of term {one.node.term} lacks the committed entry {index}"
+                )
 
     def matching(self) -> None:
         """Entries alike in index and term are alike, and so is all before them."""
@@ -244,7 +252,7 @@
             for entry in one.disk.stored.entries:
                 known = (entry.data, 0)
                 if seen.setdefault((entry.index, entry.term), known) != known:
-                    raise Broken(f"two entries at {entry.index} in term {entry.term}")
+                    raise InvariantViolationError(f"two entries at {entry.index} in term {entry.term}")
 
     # The play
 
@@ -320,7 +328,7 @@
             case "remove":
                 self.change("out")
 
-    def wipe(self, one: Machine) -> None:
+    def wipe(self, one: VirtualReplica) -> None:
         """The disk is lost: the gateway comes back as another incarnation, which nobody knows yet. Never so
         many of the group's that most of it would be gone.
         """
@@ -330,7 +338,7 @@
         self.incarnations += 1
         del self.machines[one.copy]
         copy = f"{m.gateway_of(one.copy)}/{self.incarnations}"
-        self.machines[copy] = Machine(copy, Disk(m.Stored(self.first_of_newcomer())))
+        self.machines[copy] = VirtualReplica(copy, VirtualDisk(m.Stored(self.first_of_newcomer())))
         self.start(copy)
 
     def first_of_newcomer(self) -> m.Snapshot:
@@ -351,7 +359,7 @@
         for name in list(self.machines):
             self.start(name)
         for _ in range(moves):
-            what = self.random.choice(MOODS[self.mood])
+            what = self.random.choice(FAULT_MIXES[self.mood])
             self.at(self.random.uniform(1.0, seconds), lambda what=what: self.move(what))  # type: ignore[misc]
         for _ in range(int(seconds * 8)):
             self.at(self.random.uniform(0.5, seconds + 8.0), self.call)
@@ -377,7 +385,7 @@
             self.run(self.now + 0.3)
         if self.told == told:
             roles = {one.copy: one.node and (one.node.role, one.node.term) for one in self.machines.values()}
-            raise Broken(f"the group does not answer again: {roles}")
+            raise InvariantViolationError(f"the group does not answer again: {roles}")
 
     def run(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
@@ -386,10 +394,10 @@
         self.now = until
 
 
-def verdict(kind: type[Group], seed: int, make: Make) -> str:
+def run_play(kind: type[ReplicaGroupPlay], seed: int, make: NodeFactory) -> str:
     """What broke in the play of that seed, three copies or five, or nothing."""
     try:
         kind(seed, copies=3 + 2 * (seed % 2), make=make).play()
-    except Broken as broken:
+    except InvariantViolationError as broken:
         return str(broken)
     return ""
--- a/mapleshunt/simulation/copies_faults.py
+++ b/mapleshunt/simulation/copies_faults.py
@@ -4,7 +4,7 @@
 
 from ..replication import messages as m
 from ..replication.node import Node
-from .copies import Disk, Group, Machine, verdict
+from .copies import ReplicaGroupPlay, VirtualDisk, VirtualReplica, run_play
 
 
 class Hasty(Node):
@@ -92,14 +92,14 @@
             self._commit_to(min(message.commit, self.last_index()))
 
 
-class OldIncarnation(Group):
+class OldIncarnation(ReplicaGroupPlay):
     """A gateway whose disk was lost comes back as the copy it was."""
 
-    def wipe(self, one: Machine) -> None:
+    def wipe(self, one: VirtualReplica) -> None:
         if not self.whole(without=one.copy):
             return
         self.kill(one.copy)
-        one.disk = Disk(m.Stored(self.first))
+        one.disk = VirtualDisk(m.Stored(self.first))
         self.start(one.copy)
 
 
@@ -110,10 +110,10 @@
         OwnEntriesUnwritten, VotesTwice, ShorterLogsWin, CommitsUnseen,
     )
 }  # fmt: skip
-GROUPS: dict[str, type[Group]] = {"OldIncarnation": OldIncarnation}
+GROUPS: dict[str, type[ReplicaGroupPlay]] = {"OldIncarnation": OldIncarnation}
 PLANTS = (*NODES, *GROUPS)
 
 
 def play(seed: int, plant: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    return verdict(GROUPS.get(plant, Group), seed, NODES.get(plant, Node))
+    return run_play(GROUPS.get(plant, ReplicaGroupPlay), seed, NODES.get(plant, Node))
--- a/mapleshunt/simulation/copies_fleet.py
+++ b/mapleshunt/simulation/copies_fleet.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..fleet.faults import Fault, some
+from ..fleet.faults import Fault, sample_machines
 from ..fleet.random_streams import Rng
 from ..policy import interface as i
 from ..policy.gateway import Gateway
@@ -25,7 +25,7 @@
 from ..replication import messages as m
 from ..replication.node import Node, Timing
 from ..replication.placement import group_of, place
-from .copies import Disk
+from .copies import VirtualDisk
 from .day import Day, Scenario
 from .engine import Engine
 
@@ -40,13 +40,13 @@
 
 
 @dataclass(eq=False)
-class Copy:
+class SimulatedReplica:
     """One group's copy at one gateway."""
 
     group: int
     gateway: int
     name: m.Copy
-    disk: Disk
+    disk: VirtualDisk
     holdings: Holdings = field(default_factory=Holdings)
     node: Node | None = None
     life: int = 0
@@ -54,7 +54,7 @@
 
 
 @dataclass(eq=False)
-class Call:
+class PendingCall:
     """An operation of a gateway's session that is not answered yet."""
 
     gateway: int
@@ -66,10 +66,10 @@
     over: bool = False
 
 
-class Leasing:
+class GatewayLeases:
     """A gateway's side of leases, for one life of it."""
 
-    def __init__(self, engine: CopiesEngine, number: int) -> None:
+    def __init__(self, engine: ReplicatedFleetEngine, number: int) -> None:
         self.engine, self.number, self.epoch = engine, number, engine.epochs[number]
         self.leaser = Leaser(LEASE_TERM, LONGEST, self._rest, self._left, self._level, self._owed)
         self.waiting: dict[str, list[tuple[float, i.Request, float]]] = {}  # until when, what, since when
@@ -165,9 +165,9 @@
 
     def _call(self, group: int, command: w.Command, ask: Ask, until: float) -> None:
         data = w.ENCODE(command)
-        self.engine.call(Call(self.number, self.epoch, group, data, ask, until, False), -1)
+        self.engine.call(PendingCall(self.number, self.epoch, group, data, ask, until, False), -1)
 
-    def come(self, call: Call, result: w.Result | None) -> None:
+    def come(self, call: PendingCall, result: w.Result | None) -> None:
         if not self.alive():
             return
         if call.group in self.opening:
@@ -180,20 +180,20 @@
             self.resume(call.ask.customer)
 
 
-class CopiesEngine(Engine):
+class ReplicatedFleetEngine(Engine):
     """`leased`: quotas are leased from copies; else they are kept as without."""
 
     def __init__(self, day: Day, leased: bool = True) -> None:
         self.leased = leased
         self.ready = False
         self.frames = self.bytes = self.operations = self.elections = 0
-        self.copies: dict[tuple[int, int], Copy] = {}  # by group and gateway
+        self.copies: dict[tuple[int, int], SimulatedReplica] = {}  # by group and gateway
         self.holders: list[list[int]] = []
         self.leaders: dict[int, int] = {}  # by group: who was last heard to lead
         self.outbox: dict[tuple[int, int], list[tuple[int, m.Message]]] = {}
-        self.calls: dict[int, tuple[Call, int]] = {}
+        self.calls: dict[int, tuple[PendingCall, int]] = {}
         self.numbers = 0
-        self.leasing: dict[int, Leasing] = {}
+        self.leasing: dict[int, GatewayLeases] = {}
         super().__init__(day, Gateway)
         if leased:
             self._form()
@@ -208,8 +208,8 @@
             first = m.Snapshot(1, 1, 0.0, m.Members(tuple(f"{name}/1" for name in names)), b"")
             self.holders.append([numbers[name] for name in names])
             for name in names:
-                self.copies[group, numbers[name]] = Copy(
-                    group, numbers[name], f"{name}/1", Disk(m.Stored(first, 1))
+                self.copies[group, numbers[name]] = SimulatedReplica(
+                    group, numbers[name], f"{name}/1", VirtualDisk(m.Stored(first, 1))
                 )
         self.ready = True
         for number in range(len(self.gateways)):
@@ -227,7 +227,7 @@
                 seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
                 one.node = Node(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
-        self.leasing[number] = Leasing(self, number)
+        self.leasing[number] = GatewayLeases(self, number)
 
     def _s(self) -> float:
         return self.agenda.now / 1000
@@ -242,7 +242,7 @@
             if one.gateway == number and one.node is not None:
                 one.node, one.life, one.due = None, one.life + 1, float("inf")
 
-    def _step(self, one: Copy, event: m.Event) -> None:
+    def _step(self, one: SimulatedReplica, event: m.Event) -> None:
         if one.node is None:
             return
         for output in one.node.step(self._s(), event):
@@ -252,7 +252,7 @@
             one.due = wake
             self.agenda.at(wake, self._tick, one, one.life, wake)
 
-    def _tick(self, one: Copy, life: int, due: float) -> None:
+    def _tick(self, one: SimulatedReplica, life: int, due: float) -> None:
         if one.life != life or one.node is None or one.due != due:
             return
         one.due = float("inf")
@@ -263,7 +263,7 @@
         else:
             self._step(one, m.Tick())
 
-    def _out(self, one: Copy, output: m.Output) -> None:
+    def _out(self, one: SimulatedReplica, output: m.Output) -> None:
         match output:
             case m.Send(to, message):
                 self._post(one.gateway, int(m.gateway_of(to)[1:]), one.group, message)
@@ -283,11 +283,11 @@
             case m.Role(role, _, _, _) if role == "leader":
                 self.elections += 1
 
-    def _snapped(self, one: Copy, life: int, index: int, data: bytes) -> None:
+    def _snapped(self, one: SimulatedReplica, life: int, index: int, data: bytes) -> None:
         if one.life == life:
             self._step(one, m.Snapped(index, data))
 
-    def _written(self, one: Copy, number: int, life: int) -> None:
+    def _written(self, one: SimulatedReplica, number: int, life: int) -> None:
         if one.life == life:
             while one.disk.pending and one.disk.pending[0].number <= number:
                 one.disk.apply(one.disk.pending.pop(0))
@@ -324,7 +324,7 @@
 
     # Calls
 
-    def call(self, call: Call, hint: int) -> None:
+    def call(self, call: PendingCall, hint: int) -> None:
         """Make it, and again until it is answered or nobody waits any more."""
         leasing = self.leasing.get(call.gateway)
         if call.over or leasing is None or not leasing.alive() or self.epochs[call.gateway] != call.epoch:
@@ -346,14 +346,16 @@
         self._carry(call.gateway, to, self._asked, self.numbers, call, to)
         self.agenda.at(self.agenda.now + AGAIN, self.call, call, -1)
 
-    def _asked(self, number: int, call: Call, at: int) -> None:
+    def _asked(self, number: int, call: PendingCall, at: int) -> None:
         one = self.copies.get((call.group, at))
         if one is None or one.node is None:
             return
         self.calls[number] = (call, at)
         self._step(one, m.Propose(number, call.command))
 
-    def _reply(self, one: Copy, number: int | None, result: w.Result | None, hint: m.Copy) -> None:
+    def _reply(
+        self, one: SimulatedReplica, number: int | None, result: w.Result | None, hint: m.Copy
+    ) -> None:
         if number is None or number not in self.calls:
             return
         call, _ = self.calls.pop(number)
@@ -362,7 +364,7 @@
         to = int(m.gateway_of(hint)[1:]) if hint else -1
         self._carry(one.gateway, call.gateway, self._told_call, call, result, one.gateway, to)
 
-    def _told_call(self, call: Call, result: w.Result | None, by: int, hint: int) -> None:
+    def _told_call(self, call: PendingCall, result: w.Result | None, by: int, hint: int) -> None:
         if call.over:
             return
         if result is None:
@@ -391,7 +393,7 @@
 # Days
 
 
-def trouble(what: str, part: float = 0.1) -> Callable[[Rng, Scenario], list[Fault]]:
+def replication_faults(what: str, part: float = 0.1) -> Callable[[Rng, Scenario], list[Fault]]:
     """A payday burst, and a tenth of the gateways (one at least) restarted, lost for good or cut off then.
 
     `what`: none, restart, lost, or cut and its length in seconds, as in cut6.
@@ -399,7 +401,7 @@
 
     def troubles(rng: Rng, scenario: Scenario) -> list[Fault]:
         length = 1000 * scenario.seconds
-        who, begin = some(rng, scenario.gateways, part), 0.3 * length
+        who, begin = sample_machines(rng, scenario.gateways, part), 0.3 * length
         burst = Fault(0.2 * length, "burst", 0.6 * length, size=3.0, plan="standard")
         match what:
             case "none":
@@ -413,10 +415,10 @@
     return troubles
 
 
-def scenario(what: str, gateways: int, seconds: float = 24.0) -> Scenario:
+def replication_scenario(what: str, gateways: int, seconds: float = 24.0) -> Scenario:
     """Traffic that is thin on each gateway, as on the full fleet, and servers enough: quotas refuse."""
     rate = min(10.0 * gateways, 300.0)
     return Scenario(
-        f"copies-{what}", "quotas with and without copies", (0.5, 0.5), trouble(what), gateways=gateways,
+        f"copies-{what}", "quotas with and without copies", (0.5, 0.5), replication_faults(what), gateways=gateways,
         servers=max(8, round(rate / 8)), seconds=seconds, rate=rate,
     )  # fmt: skip
--- a/mapleshunt/simulation/copies_promises.py
+++ b/mapleshunt/simulation/copies_promises.py
@@ -14,8 +14,8 @@
 from ..replication import messages as m
 from ..replication.messages import gateway_of
 from ..replication.node import Node
-from .copies import Broken, Group, Machine, Make, verdict
-from .promises import Event, broken
+from .copies import InvariantViolationError, NodeFactory, ReplicaGroupPlay, VirtualReplica, run_play
+from .promises import HistoryEvent, find_violations
 
 SESSIONS = 3
 CUSTOMERS = 2
@@ -23,15 +23,15 @@
 AGAIN = 0.6  # s after which a call is made anew through another copy
 
 
-class Promises(Group):
+class StateMachinePlay(ReplicaGroupPlay):
     holdings: type[Holdings] = Holdings
 
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = Node) -> None:
+    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = Node) -> None:
         super().__init__(seed, copies, spare, make)
-        self.history: list[Event] = []
-        self.open: dict[str, Event] = {}  # what each session waits for
+        self.history: list[HistoryEvent] = []
+        self.open: dict[str, HistoryEvent] = {}  # what each session waits for
         self.numbers = dict.fromkeys((f"s{n}" for n in range(SESSIONS)), 0)
-        self.by_call: dict[int, Event] = {}
+        self.by_call: dict[int, HistoryEvent] = {}
         self.leases: list[tuple[str, int, float]] = []
         self.quiet = False
 
@@ -43,7 +43,7 @@
     def freeze(self, state: Any) -> bytes:
         return msgspec.msgpack.encode(state.freeze())
 
-    def take(self, one: Machine, entry: m.Entry, call: int | None) -> None:
+    def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         result = one.state.apply(entry.stamp, entry.data) if entry.data else None
         event = self.by_call.pop(call, None) if call is not None else None
         if event is None or event.ended or result is None:
@@ -72,12 +72,12 @@
             if self.quiet:
                 return
             number = self.numbers[session] = self.numbers[session] + 1
-            event = Event(session, number, w.Open() if number == 1 else self.operation(), self.now)
+            event = HistoryEvent(session, number, w.Open() if number == 1 else self.operation(), self.now)
             self.open[session] = event
             self.history.append(event)
         self.ask(event)
 
-    def ask(self, event: Event) -> None:
+    def ask(self, event: HistoryEvent) -> None:
         if event.ended:
             return
         alive = [one for one in self.machines.values() if one.node is not None]
@@ -99,8 +99,8 @@
         nodes = [one for one in self.machines.values() if one.node is not None]
         state = max(nodes, key=lambda one: one.last).state
         final = {f"store c{n}": state.stores.get(f"c{n}") for n in range(CUSTOMERS)}
-        if said := broken(self.history, final, BURST):
-            raise Broken(said[0])
+        if said := find_violations(self.history, final, BURST):
+            raise InvariantViolationError(said[0])
 
 
 # Planted faults
@@ -115,7 +115,7 @@
         return msgspec.structs.replace(whole, sessions=bare)
 
 
-class SnapshotWithoutSessions(Promises):
+class SnapshotWithoutSessions(StateMachinePlay):
     holdings = Forgetful
 
 
@@ -141,18 +141,18 @@
         return self._do(stamp, command.session, command.operation)
 
 
-class DoneAgain(Promises):
+class DoneAgain(StateMachinePlay):
     holdings = NoSessions
 
 
-PLANTS: dict[str, tuple[type[Promises], type[Node]]] = {
+PLANTS: dict[str, tuple[type[StateMachinePlay], type[Node]]] = {
     "SnapshotWithoutSessions": (SnapshotWithoutSessions, Node),
     "DoneAgain": (DoneAgain, Node),
-    "JumpedClock": (Promises, JumpedClock),
+    "JumpedClock": (StateMachinePlay, JumpedClock),
 }
 
 
 def play(seed: int, plant: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    kind, make = PLANTS.get(plant, (Promises, Node))
-    return verdict(kind, seed, make)
+    kind, make = PLANTS.get(plant, (StateMachinePlay, Node))
+    return run_play(kind, seed, make)
--- a/mapleshunt/simulation/day.py
+++ b/mapleshunt/simulation/day.py
@@ -11,11 +11,11 @@
 from ..fleet import parameters as figures
 from ..fleet.clients import Traffic
 from ..fleet.faults import Fault
-from ..fleet.parameters import Figures
-from ..fleet.random_streams import Rng, Streams
+from ..fleet.parameters import Parameters
+from ..fleet.random_streams import RandomStreams, Rng
 from ..policy import interface as i
 
-Troubles = Callable[[Rng, "Scenario"], list[Fault]]
+FaultPlan = Callable[[Rng, "Scenario"], list[Fault]]
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,13 +25,13 @@
     name: str
     about: str
     load: tuple[float, float]
-    troubles: Troubles = field(default=lambda rng, scenario: [])
+    troubles: FaultPlan = field(default=lambda rng, scenario: [])
     gateways: int = 3
     servers: int = 14
     seconds: float = 30.0
     rate: float | None = None  # requests a second inside quotas, in place of `load`
     fixed: Mapping[str, float] = field(default_factory=dict)  # figures
-    spans: Mapping[str, figures.Span] = field(default_factory=dict)
+    spans: Mapping[str, figures.ParameterRange] = field(default_factory=dict)
     settings: Mapping[str, Any] = field(default_factory=dict)  # of the gateways
     world: int | None = (
         None  # the seed of an installation: its machines, figures and customers stay from day to day
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
+class RuleLimits:
     """Figures of the rules; times in ms."""
 
     answer_slack: float = 8.0
@@ -67,11 +67,11 @@
 
     scenario: Scenario
     seed: int
-    streams: Streams
-    figures: Figures
+    streams: RandomStreams
+    figures: Parameters
     traffic: Traffic
     faults: tuple[Fault, ...]
-    rules: Rules = Rules()
+    rules: RuleLimits = RuleLimits()
 
     @property
     def length(self) -> float:
@@ -98,29 +98,29 @@
         ]
 
 
-def capacity(drawn: Figures, servers: int) -> float:
+def fleet_capacity(drawn: Parameters, servers: int) -> float:
     """Work that warm servers do, in ms of a standard core a second."""
     return 1000 * servers * drawn["cores"] * drawn["speed"]
 
 
-def day_of(scenario: Scenario, seed: int) -> Day:
+def draw_day(scenario: Scenario, seed: int) -> Day:
     """Draw a day. Raises `UnknownFigure`."""
     if scenario.make is not None:
         return scenario.make(scenario, seed)
-    streams = Streams(seed, scenario.world)
-    drawn = figures.draw(streams.of("figures"), scenario.fixed, scenario.spans)
+    streams = RandomStreams(seed, scenario.world)
+    drawn = figures.draw_parameters(streams.of("figures"), scenario.fixed, scenario.spans)
     load = float(streams.of("load").uniform(*scenario.load))
     rate = scenario.rate
     if rate is None:
-        rate = load * capacity(drawn, scenario.servers) / clients.mean_work(drawn)
-    troubles = faults.in_order(scenario.troubles(streams.of("troubles"), scenario))
-    asked = clients.traffic(
+        rate = load * fleet_capacity(drawn, scenario.servers) / clients.mean_work(drawn)
+    troubles = faults.sorted_by_time(scenario.troubles(streams.of("troubles"), scenario))
+    asked = clients.draw_traffic(
         drawn, scenario.gateways, rate * clients.mean_units(drawn), 1000 * scenario.seconds, troubles, streams
     )
     return Day(scenario, seed, streams, drawn, asked, troubles)
 
 
-def sized(
+def resized(
     scenario: Scenario,
     gateways: int | None = None,
     servers: int | None = None,
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -11,21 +11,21 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from ..fleet.backend import TillServer, Work
-from ..fleet.discovery import Entry
+from ..fleet.backend import Backend, BackendRequest
+from ..fleet.discovery import EndpointEntry
 from ..fleet.faults import Fault
 from ..policy import interface
 from .day import Day
-from .event_queue import Agenda
-from .host import Host
-from .record import AskRecord, AttemptRecord, Final, TryRecord
+from .event_queue import EventQueue
+from .host import FleetHost
+from .record import ClientAttempt, ClientResult, RequestRecord, UpstreamAttempt
 
-BUCKET = 64.0  # ms
-SETTLE = 10.0  # ms after an answer for which the program does not use its connection again
-AFTER_TERM = 300.0  # ms after SIGTERM for which the front still sends to a gateway
+TIMEOUT_BUCKET_MS = 64.0  # ms
+CONNECTION_REST_MS = 10.0  # ms after an answer for which the program does not use its connection again
+FRONT_TERM_NOTICE_MS = 300.0  # ms after SIGTERM for which the front still sends to a gateway
 
 
-class Decisions(Protocol):
+class GatewayPolicy(Protocol):
     """What the engine asks of a gateway: the decision module has it, and so do the plain policies."""
 
     def start(self) -> Iterable[Any]: ...
@@ -34,34 +34,38 @@
 
 
 # Called with settings, seed, the time (ms), and the gateway's own view of nothing else.
-Factory = Callable[[Any, int, float], Decisions]
+PolicyFactory = Callable[[Any, int, float], GatewayPolicy]
 
 
-class Engine(Host):
+class Engine(FleetHost):
     """Plays one day with one kind of gateway. `words` holds the types that the gateways speak."""
 
-    def __init__(self, day: Day, factory: Factory, words: Any = interface) -> None:
+    def __init__(self, day: Day, factory: PolicyFactory, words: Any = interface) -> None:
         self.factory, self.words = factory, words
-        self.agenda = Agenda()
+        self.agenda = EventQueue()
         self.wakes: dict[int, float] = {}
-        self.held: dict[int, dict[Work, tuple[int, TryRecord, AttemptRecord]]] = {}  # at each till server
+        self.held: dict[
+            int, dict[BackendRequest, tuple[int, ClientAttempt, UpstreamAttempt]]
+        ] = {}  # at each till server
         super().__init__(day, words)
         f, count = day.figures, day.scenario.gateways
-        self.gateways: list[Decisions | None] = [None] * count
+        self.gateways: list[GatewayPolicy | None] = [None] * count
         self.epochs, self.busy = [0] * count, [0.0] * count
-        self.open: list[dict[int, TryRecord]] = [{} for _ in range(count)]
-        self.attempts: list[dict[tuple[int, int], tuple[TryRecord, AttemptRecord]]] = [
+        self.open: list[dict[int, ClientAttempt]] = [{} for _ in range(count)]
+        self.attempts: list[dict[tuple[int, int], tuple[ClientAttempt, UpstreamAttempt]]] = [
             {} for _ in range(count)
         ]
         self.pools: list[dict[int, list[float]]] = [{} for _ in range(count)]  # idle connections: since when
-        self.records: dict[int, AskRecord] = {}  # by the number of an open request
-        self.buckets: dict[int, list[tuple[float, AskRecord, TryRecord]]] = {}  # patience that ends, by time
+        self.records: dict[int, RequestRecord] = {}  # by the number of an open request
+        self.buckets: dict[
+            int, list[tuple[float, RequestRecord, ClientAttempt]]
+        ] = {}  # patience that ends, by time
         self.event_ms, self.dial_ms, self.rtts = f["event_ms"], f["dial_ms"], f["handshake_rtts"]
         self.idle_ms = f["conn_idle_ms"] / 3  # the program gives idle ones up well before till servers do
         self.acts: dict[Any, Callable[[int, Any, float], None]] = {
             words.Send: self._send, words.Refuse: self._refuse, words.Fail: self._fail,
             words.Cancel: self._cancel, words.SetTimer: self._timer, words.Tell: self._tell,
-            words.Watch: lambda gateway, action, at: None, Count: self._count,
+            words.Watch: lambda gateway, action, at: None, CounterCall: self._count,
         }  # fmt: skip
         for fault in day.faults:
             self.agenda.at(fault.at, self._strike, fault)
@@ -76,7 +80,7 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         self.agenda.at(when, call, *arguments)
 
-    def _take_in(self, till: TillServer) -> None:
+    def _take_in(self, till: Backend) -> None:
         self.held[till.number], self.wakes[till.number] = {}, float("inf")
 
     # Running
@@ -109,7 +113,7 @@
         self.watchman.told_list(number, self.lists[number].values(), now)
         self._feed(number, self.words.Members("persisted", rows))
 
-    def _row(self, entry: Entry) -> Any:
+    def _row(self, entry: EndpointEntry) -> Any:
         return self.words.ServerEntry(
             entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started
         )
@@ -162,7 +166,9 @@
         back = done + 2 * self.network.till.next()
         if back > given_up:
             word, back = "timeout", given_up  # type: ignore[assignment]
-        self.agenda.at(back, self._counted, gateway, self.epochs[gateway], Counted(action.name, word, total))
+        self.agenda.at(
+            back, self._counted, gateway, self.epochs[gateway], CounterReply(action.name, word, total)
+        )
 
     def _counted(self, gateway: int, epoch: int, event: Any) -> None:
         if self.epochs[gateway] == epoch:
@@ -175,13 +181,13 @@
             self.agenda.at(self.asks[number + 1].ask.at, self._arrive, number + 1)
         self._ask(self.asks[number], 1)
 
-    def _ask(self, record: AskRecord, number: int) -> None:
+    def _ask(self, record: RequestRecord, number: int) -> None:
         one = self.new_try(record, number)
         if one is None:
             return
         self.agenda.at(one.sent + self.network.client.next(), self._taken, record, one)
 
-    def _taken(self, record: AskRecord, one: TryRecord) -> None:
+    def _taken(self, record: RequestRecord, one: ClientAttempt) -> None:
         if self.gateways[one.gateway] is None:
             self._client_told(record, one, "unreachable", 0.0)
             return
@@ -191,11 +197,11 @@
         self.open[one.gateway][one.ref] = one
         # Most are answered long before: only what is still open is put on the agenda, shortly before.
         end = one.sent + one.patience
-        bucket = int(end / BUCKET)
+        bucket = int(end / TIMEOUT_BUCKET_MS)
         held = self.buckets.get(bucket)
         if held is None:
             held = self.buckets[bucket] = []
-            self.agenda.at(max(now, bucket * BUCKET), self._near, bucket)
+            self.agenda.at(max(now, bucket * TIMEOUT_BUCKET_MS), self._near, bucket)
         held.append((end, record, one))
         self.records[one.ref] = record
         self._feed(
@@ -218,19 +224,21 @@
             if not one.known or one.answer is None:
                 self.agenda.at(end, self._give_up, record, one)
 
-    def _give_up(self, record: AskRecord, one: TryRecord) -> None:
+    def _give_up(self, record: RequestRecord, one: ClientAttempt) -> None:
         """The client's patience is over."""
         if not one.known:
             self._client_told(record, one, "late", 0.0)
         if one.answer is None and self.open[one.gateway].get(one.ref) is one:
             self.agenda.at(self.agenda.now + self.day.rules.answer_slack, self._overdue, one)
 
-    def _overdue(self, one: TryRecord) -> None:
+    def _overdue(self, one: ClientAttempt) -> None:
         if one.answer is None and self.open[one.gateway].pop(one.ref, None) is not None:
             self.watchman.lost(one)
             self._feed(one.gateway, self.words.ClientGone(one.ref))
 
-    def _client_told(self, record: AskRecord, one: TryRecord, told: Final, wait: float) -> None:
+    def _client_told(
+        self, record: RequestRecord, one: ClientAttempt, told: ClientResult, wait: float
+    ) -> None:
         if one.known:
             return
         pause = self.client_told(record, one, told, wait)
@@ -239,7 +247,7 @@
 
     # Answers
 
-    def _answer(self, gateway: int, ref: int, final: Final, wait: float, at: float) -> None:
+    def _answer(self, gateway: int, ref: int, final: ClientResult, wait: float, at: float) -> None:
         one = self.open[gateway].pop(ref, None)
         if one is None:
             self.watchman.answered_again(ref, final)
@@ -269,7 +277,7 @@
         if action.timeout:
             until = min(until, at + action.timeout)
         work = self.work(one, number, until)
-        attempt = AttemptRecord(server, till.cell, at, work)
+        attempt = UpstreamAttempt(server, till.cell, at, work)
         self.watchman.sending(one, attempt, gateway, at)
         one.attempts.append(attempt)
         self.attempts[gateway][one.ref, number] = (one, attempt)
@@ -280,7 +288,7 @@
             till.connections -= 1
         # The one used last, but for those that have only just answered.
         place = len(pool) - 1 if pool else -1
-        while place >= 0 and pool is not None and pool[place] > at - SETTLE:
+        while place >= 0 and pool is not None and pool[place] > at - CONNECTION_REST_MS:
             place -= 1
         if place >= 0 and pool is not None:
             del pool[place]
@@ -303,7 +311,7 @@
         if until < one.sent + one.patience:
             self.agenda.at(until, self._end, gateway, one, attempt, "timeout", self.epochs[gateway])
 
-    def _reach(self, one: TryRecord, attempt: AttemptRecord, gateway: int) -> None:
+    def _reach(self, one: ClientAttempt, attempt: UpstreamAttempt, gateway: int) -> None:
         """The attempt's last byte is at its till server."""
         if attempt.status is not None or attempt.work.cancelled:
             return
@@ -328,12 +336,12 @@
             self._back(gateway, one, attempt, word)
         self._wake(till)
 
-    def _wake(self, till: TillServer) -> None:
+    def _wake(self, till: Backend) -> None:
         if till.due < self.wakes[till.number]:
             self.wakes[till.number] = till.due
             self.agenda.at(till.due, self._due, till)
 
-    def _due(self, till: TillServer) -> None:
+    def _due(self, till: Backend) -> None:
         now = self.agenda.now
         if now < self.wakes[till.number]:
             return
@@ -342,7 +350,7 @@
             self._finished(till, till.advance(now))
         self._wake(till)
 
-    def _finished(self, till: TillServer, ended: list[Work]) -> None:
+    def _finished(self, till: Backend, ended: list[BackendRequest]) -> None:
         held = self.held[till.number]
         for work in ended:
             if work.effect:
@@ -352,11 +360,13 @@
                 till.took += self.agenda.now - (found[2].arrived or 0.0)
                 self._back(*found, till.answer(work))
 
-    def _back(self, gateway: int, one: TryRecord, attempt: AttemptRecord, word: str) -> None:
+    def _back(self, gateway: int, one: ClientAttempt, attempt: UpstreamAttempt, word: str) -> None:
         at = self.agenda.now + self.network.till.next()
         self.agenda.at(at, self._end, gateway, one, attempt, word, self.epochs[gateway])
 
-    def _end(self, gateway: int, one: TryRecord, attempt: AttemptRecord, status: str, epoch: int) -> None:
+    def _end(
+        self, gateway: int, one: ClientAttempt, attempt: UpstreamAttempt, status: str, epoch: int
+    ) -> None:
         """How an attempt ended is at its gateway."""
         if attempt.status is not None or self.epochs[gateway] != epoch:
             return
@@ -411,12 +421,12 @@
 
     # Faults
 
-    def _told(self, gateway: int, entry: Entry) -> None:
+    def _told(self, gateway: int, entry: EndpointEntry) -> None:
         if self.gateways[gateway] is not None:
             self.watchman.told(gateway, entry, self.agenda.now)
             self._feed(gateway, self.words.Members("partial", (self._row(entry),)))
 
-    def _lose(self, till: TillServer, held: Iterable[Work]) -> None:
+    def _lose(self, till: Backend, held: Iterable[BackendRequest]) -> None:
         """All connections to a till server break; attempts at it end as resets."""
         for pools in self.pools:
             pools.pop(till.number, None)
@@ -482,7 +492,7 @@
 
     def _on_leave(self, fault: Fault) -> None:
         for number in fault.who:
-            stop = self.agenda.now + AFTER_TERM
+            stop = self.agenda.now + FRONT_TERM_NOTICE_MS
             self.agenda.at(stop, self.seen_down.add, number)
             self.agenda.at(stop + self.window, self._kill, number)
             self.agenda.at(stop + self.window + fault.lasts, self._revive, number)
@@ -491,7 +501,7 @@
 # The counter's call and its answer, which the decisions do not make yet; plain policies do.
 
 
-class Count:
+class CounterCall:
     """Action: add `amount` to the counter's number `name`, which lives `life` ms if it is new."""
 
     __slots__ = ("amount", "life", "name")
@@ -500,7 +510,7 @@
         self.name, self.amount, self.life = name, amount, life
 
 
-class Counted:
+class CounterReply:
     """Event: how a call ended ("ok", "full", "unreachable", or "timeout": perhaps added), and the total."""
 
     __slots__ = ("name", "status", "total")
--- a/mapleshunt/simulation/event_queue.py
+++ b/mapleshunt/simulation/event_queue.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Agenda:
+class EventQueue:
     """A heap of (time in ms, number, call, arguments)."""
 
     __slots__ = ("done", "heap", "now", "number")
--- a/mapleshunt/simulation/experiments.py
+++ b/mapleshunt/simulation/experiments.py
@@ -16,13 +16,13 @@
 
 from joblib import Parallel, delayed
 
-from .day import Scenario, day_of
+from .day import Scenario, draw_day
 from .engine import Engine
-from .score import Score, score
+from .score import Score, score_day
 from .stats import Interval, interval, verdict
 from .variants import Variant, load, with_pairs
 
-FIGURES = (
+METRICS = (
     "service",
     "whole",
     "worst_window",
@@ -33,7 +33,7 @@
     "p50_ms",
     "p99_ms",
 )
-Progress = Callable[[int], None]  # told how many replicas have ended
+ProgressCallback = Callable[[int], None]  # told how many replicas have ended
 
 
 def play(scenario: Scenario, seed: int, variant: Variant | None = None, salt: int = 0) -> Score:
@@ -41,16 +41,16 @@
     begun = time.perf_counter()
     chosen = variant or Variant("here", "here")
     factory, words = load(chosen)
-    day = day_of(chosen.scenario(scenario), seed)
+    day = draw_day(chosen.scenario(scenario), seed)
     engine = Engine(day, lambda settings, drawn, now: factory(settings, drawn ^ salt, now), words)
     engine.run()
-    found = score(engine)
+    found = score_day(engine)
     found.wall_s = time.perf_counter() - begun
     return found
 
 
 @dataclass(slots=True)
-class Replica:
+class SeedResult:
     """A played day, or how its variant failed."""
 
     seed: int
@@ -58,22 +58,22 @@
     error: str = ""
 
 
-def _replica(scenario: Scenario, seed: int, variant: Variant, salt: int) -> Replica:
+def _replica(scenario: Scenario, seed: int, variant: Variant, salt: int) -> SeedResult:
     try:
-        return Replica(seed, play(scenario, seed, variant, salt))
+        return SeedResult(seed, play(scenario, seed, variant, salt))
     except Exception as error:  # a variant's code may raise anything: it is reported, the others go on
         last = traceback.extract_tb(error.__traceback__)[-1]
-        return Replica(seed, error=f"{type(error).__name__}: {error} ({last.name}, line {last.lineno})")
+        return SeedResult(seed, error=f"{type(error).__name__}: {error} ({last.name}, line {last.lineno})")
 
 
-def replicas(
+def run_seeds(
     scenario: Scenario,
     seeds: Sequence[int],
     variant: Variant,
     salt: int = 0,
     jobs: int = -1,
-    progress: Progress | None = None,
-) -> list[Replica]:
+    progress: ProgressCallback | None = None,
+) -> list[SeedResult]:
     """Days over these seeds, in the order of the seeds, on as many cores as joblib is told to use.
 
     A process that dies takes its variant's replicas with it: they are reported as failed.
@@ -87,12 +87,12 @@
                     progress(1)
             return found
     except Exception as error:
-        return [Replica(seed, error=f"its processes ended: {type(error).__name__}") for seed in seeds]
+        return [SeedResult(seed, error=f"its processes ended: {type(error).__name__}") for seed in seeds]
 
 
-def figures_of(found: Score) -> dict[str, float]:
+def metrics_of(found: Score) -> dict[str, float]:
     """A score's figures that an experiment reports, penalties as `penalty.NAME`, breaks as `broken.NAME`."""
-    row = {name: float(getattr(found, name)) for name in FIGURES}
+    row = {name: float(getattr(found, name)) for name in METRICS}
     row |= {f"penalty.{name}": value for name, value in found.penalties.items()}
     return row | {f"broken.{name}": float(count) for name, count in found.rules.items()}
 
@@ -111,15 +111,15 @@
     def as_dict(self) -> dict[str, Any]:
         return {
             "seeds": self.seeds,
-            "a": plain(self.a),
-            "b": plain(self.b),
-            "difference": plain(self.difference),
+            "a": intervals_as_dict(self.a),
+            "b": intervals_as_dict(self.b),
+            "difference": intervals_as_dict(self.difference),
             "verdict": self.verdict,
             "errors": self.errors,
         }
 
 
-def plain(rows: dict[str, Interval]) -> dict[str, Any]:
+def intervals_as_dict(rows: dict[str, Interval]) -> dict[str, Any]:
     """Intervals for JSON."""
     return {name: {k: finite(v) for k, v in one.as_dict().items()} for name, one in rows.items()}
 
@@ -135,16 +135,16 @@
     b: Variant,
     seeds: Sequence[int],
     jobs: int = -1,
-    progress: Progress | None = None,
+    progress: ProgressCallback | None = None,
 ) -> Comparison:
     """Both over the same days. A variant that fails on some days is judged on the days both played."""
-    rows = [replicas(scenario, seeds, one, salt, jobs, progress) for salt, one in ((0, a), (0x5EED, b))]
+    rows = [run_seeds(scenario, seeds, one, salt, jobs, progress) for salt, one in ((0, a), (0x5EED, b))]
     result = Comparison(len(seeds))
     for name, found in zip("ab", rows, strict=True):
         errors = [f"seed {one.seed}: {one.error}" for one in found if one.error]
         if errors:
             result.errors[name] = errors
-        played = [figures_of(one.score) for one in found if one.score is not None]
+        played = [metrics_of(one.score) for one in found if one.score is not None]
         if played:
             means = {key: interval([row[key] for row in played]) for key in played[0]}
             if name == "a":
@@ -152,7 +152,7 @@
             else:
                 result.b = means
     pairs = [
-        (figures_of(one.score), figures_of(other.score))
+        (metrics_of(one.score), metrics_of(other.score))
         for one, other in zip(*rows, strict=True)
         if one.score is not None and other.score is not None
     ]
@@ -174,15 +174,15 @@
     over: dict[str, list[Any]],
     seeds: Sequence[int],
     jobs: int = -1,
-    progress: Progress | None = None,
+    progress: ProgressCallback | None = None,
 ) -> list[SweepPoint]:
     """Each combination of one or two settings' values, over common seeds."""
     points = []
     for values in itertools.product(*over.values()):
         at = dict(zip(over, values, strict=True))
         variant = with_pairs(at, "set:" + ",".join(f"{k}={v}" for k, v in at.items()))
-        found = replicas(scenario, seeds, variant, 0, jobs, progress)
-        played = [figures_of(one.score) for one in found if one.score is not None]
+        found = run_seeds(scenario, seeds, variant, 0, jobs, progress)
+        played = [metrics_of(one.score) for one in found if one.score is not None]
         means = {key: interval([row[key] for row in played]) for key in played[0]} if played else {}
         points.append(SweepPoint(at, means, [f"seed {o.seed}: {o.error}" for o in found if o.error]))
     return points
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -24,11 +24,11 @@
 from ..fleet.clients import Customer
 from ..fleet.clients import Traffic as Asked
 from ..fleet.faults import Fault
-from ..fleet.parameters import ClassShape, Figures, PlanShape
-from ..fleet.random_streams import Streams
+from ..fleet.parameters import ClassParameters, Parameters, PlanParameters
+from ..fleet.random_streams import RandomStreams
 from .day import Day, Scenario
 from .engine import Engine
-from .record import TryRecord
+from .record import ClientAttempt
 from .recorded import Floats, Received, Traffic, received, segments
 
 FORM = 1
@@ -167,17 +167,17 @@
     by: dict[bytes, list[Any]] = {}
     for row in traffic.firsts():
         by.setdefault(row.customer, []).append(row)
-    steps = max(1, math.ceil(traffic.length / clients.STEP))
+    steps = max(1, math.ceil(traffic.length / clients.RATE_STEP_MS))
     found = []
     for name, rows in sorted(by.items()):
         one = rows[-1]
         members = {(one.first + n) % traffic.gateways for n in range(one.spread)}
         seen = len(members & set(traffic.recorded)) or 1
-        at = np.array([(row.at - traffic.begin) / clients.STEP for row in rows]).astype(int)
+        at = np.array([(row.at - traffic.begin) / clients.RATE_STEP_MS for row in rows]).astype(int)
         rate = segments(np.bincount(np.clip(at, 0, steps - 1), minlength=steps).astype(np.int64))
-        rate = rate * 1000 / clients.STEP * len(members) / seen
+        rate = rate * 1000 / clients.RATE_STEP_MS * len(members) / seen
         changes = [0, *(np.flatnonzero(np.diff(rate)) + 1).tolist()]
-        spells = tuple(Spell(n * clients.STEP, float(rate[n])) for n in changes)
+        spells = tuple(Spell(n * clients.RATE_STEP_MS, float(rate[n])) for n in changes)
         found.append(FittedCustomer(name.hex(), one.plan, one.spread, one.first, spells))
     return found
 
@@ -186,24 +186,24 @@
     """The customer's rate at each step of the recording, in requests a second."""
     out = np.zeros(steps)
     for spell in customer.spells:
-        out[int(spell.begin / clients.STEP) :] = spell.rate
+        out[int(spell.begin / clients.RATE_STEP_MS) :] = spell.rate
     return out
 
 
 # From a fit to days
 
 
-def shape(fit: Fit, draw: Mapping[str, float], rng: np.random.Generator) -> Figures:
+def shape(fit: Fit, draw: Mapping[str, float], rng: np.random.Generator) -> Parameters:
     """One world: a draw's figures, and classes whose work is off by their errors."""
     classes = tuple(
-        ClassShape(c.name, c.share, c.work * float(np.exp(rng.normal(0, c.error))), c.cv, 0.0, c.worth)
+        ClassParameters(c.name, c.share, c.work * float(np.exp(rng.normal(0, c.error))), c.cv, 0.0, c.worth)
         for c in fit.classes
     )
     plans = tuple(
-        PlanShape(p.name, p.share, p.rate, p.burst, p.price, p.over_cost, p.spread) for p in fit.plans
+        PlanParameters(p.name, p.share, p.rate, p.burst, p.price, p.over_cost, p.spread) for p in fit.plans
     )
     value = {**draw, "speed": 1.0, "speed_cv": fit.speed_cv, "guess_cv": fit.guess_cv, "unit_ms": fit.unit_ms}
-    return Figures(value, classes, plans)
+    return Parameters(value, classes, plans)
 
 
 class Replay:
@@ -219,12 +219,12 @@
         self.fit, self.scale, self.by, self.aligned = fit, scale, by, aligned
 
     def __call__(
-        self, drawn: Figures, scenario: Scenario, faults: tuple[Fault, ...], streams: Streams
+        self, drawn: Parameters, scenario: Scenario, faults: tuple[Fault, ...], streams: RandomStreams
     ) -> Asked:
         fit, rng = self.fit, streams.of("replay")
-        steps = max(1, math.ceil(fit.length / clients.STEP))
+        steps = max(1, math.ceil(fit.length / clients.RATE_STEP_MS))
         length = 1000 * scenario.seconds
-        wanted = math.ceil(length / clients.STEP)
+        wanted = math.ceil(length / clients.RATE_STEP_MS)
         plans = {plan.name: number for number, plan in enumerate(drawn.plans)}
         copies, factor = (self.scale, 1.0) if self.by == "customers" else (1.0, self.scale)
         per_request = clients.mean_units(drawn)
@@ -246,8 +246,8 @@
                 )
                 profile.append(held)
         table = np.array(profile) if profile else np.zeros((0, wanted))
-        clients.raise_bursts(drawn, who, faults, table)
-        return clients.traffic_of(drawn, scenario.gateways, who, table, length, streams)
+        clients.apply_bursts(drawn, who, faults, table)
+        return clients.draw_traffic_for(drawn, scenario.gateways, who, table, length, streams)
 
 
 def scenario_from(fit: Fit, base: Scenario, scale: float = 1.0, by: str = "customers") -> Scenario:
@@ -262,12 +262,12 @@
 
 def day_from(fit: Fit, scenario: Scenario, seed: int, replay: Replay, draw: int | None = None) -> Day:
     """A day of the fitted fleet: the seed chooses among the draws too, unless one is named."""
-    streams = Streams(seed)
+    streams = RandomStreams(seed)
     rng = streams.of("fitted")
     number = int(rng.integers(len(fit.draws))) if draw is None else draw
     drawn = shape(fit, fit.draws[number], rng)
     drawn = replace(drawn, value={**drawn.value, **scenario.fixed})
-    troubles = world_faults.in_order(scenario.troubles(streams.of("troubles"), scenario))
+    troubles = world_faults.sorted_by_time(scenario.troubles(streams.of("troubles"), scenario))
     asked = replay(drawn, scenario, troubles, streams)
     return Day(scenario, seed, streams, drawn, asked, troubles)
 
@@ -299,7 +299,7 @@
     return summary([(r.final, r.took, r.retry, [a.status for a in r.attempts]) for r in traffic.rows])
 
 
-def of_tries(tries: Sequence[TryRecord]) -> Summary:
+def of_tries(tries: Sequence[ClientAttempt]) -> Summary:
     return summary([
         (str(t.answer or "failed"), t.answered - t.sent, t.number > 1,
          [str(a.status or "out") for a in t.attempts])
@@ -333,8 +333,8 @@
     progress: Callable[[int], None] | None = None,
 ) -> Fit:
     """Fit a world to recordings. `known`: figures that the operator knows. Raises ValueError."""
-    rng = Streams(seed).of("fit")
-    cores = (known or {}).get("cores", figures.SPANS["cores"].low)
+    rng = RandomStreams(seed).of("fit")
+    cores = (known or {}).get("cores", figures.PARAMETER_RANGES["cores"].low)
     got = received(traffic, cores)
     classes, speed_cv = classes_of(traffic, got, worths)
     unit, guess_cv = units_of(traffic, got)
@@ -374,7 +374,7 @@
     )
     values = []
     for _ in range(draws):
-        value = {name: span.draw(rng) for name, span in figures.SPANS.items()}
+        value = {name: span.draw(rng) for name, span in figures.PARAMETER_RANGES.items()}
         values.append({**value, **(known or {})})
     played: list[tuple[dict[str, float], Summary]] = []
     with Parallel(n_jobs=jobs, return_as="generator") as pool:
--- a/mapleshunt/simulation/host.py
+++ b/mapleshunt/simulation/host.py
@@ -9,33 +9,33 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..fleet.backend import Cell, TillServer, Work
-from ..fleet.clients import Habits
-from ..fleet.counter import Counter
-from ..fleet.discovery import Discovery, Entry
+from ..fleet.backend import Backend, BackendRequest, IdempotencyStore
+from ..fleet.clients import ClientBehaviour
+from ..fleet.counter import SharedCounter
+from ..fleet.discovery import Discovery, EndpointEntry
 from ..fleet.faults import Fault
-from ..fleet.network import Intake, Network
-from ..fleet.random_streams import Draws, Rng, lognormal
+from ..fleet.network import MessageRateLimiter, Network
+from ..fleet.random_streams import BufferedDraws, Rng, lognormal
 from ..policy import interface
 from .day import CLASSES, Day
-from .record import AskRecord, Books, Final, TryRecord
-from .rules import Watchman
+from .record import ClientAttempt, ClientResult, QuotaLedger, RequestRecord
+from .rules import RuleChecker
 
-NOISE = 4096  # places of the table of attempt noise
-SLOWEST = 0.3  # speed that no drawn till server is below
+NOISE_TABLE_SIZE = 4096  # places of the table of attempt noise
+MIN_BACKEND_SPEED = 0.3  # speed that no drawn till server is below
 
 
-class Host:
+class FleetHost:
     """A day's world, drawn. Times in ms since the day began; a subclass has the clock and the wire."""
 
     def __init__(self, day: Day, words: Any = interface) -> None:
         f, streams = day.figures, day.streams
         self.day = day
-        self.network, self.counter = Network(f, streams), Counter(f)
+        self.network, self.counter = Network(f, streams), SharedCounter(f)
         self.discovery = Discovery(f, streams.of("discovery"))
         self.settings = day.settings(words)
-        self.habits = Habits(f, self.settings[0].max_retry_after)
-        self.watchman, self.books = Watchman(day, self.settings[0]), Books(day)
+        self.habits = ClientBehaviour(f, self.settings[0].max_retry_after)
+        self.watchman, self.books = RuleChecker(day, self.settings[0]), QuotaLedger(day)
         self.books.passed = self.watchman.ceiling
         self.classes = [shape.name for shape in f.classes]
         self.effects = [CLASSES[name].get("effect", "safe") for name in self.classes]
@@ -43,24 +43,27 @@
         self.window = max(self.deadlines)
         self.handshake = f["handshake_work"]
         noise, spread = streams.of("noise"), [shape.noise for shape in f.classes]
-        self.noise = [lognormal(noise, 1.0, cv, NOISE).tolist() if cv else [1.0] * NOISE for cv in spread]
-        self.asks = [AskRecord(ask) for ask in day.traffic.asks]
+        self.noise = [
+            lognormal(noise, 1.0, cv, NOISE_TABLE_SIZE).tolist() if cv else [1.0] * NOISE_TABLE_SIZE
+            for cv in spread
+        ]
+        self.asks = [RequestRecord(ask) for ask in day.traffic.asks]
         self.refs = 0
         self.seen_down: set[int] = set()  # gateways that the front sends nothing to
         count = day.scenario.gateways
-        self.intakes = [Intake(self.settings[0].mail_per_s) for _ in range(count)]
+        self.intakes = [MessageRateLimiter(self.settings[0].mail_per_s) for _ in range(count)]
         # What the score asks for, besides the records.
         self.message_bytes = self.probes = self.counts = self.events = 0
         self.cpu_ns = self.gateway_ns = 0
-        self.tills: dict[int, TillServer] = {}
-        self.cells: list[Cell] = []
+        self.tills: dict[int, Backend] = {}
+        self.cells: list[IdempotencyStore] = []
         speeds, size = streams.of("speeds"), max(1, round(f["cell_size"]))
         for number in range(day.scenario.servers):
             if number % size == 0:
-                self.cells.append(Cell(self.window))
+                self.cells.append(IdempotencyStore(self.window))
             self._add_till(number, speeds)
         self.next_server = day.scenario.servers
-        self.lists: list[dict[int, Entry]] = [dict(self.discovery.entries) for _ in range(count)]
+        self.lists: list[dict[int, EndpointEntry]] = [dict(self.discovery.entries) for _ in range(count)]
 
     # The subclass's clock and wire
 
@@ -70,11 +73,11 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         raise NotImplementedError
 
-    def _take_in(self, till: TillServer) -> None:
+    def _take_in(self, till: Backend) -> None:
         """A till server is there, and has its number."""
         raise NotImplementedError
 
-    def _told(self, gateway: int, entry: Entry) -> None:
+    def _told(self, gateway: int, entry: EndpointEntry) -> None:
         """News of the list reach a gateway."""
         raise NotImplementedError
 
@@ -98,26 +101,26 @@
 
     # Machines and requests
 
-    def _add_till(self, number: int, speeds: Rng) -> TillServer:
+    def _add_till(self, number: int, speeds: Rng) -> Backend:
         """A till server of the newest cell, its speed drawn."""
         f, rules, cell = self.day.figures, self.day.rules, len(self.cells) - 1
-        speed = max(SLOWEST, f["speed"] * (1 + f["speed_cv"] * float(speeds.standard_normal())))
-        errors = Draws(self.day.streams.of("errors", number).random)
+        speed = max(MIN_BACKEND_SPEED, f["speed"] * (1 + f["speed_cv"] * float(speeds.standard_normal())))
+        errors = BufferedDraws(self.day.streams.of("errors", number).random)
         keys = self.cells[cell]
-        till = TillServer(number, f, speed, cell, keys, errors, rules.tip_after, rules.fall_multiple)
+        till = Backend(number, f, speed, cell, keys, errors, rules.tip_after, rules.fall_multiple)
         self.tills[number] = till
         self._take_in(till)
-        self.discovery.entries[number] = Entry(number, cell)
+        self.discovery.entries[number] = EndpointEntry(number, cell)
         return till
 
-    def work(self, one: TryRecord, number: int, until: float) -> Work:
+    def work(self, one: ClientAttempt, number: int, until: float) -> BackendRequest:
         """An attempt's work at a till server; its gateway waits until then."""
         ask = one.ask
-        amount = ask.work * self.noise[ask.cls][(ask.noise + number) % NOISE]
+        amount = ask.work * self.noise[ask.cls][(ask.noise + number) % NOISE_TABLE_SIZE]
         key = ask if self.effects[ask.cls] == "keyed" else None
-        return Work((one.ref, number), amount, until, key, ask.units, one.gateway)
+        return BackendRequest((one.ref, number), amount, until, key, ask.units, one.gateway)
 
-    def new_try(self, record: AskRecord, number: int) -> TryRecord | None:
+    def new_try(self, record: RequestRecord, number: int) -> ClientAttempt | None:
         """A client's try as the front sends it now; None if no patience is left for it."""
         ask, now = record.ask, self.now()
         deadline = self.deadlines[ask.cls]
@@ -129,11 +132,13 @@
         gateway = self.day.traffic.gateway(ask.customer, now, pick, count, self.seen_down)
         self.refs += 1
         record.tries = number
-        one = TryRecord(self.refs, ask, number, gateway, now, patience)
+        one = ClientAttempt(self.refs, ask, number, gateway, now, patience)
         self.watchman.tries.append(one)
         return one
 
-    def client_told(self, record: AskRecord, one: TryRecord, told: Final, wait: float) -> float | None:
+    def client_told(
+        self, record: RequestRecord, one: ClientAttempt, told: ClientResult, wait: float
+    ) -> float | None:
         """A client has its end of a try: after how long it comes again, if it does."""
         one.known = True
         record.last, record.ended = told, self.now()
@@ -147,11 +152,11 @@
     def _strike(self, fault: Fault) -> None:
         getattr(self, f"_on_{fault.kind}")(fault)
 
-    def _change(self, entry: Entry, silent: bool = False) -> None:
+    def _change(self, entry: EndpointEntry, silent: bool = False) -> None:
         for at, gateway in self.discovery.change(self.now(), entry, len(self.lists), silent):
             self.at(at, self._news, gateway, entry)
 
-    def _news(self, gateway: int, entry: Entry) -> None:
+    def _news(self, gateway: int, entry: EndpointEntry) -> None:
         if entry.state == "gone":
             self.lists[gateway].pop(entry.server, None)
         else:
@@ -160,7 +165,7 @@
 
     def _gone(self, number: int) -> None:
         self._die(number)
-        self._change(Entry(number, self.tills[number].cell, "gone"))
+        self._change(EndpointEntry(number, self.tills[number].cell, "gone"))
 
     def _on_crash(self, fault: Fault) -> None:
         # The list knows whether a process runs: it is told that this one is gone, and then of its start.
@@ -173,9 +178,9 @@
         till = self.tills[number]
         if not till.fallen:
             self._start_again(number)
-            self._change(Entry(number, till.cell, "ready", self.now()))
+            self._change(EndpointEntry(number, till.cell, "ready", self.now()))
 
-    def fell(self, till: TillServer) -> None:
+    def fell(self, till: Backend) -> None:
         """Pushed over while cold: it stays down."""
         self.watchman.pushed_over(till)
         self._gone(till.number)
@@ -183,13 +188,15 @@
     def _on_silent(self, fault: Fault) -> None:
         for number in fault.who:
             self._fall_silent(number)
-            self._change(Entry(number, self.tills[number].cell, "gone"), silent=True)
+            self._change(EndpointEntry(number, self.tills[number].cell, "gone"), silent=True)
             if fault.lasts:
                 self.at(fault.end, self._come_back, number)
 
     def _on_drain(self, fault: Fault) -> None:
         for number in fault.who:
-            self._change(Entry(number, self.tills[number].cell, "draining", self.tills[number].started))
+            self._change(
+                EndpointEntry(number, self.tills[number].cell, "draining", self.tills[number].started)
+            )
             self.at(fault.end + 2 * self.window, self._gone, number)
 
     def _on_add(self, fault: Fault) -> None:
@@ -198,7 +205,7 @@
             till = self._add_till(self.next_server, speeds)
             self.next_server += 1
             till.start(self.now())
-            self._change(Entry(till.number, till.cell, "ready", self.now()))
+            self._change(EndpointEntry(till.number, till.cell, "ready", self.now()))
 
     def _on_restart(self, fault: Fault) -> None:
         for number in fault.who:
--- a/mapleshunt/simulation/maintenance.py
+++ b/mapleshunt/simulation/maintenance.py
@@ -22,7 +22,7 @@
 PASS = 6.0  # s that pass at a time: a grant ends within the second
 
 
-class Broken(Exception):
+class InvariantViolationError(Exception):
     """A rule did not hold; the text tells which."""
 
 
@@ -35,7 +35,7 @@
     view: w.Place | None = None  # what it last read
 
 
-class World:
+class MaintenanceModel:
     def __init__(self, works: type[Works] = Works, holder: type[Holder] = Holder) -> None:
         self.works, self.twin, self.make = works(), works(), holder  # the twin: another gateway's copy
         self.now = 0.0  # s, the log's and, here, everybody's
@@ -54,7 +54,7 @@
             except Refused:
                 done.append(False)
         if done[0] != done[1] or self.works.freeze() != self.twin.freeze():
-            raise Broken("two gateways came to different states from the same log")
+            raise InvariantViolationError("two gateways came to different states from the same log")
         return done[0]
 
     def on_copy(self, number: int, works: Works, operation: w.Operation) -> None:
@@ -138,7 +138,9 @@
             if place.state == "granted" and key not in before:
                 lost = [one.name for one in sights if not one.here and one.name != place.machine]
                 if len(lost) + 1 > BUDGET.most:
-                    raise Broken(f"{place.machine} was granted though {' and '.join(lost)} is lost")
+                    raise InvariantViolationError(
+                        f"{place.machine} was granted though {' and '.join(lost)} is lost"
+                    )
 
     def act(self, name: str, one: Machine) -> None:
         place = one.view
@@ -157,25 +159,25 @@
     def granted(self, name: str) -> None:
         place = self.works.place_of(name)
         if place is None or place.state not in ("granted", "draining", "safe", "recalled"):
-            raise Broken(f"{name} drains without a grant: {place and place.state}")
+            raise InvariantViolationError(f"{name} drains without a grant: {place and place.state}")
         if 1000 * self.now > place.until:
-            raise Broken(f"{name} drains under a grant that has run out")
+            raise InvariantViolationError(f"{name} drains under a grant that has run out")
 
     def check(self) -> None:
         planned = [name for name, one in self.machines.items() if one.drained or one.worked_on]
         if len(planned) > BUDGET.most:
-            raise Broken(f"{' and '.join(planned)} are out by plan, {BUDGET.most} may be")
+            raise InvariantViolationError(f"{' and '.join(planned)} are out by plan, {BUDGET.most} may be")
         for key, count in self.went.items():
             if count > 1 or self.works.places[key].state in ("queued", "granted", "draining", "safe"):
-                raise Broken(f"{key[1]} was out for {key[0]}, and is to go again")
+                raise InvariantViolationError(f"{key[1]} was out for {key[0]}, and is to go again")
         for place in self.works.places.values():
             if place.state == "done" and self.machines[place.machine].worked_on:
-                raise Broken(f"{place.machine} is done while it is worked on")
+                raise InvariantViolationError(f"{place.machine} is done while it is worked on")
             if place.state == "done" and not any(step.state == "out" for step in place.story):
-                raise Broken(f"{place.machine} is done and never was out")
+                raise InvariantViolationError(f"{place.machine} is done and never was out")
         wanted = sum(len(one.machines) for one in REQUESTS[: self.asked])
         if len(self.works.requests) != self.asked or len(self.works.places) != wanted:
-            raise Broken("a request was taken twice, or lost")
+            raise InvariantViolationError("a request was taken twice, or lost")
 
     def key(self) -> bytes:
         """States alike in all that decides what comes; stories and times before now do not."""
@@ -192,19 +194,19 @@
         return repr((places, machines, self.hidden, self.asked, self.went, self.works.failures)).encode()
 
 
-def walk(depth: int, works: type[Works] = Works, holder: type[Holder] = Holder) -> tuple[int, str]:
+def explore(depth: int, works: type[Works] = Works, holder: type[Holder] = Holder) -> tuple[int, str]:
     """All interleavings to that depth: how many states there are, and what broke, with the moves to it."""
-    first = World(works, holder)
+    first = MaintenanceModel(works, holder)
     seen = {first.key()}
-    layer: list[tuple[World, tuple[tuple[str, ...], ...]]] = [(first, ())]
+    layer: list[tuple[MaintenanceModel, tuple[tuple[str, ...], ...]]] = [(first, ())]
     for _ in range(depth):
-        further: list[tuple[World, tuple[tuple[str, ...], ...]]] = []
+        further: list[tuple[MaintenanceModel, tuple[tuple[str, ...], ...]]] = []
         for world, path in layer:
             for move in list(world.moves()):
                 then = copy.deepcopy(world)
                 try:
                     then.move(*move)
-                except Broken as broken:
+                except InvariantViolationError as broken:
                     return len(seen), f"{broken}: {' '.join('.'.join(one) for one in (*path, move))}"
                 if (key := then.key()) not in seen:
                     seen.add(key)
@@ -213,11 +215,11 @@
     return len(seen), ""
 
 
-def stroll(
+def random_walk(
     seed: int, moves: int, works: type[Works] = Works, holder: type[Holder] = Holder
-) -> tuple[World, str]:
+) -> tuple[MaintenanceModel, str]:
     """One long way by chance, then calm: all has to come to its end."""
-    chance, world = random.Random(seed), World(works, holder)
+    chance, world = random.Random(seed), MaintenanceModel(works, holder)
     try:
         for _ in range(moves):
             world.move(*chance.choice(list(world.moves())))
@@ -229,8 +231,10 @@
             if world.asked < len(REQUESTS):
                 world.move("ask")
         if left := world.works.open():
-            raise Broken(f"not done when all was calm: {[(one.machine, one.state) for one in left]}")
-    except Broken as broken:
+            raise InvariantViolationError(
+                f"not done when all was calm: {[(one.machine, one.state) for one in left]}"
+            )
+    except InvariantViolationError as broken:
         return world, str(broken)
     return world, ""
 
--- a/mapleshunt/simulation/policies.py
+++ b/mapleshunt/simulation/policies.py
@@ -12,30 +12,30 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..fleet.quota import Store
+from ..fleet.quota import TokenBucket
 from ..policy import interface as i
-from .engine import Count, Counted
-from .rules import PROVEN
+from .engine import CounterCall, CounterReply
+from .rules import NEVER_RAN
 
-MOST_TRIES = 3
-MARGIN = 8.0  # ms before a request's patience ends at which it is answered
+MAX_ATTEMPTS = 3
+DEADLINE_MARGIN_MS = 8.0  # ms before a request's patience ends at which it is answered
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingRequest:
     request: i.Request
     due: float
     tried: list[int] = field(default_factory=list)
     risky: bool = False  # an attempt may have run
 
 
-class LetAll:
+class AdmitAll:
     """Every request is sent on, to a till server drawn at random."""
 
     def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
         self.set, self.random, self.now = settings, random.Random(seed), now
         self.ready: dict[int, i.ServerEntry] = {}
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, PendingRequest] = {}
         self.actions: list[Any] = []
 
     def start(self) -> list[Any]:
@@ -53,8 +53,8 @@
                     else:
                         self.ready.pop(entry.server, None)
             case i.Request():
-                self.held[event.ref] = Held(event, now + event.patience - MARGIN)
-                self.actions.append(i.SetTimer(now + event.patience - MARGIN, event.ref))
+                self.held[event.ref] = PendingRequest(event, now + event.patience - DEADLINE_MARGIN_MS)
+                self.actions.append(i.SetTimer(now + event.patience - DEADLINE_MARGIN_MS, event.ref))
                 self.admit(event)
             case i.Outcome():
                 self.outcome(event)
@@ -62,14 +62,14 @@
                 self.finish(ref)
             case i.ClientGone(ref):
                 self.held.pop(ref, None)
-            case Counted():
+            case CounterReply():
                 self.counted(event)
         return self.actions
 
     def admit(self, request: i.Request) -> None:
         self.send(request.ref)
 
-    def counted(self, event: Counted) -> None:
+    def counted(self, event: CounterReply) -> None:
         """Only those that call the counter hear of it."""
 
     def send(self, ref: int) -> None:
@@ -89,9 +89,9 @@
         if event.closed:
             del self.held[event.ref]
             return
-        held.risky = held.risky or event.status not in PROVEN
+        held.risky = held.risky or event.status not in NEVER_RAN
         safe = self.set.classes[held.request.cls].effect == "safe"
-        if len(held.tried) < MOST_TRIES and (safe or not held.risky) and self.now < held.due:
+        if len(held.tried) < MAX_ATTEMPTS and (safe or not held.risky) and self.now < held.due:
             self.send(event.ref)
         else:
             self.finish(event.ref)
@@ -105,20 +105,20 @@
             self.actions.append(i.Fail(ref))
 
 
-class EvenSplit(LetAll):
+class EvenSplit(AdmitAll):
     """Each gateway grants a customer its quota over the gateways of the customer's set."""
 
     part = True
 
     def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self.stores: dict[str, Store] = {}
+        self.stores: dict[str, TokenBucket] = {}
 
     def admit(self, request: i.Request) -> None:
         store = self.stores.get(request.customer)
         if store is None:
             plan, parts = self.set.plans[request.plan], request.spread if self.part else 1
-            store = Store(plan.rate / parts, max(plan.burst / parts, self.set.largest))
+            store = TokenBucket(plan.rate / parts, max(plan.burst / parts, self.set.largest))
             store.at, self.stores[request.customer] = self.now, store
         if store.take(self.now, request.units):
             self.send(request.ref)
@@ -132,7 +132,7 @@
     part = False
 
 
-class CountEach(LetAll):
+class CountEach(AdmitAll):
     """A call to the shared counter for each request; let in when there is no answer."""
 
     def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
@@ -144,9 +144,9 @@
         window = 1000 * plan.burst / plan.rate
         name = zlib.crc32(f"{request.customer} {int(self.now // window)}".encode())
         self.calls.setdefault(name, []).append(request.ref)
-        self.actions.append(Count(name, request.units, 2 * window))
+        self.actions.append(CounterCall(name, request.units, 2 * window))
 
-    def counted(self, event: Counted) -> None:
+    def counted(self, event: CounterReply) -> None:
         waiting = self.calls[event.name]
         ref = waiting.pop(0)
         if not waiting:
@@ -160,6 +160,6 @@
             self.finish(ref)
 
 
-POLICIES: dict[str, type[LetAll]] = {
-    "let-all": LetAll, "even-split": EvenSplit, "whole-quota": WholeQuota, "count-each": CountEach,
+POLICIES: dict[str, type[AdmitAll]] = {
+    "let-all": AdmitAll, "even-split": EvenSplit, "whole-quota": WholeQuota, "count-each": CountEach,
 }  # fmt: skip
--- a/mapleshunt/simulation/promises.py
+++ b/mapleshunt/simulation/promises.py
@@ -13,11 +13,11 @@
 
 from ..replicated_state import commands as w
 
-SLACK = 1e-6
+RELATIVE_TOLERANCE = 1e-6
 
 
 @dataclass
-class Event:
+class HistoryEvent:
     """A call by a session's number: an operation, or what was read. `ended` is 0 until it was answered."""
 
     session: str
@@ -28,17 +28,22 @@
     ended: float = 0.0
 
 
-def broken(history: Iterable[Event], final: Mapping[str, Any], burst: float) -> list[str]:
+def find_violations(history: Iterable[HistoryEvent], final: Mapping[str, Any], burst: float) -> list[str]:
     """Every promise that does not hold, in words. `final`: the state of each store and record at the end,
     read when all was calm again; `burst`: of all stores.
     """
     events = list(history)
     found = [f"{e.session} {e.number} was never answered: {e.operation}" for e in events if not e.ended]
-    found += counted(events, final) + leased(events, burst) + recorded(events, final) + ordered(events)
+    found += (
+        check_counts(events, final)
+        + check_leases(events, burst)
+        + check_records(events, final)
+        + check_reads(events)
+    )
     return found
 
 
-def counted(events: list[Event], final: Mapping[str, Any]) -> list[str]:
+def check_counts(events: list[HistoryEvent], final: Mapping[str, Any]) -> list[str]:
     """Use: the sum of what was counted, neither lost nor doubled."""
     sums: dict[str, float] = defaultdict(float)
     for event in events:
@@ -48,18 +53,18 @@
     for customer, sum_ in sums.items():
         state = final.get(f"store {customer}")
         held = state.counted if state is not None else 0.0
-        if abs(held - sum_) > SLACK * max(1.0, sum_):
+        if abs(held - sum_) > RELATIVE_TOLERANCE * max(1.0, sum_):
             found.append(f"use of {customer}: {sum_:g} was acknowledged, {held:g} is held")
     return found
 
 
-def leased(events: list[Event], burst: float) -> list[str]:
+def check_leases(events: list[HistoryEvent], burst: float) -> list[str]:
     """Leases: each number once, and what holders may spend at any moment within the store.
 
     A holder may spend from its answer on, until `term` after it asked, by its own clock, or until it gives
     the lease back; the store counts it for longer.
     """
-    found, seen = [], dict[tuple[str, int], Event]()
+    found, seen = [], dict[tuple[str, int], HistoryEvent]()
     changes: dict[str, list[tuple[float, float]]] = defaultdict(list)
     back = {(e.operation.customer, e.operation.lease): e for e in events if isinstance(e.operation, w.Return)}
     for event in events:
@@ -78,16 +83,16 @@
         held = 0.0
         for when, units in sorted(some, key=lambda one: (one[0], one[1])):
             held += units
-            if held > burst + SLACK:
+            if held > burst + RELATIVE_TOLERANCE:
                 found.append(f"leases of {customer} come to {held:g} at {when:.3f}, of {burst:g}")
                 break
     return found
 
 
-def recorded(events: list[Event], final: Mapping[str, Any]) -> list[str]:
+def check_records(events: list[HistoryEvent], final: Mapping[str, Any]) -> list[str]:
     """Records: each version was set once, and the last one is there."""
     found = []
-    versions: dict[str, dict[float, Event]] = defaultdict(dict)
+    versions: dict[str, dict[float, HistoryEvent]] = defaultdict(dict)
     for event in events:
         if isinstance(event.operation, w.Put) and isinstance(event.result, w.Done):
             known = versions[event.operation.key].setdefault(event.result.value, event)
@@ -100,7 +105,7 @@
     return found
 
 
-def ordered(events: list[Event]) -> list[str]:
+def check_reads(events: list[HistoryEvent]) -> list[str]:
     """Reads of use: at least all acknowledged before they began, at most all begun before they ended."""
     found = []
     for read in events:
@@ -111,6 +116,6 @@
         least = sum(e.operation.units for e in counts if e.ended and e.ended < read.begun)
         most = sum(e.operation.units for e in counts if e.begun < read.ended)
         held = read.result.counted if read.result is not None else 0.0
-        if not least - SLACK * max(1, least) <= held <= most + SLACK * max(1, most):
+        if not least - RELATIVE_TOLERANCE * max(1, least) <= held <= most + RELATIVE_TOLERANCE * max(1, most):
             found.append(f"a read of {customer} says {held:g}, not between {least:g} and {most:g}")
     return found
--- a/mapleshunt/simulation/recorded.py
+++ b/mapleshunt/simulation/recorded.py
@@ -21,7 +21,7 @@
 Received = tuple[list[tuple[Row, int]], Floats]  # (row, server) of served attempts, and the work of each
 
 
-class BadTraffic(ValueError):
+class RecordedTrafficError(ValueError):
     """Recordings that cannot be put together, or hold too little; the text is for the operator."""
 
 
@@ -55,14 +55,16 @@
         sizes.add(one.gateways)
         held.setdefault(one.gateway, []).extend(one.rows)
     if len(sizes) != 1:
-        raise BadTraffic(f"the recordings are of fleets of different sizes: {sorted(sizes)} gateways")
+        raise RecordedTrafficError(
+            f"the recordings are of fleets of different sizes: {sorted(sizes)} gateways"
+        )
     if not any(held.values()):
-        raise BadTraffic("the recordings hold no requests")
+        raise RecordedTrafficError("the recordings hold no requests")
     # Rings of different ages: only the time that all of them cover can be put together.
     begin = max(rows[0].at for rows in held.values() if rows)
     end = min(rows[-1].at for rows in held.values() if rows)
     if end - begin < 1000:
-        raise BadTraffic("the recordings have less than a second in common")
+        raise RecordedTrafficError("the recordings have less than a second in common")
     pairs = sorted(
         ((row, owner) for owner, rows in held.items() for row in rows if begin <= row.at <= end),
         key=lambda pair: pair[0].at,
--- a/mapleshunt/simulation/rules.py
+++ b/mapleshunt/simulation/rules.py
@@ -6,24 +6,26 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..fleet.backend import TillServer, Work
-from ..fleet.discovery import Entry
+from ..fleet.backend import Backend, BackendRequest
+from ..fleet.discovery import EndpointEntry
 from .day import CLASSES, Day
-from .record import AttemptRecord, Final, TryRecord
+from .record import ClientAttempt, ClientResult, UpstreamAttempt
 
-NAMES = ("lost", "doubled", "two_out", "drain", "pushed_over", "ceiling")
-PROVEN = ("full", "unreachable", "unsent")  # outcomes that prove an attempt never ran
+RULE_NAMES = ("lost", "doubled", "two_out", "drain", "pushed_over", "ceiling")
+NEVER_RAN = ("full", "unreachable", "unsent")  # outcomes that prove an attempt never ran
 
 
-class Watchman:
+class RuleChecker:
     """Sees each send, run and answer, and counts the breaks of each rule."""
 
     def __init__(self, day: Day, settings: Any) -> None:
         self.day, self.settings = day, settings
-        self.breaks: Counter[str] = Counter({name: 0 for name in NAMES})
-        self.tries: list[TryRecord] = []
+        self.breaks: Counter[str] = Counter({name: 0 for name in RULE_NAMES})
+        self.tries: list[ClientAttempt] = []
         self.stories: list[str] = []  # the first breaks, in words
-        self.known: dict[int, dict[int, tuple[float, Entry]]] = {}  # what each gateway was told, and when
+        self.known: dict[
+            int, dict[int, tuple[float, EndpointEntry]]
+        ] = {}  # what each gateway was told, and when
         self.runs: set[int] = set()  # requests that had their effect
         self.classes = [CLASSES[shape.name] for shape in day.figures.classes]
 
@@ -34,10 +36,10 @@
 
     # Discovery
 
-    def told_list(self, gateway: int, entries: Iterable[Entry], now: float) -> None:
+    def told_list(self, gateway: int, entries: Iterable[EndpointEntry], now: float) -> None:
         self.known[gateway] = {entry.server: (now, entry) for entry in entries}
 
-    def told(self, gateway: int, entry: Entry, now: float) -> None:
+    def told(self, gateway: int, entry: EndpointEntry, now: float) -> None:
         held = self.known.setdefault(gateway, {})
         before = held.get(entry.server)
         if before is None or before[1].state != entry.state or before[1].started != entry.started:
@@ -49,7 +51,7 @@
 
     # Requests
 
-    def sending(self, one: TryRecord, attempt: AttemptRecord, gateway: int, at: float) -> None:
+    def sending(self, one: ClientAttempt, attempt: UpstreamAttempt, gateway: int, at: float) -> None:
         """An attempt leaves its gateway; `one.attempts` are those before it."""
         held = self.known.get(gateway, {}).get(attempt.server)
         grace = self.day.rules.drain_grace
@@ -63,7 +65,7 @@
             self._break("two_out", f"request {one.ref}")
         cls = self.classes[one.ask.cls]
         effect = cls.get("effect", "safe")
-        risky = [a for a in one.attempts if a.status not in PROVEN]
+        risky = [a for a in one.attempts if a.status not in NEVER_RAN]
         if risky and effect == "unsafe":
             self._break("doubled", f"request {one.ref} of a class that is never repeated was sent again")
         elif risky and effect == "keyed":
@@ -74,7 +76,7 @@
     def sent_after_end(self, ref: int) -> None:
         self._break("lost", f"request {ref} sent after its final answer")
 
-    def ran(self, work: Work) -> None:
+    def ran(self, work: BackendRequest) -> None:
         """An attempt had its effect. Requests that may be repeated have none to double."""
         if work.key is None:
             return
@@ -83,26 +85,26 @@
             self._break("doubled", f"a sale of customer {work.key.customer} closed twice")  # type: ignore[attr-defined]
         self.runs.add(key)
 
-    def answered(self, one: TryRecord, final: Final, at: float) -> None:
+    def answered(self, one: ClientAttempt, final: ClientResult, at: float) -> None:
         cls = self.classes[one.ask.cls]
-        risky = any(a.status not in PROVEN for a in one.attempts)
+        risky = any(a.status not in NEVER_RAN for a in one.attempts)
         if final == "refused" and risky and cls.get("effect", "safe") != "safe":
             self._break("doubled", f"request {one.ref} refused though it may have run")
         if at > one.sent + one.patience + self.day.rules.answer_slack:
             self._break("lost", f"request {one.ref} answered {at - one.sent - one.patience:.0f} ms late")
 
-    def answered_again(self, ref: int, final: Final) -> None:
+    def answered_again(self, ref: int, final: ClientResult) -> None:
         """A second answer is disregarded by the wire; only a second serving would reach a client."""
         if final == "served":
             self._break("lost", f"request {ref} answered twice")
 
-    def lost(self, one: TryRecord) -> None:
+    def lost(self, one: ClientAttempt) -> None:
         self._break("lost", f"request {one.ref} got no answer")
 
-    def ceiling(self, one: TryRecord, below: float) -> None:
+    def ceiling(self, one: ClientAttempt, below: float) -> None:
         self._break("ceiling", f"request {one.ref} passed its customer's ceiling by {below:.1f} units")
 
-    def pushed_over(self, till: TillServer) -> None:
+    def pushed_over(self, till: Backend) -> None:
         if till.fault:
             self._break("pushed_over", f"server {till.number} fell over while cold")
 
--- a/mapleshunt/simulation/scenarios.py
+++ b/mapleshunt/simulation/scenarios.py
@@ -8,7 +8,7 @@
 from .day import Scenario
 
 
-class UnknownScenario(ValueError):
+class UnknownScenarioError(ValueError):
     """No scenario of that name; its text is for the operator."""
 
 
@@ -31,7 +31,7 @@
 
 def _crash(rng: Rng, scenario: Scenario) -> list[Fault]:
     lasts = _scaled(scenario, float(rng.uniform(5400, 23000)))
-    who = faults.some(rng, scenario.servers, float(rng.uniform(0.11, 0.23)))
+    who = faults.sample_machines(rng, scenario.servers, float(rng.uniform(0.11, 0.23)))
     return [Fault(_when(rng, scenario, lasts), "crash", lasts, who)]
 
 
@@ -39,7 +39,9 @@
     within = _scaled(scenario, float(rng.uniform(11000, 28000)))
     part, batch = float(rng.uniform(0.52, 0.87)), float(rng.uniform(0.085, 0.26))
     down = float(rng.uniform(310, 1100))
-    return faults.roll(rng, scenario.gateways, _when(rng, scenario, within), within, part, batch, down)
+    return faults.rolling_restart(
+        rng, scenario.gateways, _when(rng, scenario, within), within, part, batch, down
+    )
 
 
 def _counter(rng: Rng, scenario: Scenario) -> list[Fault]:
@@ -54,7 +56,7 @@
 
 def _cold(rng: Rng, scenario: Scenario) -> list[Fault]:
     """A third more servers are switched on while a few drain."""
-    drained = faults.some(rng, scenario.servers, 0.15)
+    drained = faults.sample_machines(rng, scenario.servers, 0.15)
     begin = 0.2 * 1000 * scenario.seconds
     return [
         Fault(begin, "add", size=max(1, round(scenario.servers / 3))),
@@ -68,7 +70,11 @@
 
 def _silent(rng: Rng, scenario: Scenario) -> list[Fault]:
     lasts = _scaled(scenario, float(rng.uniform(5400, 15000)))
-    return [Fault(_when(rng, scenario, lasts), "silent", lasts, faults.some(rng, scenario.servers, 0.12))]
+    return [
+        Fault(
+            _when(rng, scenario, lasts), "silent", lasts, faults.sample_machines(rng, scenario.servers, 0.12)
+        )
+    ]
 
 
 def _herd(rng: Rng, scenario: Scenario) -> list[Fault]:
@@ -80,14 +86,18 @@
     for n in range(4):
         group, at = tuple(sorted(who[n::8])), begin + n * within / 4
         releases += [Fault(at, "drain", 2000, group), Fault(at + 1000, "add", size=max(1, len(group)))]
-    killed = faults.some(rng, scenario.gateways, 0.7)
+    killed = faults.sample_machines(rng, scenario.gateways, 0.7)
     return [*releases, Fault(begin + within / 3, "restart", float(rng.uniform(310, 1100)), killed)]
 
 
 def _zone(rng: Rng, scenario: Scenario) -> list[Fault]:
     """A third of the till servers, as a zone holds, vanish at once and come back cold together."""
     lasts = _scaled(scenario, float(rng.uniform(5400, 10000)))
-    return [Fault(_when(rng, scenario, lasts), "silent", lasts, faults.some(rng, scenario.servers, 0.33))]
+    return [
+        Fault(
+            _when(rng, scenario, lasts), "silent", lasts, faults.sample_machines(rng, scenario.servers, 0.33)
+        )
+    ]
 
 
 def _join(rng: Rng, scenario: Scenario) -> list[Fault]:
@@ -127,5 +137,5 @@
 def scenario_of(name: str) -> Scenario:
     """Raises `UnknownScenario`."""
     if name not in SCENARIOS:
-        raise UnknownScenario(f"no scenario {name!r}; there are {', '.join(SCENARIOS)}")
+        raise UnknownScenarioError(f"no scenario {name!r}; there are {', '.join(SCENARIOS)}")
     return SCENARIOS[name]
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -7,26 +7,26 @@
 
 import numpy as np
 
-from ..fleet.backend import TillServer
-from ..fleet.quota import Store
+from ..fleet.backend import Backend
+from ..fleet.quota import TokenBucket
 from .day import CLASSES, Day
-from .record import AskRecord
-from .rules import NAMES, Watchman
+from .record import RequestRecord
+from .rules import RULE_NAMES, RuleChecker
 
 WEIGHTS = {"whole": 0.55, "worst_window": 0.2, "worst_plan": 0.25}
-PRICES = {"waste": 0.08, "late_fail": 0.044, "messages": 0.043, "probes": 0.01, "counter": 0.005}
-WINDOW, STEP = 10.0, 1.0  # s
-MESSAGE = 256  # bytes
-LEAST = 0.02  # part of the offered worth that a window must hold to count
+PENALTY_WEIGHTS = {"waste": 0.08, "late_fail": 0.044, "messages": 0.043, "probes": 0.01, "counter": 0.005}
+WINDOW_S, WINDOW_STEP_S = 10.0, 1.0  # s
+MESSAGE_UNIT_BYTES = 256  # bytes
+MIN_WINDOW_SHARE = 0.02  # part of the offered worth that a window must hold to count
 
 
-class Played(Protocol):
+class PlayedDay(Protocol):
     """What a day leaves behind, in the model or on sockets."""
 
     day: Day
-    asks: list[AskRecord]
-    watchman: Watchman
-    tills: dict[int, TillServer]
+    asks: list[RequestRecord]
+    watchman: RuleChecker
+    tills: dict[int, Backend]
     message_bytes: int
     probes: int
     counts: int
@@ -68,15 +68,15 @@
         return asdict(self)
 
 
-def offered(day: Day) -> list[bool]:
+def requests_inside_quota(day: Day) -> list[bool]:
     """Which first tries one gateway that saw them all would let in."""
-    stores: dict[int, Store] = {}
+    stores: dict[int, TokenBucket] = {}
     inside = []
     for ask in day.traffic.asks:
         store = stores.get(ask.customer)
         if store is None:
             plan = day.figures.plans[day.traffic.customers[ask.customer].plan]
-            store = stores[ask.customer] = Store(plan.rate, plan.burst)
+            store = stores[ask.customer] = TokenBucket(plan.rate, plan.burst)
         good = store.take(ask.at, ask.guess)
         if good:
             store.settle(ask.at, ask.units - ask.guess)
@@ -84,7 +84,7 @@
     return inside
 
 
-def worth_of(day: Day) -> list[float]:
+def request_values(day: Day) -> list[float]:
     """Class worth x plan price x true units, for each first try."""
     classes, plans, customers = day.figures.classes, day.figures.plans, day.traffic.customers
     return [
@@ -92,10 +92,10 @@
     ]
 
 
-def score(engine: Played) -> Score:
+def score_day(engine: PlayedDay) -> Score:
     """Judge a day that has been played."""
     day, records, tries = engine.day, engine.asks, engine.watchman.tries
-    inside, worth = offered(day), worth_of(day)
+    inside, worth = requests_inside_quota(day), request_values(day)
     aims = [CLASSES[shape.name]["aim"] for shape in day.figures.classes]
     customers, plans = day.traffic.customers, day.figures.plans
     at = np.array([r.ask.at for r in records]) / 1000 if records else np.zeros(0)
@@ -119,9 +119,13 @@
     everything = np.ones(len(records), dtype=bool)
     plan_of = np.array([customers[r.ask.customer].plan for r in records], dtype=int)
     by_plan = {shape.name: share(plan_of == n) for n, shape in enumerate(plans)}
-    begins = np.arange(0, max(STEP, day.scenario.seconds - WINDOW + STEP / 2), STEP)
-    windows = [(at >= b) & (at < b + WINDOW) for b in begins]
-    windows = [mask for mask in windows if float(asked[mask].sum()) > LEAST * total] or [everything]
+    begins = np.arange(
+        0, max(WINDOW_STEP_S, day.scenario.seconds - WINDOW_S + WINDOW_STEP_S / 2), WINDOW_STEP_S
+    )
+    windows = [(at >= b) & (at < b + WINDOW_S) for b in begins]
+    windows = [mask for mask in windows if float(asked[mask].sum()) > MIN_WINDOW_SHARE * total] or [
+        everything
+    ]
     whole, worst_window = share(everything), min(share(mask) for mask in windows)
     worst_plan = min(by_plan.values())
     service = (
@@ -134,7 +138,7 @@
     useful = sum(a.work.done for t in tries if t.answer == "served" for a in t.attempts if a.status == "ok")
     over = units = over_units = 0.0
     room = refused_room = 0
-    shadows: dict[int, Store] = {}
+    shadows: dict[int, TokenBucket] = {}
     for one in tries:
         if not one.taken:
             continue
@@ -147,18 +151,18 @@
         # A store that takes what was sent on inside the quota says which refused tries had room.
         store = shadows.get(one.ask.customer)
         if store is None:
-            store = shadows[one.ask.customer] = Store(plan.rate, plan.burst)
+            store = shadows[one.ask.customer] = TokenBucket(plan.rate, plan.burst)
         if store.fill(one.sent) >= max(one.ask.guess, store.burst / 2):
             room += 1
             refused_room += one.answer == "refused"
         if one.inside:
             store.take(one.sent, one.ask.units)
     penalties = {
-        "waste": PRICES["waste"] * max(0.0, spent - useful) / offered_work,
-        "late_fail": PRICES["late_fail"] * late / total,
-        "messages": PRICES["messages"] * engine.message_bytes / MESSAGE / first,
-        "probes": PRICES["probes"] * engine.probes / first,
-        "counter": PRICES["counter"] * engine.counts / first,
+        "waste": PENALTY_WEIGHTS["waste"] * max(0.0, spent - useful) / offered_work,
+        "late_fail": PENALTY_WEIGHTS["late_fail"] * late / total,
+        "messages": PENALTY_WEIGHTS["messages"] * engine.message_bytes / MESSAGE_UNIT_BYTES / first,
+        "probes": PENALTY_WEIGHTS["probes"] * engine.probes / first,
+        "counter": PENALTY_WEIGHTS["counter"] * engine.counts / first,
         "over_quota": over / total,
     }
     final = [t.answer for t in tries]
@@ -167,7 +171,7 @@
     return Score(
         scenario=day.scenario.name, seed=day.seed, service=service, whole=whole, worst_window=worst_window,
         worst_plan=worst_plan, g=service - sum(penalties.values()), plans=by_plan, penalties=penalties,
-        rules={name: engine.watchman.breaks[name] for name in NAMES}, requests=len(records), tries=len(tries),
+        rules={name: engine.watchman.breaks[name] for name in RULE_NAMES}, requests=len(records), tries=len(tries),
         served=final.count("served"), refused=final.count("refused"), failed=final.count("failed"),
         over_quota=over_units / units if units else 0.0,
         refused_with_room=refused_room / room if room else 0.0,
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -20,14 +20,14 @@
 from ..fleet import parameters as figures
 from ..policy import interface
 from .day import Scenario
-from .engine import Factory
+from .engine import PolicyFactory
 from .policies import POLICIES
 
 PLAN_PARTS = ("rate", "burst", "ceiling_rate", "ceiling_burst")
 HERE = Path(__file__).parent.parent
 
 
-class BadVariant(ValueError):
+class VariantError(ValueError):
     """A variant that cannot be; its text is for the operator."""
 
 
@@ -55,7 +55,7 @@
     try:
         number = float(text)
     except ValueError:
-        raise BadVariant(f"{text!r} is neither a number nor true or false") from None
+        raise VariantError(f"{text!r} is neither a number nor true or false") from None
     return int(number) if number.is_integer() and "." not in text else number
 
 
@@ -63,7 +63,7 @@
     """`KEY=VALUE`, checked. Raises `BadVariant`."""
     key, equals, value = text.partition("=")
     if not equals or not key:
-        raise BadVariant(f"{text!r} is not KEY=VALUE")
+        raise VariantError(f"{text!r} is not KEY=VALUE")
     check_key(key)
     return key, _value(value)
 
@@ -72,19 +72,19 @@
     """Raises `BadVariant` for a key that sets nothing."""
     known = {one.name for one in fields(interface.Settings)}
     if key.startswith("world."):
-        if key[6:] not in figures.SPANS:
-            raise BadVariant(f"{key!r} is no figure of the world")
+        if key[6:] not in figures.PARAMETER_RANGES:
+            raise VariantError(f"{key!r} is no figure of the world")
     elif key.startswith("plan."):
         parts = key.split(".")
-        if len(parts) != 3 or parts[1] not in figures.PLAN_SPANS or parts[2] not in PLAN_PARTS:
-            raise BadVariant(f"{key!r} is not plan.NAME.PART with PART of {', '.join(PLAN_PARTS)}")
+        if len(parts) != 3 or parts[1] not in figures.PLAN_RANGES or parts[2] not in PLAN_PARTS:
+            raise VariantError(f"{key!r} is not plan.NAME.PART with PART of {', '.join(PLAN_PARTS)}")
     elif key.isupper():
         from ..policy import gateway as control
 
         if not isinstance(getattr(control, key, None), (int, float)):
-            raise BadVariant(f"{key!r} is no figure of the decision module")
+            raise VariantError(f"{key!r} is no figure of the decision module")
     elif key not in known or key in ("me", "instances", "classes", "plans"):
-        raise BadVariant(f"{key!r} is no setting")
+        raise VariantError(f"{key!r} is no setting")
 
 
 def with_pairs(pairs: Mapping[str, Any], text: str) -> Variant:
@@ -104,15 +104,15 @@
         return Variant(text, "here")
     if kind == "policy" and colon:
         if rest not in POLICIES:
-            raise BadVariant(f"no policy {rest!r}; there are {', '.join(POLICIES)}")
+            raise VariantError(f"no policy {rest!r}; there are {', '.join(POLICIES)}")
         return Variant(text, "policy", rest)
     if kind == "path" and colon:
         if not (Path(rest) / "mapleshunt" / "policy" / "gateway.py").is_file():
-            raise BadVariant(f"{rest!r} holds no checkout with mapleshunt/policy/gateway.py")
+            raise VariantError(f"{rest!r} holds no checkout with mapleshunt/policy/gateway.py")
         return Variant(text, "path", str(Path(rest).resolve()))
     if kind == "set" and colon and rest:
         return with_pairs(dict(pair(one) for one in rest.split(",")), text)
-    raise BadVariant(f"{text!r} is none of here, path:DIR, policy:NAME, set:KEY=VALUE,...")
+    raise VariantError(f"{text!r} is none of here, path:DIR, policy:NAME, set:KEY=VALUE,...")
 
 
 def _package(folder: Path, alias: str) -> ModuleType:
@@ -123,7 +123,7 @@
         alias, folder / "__init__.py", submodule_search_locations=[str(folder)]
     )
     if spec is None or spec.loader is None:
-        raise BadVariant(f"{str(folder)!r} cannot be loaded")
+        raise VariantError(f"{str(folder)!r} cannot be loaded")
     module = importlib.util.module_from_spec(spec)
     sys.modules[alias] = module
     try:
@@ -134,7 +134,7 @@
     return module
 
 
-def load(variant: Variant) -> tuple[Factory, Any]:
+def load(variant: Variant) -> tuple[PolicyFactory, Any]:
     """The factory of its gateways, and the types that they speak."""
     if variant.kind == "policy":
         return POLICIES[variant.name], interface
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -11,10 +11,10 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import add_accept_handler
 
-from ..fleet.backend import TillServer, Work
+from ..fleet.backend import Backend, BackendRequest
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import ReadBuffer, TooLong
-from ..simulation.record import AttemptRecord, TryRecord
+from ..simulation.record import ClientAttempt, UpstreamAttempt
 
 if TYPE_CHECKING:
     from .fleet import Fleet
@@ -26,8 +26,8 @@
 class Out:
     """An attempt that is out, on the connection it came by."""
 
-    one: TryRecord
-    attempt: AttemptRecord
+    one: ClientAttempt
+    attempt: UpstreamAttempt
     stream: IOStream
     done: asyncio.Future[str] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
@@ -35,7 +35,7 @@
 class Till:
     """One till server. Its address stays the same when its process comes back."""
 
-    def __init__(self, machine: TillServer, fleet: Fleet) -> None:
+    def __init__(self, machine: Backend, fleet: Fleet) -> None:
         self.machine, self.fleet = machine, fleet
         self.listener = bound(0)
         self.port: int = self.listener.getsockname()[1]
@@ -43,7 +43,7 @@
         self.listening: Callable[[], None] | None = None
         self.listen()
         self.streams: set[IOStream] = set()
-        self.held: dict[Work, Out] = {}
+        self.held: dict[BackendRequest, Out] = {}
         self.alarm: asyncio.TimerHandle | None = None
         self.alarm_at = float("inf")
 
@@ -147,7 +147,7 @@
             if gone(earlier.stream):  # it has ended before this one came, though its end is not yet read
                 fleet.give_up(earlier)
         work = fleet.work(one, len(one.attempts), one.sent + one.patience)
-        attempt = AttemptRecord(self.machine.number, self.machine.cell, now, work, now)
+        attempt = UpstreamAttempt(self.machine.number, self.machine.cell, now, work, now)
         fleet.watchman.sending(one, attempt, one.gateway, fleet.sent_at(now))
         one.attempts.append(attempt)
         fleet.books.arrived(one, now)
@@ -182,7 +182,7 @@
             fleet.books.settled(one, clock.now())
             await self._answer(stream, out, self._good_answer(one, bytes(words[2])))
 
-    def _good_answer(self, one: TryRecord, name: bytes) -> bytes:
+    def _good_answer(self, one: ClientAttempt, name: bytes) -> bytes:
         report = self.machine.report(self.fleet.clock.now())
         load = f"qps={report.qps:.0f},latency_ms={report.latency:.0f},inflight={report.inflight:.0f}"
         value = b"%s by %d" % (name, self.machine.number)
@@ -195,7 +195,7 @@
 
     # The machine's time
 
-    def _ended(self, works: list[Work]) -> None:
+    def _ended(self, works: list[BackendRequest]) -> None:
         for work in works:
             if work.effect:
                 self.fleet.watchman.ran(work)
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -10,8 +10,8 @@
 
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import ReadBuffer, TooLong
-from ..simulation.day import Rules
-from ..simulation.record import AskRecord, Final, TryRecord
+from ..simulation.day import RuleLimits
+from ..simulation.record import ClientAttempt, ClientResult, RequestRecord
 from .backends import HOST
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.wrong_values = self.strange = 0
 
-    def _go(self, record: AskRecord, number: int) -> None:
+    def _go(self, record: RequestRecord, number: int) -> None:
         task = asyncio.get_running_loop().create_task(self._try(record, number))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -93,7 +93,7 @@
             link.stream.close()
         self.idle[gateway] = []
 
-    async def _try(self, record: AskRecord, number: int) -> None:
+    async def _try(self, record: RequestRecord, number: int) -> None:
         fleet, clock = self.fleet, self.fleet.clock
         one = fleet.new_try(record, number)
         if one is None:
@@ -108,7 +108,7 @@
             self.tasks.add(task := asyncio.get_running_loop().create_task(asyncio.sleep((pause + 5) / 1000)))
             task.add_done_callback(self.tasks.discard)
 
-    async def _send(self, one: TryRecord, name: str) -> tuple[Final, float]:
+    async def _send(self, one: ClientAttempt, name: str) -> tuple[ClientResult, float]:
         """Send a try and wait for its end as its client sees it, and the advised wait.
 
         By the protocol its patience counts from the sending: for how long the connection came up is nothing
@@ -116,7 +116,7 @@
         that stands still for some ms is no gateway that does not answer; such an answer earns nothing.
         """
         fleet = self.fleet
-        command, longer = fleet.command(one, name), fleet.day.rules.answer_slack - Rules().answer_slack
+        command, longer = fleet.command(one, name), fleet.day.rules.answer_slack - RuleLimits().answer_slack
         for last in (False, True):
             link = self._link(one.gateway)
             try:
@@ -153,7 +153,7 @@
             return (told, wait) if one.answered - one.sent <= one.patience else ("late", 0.0)
         return "failed", 0.0
 
-    def _read(self, one: TryRecord, name: str, reply: resp.Reply) -> tuple[Final, float]:
+    def _read(self, one: ClientAttempt, name: str, reply: resp.Reply) -> tuple[ClientResult, float]:
         fleet, now = self.fleet, self.fleet.clock.now()
         one.answered = now
         if isinstance(reply, memoryview):
--- a/mapleshunt/testbed/faults.py
+++ b/mapleshunt/testbed/faults.py
@@ -26,7 +26,7 @@
 
 from ..platform_terms import wire_of
 from ..policy import interface as i
-from ..simulation.promises import Event, broken
+from ..simulation.promises import HistoryEvent, find_violations
 from . import faulty
 from .backends import HOST
 from .gateways import GatewayFailed, free_port, launch
@@ -195,7 +195,7 @@
         self.machines: dict[str, Machine] = {}
         for number in range(gateways):
             self.machines[f"g{number}"] = Machine(self, f"g{number}")
-        self.history: list[Event] = []
+        self.history: list[HistoryEvent] = []
         self.report = Report(seed, gateways)
         self.origin = time.monotonic()
         self.further = ""  # sections of the operators' file besides
@@ -389,7 +389,7 @@
                 await self.more(20, CALM)
             self.over = True
             await asyncio.wait_for(asyncio.gather(*tasks), CALM)
-            self.report.broken = broken(self.history, await final_state(some[0], CALM), BURST)
+            self.report.broken = find_violations(self.history, await final_state(some[0], CALM), BURST)
         except (GatewayFailed, TimeoutError) as error:
             stuck = [f"{e.session} {e.number}" for e in self.history if not e.ended][:3]
             self.report.broken.append(f"not mended in time: {error!r} {stuck}")
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -11,27 +11,27 @@
 from pathlib import Path
 from typing import Any
 
-from ..fleet.backend import TillServer
-from ..fleet.discovery import Entry
+from ..fleet.backend import Backend
+from ..fleet.discovery import EndpointEntry
 from ..fleet.faults import Fault
 from ..net.protocol import resp
 from ..platform_terms import wire_of
-from ..simulation.day import Day, Rules
-from ..simulation.host import Host
-from ..simulation.record import AskRecord, TryRecord
-from ..simulation.score import Score, score
+from ..simulation.day import Day, RuleLimits
+from ..simulation.host import FleetHost
+from ..simulation.record import ClientAttempt, RequestRecord
+from ..simulation.score import Score, score_day
 from .backends import HOST, Out, Till
 from .clients import Clients
 from .clock import Clock
 from .gateways import GatewayFailed, GatewayProcess
 from .services import Agent, CounterServer, Paths
 
-SOCKET_RULES = Rules(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
+SOCKET_RULES = RuleLimits(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
 LOOK = 0.5  # s between looks at the gateways' CPU and memory
 HERE = Path(__file__).parent.parent.parent
 
 
-class Fleet(Host):
+class Fleet(FleetHost):
     """One run. `program` is the checkout whose gateways run; `env` is added to theirs."""
 
     backend_class: type[Till] = Till
@@ -49,9 +49,9 @@
         self.tills_on: dict[int, Till] = {}
         super().__init__(day)
         self.zone = self.settings[0].zone
-        self.by_id: dict[str, tuple[TryRecord, AskRecord]] = {}
+        self.by_id: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
         self.out: dict[int, list[Out]] = {}
-        self.late: list[TryRecord] = []
+        self.late: list[ClientAttempt] = []
         self.mark = day.streams.integer("ids") >> 8 << 8
         self.strangers = self.too_long = 0
         self.down: set[int] = set()
@@ -79,7 +79,7 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         self.clock.at(when, call, *arguments)
 
-    def _take_in(self, till: TillServer) -> None:
+    def _take_in(self, till: Backend) -> None:
         self.tills_on[till.number] = self.backend_class(till, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
@@ -127,7 +127,7 @@
         self.events = sum(len(one.attempts) + 1 for one in self.watchman.tries)
         if self.ended_by_themselves:
             raise GatewayFailed(f"gateways {self.ended_by_themselves} ended by themselves; see {self.folder}")
-        found = score(self)
+        found = score_day(self)
         found.wall_s = time.perf_counter() - wall
         return found
 
@@ -175,7 +175,7 @@
 
     # What the parts ask
 
-    def command(self, one: TryRecord, name: str) -> bytes:
+    def command(self, one: ClientAttempt, name: str) -> bytes:
         ask = one.ask
         who = self.day.traffic.customers[ask.customer]
         pairs = (
@@ -206,7 +206,7 @@
 
     # Faults
 
-    def _told(self, gateway: int, entry: Entry) -> None:
+    def _told(self, gateway: int, entry: EndpointEntry) -> None:
         self.agents[gateway].change(entry)
 
     def _die(self, number: int) -> None:
--- a/mapleshunt/testbed/record.py
+++ b/mapleshunt/testbed/record.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from ..simulation.day import Scenario, day_of
+from ..simulation.day import Scenario, draw_day
 from ..simulation.score import Score
 from .fleet import play
 
@@ -18,4 +18,4 @@
             chosen = Path(place) / "operators.sexp"
             chosen.write_text(f'(record (file "{folder}/{{name}}.rec") (size-mb 64) (salt "rig"))')
             env["PROXY_OPERATORS"] = str(chosen)
-        return play(day_of(scenario, seed), Path(place), env=env)[1]
+        return play(draw_day(scenario, seed), Path(place), env=env)[1]
--- a/mapleshunt/testbed/services.py
+++ b/mapleshunt/testbed/services.py
@@ -14,7 +14,7 @@
 from tornado.tcpserver import TCPServer
 from tornado.web import Application, RequestHandler
 
-from ..fleet.discovery import Entry
+from ..fleet.discovery import EndpointEntry
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import ReadBuffer, TooLong
 from ..platform_terms import STATES
@@ -32,7 +32,7 @@
 
     def __init__(self, fleet: Fleet, gateway: int) -> None:
         self.fleet, self.gateway = fleet, gateway
-        self.changes: list[Entry] = []  # by revision, from 1
+        self.changes: list[EndpointEntry] = []  # by revision, from 1
         self.news = asyncio.Event()
         (listener,) = bind_sockets(0, HOST)
         self.port: int = listener.getsockname()[1]
@@ -45,7 +45,7 @@
     def revision(self) -> int:
         return len(self.changes)
 
-    def change(self, entry: Entry) -> None:
+    def change(self, entry: EndpointEntry) -> None:
         self.changes.append(entry)
         self.news.set()
         self.news = asyncio.Event()
@@ -59,12 +59,12 @@
             "members": [self.row(e) for e in entries],
         }
 
-    def _told(self, entries: list[Entry]) -> None:
+    def _told(self, entries: list[EndpointEntry]) -> None:
         """These are being written to the gateway."""
         for entry in entries:
             self.fleet.watchman.told(self.gateway, entry, self.fleet.clock.now())
 
-    def row(self, entry: Entry) -> dict[str, Any]:
+    def row(self, entry: EndpointEntry) -> dict[str, Any]:
         started = round(self.fleet.clock.unix + entry.started) if entry.started else 0
         return {
             "id": f"s-{entry.server:08x}",
--- a/mapleshunt/testbed/soak.py
+++ b/mapleshunt/testbed/soak.py
@@ -20,9 +20,9 @@
 from pathlib import Path
 from typing import Any, cast
 
-from ..fleet.discovery import Entry
-from ..simulation.day import Day, Rules, Scenario, day_of
-from ..simulation.record import TryRecord
+from ..fleet.discovery import EndpointEntry
+from ..simulation.day import Day, RuleLimits, Scenario, draw_day
+from ..simulation.record import ClientAttempt
 from . import soak_faults as soak_troubles
 from .backends import HOST
 from .fleet import HERE
@@ -38,7 +38,7 @@
 from .soak_report import SoakReport
 from .syscall_faults import FaultControl, FaultRates, build
 
-SOAK_RULES = Rules(answer_slack=LATEST_MS + 8.0, drain_grace=550.0)
+SOAK_RULES = RuleLimits(answer_slack=LATEST_MS + 8.0, drain_grace=550.0)
 TOLD_MS = 6000.0  # after discovery has a change and can be reached, at which it counts as told
 MOVED_MS = 4000.0  # after a new configuration, at which what the new agent has counts as told
 CALM_S = 4.0  # of traffic without trouble at the end
@@ -129,7 +129,7 @@
                 return True
         return False
 
-    def unanswered(self, one: TryRecord, what: str) -> None:
+    def unanswered(self, one: ClientAttempt, what: str) -> None:
         """A request that was taken has no answer."""
         if self.killed_since(one.gateway, one.sent) or self.absent(one.gateway, one.sent):
             return
@@ -145,7 +145,7 @@
 
     # Discovery
 
-    def _told(self, gateway: int, entry: Entry) -> None:
+    def _told(self, gateway: int, entry: EndpointEntry) -> None:
         for agent in (cast(SoakAgent, self.agents[gateway]), self.spare[gateway]):
             agent.change(entry)
         if entry.state == "ready":
@@ -153,7 +153,7 @@
         else:
             self._count_as_told(gateway, entry, self.now())
 
-    def _count_as_told(self, gateway: int, entry: Entry, since: float) -> None:
+    def _count_as_told(self, gateway: int, entry: EndpointEntry, since: float) -> None:
         """What the agent has counts at once, whether or not a watch is open or its answer arrives.
 
         What it gets while it is down counts at its return, what it has while it is slow or refuses calls 6 s
@@ -276,7 +276,7 @@
     gc.collect()
     gc.disable()  # a collection holds up all that this process plays, and what it keeps is needed to the end
     try:
-        day = day_of(scenario(gateways, backends, rate, seconds), seed)
+        day = draw_day(scenario(gateways, backends, rate, seconds), seed)
         troubles = soak_troubles.schedule(seed, seconds - CALM_S, gateways, backends, replicas, only)
         fleet = SoakFleet(replace(day, rules=SOAK_RULES), folder, troubles, program, replicas)
         report = await fleet.soak()
--- a/mapleshunt/testbed/soak_agent.py
+++ b/mapleshunt/testbed/soak_agent.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..fleet.discovery import Entry
+from ..fleet.discovery import EndpointEntry
 from .fleet import Fleet
 from .proxy import FaultProxy
 from .services import Agent
@@ -22,7 +22,7 @@
     def revision(self) -> int:
         return self.base + len(self.changes)
 
-    def _told(self, entries: list[Entry]) -> None:
+    def _told(self, entries: list[EndpointEntry]) -> None:
         """The fleet says when changes count as told, whatever becomes of answers on their way."""
 
     def body(self, since: int | None) -> dict[str, Any]:
--- a/mapleshunt/testbed/soak_backends.py
+++ b/mapleshunt/testbed/soak_backends.py
@@ -10,7 +10,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..fleet.backend import TillServer
+from ..fleet.backend import Backend
 from ..net.protocol import resp
 from .backends import HOST, Out, Till
 from .proxy import RESET_ON_CLOSE
@@ -39,7 +39,7 @@
 class SoakBackend(Till):
     """A backend that misbehaves as it is told, and that judges what comes by the deadlines of clients."""
 
-    def __init__(self, machine: TillServer, fleet: SoakFleet) -> None:
+    def __init__(self, machine: Backend, fleet: SoakFleet) -> None:
         self.misbehaviour = Misbehaviour()
         self.random = random.Random(f"{fleet.day.seed} backend {machine.number}")
         self.fillers: list[socket.socket] = []  # connections that fill the backlog
--- a/mapleshunt/testbed/soak_clients.py
+++ b/mapleshunt/testbed/soak_clients.py
@@ -15,7 +15,7 @@
 
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import TooLong
-from ..simulation.record import Final, TryRecord
+from ..simulation.record import ClientAttempt, ClientResult
 from .backends import HOST
 from .clients import Clients, Link
 from .soak_backends import MAX_LAG_S
@@ -65,7 +65,7 @@
         there = [one for one in self.soak.leaving if self.idle[one]]
         return self.random.choice(there) if there and self.random.random() < TO_LEAVING else None
 
-    async def _send(self, one: TryRecord, name: str) -> tuple[Final, float]:
+    async def _send(self, one: ClientAttempt, name: str) -> tuple[ClientResult, float]:
         leaving = self._leaving()
         if leaving is not None:
             one.gateway = leaving
@@ -116,7 +116,7 @@
             return (told, wait) if one.answered - one.sent <= one.patience else ("late", 0.0)
         return "failed", 0.0
 
-    async def _exchange(self, link: Link, one: TryRecord, name: str, habit: Habit) -> resp.Reply | None:
+    async def _exchange(self, link: Link, one: ClientAttempt, name: str, habit: Habit) -> resp.Reply | None:
         """The answer; None if the client left before it came."""
         command = self.fleet.command(one, name)
         if habit == "pieces":
@@ -141,7 +141,7 @@
             await asyncio.sleep(self.random.uniform(0.0, MAX_PIECE_PAUSE_S))
         return command
 
-    async def _leave(self, link: Link, one: TryRecord, command: bytes) -> resp.Reply | None:
+    async def _leave(self, link: Link, one: ClientAttempt, command: bytes) -> resp.Reply | None:
         try:
             async with asyncio.timeout(self.random.uniform(0.0, one.patience / 2000)):
                 return await link.ask(command)
--- a/mapleshunt/testbed/soak_copies.py
+++ b/mapleshunt/testbed/soak_copies.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ..simulation.promises import Event, broken
+from ..simulation.promises import HistoryEvent, find_violations
 from .backends import HOST
 from .gateways import free_port
 from .proxy import FaultProxy
@@ -34,7 +34,7 @@
     def __init__(self, folder: Path, count: int, seed: int) -> None:
         self.folder, self.names = folder, [f"n{number}" for number in range(count)]
         self.random = random.Random(f"{seed} copies")
-        self.histories: dict[int, list[Event]] = {}  # by group
+        self.histories: dict[int, list[HistoryEvent]] = {}  # by group
         self.callers: list[Caller] = []
         self.calls: list[asyncio.Task[None]] = []
         self.over = False
@@ -97,7 +97,7 @@
             found: list[str] = []
             for group, history in self.histories.items():
                 final = await final_state(self.callers[CALLERS * group], CALM_S)
-                found += [f"group {group}: {one}" for one in broken(history, final, BURST)]
+                found += [f"group {group}: {one}" for one in find_violations(history, final, BURST)]
             return found
         except TimeoutError:
             events = [one for history in self.histories.values() for one in history]
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -4,22 +4,22 @@
 
 from collections import Counter
 
-from ..fleet.quota import Store
-from ..simulation.record import TryRecord
+from ..fleet.quota import TokenBucket
+from ..simulation.record import ClientAttempt
 from .fleet import Fleet
 
 NO_ANSWER = "no answer"
 UNREACHABLE = "no gateway"
 
 
-def final(one: TryRecord) -> str:
+def final(one: ClientAttempt) -> str:
     """served, refused, failed; or why there was no answer."""
     if one.answer is not None:
         return str(one.answer)
     return NO_ANSWER if one.taken else UNREACHABLE
 
 
-def why(one: TryRecord, room: bool) -> str:
+def why(one: ClientAttempt, room: bool) -> str:
     """The reason for a try's end, as far as it shows on the wire."""
     last = one.attempts[-1].status if one.attempts else None
     if one.answer == "served":
@@ -38,11 +38,11 @@
 def reasons(fleet: Fleet) -> dict[str, Counter[str]]:
     """Counts of tries by final answer and reason."""
     found: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
-    stores: dict[int, Store] = {}
+    stores: dict[int, TokenBucket] = {}
     plans, customers = fleet.day.figures.plans, fleet.day.traffic.customers
     for one in fleet.watchman.tries:
         plan = plans[customers[one.ask.customer].plan]
-        store = stores.setdefault(one.ask.customer, Store(plan.rate, plan.burst))
+        store = stores.setdefault(one.ask.customer, TokenBucket(plan.rate, plan.burst))
         room = store.fill(one.sent) >= one.ask.guess
         found.setdefault(final(one), Counter())[why(one, room)] += 1
         if one.inside:
--- a/mapleshunt/testbed/workload_clients.py
+++ b/mapleshunt/testbed/workload_clients.py
@@ -13,7 +13,7 @@
 from ..replicated_state import commands as words
 from ..replicated_state.state_machine import Record, StoreState
 from ..replication import wire
-from ..simulation.promises import Event
+from ..simulation.promises import HistoryEvent
 
 Address = tuple[str, int]
 
@@ -83,7 +83,7 @@
 
     def __init__(
         self, name: str, gateways: Mapping[str, Address], fleet: str, group: int,
-        history: list[Event], now: Callable[[], float], chance: random.Random,
+        history: list[HistoryEvent], now: Callable[[], float], chance: random.Random,
     ) -> None:  # fmt: skip
         self.name, self.gateways, self.fleet, self.group = name, gateways, fleet, group
         self.history, self.now, self.chance = history, now, chance
@@ -133,7 +133,7 @@
         mine = self.number
         command = words.Command(self.name, mine, mine, operation)
         data = words.ENCODE(command)
-        event = Event(self.name, mine, operation, self.now())
+        event = HistoryEvent(self.name, mine, operation, self.now())
         self.history.append(event)
         result = words.RESULT(await self._until(lambda n: wire.Call(n, self.group, data)))
         event.result, event.ended = result, self.now()
@@ -142,7 +142,7 @@
     async def read(self, kind: str, name: str, type: Any = None) -> Any:
         """What the group's leader holds, of that type; a store or a record, or None, if none is named."""
         self.number += 1
-        event = Event(self.name, self.number, f"{kind} {name}", self.now())
+        event = HistoryEvent(self.name, self.number, f"{kind} {name}", self.now())
         self.history.append(event)
         data = await self._until(lambda n: wire.Call(n, self.group, read=f"{kind} {name}"))
         found = msgspec.msgpack.decode(data, type=type or (StoreState if kind == "store" else Record) | None)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,7 +6,7 @@
 
 from mapleshunt.replication import messages as m
 from mapleshunt.replication.node import Node, Timing
-from mapleshunt.simulation.copies import Group
+from mapleshunt.simulation.copies import ReplicaGroupPlay
 from mapleshunt.simulation.copies_faults import NODES, play
 
 # With the seed of the first play that finds each, of those that `benchmarks/copies_seeds.py` told.
@@ -31,7 +31,7 @@
 def test_plays_meet_what_they_are_for() -> None:
     groups = []
     for seed in range(12):
-        groups.append(Group(seed, copies=3 + 2 * (seed % 2)))
+        groups.append(ReplicaGroupPlay(seed, copies=3 + 2 * (seed % 2)))
         groups[-1].play()
     assert sum(one.told for one in groups) > 200 and sum(one.elections for one in groups) > 20
     assert sum(one.installs for one in groups) > 5 and sum(one.reads for one in groups) > 100
@@ -40,7 +40,7 @@
 
 def test_the_same_seed_plays_the_same() -> None:
     def story(seed: int) -> tuple[int, int, int, int, float]:
-        group = Group(seed)
+        group = ReplicaGroupPlay(seed)
         group.play()
         return group.told, group.reads, group.elections, group.count, group.now
 
--- a/tests/test_copies_fleet.py
+++ b/tests/test_copies_fleet.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from mapleshunt.simulation.copies_fleet import CopiesEngine, scenario
-from mapleshunt.simulation.day import day_of
-from mapleshunt.simulation.score import Score, score
+from mapleshunt.simulation.copies_fleet import ReplicatedFleetEngine, replication_scenario
+from mapleshunt.simulation.day import draw_day
+from mapleshunt.simulation.score import Score, score_day
 
 
-def play(what: str, leased: bool = True) -> tuple[CopiesEngine, Score]:
-    engine = CopiesEngine(day_of(scenario(what, 6, 12.0), 3), leased)
+def play(what: str, leased: bool = True) -> tuple[ReplicatedFleetEngine, Score]:
+    engine = ReplicatedFleetEngine(draw_day(replication_scenario(what, 6, 12.0), 3), leased)
     engine.run()
-    return engine, score(engine)
+    return engine, score_day(engine)
 
 
 @pytest.mark.parametrize("what", ["restart", "lost", "cut3"])
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -17,15 +17,15 @@
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.file_format import Attempt, Row
 from mapleshunt.simulation import fit, recorded
-from mapleshunt.simulation.check import compare
-from mapleshunt.simulation.day import Day, Scenario, day_of, sized
+from mapleshunt.simulation.check import compare_with_prediction
+from mapleshunt.simulation.day import Day, Scenario, draw_day, resized
 from mapleshunt.simulation.engine import Engine
 from mapleshunt.simulation.experiments import play
 from mapleshunt.simulation.scenarios import SCENARIOS
-from mapleshunt.simulation.score import score
+from mapleshunt.simulation.score import score_day
 
 ROOT = Path(__file__).parent.parent
-BASE = replace(sized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
+BASE = replace(resized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
 
 
 def rows_of(engine: Engine) -> list[tuple[Row, int]]:
@@ -47,7 +47,7 @@
 
 @pytest.fixture(scope="module")
 def day() -> Day:
-    return day_of(BASE, 1)
+    return draw_day(BASE, 1)
 
 
 @pytest.fixture(scope="module")
@@ -146,10 +146,10 @@
     good = write(rows, tmp_path, 3, (0,))
     (tmp_path / "b").mkdir()
     other = write(rows, tmp_path / "b", 2, (1,))
-    with pytest.raises(recorded.BadTraffic, match="different sizes"):
+    with pytest.raises(recorded.RecordedTrafficError, match="different sizes"):
         recorded.together(good + other)
     (tmp_path / "c").mkdir()
-    with pytest.raises(recorded.BadTraffic, match="no requests"):
+    with pytest.raises(recorded.RecordedTrafficError, match="no requests"):
         recorded.together(write([], tmp_path / "c", 3, (0,)))
     few = recorded.together(good)
     few.rows = few.rows[:50]
@@ -174,9 +174,9 @@
 def test_a_fitted_fleet_foretells_another_day_of_the_same_installation(fitted: fit.Fit) -> None:
     told = fit.scenario_from(fitted, BASE)
     model = [play(told, 100 + seed) for seed in range(19)]
-    engine = Engine(day_of(BASE, 2), Gateway)
+    engine = Engine(draw_day(BASE, 2), Gateway)
     engine.run()
-    lines = compare("quiet", 2, model, score(engine))
+    lines = compare_with_prediction("quiet", 2, model, score_day(engine))
     assert {line.figure for line in lines} == {"service", "waste", "late_fail", "messages", "over_quota"}
     service = lines[0]
     assert service.low < service.mean < service.high
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -13,7 +13,7 @@
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.state_machine import MOST_OPEN, Holdings
 from mapleshunt.simulation.copies_promises import PLANTS, play
-from mapleshunt.simulation.promises import Event, broken
+from mapleshunt.simulation.promises import HistoryEvent, find_violations
 
 RATE, BURST = 10.0, 50.0
 
@@ -168,8 +168,8 @@
 LEASE = w.Lease("c", RATE, BURST, 30.0, 1.0, 1000.0)
 
 
-def event(number: int, operation: Any, begun: float, result: Any, ended: float) -> Event:
-    return Event("s", number, operation, begun, result, ended)
+def event(number: int, operation: Any, begun: float, result: Any, ended: float) -> HistoryEvent:
+    return HistoryEvent("s", number, operation, begun, result, ended)
 
 
 def held(counted: float) -> Any:
@@ -198,6 +198,6 @@
          "a read of c says 5"),
     ],
 )  # fmt: skip
-def test_checkers_tell_what_does_not_hold(events: list[Event], final: Any, said: str) -> None:
-    found = broken(events, final, BURST)
+def test_checkers_tell_what_does_not_hold(events: list[HistoryEvent], final: Any, said: str) -> None:
+    found = find_violations(events, final, BURST)
     assert bool(found) == bool(said) and (not said or said in found[0])
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,27 +11,27 @@
 from mapleshunt.maintenance.coordinator import Act, Holder, Sees
 from mapleshunt.maintenance.state import AGING, Refused, Works, contradiction
 from mapleshunt.maintenance.summary import excerpt
-from mapleshunt.simulation.maintenance import PLANTS, stroll, walk
+from mapleshunt.simulation.maintenance import PLANTS, explore, random_walk
 
 DEPTH = {"AskedTwice": 7, "ReturnTakenForGranted": 8, "ForgetsUnplanned": 7}  # by which each is found; else 5
 
 
 def test_every_interleaving_to_a_depth_keeps_the_rules() -> None:
-    states, broken = walk(7)
+    states, broken = explore(7)
     assert not broken and states > 1500  # 14510 at depth 12
 
 
 @pytest.mark.parametrize("first", range(0, 60, 20))
 def test_long_ways_keep_the_rules_and_come_to_their_end(first: int) -> None:
     for seed in range(first, first + 20):
-        world, broken = stroll(seed, 80)
+        world, broken = random_walk(seed, 80)
         assert not broken, (seed, broken)
         assert {one.state for one in world.works.places.values()} == {"done"}
 
 
 @pytest.mark.parametrize("plant", PLANTS)
 def test_a_planted_fault_is_found(plant: str) -> None:
-    _, broken = walk(DEPTH.get(plant, 5), *PLANTS[plant])
+    _, broken = explore(DEPTH.get(plant, 5), *PLANTS[plant])
     assert broken
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -15,24 +15,24 @@
 from mapleshunt.policy import interface as i
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.simulation import experiments, stats
-from mapleshunt.simulation.day import Scenario, day_of, sized
-from mapleshunt.simulation.engine import Engine, Factory
+from mapleshunt.simulation.day import Scenario, draw_day, resized
+from mapleshunt.simulation.engine import Engine, PolicyFactory
 from mapleshunt.simulation.policies import POLICIES
 from mapleshunt.simulation.scenarios import SCENARIOS
-from mapleshunt.simulation.score import Score, score
-from mapleshunt.simulation.variants import BadVariant, load, parse
+from mapleshunt.simulation.score import Score, score_day
+from mapleshunt.simulation.variants import VariantError, load, parse
 
 ROOT = Path(__file__).parent.parent
 
 
-def played(scenario: Scenario, seed: int = 1, factory: Factory = Gateway) -> tuple[Engine, Score]:
-    engine = Engine(day_of(scenario, seed), factory)
+def played(scenario: Scenario, seed: int = 1, factory: PolicyFactory = Gateway) -> tuple[Engine, Score]:
+    engine = Engine(draw_day(scenario, seed), factory)
     engine.run()
-    return engine, score(engine)
+    return engine, score_day(engine)
 
 
 def short(name: str, seconds: float = 12.0, **changes: Any) -> Scenario:
-    return replace(sized(SCENARIOS[name], servers=8, seconds=seconds), **changes)
+    return replace(resized(SCENARIOS[name], servers=8, seconds=seconds), **changes)
 
 
 def test_the_same_seed_gives_the_same_run_bit_for_bit_and_another_one_does_not() -> None:
@@ -256,7 +256,7 @@
 
 def test_settings_constants_and_figures_can_be_set() -> None:
     one = parse("set:mail_per_s=10,TARGET=0.5,world.peer_loss=0.2,plan.basic.rate=9")
-    day = day_of(one.scenario(SCENARIOS["quiet"]), 1)
+    day = draw_day(one.scenario(SCENARIOS["quiet"]), 1)
     assert day.figures["peer_loss"] == 0.2
     settings = day.settings()[0]
     assert settings.mail_per_s == 10 and settings.plans["basic"].rate == 9
@@ -271,7 +271,7 @@
         "there",
         "set:SMOOTHER=1",
     ):
-        with pytest.raises(BadVariant):
+        with pytest.raises(VariantError):
             parse(bad)
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from mapleshunt.fleet.backend import Work
-from mapleshunt.fleet.discovery import Entry
+from mapleshunt.fleet.backend import BackendRequest
+from mapleshunt.fleet.discovery import EndpointEntry
 from mapleshunt.fleet.faults import Fault
 from mapleshunt.recording import file_format as form
-from mapleshunt.simulation.day import Rules, Scenario, day_of, sized
-from mapleshunt.simulation.record import AskRecord, AttemptRecord, TryRecord
-from mapleshunt.simulation.rules import Watchman
+from mapleshunt.simulation.day import RuleLimits, Scenario, draw_day, resized
+from mapleshunt.simulation.record import ClientAttempt, RequestRecord, UpstreamAttempt
+from mapleshunt.simulation.rules import RuleChecker
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
 from mapleshunt.testbed.clock import Clock
@@ -32,7 +32,7 @@
 
 
 def scenario(*faults: Fault, seconds: float = 4.0, **changes: Any) -> Scenario:
-    base = sized(SCENARIOS["quiet"], gateways=2, servers=4, seconds=seconds)
+    base = resized(SCENARIOS["quiet"], gateways=2, servers=4, seconds=seconds)
     return replace(base, troubles=lambda rng, scenario: list(faults), **changes)
 
 
@@ -52,7 +52,7 @@
 
 
 def test_a_gateway_killed_with_requests_open_a_crash_and_a_drain_break_no_rule(tmp_path: Path) -> None:
-    day = day_of(scenario(
+    day = draw_day(scenario(
         Fault(800, "crash", 1200, (0,)), Fault(1000, "restart", 600, (1,)), Fault(1500, "drain", 300, (1,)),
         Fault(1200, "add", size=1), Fault(500, "loss", 2000, size=0.5), Fault(600, "counter_down", 900),
         fixed={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
@@ -99,10 +99,10 @@
         heard: list[str] = []
         day: Any = SimpleNamespace(
             gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=Clock(), late=[],
-            day=SimpleNamespace(rules=Rules(answer_slack=2000.0)), command=lambda *_: b"PING\r\n",
+            day=SimpleNamespace(rules=RuleLimits(answer_slack=2000.0)), command=lambda *_: b"PING\r\n",
             watchman=SimpleNamespace(answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
-        one: Any = TryRecord(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
+        one: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
         found = clients.Clients(day)
         ended = await found._send(one, "x")
         found.drop(0)
@@ -117,7 +117,7 @@
     """0.1 more than a policy that sees all, if late, is allowed; here against none. A program that lets in
     whoever its view refuses shows that the day would tell.
     """
-    day = day_of(sized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
+    day = draw_day(resized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
     program = checkout(tmp_path, ("control.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
     _, score = fleet.play(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
@@ -126,7 +126,7 @@
 
 def test_a_silent_machine_is_left_alone_and_found_again(tmp_path: Path) -> None:
     fault = Fault(500, "silent", 1500, (0,))
-    day = day_of(scenario(fault, seconds=5.0, fixed={"silent_notice_ms": 5000, "add_ms": 100}), 6)
+    day = draw_day(scenario(fault, seconds=5.0, fixed={"silent_notice_ms": 5000, "add_ms": 100}), 6)
     found, score = fleet.play(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     at = [a.sent for t in found.watchman.tries for a in t.attempts if a.server == 0]
@@ -135,7 +135,7 @@
 
 
 def test_a_planned_leave_loses_nothing(tmp_path: Path) -> None:
-    day = day_of(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
+    day = draw_day(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
     found, score = fleet.play(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     assert all(t.answer is not None for t in found.watchman.tries if t.taken)
@@ -173,26 +173,26 @@
 
 def test_bytes_that_a_killed_gateway_left_are_judged_by_what_it_had_been_told() -> None:
     # They arrive after the kill. The list was forgotten with the process: each such attempt broke the rule.
-    day = day_of(scenario(), 8)
-    watchman = Watchman(day, day.settings()[0])
-    watchman.told_list(0, [Entry(1, 0), Entry(2, 0, "draining")], 100.0)
-    ask = AskRecord(day.traffic.asks[0]).ask
+    day = draw_day(scenario(), 8)
+    watchman = RuleChecker(day, day.settings()[0])
+    watchman.told_list(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
+    ask = RequestRecord(day.traffic.asks[0]).ask
     for server, broken in (1, 0), (2, 1), (3, 2):
-        one = TryRecord(server, ask, 1, 0, 2000.0, 1000.0)
-        attempt = AttemptRecord(server, 0, 2000.0, Work((server, 0), 1.0, 3000.0, None, 1.0, 0))
+        one = ClientAttempt(server, ask, 1, 0, 2000.0, 1000.0)
+        attempt = UpstreamAttempt(server, 0, 2000.0, BackendRequest((server, 0), 1.0, 3000.0, None, 1.0, 0))
         watchman.sending(one, attempt, 0, 2000.0)
         assert watchman.breaks["drain"] == broken, watchman.stories
 
 
 @pytest.mark.parametrize("rule", BAD)
 def test_the_rig_sees_a_bad_program_break_a_rule(tmp_path: Path, rule: str) -> None:
-    day = day_of(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
+    day = draw_day(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
     _, score = fleet.play(day, tmp_path / "logs", checkout(tmp_path, *BAD[rule]))
     assert score.rules[rule] > 0, score.rules
 
 
 def test_a_program_that_does_not_start_or_ends_is_told_in_a_line(tmp_path: Path) -> None:
-    day = day_of(scenario(seconds=2.0), 9)
+    day = draw_day(scenario(seconds=2.0), 9)
     broken = checkout(
         tmp_path / "a",
         ("__main__.py", "def daemon() -> int:\n", "def daemon() -> int:\n    raise SystemExit(3)\n"),
@@ -214,7 +214,7 @@
 
 def test_gateways_record_what_crossed_the_sockets(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text(f'(record (file "{tmp_path}/{{name}}.rec") (salt "s"))')
-    day = day_of(scenario(seconds=2.0, rate=60.0), 10)
+    day = draw_day(scenario(seconds=2.0, rate=60.0), 10)
     found, _ = fleet.play(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
     rows = [row for n in range(2) for row in form.read((tmp_path / f"n{n}.rec").read_bytes()).rows]
     tries = [t for t in found.watchman.tries if t.taken]
@@ -228,6 +228,6 @@
 
 def test_an_operators_file_that_makes_no_sense_is_one_line_and_exit_status_2(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text("(record (file 3))")
-    day = day_of(scenario(seconds=1.0), 9)
+    day = draw_day(scenario(seconds=1.0), 9)
     with pytest.raises(GatewayFailed, match=r"mapleshunt: .*o\.sexp:1:15: file: expected `str`, got `int`"):
         fleet.play(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -12,13 +12,13 @@
 
 from mapleshunt.fleet import clients
 from mapleshunt.fleet import parameters as figures
-from mapleshunt.fleet.backend import Cell, TillServer, Work
-from mapleshunt.fleet.counter import Counter
-from mapleshunt.fleet.discovery import Discovery, Entry
-from mapleshunt.fleet.faults import Fault, roll
-from mapleshunt.fleet.network import Intake, Network
-from mapleshunt.fleet.quota import Store
-from mapleshunt.fleet.random_streams import Draws, Streams
+from mapleshunt.fleet.backend import Backend, BackendRequest, IdempotencyStore
+from mapleshunt.fleet.counter import SharedCounter
+from mapleshunt.fleet.discovery import Discovery, EndpointEntry
+from mapleshunt.fleet.faults import Fault, rolling_restart
+from mapleshunt.fleet.network import MessageRateLimiter, Network
+from mapleshunt.fleet.quota import TokenBucket
+from mapleshunt.fleet.random_streams import BufferedDraws, RandomStreams
 
 STEADY = {
     "cores": 2, "slots_per_core": 2, "queue_per_core": 2, "thrash": 0, "error_rate": 0, "drops_cancelled": 1,
@@ -26,15 +26,22 @@
 }  # fmt: skip
 
 
-def world(**fixed: float) -> figures.Figures:
-    return figures.draw(Streams(1).of("figures"), {**STEADY, **fixed})
+def world(**fixed: float) -> figures.Parameters:
+    return figures.draw_parameters(RandomStreams(1).of("figures"), {**STEADY, **fixed})
 
 
-def till(**fixed: float) -> TillServer:
-    return TillServer(0, world(**fixed), 1.0, 0, Cell(4000.0), Draws(Streams(1).of("errors").random))
+def till(**fixed: float) -> Backend:
+    return Backend(
+        0,
+        world(**fixed),
+        1.0,
+        0,
+        IdempotencyStore(4000.0),
+        BufferedDraws(RandomStreams(1).of("errors").random),
+    )
 
 
-def drain(server: TillServer, until: float = math.inf) -> list[tuple[float, Work]]:
+def drain(server: Backend, until: float = math.inf) -> list[tuple[float, BackendRequest]]:
     """Run a server on its own; when each attempt ended."""
     ended = []
     while server.due <= until and server.due < math.inf:
@@ -45,7 +52,7 @@
 
 def test_cores_are_shared_evenly_by_what_is_in_work() -> None:
     server = till()
-    works = [Work(n, 100.0) for n in range(4)]  # 4 slots, 2 cores: each has half a core
+    works = [BackendRequest(n, 100.0) for n in range(4)]  # 4 slots, 2 cores: each has half a core
     for work in works:
         assert server.offer(0.0, work) == (None, [])
     assert [(round(at), work.token) for at, work in drain(server)] == [(200, 0), (200, 1), (200, 2), (200, 3)]
@@ -53,7 +60,7 @@
 
 def test_the_waiting_room_is_bounded_and_full_is_never_run() -> None:
     server = till()
-    words = [server.offer(0.0, Work(n, 100.0))[0] for n in range(10)]
+    words = [server.offer(0.0, BackendRequest(n, 100.0))[0] for n in range(10)]
     assert words == [None] * 8 + ["full"] * 2  # 4 in work, 4 wait
     assert len(drain(server)) == 8
 
@@ -61,15 +68,15 @@
 def test_holding_too_many_costs_efficiency() -> None:
     calm, pressed = till(thrash=0.0), till(thrash=0.2, thrash_at=1.0)
     for n in range(8):
-        calm.offer(0.0, Work(n, 100.0))
-        pressed.offer(0.0, Work(n, 100.0))
+        calm.offer(0.0, BackendRequest(n, 100.0))
+        pressed.offer(0.0, BackendRequest(n, 100.0))
     assert drain(pressed)[-1][0] > 1.2 * drain(calm)[-1][0]
 
 
 def test_cancelled_waiting_work_is_dropped_only_where_the_day_says_so() -> None:
     for drops, runs in ((1.0, 7), (0.0, 8)):
         server = till(drops_cancelled=drops)
-        works = [Work(n, 100.0) for n in range(8)]
+        works = [BackendRequest(n, 100.0) for n in range(8)]
         for work in works:
             server.offer(0.0, work)
         server.cancel(0.0, works[7])
@@ -80,7 +87,7 @@
     server = till()
     ran = []
     for at in (0.0, 1000.0, 6000.0):
-        work = Work(at, 50.0, key="sale")
+        work = BackendRequest(at, 50.0, key="sale")
         server.offer(at, work)
         drain(server)
         ran.append(work.effect)
@@ -98,7 +105,7 @@
     if by_work:
         server.fall_multiple = 100.0
         for n in range(4):
-            server.offer(1000.0, Work(n, 4000.0))
+            server.offer(1000.0, BackendRequest(n, 4000.0))
         drain(server, 6000.0)
         assert server.ramp(6000.0) > 0.625
 
@@ -110,10 +117,10 @@
     server.start(1000.0)
     sent = 0
     while not server.fallen:
-        server.offer(1000.0 + sent, Work(sent, 100.0), told=sent % 4 != 0)
+        server.offer(1000.0 + sent, BackendRequest(sent, 100.0), told=sent % 4 != 0)
         sent += 1
     assert 2200 < 100 * sent < 2400 and server.fault
-    assert server.offer(3000.0, Work("late", 1.0))[0] == "full"
+    assert server.offer(3000.0, BackendRequest("late", 1.0))[0] == "full"
 
 
 def test_it_is_no_fault_of_gateways_that_did_not_know_of_its_start() -> None:
@@ -121,13 +128,13 @@
     server.crash(0.0)
     server.start(1000.0)
     for n in range(40):
-        server.offer(1000.0, Work(n, 100.0), told=n % 2 == 0)
+        server.offer(1000.0, BackendRequest(n, 100.0), told=n % 2 == 0)
     assert server.fallen and not server.fault
 
 
 def test_reports_are_refreshed_now_and_then_and_come_late() -> None:
     server = till(report_period_ms=200, report_delay_ms=100, report_noise=0)
-    server.offer(0.0, Work(0, 1000.0))
+    server.offer(0.0, BackendRequest(0, 1000.0))
     assert server.report(250.0).inflight == 0
     assert server.report(351.0).inflight == 1
     server.advance(1500.0)
@@ -140,11 +147,11 @@
     def __init__(self) -> None:
         super().__init__()
         self.server, self.now, self.sent = till(thrash=0.1), 0.0, 0
-        self.held: dict[object, Work] = {}
+        self.held: dict[object, BackendRequest] = {}
         self.work = 0.0
         self.begun = 0.0
 
-    def ended(self, works: list[Work]) -> None:
+    def ended(self, works: list[BackendRequest]) -> None:
         for work in works:
             assert self.held.pop(work.token) is work and work.begun
             self.work += work.done
@@ -153,7 +160,7 @@
     @rule(work=st.floats(1, 500), key=st.sampled_from([None, "a", "b"]))
     def offer(self, work: float, key: str | None) -> None:
         self.sent += 1
-        one = Work(self.sent, work, key=key)
+        one = BackendRequest(self.sent, work, key=key)
         before = self.server.held()
         word, ended = self.server.offer(self.now, one)
         self.ended(ended)
@@ -197,7 +204,7 @@
 
 
 def test_the_counter_serves_in_turn_turns_away_and_comes_back_empty() -> None:
-    counter = Counter(world(counter_per_s=100, counter_ms=1, counter_wait_ms=80, counter_line=0.5))
+    counter = SharedCounter(world(counter_per_s=100, counter_ms=1, counter_wait_ms=80, counter_line=0.5))
     answers = [counter.call(0.0, 7, 1.0, 5000.0) for _ in range(8)]
     assert [word for word, _, _ in answers] == ["ok"] * 5 + ["full"] * 3  # a line of 40 ms
     assert [round(at) for _, at, _ in answers[:3]] == [11, 21, 31]
@@ -220,61 +227,63 @@
 
 
 def test_the_counter_forgets_names_it_no_longer_needs() -> None:
-    counter = Counter(world(counter_per_s=1e6, counter_ms=0.01))
+    counter = SharedCounter(world(counter_per_s=1e6, counter_ms=0.01))
     for name in range(20000):
         counter.call(float(name), name, 1.0, 10.0)
     assert len(counter.halves[0]) <= 4096
 
 
 def test_messages_are_lost_and_not_all_taken_in() -> None:
-    network = Network(world(peer_loss=0.25, peer_ms=10), Streams(3))
+    network = Network(world(peer_loss=0.25, peer_ms=10), RandomStreams(3))
     delays = [network.message(0, 1) for _ in range(4000)]
     lost = sum(one is None for one in delays) / len(delays)
     assert abs(lost - 0.25) < 0.03  # four standard errors
     assert abs(np.mean([one for one in delays if one is not None]) - 10) < 0.5
     network.split = frozenset({1})
     assert network.message(0, 1) is None
-    intake = Intake(40)
+    intake = MessageRateLimiter(40)
     assert sum(intake.take(n * 5.0) for n in range(400)) in range(88, 92)  # 2 s at 200 a second, 10 at once
 
 
 def test_news_reaches_each_gateway_late_and_in_order() -> None:
     discovery = Discovery(
-        world(notice_ms=2000, add_ms=300, silent_notice_ms=9000), Streams(1).of("discovery")
+        world(notice_ms=2000, add_ms=300, silent_notice_ms=9000), RandomStreams(1).of("discovery")
     )
-    gone = discovery.change(0.0, Entry(1, 0, "gone"), 3)
-    back = discovery.change(100.0, Entry(1, 0, "ready", 100.0), 3)
+    gone = discovery.change(0.0, EndpointEntry(1, 0, "gone"), 3)
+    back = discovery.change(100.0, EndpointEntry(1, 0, "ready", 100.0), 3)
     assert all(2000 <= at < 6000 for at, _ in gone)
     assert all(b >= g for (g, _), (b, _) in zip(gone, back, strict=True))
-    assert min(at for at, _ in discovery.change(20000.0, Entry(2, 0, "gone"), 3, silent=True)) >= 29000
+    assert (
+        min(at for at, _ in discovery.change(20000.0, EndpointEntry(2, 0, "gone"), 3, silent=True)) >= 29000
+    )
 
 
 def test_a_fixed_figure_moves_no_other() -> None:
-    free = figures.draw(Streams(5).of("figures"))
-    fixed = figures.draw(Streams(5).of("figures"), {"speed": 0.5})
+    free = figures.draw_parameters(RandomStreams(5).of("figures"))
+    fixed = figures.draw_parameters(RandomStreams(5).of("figures"), {"speed": 0.5})
     assert fixed["speed"] == 0.5
     assert {k: v for k, v in free.value.items() if k != "speed"} == {
         k: v for k, v in fixed.value.items() if k != "speed"
     }
     assert free.classes == fixed.classes and free.plans == fixed.plans
-    assert "event_ms" in figures.guesses() and "speed" not in figures.guesses()
-    with pytest.raises(figures.UnknownFigure):
-        figures.draw(Streams(5).of("figures"), {"spede": 1.0})
+    assert "event_ms" in figures.guessed_parameters() and "speed" not in figures.guessed_parameters()
+    with pytest.raises(figures.ParameterError):
+        figures.draw_parameters(RandomStreams(5).of("figures"), {"spede": 1.0})
 
 
 def test_traffic_has_the_load_asked_for_and_a_burst_multiplies_one_plan() -> None:
     drawn = world()
-    calm = clients.traffic(drawn, 3, 400.0, 60000.0, (), Streams(9))
+    calm = clients.draw_traffic(drawn, 3, 400.0, 60000.0, (), RandomStreams(9))
     inside = 0.0
-    stores: dict[int, Store] = {}
+    stores: dict[int, TokenBucket] = {}
     for ask in calm.asks:
         plan = drawn.plans[calm.customers[ask.customer].plan]
-        store = stores.setdefault(ask.customer, Store(plan.rate, plan.burst))
+        store = stores.setdefault(ask.customer, TokenBucket(plan.rate, plan.burst))
         if store.take(ask.at, ask.units):
             inside += ask.units
     assert 0.8 * 400 < inside / 60 < 1.2 * 400
-    burst = clients.traffic(
-        drawn, 3, 400.0, 60000.0, (Fault(20000, "burst", 20000, size=4, plan="standard"),), Streams(9)
+    burst = clients.draw_traffic(
+        drawn, 3, 400.0, 60000.0, (Fault(20000, "burst", 20000, size=4, plan="standard"),), RandomStreams(9)
     )
 
     def count(traffic: clients.Traffic, plan: str) -> int:
@@ -289,7 +298,7 @@
 
 def test_requests_stay_in_the_set_and_avoid_gateways_seen_down() -> None:
     drawn = world()
-    traffic = clients.traffic(drawn, 5, 300.0, 20000.0, (), Streams(2))
+    traffic = clients.draw_traffic(drawn, 5, 300.0, 20000.0, (), RandomStreams(2))
     for ask in traffic.asks[:500]:
         who = traffic.customers[ask.customer]
         members = {(who.first + n) % 5 for n in range(who.spread)}
@@ -300,8 +309,8 @@
 
 
 def test_clients_repeat_by_effect_and_heed_the_advice_they_are_given() -> None:
-    habits = clients.Habits(world(retries=2, backoff_ms=100, honour=0.5), 500.0)
-    ask = clients.Ask(0, 0, 0, 1, 1, 1, 0.5, 1, 0.4, 12)
+    habits = clients.ClientBehaviour(world(retries=2, backoff_ms=100, honour=0.5), 500.0)
+    ask = clients.ClientRequest(0, 0, 0, 1, 1, 1, 0.5, 1, 0.4, 12)
     assert habits.next_try(ask, 1, "served", 0, True) is None
     assert habits.next_try(ask, 1, "failed", 0, False) is None
     assert habits.next_try(ask, 1, "late", 0, False) is None
@@ -314,7 +323,7 @@
 
 
 def test_a_roll_restarts_each_gateway_once() -> None:
-    faults = roll(Streams(1).of("x"), 10, 1000, 10000, 0.8, 0.2, 500)
+    faults = rolling_restart(RandomStreams(1).of("x"), 10, 1000, 10000, 0.8, 0.2, 500)
     who = [number for fault in faults for number in fault.who]
     assert len(who) == len(set(who)) == 8 and len(faults) == 4
 
@@ -322,7 +331,7 @@
 @settings(derandomize=True, max_examples=50, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 500), st.floats(0.5, 8), st.floats(-4, 8)), max_size=60))
 def test_a_store_never_grants_more_than_rate_and_burst(steps: list[tuple[float, float, float]]) -> None:
-    store, now, granted = Store(10.0, 20.0), 0.0, 0.0
+    store, now, granted = TokenBucket(10.0, 20.0), 0.0, 0.0
     for gap, units, more in steps:
         now += gap
         if store.take(now, units):
