--- a/benchmarks/copies_fleet.py
+++ b/benchmarks/copies_fleet.py
@@ -10,8 +10,8 @@
 
 from joblib import Parallel, delayed
 
-from mapleshunt.simulation.copies_fleet import ReplicatedFleetEngine, replication_scenario
 from mapleshunt.simulation.day import draw_day
+from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine, replication_scenario
 from mapleshunt.simulation.score import Score, score_day
 from mapleshunt.simulation.stats import interval
 
--- a/benchmarks/copies_seeds.py
+++ b/benchmarks/copies_seeds.py
@@ -10,7 +10,7 @@
 
 from joblib import Parallel, delayed
 
-from mapleshunt.simulation.copies_faults import PLANTS, play
+from mapleshunt.simulation.replication_planted_faults import PLANTS, play
 
 
 def some(first: int, end: int) -> list[tuple[int, str]]:
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -316,7 +316,8 @@
     import json
 
     from ..fleet.parameters import check_overrides
-    from ..simulation import fit, recorded
+    from ..simulation import fit
+    from ..simulation import recorded_traffic as recorded
     from ..simulation.variants import pair
 
     try:
@@ -407,7 +408,7 @@
     """Hold the model against days of real gateways on loopback: minutes of real time."""
     import tempfile
 
-    from ..simulation.check import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
+    from ..simulation.validation import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
     from ..testbed.record import play_scored
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
--- a/mapleshunt/fleet/parameters.py
+++ b/mapleshunt/fleet/parameters.py
@@ -188,7 +188,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Parameters:
-    """One draw of the world: `value[NAME]` for each of `PARAMETER_RANGES`, and the shapes of classes and plans."""
+    """One drawn fleet: `value[NAME]` for each of `PARAMETER_RANGES`, and its request classes and plans."""
 
     value: Mapping[str, float]
     classes: tuple[ClassParameters, ...]
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -17,8 +17,8 @@
 from ..policy import interface
 from .day import Day
 from .event_queue import EventQueue
-from .host import FleetHost
-from .record import ClientAttempt, ClientResult, RequestRecord, UpstreamAttempt
+from .fleet_host import FleetHost
+from .records import ClientAttempt, ClientResult, RequestRecord, UpstreamAttempt
 
 TIMEOUT_BUCKET_MS = 64.0  # ms
 CONNECTION_REST_MS = 10.0  # ms after an answer for which the program does not use its connection again
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -28,8 +28,8 @@
 from ..fleet.random_streams import RandomStreams
 from .day import Day, Scenario
 from .engine import Engine
-from .record import ClientAttempt
-from .recorded import Floats, Received, Traffic, received, segments
+from .recorded_traffic import Floats, Received, Traffic, received, segments
+from .records import ClientAttempt
 
 FORM = 1
 LEAST_ROWS = 200
--- a/mapleshunt/simulation/host.py
+++ b/mapleshunt/simulation/fleet_host.py
@@ -18,8 +18,8 @@
 from ..fleet.random_streams import BufferedDraws, Rng, lognormal
 from ..policy import interface
 from .day import CLASSES, Day
-from .record import ClientAttempt, ClientResult, QuotaLedger, RequestRecord
-from .rules import RuleChecker
+from .records import ClientAttempt, ClientResult, QuotaLedger, RequestRecord
+from .rule_checker import RuleChecker
 
 NOISE_TABLE_SIZE = 4096  # places of the table of attempt noise
 MIN_BACKEND_SPEED = 0.3  # speed that no drawn till server is below
--- a/mapleshunt/simulation/policies.py
+++ b/mapleshunt/simulation/policies.py
@@ -15,7 +15,7 @@
 from ..fleet.quota import TokenBucket
 from ..policy import interface as i
 from .engine import CounterCall, CounterReply
-from .rules import NEVER_RAN
+from .rule_checker import NEVER_RAN
 
 MAX_ATTEMPTS = 3
 DEADLINE_MARGIN_MS = 8.0  # ms before a request's patience ends at which it is answered
--- a/mapleshunt/simulation/copies_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -25,9 +25,9 @@
 from ..replication import messages as m
 from ..replication.node import Node, Timing
 from ..replication.placement import group_of, place
-from .copies import VirtualDisk
 from .day import Day, Scenario
 from .engine import Engine
+from .replication_plays import VirtualDisk
 
 GROUPS, SIZE = 64, 3
 TIMING = Timing()
@@ -419,6 +419,7 @@
     """Traffic that is thin on each gateway, as on the full fleet, and servers enough: quotas refuse."""
     rate = min(10.0 * gateways, 300.0)
     return Scenario(
-        f"copies-{what}", "quotas with and without copies", (0.5, 0.5), replication_faults(what), gateways=gateways,
+        f"copies-{what}", "quotas with and without copies", (0.5, 0.5), replication_faults(what),
+        gateways=gateways,
         servers=max(8, round(rate / 8)), seconds=seconds, rate=rate,
     )  # fmt: skip
--- a/mapleshunt/simulation/copies_faults.py
+++ b/mapleshunt/simulation/replication_planted_faults.py
@@ -4,7 +4,7 @@
 
 from ..replication import messages as m
 from ..replication.node import Node
-from .copies import ReplicaGroupPlay, VirtualDisk, VirtualReplica, run_play
+from .replication_plays import ReplicaGroupPlay, VirtualDisk, VirtualReplica, run_play
 
 
 class Hasty(Node):
--- a/mapleshunt/simulation/rules.py
+++ b/mapleshunt/simulation/rule_checker.py
@@ -9,7 +9,7 @@
 from ..fleet.backend import Backend, BackendRequest
 from ..fleet.discovery import EndpointEntry
 from .day import CLASSES, Day
-from .record import ClientAttempt, ClientResult, UpstreamAttempt
+from .records import ClientAttempt, ClientResult, UpstreamAttempt
 
 RULE_NAMES = ("lost", "doubled", "two_out", "drain", "pushed_over", "ceiling")
 NEVER_RAN = ("full", "unreachable", "unsent")  # outcomes that prove an attempt never ran
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -10,8 +10,8 @@
 from ..fleet.backend import Backend
 from ..fleet.quota import TokenBucket
 from .day import CLASSES, Day
-from .record import RequestRecord
-from .rules import RULE_NAMES, RuleChecker
+from .records import RequestRecord
+from .rule_checker import RULE_NAMES, RuleChecker
 
 WEIGHTS = {"whole": 0.55, "worst_window": 0.2, "worst_plan": 0.25}
 PENALTY_WEIGHTS = {"waste": 0.08, "late_fail": 0.044, "messages": 0.043, "probes": 0.01, "counter": 0.005}
@@ -171,7 +171,8 @@
     return Score(
         scenario=day.scenario.name, seed=day.seed, service=service, whole=whole, worst_window=worst_window,
         worst_plan=worst_plan, g=service - sum(penalties.values()), plans=by_plan, penalties=penalties,
-        rules={name: engine.watchman.breaks[name] for name in RULE_NAMES}, requests=len(records), tries=len(tries),
+        rules={name: engine.watchman.breaks[name] for name in RULE_NAMES}, requests=len(records),
+        tries=len(tries),
         served=final.count("served"), refused=final.count("refused"), failed=final.count("failed"),
         over_quota=over_units / units if units else 0.0,
         refused_with_room=refused_room / room if room else 0.0,
--- a/mapleshunt/simulation/copies_promises.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -14,8 +14,14 @@
 from ..replication import messages as m
 from ..replication.messages import gateway_of
 from ..replication.node import Node
-from .copies import InvariantViolationError, NodeFactory, ReplicaGroupPlay, VirtualReplica, run_play
-from .promises import HistoryEvent, find_violations
+from .history_checker import HistoryEvent, find_violations
+from .replication_plays import (
+    InvariantViolationError,
+    NodeFactory,
+    ReplicaGroupPlay,
+    VirtualReplica,
+    run_play,
+)
 
 SESSIONS = 3
 CUSTOMERS = 2
--- a/mapleshunt/simulation/check.py
+++ b/mapleshunt/simulation/validation.py
@@ -14,7 +14,7 @@
 from joblib import Parallel, delayed
 
 from . import fit as fits
-from . import recorded
+from . import recorded_traffic as recorded
 from .day import Scenario, draw_day, resized
 from .experiments import run_seeds
 from .scenarios import SCENARIOS
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -14,7 +14,7 @@
 from ..fleet.backend import Backend, BackendRequest
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import ReadBuffer, TooLong
-from ..simulation.record import ClientAttempt, UpstreamAttempt
+from ..simulation.records import ClientAttempt, UpstreamAttempt
 
 if TYPE_CHECKING:
     from .fleet import Fleet
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -11,7 +11,7 @@
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import ReadBuffer, TooLong
 from ..simulation.day import RuleLimits
-from ..simulation.record import ClientAttempt, ClientResult, RequestRecord
+from ..simulation.records import ClientAttempt, ClientResult, RequestRecord
 from .backends import HOST
 
 if TYPE_CHECKING:
--- a/mapleshunt/testbed/faults.py
+++ b/mapleshunt/testbed/faults.py
@@ -26,7 +26,7 @@
 
 from ..platform_terms import wire_of
 from ..policy import interface as i
-from ..simulation.promises import HistoryEvent, find_violations
+from ..simulation.history_checker import HistoryEvent, find_violations
 from . import faulty
 from .backends import HOST
 from .gateways import GatewayFailed, free_port, launch
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -17,8 +17,8 @@
 from ..net.protocol import resp
 from ..platform_terms import wire_of
 from ..simulation.day import Day, RuleLimits
-from ..simulation.host import FleetHost
-from ..simulation.record import ClientAttempt, RequestRecord
+from ..simulation.fleet_host import FleetHost
+from ..simulation.records import ClientAttempt, RequestRecord
 from ..simulation.score import Score, score_day
 from .backends import HOST, Out, Till
 from .clients import Clients
--- a/mapleshunt/testbed/soak.py
+++ b/mapleshunt/testbed/soak.py
@@ -22,7 +22,7 @@
 
 from ..fleet.discovery import EndpointEntry
 from ..simulation.day import Day, RuleLimits, Scenario, draw_day
-from ..simulation.record import ClientAttempt
+from ..simulation.records import ClientAttempt
 from . import soak_faults as soak_troubles
 from .backends import HOST
 from .fleet import HERE
--- a/mapleshunt/testbed/soak_clients.py
+++ b/mapleshunt/testbed/soak_clients.py
@@ -15,7 +15,7 @@
 
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import TooLong
-from ..simulation.record import ClientAttempt, ClientResult
+from ..simulation.records import ClientAttempt, ClientResult
 from .backends import HOST
 from .clients import Clients, Link
 from .soak_backends import MAX_LAG_S
--- a/mapleshunt/testbed/soak_copies.py
+++ b/mapleshunt/testbed/soak_copies.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ..simulation.promises import HistoryEvent, find_violations
+from ..simulation.history_checker import HistoryEvent, find_violations
 from .backends import HOST
 from .gateways import free_port
 from .proxy import FaultProxy
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from ..fleet.quota import TokenBucket
-from ..simulation.record import ClientAttempt
+from ..simulation.records import ClientAttempt
 from .fleet import Fleet
 
 NO_ANSWER = "no answer"
--- a/mapleshunt/testbed/workload_clients.py
+++ b/mapleshunt/testbed/workload_clients.py
@@ -13,7 +13,7 @@
 from ..replicated_state import commands as words
 from ..replicated_state.state_machine import Record, StoreState
 from ..replication import wire
-from ..simulation.promises import HistoryEvent
+from ..simulation.history_checker import HistoryEvent
 
 Address = tuple[str, int]
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,8 +6,8 @@
 
 from mapleshunt.replication import messages as m
 from mapleshunt.replication.node import Node, Timing
-from mapleshunt.simulation.copies import ReplicaGroupPlay
-from mapleshunt.simulation.copies_faults import NODES, play
+from mapleshunt.simulation.replication_planted_faults import NODES, play
+from mapleshunt.simulation.replication_plays import ReplicaGroupPlay
 
 # With the seed of the first play that finds each, of those that `benchmarks/copies_seeds.py` told.
 FOUND = {
--- a/tests/test_copies_fleet.py
+++ b/tests/test_copies_fleet.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from mapleshunt.simulation.copies_fleet import ReplicatedFleetEngine, replication_scenario
 from mapleshunt.simulation.day import draw_day
+from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine, replication_scenario
 from mapleshunt.simulation.score import Score, score_day
 
 
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -16,13 +16,14 @@
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.file_format import Attempt, Row
-from mapleshunt.simulation import fit, recorded
-from mapleshunt.simulation.check import compare_with_prediction
+from mapleshunt.simulation import fit
+from mapleshunt.simulation import recorded_traffic as recorded
 from mapleshunt.simulation.day import Day, Scenario, draw_day, resized
 from mapleshunt.simulation.engine import Engine
 from mapleshunt.simulation.experiments import play
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.simulation.score import score_day
+from mapleshunt.simulation.validation import compare_with_prediction
 
 ROOT = Path(__file__).parent.parent
 BASE = replace(resized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -12,8 +12,8 @@
 
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.state_machine import MOST_OPEN, Holdings
-from mapleshunt.simulation.copies_promises import PLANTS, play
-from mapleshunt.simulation.promises import HistoryEvent, find_violations
+from mapleshunt.simulation.history_checker import HistoryEvent, find_violations
+from mapleshunt.simulation.state_machine_plays import PLANTS, play
 
 RATE, BURST = 10.0, 50.0
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,7 +11,7 @@
 from mapleshunt.maintenance.coordinator import Act, Holder, Sees
 from mapleshunt.maintenance.state import AGING, Refused, Works, contradiction
 from mapleshunt.maintenance.summary import excerpt
-from mapleshunt.simulation.maintenance import PLANTS, explore, random_walk
+from mapleshunt.simulation.maintenance_plays import PLANTS, explore, random_walk
 
 DEPTH = {"AskedTwice": 7, "ReturnTakenForGranted": 8, "ForgetsUnplanned": 7}  # by which each is found; else 5
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -18,8 +18,8 @@
 from mapleshunt.fleet.faults import Fault
 from mapleshunt.recording import file_format as form
 from mapleshunt.simulation.day import RuleLimits, Scenario, draw_day, resized
-from mapleshunt.simulation.record import ClientAttempt, RequestRecord, UpstreamAttempt
-from mapleshunt.simulation.rules import RuleChecker
+from mapleshunt.simulation.records import ClientAttempt, RequestRecord, UpstreamAttempt
+from mapleshunt.simulation.rule_checker import RuleChecker
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
 from mapleshunt.testbed.clock import Clock
