--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -316,8 +316,7 @@
     import json
 
     from ..fleet.parameters import check_overrides
-    from ..simulation import fit
-    from ..simulation import recorded_traffic as recorded
+    from ..simulation import fit, recorded_traffic
     from ..simulation.variants import pair
 
     try:
@@ -339,7 +338,7 @@
         known = {key[6:]: value for key, value in known.items()}
         check_overrides(known)
         worths = {name: float(value) for name, _, value in (one.partition("=") for one in worth)}
-        traffic = recorded.together(list(files))
+        traffic = recorded_traffic.together(list(files))
         for line in traffic.trouble:
             click.echo(f"not read: {line}", err=True)
         with progress(draws, "fit") as step, _pool(backend):
@@ -409,7 +408,7 @@
     import tempfile
 
     from ..simulation.validation import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
-    from ..testbed.record import play_scored
+    from ..testbed.recording import play_scored
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
         found = validate_model(
