--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -20,7 +20,7 @@
 from tornado.iostream import IOStream
 
 from .invariants import Guard, broken_by_starting
-from .lifecycle.lifecycle import DrainRequester, Lifecycle
+from .lifecycle.lifecycle import DrainRequester, Lifecycle, State
 from .net import log
 from .net.backoff import TOLD, Backoff
 from .net.client import connection as client
@@ -85,7 +85,7 @@
         self.told_early: list[int] = []  # SIGHUPs since before the configuration was read
         self.peers: Peers | None = None
         self.stopped = asyncio.Event()
-        self.life = Lifecycle()
+        self.lifecycle = Lifecycle()
         self.listeners: list[socket.socket] = []
         self.acceptors: list[Acceptor] = []
         self.accepting = False
@@ -107,7 +107,7 @@
         self.processes = processes
 
     def ready(self) -> bool:
-        return self.life.wanted() and bool(self.group.servers)
+        return self.lifecycle.is_ready() and bool(self.group.servers)
 
     def told(self, found: MemberList) -> None:
         kind: i.ListKind = "complete" if found.complete else "partial"
@@ -166,7 +166,7 @@
             log.log_event("loop_held_up", ms=1000 * seconds)
 
     def resume_accepting(self) -> None:
-        if not self.accepting and self.life.accepts(self.time()) and self.room():
+        if not self.accepting and self.lifecycle.accepts_connections(self.time()) and self.room():
             log.log_event("accepting_resumed", client_connections=len(self.service.connections))
             self.start_accepting()
 
@@ -262,7 +262,7 @@
         broken = broken_by_starting(1000 * (time.monotonic() - BEGAN), bool(self.service.connections))
         self.counters.trace.check(Guard.START, broken, "process")
         self.start_accepting()
-        self.life.listening(self.time())
+        self.lifecycle.start_serving()
         self.counters.trace.add("process", "listening")
         if self.succession is not None:
             self.succession.ready()
@@ -278,30 +278,36 @@
 
         match method, path:
             case "GET", "/_ready":
-                return AdminResponse(200, "yes\n") if self.life.takes() else AdminResponse(503, "no\n")
+                return (
+                    AdminResponse(200, "yes\n") if self.lifecycle.is_serving() else AdminResponse(503, "no\n")
+                )
             case "POST", "/_lameduck/on":
                 self.drain(DrainRequester.OPERATORS)
                 return (
                     AdminResponse(200, "drained\n")
-                    if self.life.phase == "drained"
+                    if self.lifecycle.state is State.DRAINING
                     else AdminResponse(503, "no\n")
                 )
             case "POST", "/_lameduck/off":
                 self.work_again(DrainRequester.OPERATORS)
-                return AdminResponse(200, "working\n") if self.life.takes() else AdminResponse(503, "no\n")
+                return (
+                    AdminResponse(200, "working\n")
+                    if self.lifecycle.is_serving()
+                    else AdminResponse(503, "no\n")
+                )
             case "GET", "/_vars":
                 return AdminResponse(200, self.figures())
         return AdminResponse(404, "no such call\n")
 
     def drain(self, drainer: DrainRequester) -> None:
-        self._told("drained", self.life.drain(self.time(), drainer))
+        self._told("drained", self.lifecycle.drain(self.time(), drainer))
 
     def work_again(self, drainer: DrainRequester) -> None:
-        self._told("back_to_work", self.life.resume(self.time(), drainer))
+        self._told("back_to_work", self.lifecycle.resume(drainer))
 
     def held(self) -> tuple[int, int, bool]:
         """Requests that are owed an answer, client connections, and whether it takes no clients."""
-        return len(self.driver.open_requests), len(self.service.connections), not self.life.takes()
+        return len(self.driver.open_requests), len(self.service.connections), not self.lifecycle.is_serving()
 
     def load(self) -> float:
         """The part of this gateway's slots at its servers that tries hold."""
@@ -319,7 +325,7 @@
 
     def keep_tending(self) -> None:
         """Tend from time to time, for as long as there is something to tend."""
-        if self.succession is None and self.life.takes():
+        if self.succession is None and self.lifecycle.is_serving():
             self.tending.stop()
         elif not self.tending.is_running():
             self.tending.start()
@@ -336,18 +342,20 @@
         """Do what the gateway's state asks for."""
         now = self.time()
         if self.succession is not None:
-            self.succession.tend(self.life.takes())
+            self.succession.tend(self.lifecycle.is_serving())
             self.hear_if_possible()
             if (processes := 1 + self.succession.together) != self.processes:
                 self.share(processes)
-        self.service.close_idle(self.life.closes(now), not self.life.reads(now))
+        self.service.close_idle(
+            self.lifecycle.closes_idle_connections(now), not self.lifecycle.reads_while_responding(now)
+        )
 
     @staticmethod
     def time() -> float:
         return asyncio.get_running_loop().time()
 
     def figures(self) -> str:
-        from .lifecycle import statistics as figures
+        from .lifecycle import statistics
 
         listed, now = self.group.servers.values(), self.driver.now()
         known = self.driver.gateway.servers
@@ -360,7 +368,7 @@
             "members": len(listed),
             "members_unavailable": avoided,
         }
-        return figures.text_of(self.config.settings.classes, self.counters.classes, gauges)
+        return statistics.render(self.config.settings.classes, self.counters.classes, gauges)
 
     def load_extensions(self) -> None:
         """What the operators' file asks for; without one nothing of it is imported. Raises `ConfigError`, and
@@ -473,11 +481,11 @@
         """Go on for a little, since the front learns late; then finish what was taken."""
         succeeded = self.succession is not None and self.succession.succeeded()
         longest = max((cls.deadline for cls in self.config.settings.classes.values()), default=0.0) / 1000
-        self.life.leave(self.time(), succeeded)
-        self.service.ends = self.life.last_answer(longest)
+        self.lifecycle.stop(self.time(), succeeded)
+        self.service.ends = self.lifecycle.last_response_at(longest)
         self.counters.trace.add("process", "stopping")
         log.log_event("stopping", open=len(self.driver.open_requests), succeeded=succeeded)
-        while self.life.accepts(self.time()):
+        while self.lifecycle.accepts_connections(self.time()):
             await asyncio.sleep(0.01)
         self._tend_contained()
         # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
--- a/mapleshunt/lifecycle/__init__.py
+++ b/mapleshunt/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""What the gateway is there for at present, and what it tells its operators. No I/O, no clock."""
+"""The life cycle of a gateway process: its states, statistics, and the warm state for the next process."""
--- a/mapleshunt/lifecycle/lifecycle.py
+++ b/mapleshunt/lifecycle/lifecycle.py
@@ -1,101 +1,141 @@
-"""Whether the gateway works, is drained or leaves: one state that SIGTERM and the operators' door share.
+"""The states of a gateway process: starting, serving, draining, stopping.
 
-No I/O and no clock: `now` is handed in, in seconds of any clock that advances evenly. The table of what each
-state does is in `docs/operators-door.md`.
+SIGTERM, the admin endpoint and maintenance share this one state machine. It does no I/O and reads no clock:
+`now` is passed in, in seconds of any clock that advances evenly. `docs/operators-door.md` has the table of
+what each state does.
 """
 
 from __future__ import annotations
 
 import enum
 import math
-from typing import Literal
+from collections.abc import Mapping
 
-Phase = Literal["starting", "working", "drained", "leaving"]
-
-# s for which new clients and idle connections are kept after the front could first read a "no": it asks ten
-# times a second and stops 0.2 s after one; at a planned restart it goes on for 0.4 s at most.
-STAY = 0.5
-# s after which a connection with an answer owed is not read any further: with what it holds answered it can
+# For how long new clients and idle connections are kept once a load balancer could first read "not ready": it
+# polls ten times a second and stops 0.2 s after one such answer; at a planned restart it goes on for 0.4 s at
+# most.
+DRAIN_GRACE_S = 0.5
+# After which a connection with a response pending is not read any further: with what it holds answered it can
 # end. The operators want none with a request of the last 2 s left after 4 s.
-LAST_CALL = 1.5
-# s past the longest deadline, which counts as `KILL_MOST` at most, at which a process that was told to end
-# may be killed, by the protocol. What it took late has to have its answer by then, and has it `EARLY` before.
-KILL, KILL_MOST, EARLY = 0.7, 3.0, 0.2
+READ_GRACE_S = 1.5
+# A process may be killed this long after the longest deadline, counted from SIGTERM. Deadlines beyond the
+# maximum count as the maximum.
+KILL_DELAY_S = 0.7
+KILL_MAX_DEADLINE_S = 3.0
+# How long before that the last response has to be given.
+LAST_RESPONSE_MARGIN_S = 0.2
+
+
+class State(enum.Enum):
+    """What the process does for its clients at present."""
+
+    STARTING = "starting"  # not listening yet
+    SERVING = "serving"
+    DRAINING = "draining"  # lame duck: running, but clients are sent to other gateways; can be resumed
+    STOPPING = "stopping"  # told to end, by SIGTERM
+
+
+LEGAL_TRANSITIONS: Mapping[State, frozenset[State]] = {
+    State.STARTING: frozenset({State.SERVING, State.STOPPING}),
+    State.SERVING: frozenset({State.DRAINING, State.STOPPING}),
+    State.DRAINING: frozenset({State.SERVING, State.STOPPING}),
+    State.STOPPING: frozenset(),
+}
 
 
 class DrainRequester(enum.Enum):
-    """Who may drain the gateway. It works again once none of them wants it drained."""
+    """Who may drain the gateway. It serves again once none of them wants it drained."""
 
-    OPERATORS = "operators"  # at the operators' door
+    OPERATORS = "operators"  # through the admin endpoint
     MAINTENANCE = "maintenance"  # by a grant for work on the machine
 
 
 class Lifecycle:
-    """Begins in "starting"; "leaving" is never left."""
+    """The current state, and what follows from it for clients and connections."""
 
     def __init__(self) -> None:
-        self.phase: Phase = "starting"
-        self.since = -math.inf  # when the phase began
-        self.drainers: set[DrainRequester] = set()  # who wants it drained now
-        self.succeeded = False  # another process takes the clients by the same address
-        self.told_to_leave = math.inf
-
-    def _enter(self, phase: Phase, now: float) -> bool:
-        if self.phase == "leaving" or self.phase == phase:
+        self.state = State.STARTING
+        self.drain_requesters: set[DrainRequester] = set()
+        self._emptying_since = -math.inf  # when connections began to be emptied: draining or stopping
+        self._has_successor = False  # another process takes the clients at the same address
+        self._stop_requested_at = math.inf
+
+    def _enter(self, state: State) -> bool:
+        if state not in LEGAL_TRANSITIONS[self.state]:
             return False
-        self.phase, self.since = phase, now
+        self.state = state
         return True
 
-    # What happens. Each returns whether it changed anything.
+    # Events. Each returns whether the state changed.
 
-    def listening(self, now: float) -> bool:
-        return self.phase == "starting" and self._enter("working", now)
+    def start_serving(self) -> bool:
+        """The process listens for clients."""
+        return self.state is State.STARTING and self._enter(State.SERVING)
 
-    def drain(self, now: float, drainer: DrainRequester) -> bool:
-        if self.phase not in ("working", "drained"):
+    def drain(self, now: float, requester: DrainRequester) -> bool:
+        """`requester` wants the gateway drained; ignored while it is starting or stopping."""
+        if self.state not in (State.SERVING, State.DRAINING):
+            return False
+        self.drain_requesters.add(requester)
+        if not self._enter(State.DRAINING):
             return False
-        self.drainers.add(drainer)
-        return self._enter("drained", now)
+        self._emptying_since = now
+        return True
 
-    def resume(self, now: float, drainer: DrainRequester) -> bool:
-        self.drainers.discard(drainer)
-        return self.phase == "drained" and not self.drainers and self._enter("working", now)
+    def resume(self, requester: DrainRequester) -> bool:
+        """`requester` no longer wants the gateway drained; it serves again unless another one does."""
+        self.drain_requesters.discard(requester)
+        if self.state is not State.DRAINING or self.drain_requesters:
+            return False
+        return self._enter(State.SERVING)
 
-    def leave(self, now: float, succeeded: bool = False) -> bool:
-        # One that was drained is emptied already: nobody waits for more.
-        if not self._enter("leaving", self.since if self.phase == "drained" else now):
+    def stop(self, now: float, has_successor: bool = False) -> bool:
+        """The process is to end. With a successor, another process takes the clients at the same address."""
+        was_draining = self.state is State.DRAINING
+        if not self._enter(State.STOPPING):
             return False
-        self.succeeded, self.told_to_leave = succeeded, now
+        if not was_draining:  # one that was draining is emptied already: nobody waits for more
+            self._emptying_since = now
+        self._has_successor = has_successor
+        self._stop_requested_at = now
         return True
 
-    # What that means
+    # What follows from the state.
+
+    def is_serving(self) -> bool:
+        """Tell whether operators who ask for readiness get a "yes"."""
+        return self.state is State.SERVING
 
-    def takes(self) -> bool:
-        """Is a "yes" owed to operators who ask whether this process takes clients?"""
-        return self.phase == "working"
+    def is_ready(self) -> bool:
+        """Tell whether a load balancer's PING gets PONG. A process with a successor answers for both."""
+        return self.is_serving() or (self.state is State.STOPPING and self._has_successor)
 
-    def wanted(self) -> bool:
-        """Is a "yes" owed to a front that asks with PING? One that was succeeded says so for both."""
-        return self.phase == "working" or (self.phase == "leaving" and self.succeeded)
+    def accepts_connections(self, now: float) -> bool:
+        """Tell whether new connections are accepted.
 
-    def accepts(self, now: float) -> bool:
-        """Are new connections taken? A drained gateway takes them, for a "no" must be heard too."""
-        if self.phase == "leaving":
-            return not self.succeeded and now - self.since < STAY
-        return self.phase != "starting"
+        A draining gateway accepts them too: the load balancer has to be able to read "not ready".
+        """
+        if self.state is State.STOPPING:
+            return not self._has_successor and now - self._emptying_since < DRAIN_GRACE_S
+        return self.state is not State.STARTING
 
-    def closes(self, now: float) -> bool:
-        """Does a client connection end as soon as nothing is owed on it?"""
-        if self.phase == "leaving" and self.succeeded:
+    def closes_idle_connections(self, now: float) -> bool:
+        """Tell whether a client connection ends as soon as no response is pending on it."""
+        if self.state is State.STOPPING and self._has_successor:
             return True
-        return self.phase in ("drained", "leaving") and now - self.since >= STAY
+        return self._is_emptying() and now - self._emptying_since >= DRAIN_GRACE_S
+
+    def reads_while_responding(self, now: float) -> bool:
+        """Tell whether a connection is read on while a response is pending on it."""
+        return not self._is_emptying() or now - self._emptying_since < READ_GRACE_S
+
+    def last_response_at(self, longest_deadline_s: float) -> float:
+        """Return when the last response to requests that arrive while stopping has to be given.
 
-    def last_answer(self, longest: float) -> float:
-        """When the last answer has to be given to what comes once it was told to leave; inf before that.
-        `longest` is the longest deadline, in s.
+        `longest_deadline_s` is the longest deadline of any request class. Infinity unless stopping.
         """
-        return self.told_to_leave + min(longest, KILL_MOST) + KILL - EARLY
+        longest = min(longest_deadline_s, KILL_MAX_DEADLINE_S)
+        return self._stop_requested_at + longest + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
 
-    def reads(self, now: float) -> bool:
-        """Is a connection read on while an answer is owed on it?"""
-        return self.phase not in ("drained", "leaving") or now - self.since < LAST_CALL
+    def _is_emptying(self) -> bool:
+        return self.state in (State.DRAINING, State.STOPPING)
--- a/mapleshunt/lifecycle/statistics.py
+++ b/mapleshunt/lifecycle/statistics.py
@@ -1,6 +1,6 @@
-"""The figures that operators fetch: counts by class and gauges, as lines of `name:value|type`.
+"""The statistics that operators fetch: counters by request class and gauges, as lines of `name:value|type`.
 
-The form is that of statsd's text protocol: `c` for counts, which only grow from 0 at the start of the
+The form is that of statsd's text protocol: `c` for counters, which only grow from 0 at the start of the
 process, and `g` for gauges.
 """
 
@@ -9,11 +9,17 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-COUNTS = "completed", "rejected", "failed", "upstream_requests"  # kept for each class
+CLASS_COUNTERS = ("completed", "rejected", "failed", "upstream_requests")
 
 
-def text_of(classes: Iterable[str], counts: Counter[tuple[str, str]], gauges: Mapping[str, int]) -> str:
-    """One line a figure; every class has all its counts, also those that are 0."""
-    lines = [f"gateway.{name}.{cls}:{counts[name, cls]}|c" for cls in classes for name in COUNTS]
+def render(classes: Iterable[str], counts: Counter[tuple[str, str]], gauges: Mapping[str, int]) -> str:
+    """Return one line for each statistic.
+
+    Args:
+        classes: names of the request classes; each gets all `CLASS_COUNTERS`, also those that are 0.
+        counts: counts by counter and class.
+        gauges: current values by name.
+    """
+    lines = [f"gateway.{name}.{cls}:{counts[name, cls]}|c" for cls in classes for name in CLASS_COUNTERS]
     lines += [f"gateway.{name}:{value}|g" for name, value in gauges.items()]
     return "\n".join(lines) + "\n"
--- a/mapleshunt/lifecycle/warm_state.py
+++ b/mapleshunt/lifecycle/warm_state.py
@@ -13,135 +13,221 @@
 import msgspec
 
 from ..policy.gateway import Gateway
+from ..policy.state import Customer, Server
 
 VERSION: Literal[1] = 1
 MAX_CUSTOMERS = 4000
 MAX_ENCODED_BYTES = 1 << 20
-FRESH = 10_000.0  # ms after which what was known is not worth having
+# An older warm state is refused: estimates have changed, and every quota has refilled by then.
+MAX_AGE_MS = 10_000.0
+# A notification of a quota owner from longer ago counts as none.
+MAX_NOTIFICATION_AGE_MS = 100_000.0
+MIN_RECENT_USE = 0.01  # units of late below which a customer with a full token bucket is left out
+MIN_LATENCY_RATIO = 1e-6
+
+
+class WarmStateError(ValueError):
+    """A warm state that cannot be taken over: malformed, too old, or of other settings."""
 
 
 class CustomerState(msgspec.Struct, array_like=True, frozen=True):
+    """What is handed on of one customer; stored as an array, so that only the order of the fields counts."""
+
     tag: int
-    plan: int  # its number among the plans' sorted names
-    level: float  # of its store, units
-    use: float  # units of late
-    told: float  # ms since another gateway told the store; below 0 for never
-    crowd: float
-    cost: float  # smoothed, ms
+    plan: int  # its index among the plans' sorted names
+    tokens: float  # in its token bucket, units
+    recent_use: float  # units used of late
+    notified_ago: float  # ms since another gateway last reported on the bucket; below 0 for never
+    demand_ratio: float
+    cost_estimate: float  # smoothed, ms
 
 
 class EndpointState(msgspec.Struct, array_like=True, frozen=True):
+    """What is handed on of one endpoint; stored as an array, so that only the order of the fields counts."""
+
     server: int
-    since: float  # its start, as the list has it
-    pace: float
-    barred: float  # ms for which it is still left alone
-    fails: int
-    silent: float  # ms since its last answer
-    allowance: float  # attempts that it may be sent while it is cold
+    started: float  # its start, as the endpoint list has it
+    latency_ratio: float
+    ejected_for: float  # ms for which it is still ejected
+    ejections: int
+    silent_for: float  # ms since its last response
+    slow_start_budget: float  # attempts that it may be sent while it is warming up
 
 
 class WarmState(msgspec.Struct, frozen=True):
+    """What one process hands to the next. The stored names of the fields are those of version 1."""
+
     version: Literal[1]
-    at: float  # when it was taken
+    captured_at: float = msgspec.field(name="at")  # ms since 1970
     plans: tuple[str, ...]
-    bound: float
-    pace: float
-    best: float
-    answer: float
-    word_ms: float
-    warm: float
-    alive: float
-    mean: dict[str, float]  # answer time by class
-    shares: tuple[float, ...]
+    concurrency_limit: float = msgspec.field(name="bound")
+    latency_ratio: float = msgspec.field(name="pace")
+    best_latency_ratio: float = msgspec.field(name="best")  # the lowest of late
+    response_time: float = msgspec.field(name="answer")  # smoothed over all classes, ms
+    owner_reply_time: float = msgspec.field(name="word_ms")  # smoothed, of quota owners, ms
+    warm_response_rate: float = msgspec.field(name="warm")  # of one endpoint that is warm
+    response_rate: float = msgspec.field(name="alive")  # of one endpoint of any age
+    response_time_by_class: dict[str, float] = msgspec.field(name="mean")
+    grant_ratios: tuple[float, ...] = msgspec.field(name="shares")  # by plan: granted by quota owners of late
     customers: tuple[CustomerState, ...]
-    servers: tuple[EndpointState, ...]
-    monotonic: float | None = None  # when it was taken; older versions do not tell
+    endpoints: tuple[EndpointState, ...] = msgspec.field(name="servers")
+    captured_monotonic: float | None = msgspec.field(name="monotonic", default=None)  # older versions omit it
 
     def age(self, now: float, monotonic: float | None) -> float:
-        """ms since it was taken."""
-        if monotonic is None or self.monotonic is None:
-            return now - self.at
-        return monotonic - self.monotonic
+        """Return how many ms ago it was captured: by the monotonic clock if both processes tell it."""
+        if monotonic is None or self.captured_monotonic is None:
+            return now - self.captured_at
+        return monotonic - self.captured_monotonic
 
 
 def capture(gateway: Gateway, now: float, monotonic: float | None = None) -> WarmState:
-    """What is worth handing on at `now`. Customers whose store is full and unused need no note."""
+    """Return what is worth handing on at `now`.
+
+    Customers whose token bucket is full and who used nothing of late are left out, and so are those that used
+    least where there are more than `MAX_CUSTOMERS`.
+    """
+    return WarmState(
+        version=VERSION,
+        captured_at=now,
+        plans=tuple(gateway.plans),
+        concurrency_limit=gateway.bound,
+        latency_ratio=gateway.pace,
+        best_latency_ratio=gateway.best,
+        response_time=gateway.answer,
+        owner_reply_time=gateway.word_ms,
+        warm_response_rate=gateway.warm.add(now),
+        response_rate=gateway.alive.add(now),
+        response_time_by_class=dict(gateway.mean),
+        grant_ratios=tuple(gateway.shares),
+        customers=_capture_customers(gateway, now),
+        endpoints=tuple(_capture_endpoint(one, now) for one in gateway.servers.values()),
+        captured_monotonic=monotonic,
+    )
+
+
+def _capture_customers(gateway: Gateway, now: float) -> tuple[CustomerState, ...]:
     known = gateway.customers.values()
-    spent = [c for c in known if c.store.fill(now) < c.store.burst or c.use.add(now) > 0.01]
+    spent = [c for c in known if c.store.fill(now) < c.store.burst or c.use.add(now) > MIN_RECENT_USE]
     spent.sort(key=lambda c: c.use.value, reverse=True)
-    return WarmState(
-        version=VERSION, at=now, plans=tuple(gateway.plans), bound=gateway.bound, pace=gateway.pace,
-        best=gateway.best, answer=gateway.answer, word_ms=gateway.word_ms,
-        warm=gateway.warm.add(now), alive=gateway.alive.add(now),
-        mean=dict(gateway.mean), shares=tuple(gateway.shares),
-        customers=tuple(
-            CustomerState(c.tag, c.code, c.store.level, c.use.value,
-                         now - c.told_at if now - c.told_at < FRESH * 10 else -1.0, c.crowd, c.k)
-            for c in spent[:MAX_CUSTOMERS]
-        ),
-        servers=tuple(
-            EndpointState(s.entry.server, s.started, s.pace, max(0.0, s.barred - now), s.fails,
-                       max(0.0, now - s.answered), s.allowance.level)
-            for s in gateway.servers.values()
-        ),
-        monotonic=monotonic,
-    )  # fmt: skip
-
-
-def encode(known: WarmState) -> bytes:
-    return msgspec.json.encode(known)
+    return tuple(_capture_customer(c, now) for c in spent[:MAX_CUSTOMERS])
+
+
+def _capture_customer(customer: Customer, now: float) -> CustomerState:
+    notified_ago = now - customer.told_at
+    return CustomerState(
+        tag=customer.tag,
+        plan=customer.code,
+        tokens=customer.store.level,
+        recent_use=customer.use.value,
+        notified_ago=notified_ago if notified_ago < MAX_NOTIFICATION_AGE_MS else -1.0,
+        demand_ratio=customer.crowd,
+        cost_estimate=customer.k,
+    )
+
+
+def _capture_endpoint(server: Server, now: float) -> EndpointState:
+    return EndpointState(
+        server=server.entry.server,
+        started=server.started,
+        latency_ratio=server.pace,
+        ejected_for=max(0.0, server.barred - now),
+        ejections=server.fails,
+        silent_for=max(0.0, now - server.answered),
+        slow_start_budget=server.allowance.level,
+    )
+
+
+def encode(warm_state: WarmState) -> bytes:
+    """Return the warm state as JSON, the form in which it is stored."""
+    return msgspec.json.encode(warm_state)
 
 
 def decode(data: bytes) -> WarmState:
-    """Raises ValueError for what is not whole, not well formed, or of another version."""
+    """Return what `encode` wrote.
+
+    Raises:
+        ValueError: the data is incomplete, malformed, too long, or of another version.
+    """
     if len(data) > MAX_ENCODED_BYTES:
-        raise ValueError(f"more than {MAX_ENCODED_BYTES} bytes")
+        raise WarmStateError(f"the warm state has more than {MAX_ENCODED_BYTES} bytes")
     return msgspec.json.decode(data, type=WarmState)
 
 
-def restore(gateway: Gateway, known: WarmState, now: float, monotonic: float | None = None) -> None:
-    """Put it into decisions that have heard of the servers and of no request yet.
+def restore(gateway: Gateway, warm_state: WarmState, now: float, monotonic: float | None = None) -> None:
+    """Put a warm state into decisions that know the endpoints and have had no request yet.
+
+    No token bucket gets more than it had, or than the settings of now let it hold.
 
-    Raises ValueError, with nothing changed, if it is too old or of other plans. Nobody's store gets more than
-    it had, or than the settings of now let it hold.
+    Raises:
+        WarmStateError: it is too old or of other plans; nothing is changed.
     """
-    age = known.age(now, monotonic)
-    if not -FRESH <= age <= FRESH:
-        raise ValueError(f"taken {age:.0f} ms ago")
-    if known.plans != tuple(gateway.plans) or len(known.shares) != len(known.plans):
-        raise ValueError("of other plans")
-    if any(not 0 <= note.plan < len(known.plans) for note in known.customers):
-        raise ValueError("a plan's number is out of range")
-    if min(known.bound, known.pace, known.best, known.answer, known.word_ms) <= 0:
-        raise ValueError("a mean is not above 0")
-    gateway.bound = min(known.bound, 3 * gateway.ample)
-    gateway.pace, gateway.best, gateway.answer = known.pace, known.best, known.answer
-    gateway.word_ms = known.word_ms
-    gateway.warm.add(now, max(0.0, known.warm))
-    gateway.alive.add(now, max(0.0, known.alive))
-    gateway.mean.update({name: known.mean[name] for name in gateway.mean if known.mean.get(name, 0.0) > 0})
-    gateway.shares = list(known.shares)
-    for note in known.customers[:MAX_CUSTOMERS]:
-        c = gateway.record(note.tag, note.plan)
-        c.store.level, c.store.at = min(c.store.burst, note.level), min(now - age, now)
-        c.use.value, c.use.at = max(0.0, note.use), min(now - age, now)
-        c.told_at = now - note.told if note.told >= 0 else c.told_at
-        c.crowd, c.k = max(0.0, note.crowd), max(0.0, note.cost)
-    for mark in known.servers:
-        server = gateway.servers.get(mark.server)
-        if server is not None and server.started == mark.since:
-            server.pace, server.fails = max(1e-6, mark.pace), max(0, mark.fails)
-            server.barred = now + mark.barred if mark.barred > 0 else 0.0
-            server.answered = now - max(0.0, mark.silent)
-            server.allowance.level = min(server.allowance.burst, mark.allowance)
+    age = warm_state.age(now, monotonic)
+    _check(gateway, warm_state, age)
+    gateway.bound = min(warm_state.concurrency_limit, 3 * gateway.ample)
+    gateway.pace, gateway.best = warm_state.latency_ratio, warm_state.best_latency_ratio
+    gateway.answer, gateway.word_ms = warm_state.response_time, warm_state.owner_reply_time
+    gateway.warm.add(now, max(0.0, warm_state.warm_response_rate))
+    gateway.alive.add(now, max(0.0, warm_state.response_rate))
+    for name in gateway.mean:
+        response_time = warm_state.response_time_by_class.get(name, 0.0)
+        if response_time > 0:
+            gateway.mean[name] = response_time
+    gateway.shares = list(warm_state.grant_ratios)
+    for customer in warm_state.customers[:MAX_CUSTOMERS]:
+        _restore_customer(gateway, customer, now, age)
+    for endpoint in warm_state.endpoints:
+        _restore_endpoint(gateway, endpoint, now)
+
+
+def _check(gateway: Gateway, warm_state: WarmState, age: float) -> None:
+    if not -MAX_AGE_MS <= age <= MAX_AGE_MS:
+        raise WarmStateError(f"the warm state was captured {age:.0f} ms ago")
+    plans = warm_state.plans
+    if plans != tuple(gateway.plans) or len(warm_state.grant_ratios) != len(plans):
+        raise WarmStateError("the warm state is of other plans")
+    if any(not 0 <= customer.plan < len(plans) for customer in warm_state.customers):
+        raise WarmStateError("the warm state has a customer whose plan's index is out of range")
+    means = (
+        warm_state.concurrency_limit,
+        warm_state.latency_ratio,
+        warm_state.best_latency_ratio,
+        warm_state.response_time,
+        warm_state.owner_reply_time,
+    )
+    if min(means) <= 0:
+        raise WarmStateError("the warm state has a mean that is not above 0")
+
+
+def _restore_customer(gateway: Gateway, state: CustomerState, now: float, age: float) -> None:
+    customer = gateway.record(state.tag, state.plan)
+    captured_at = min(now - age, now)
+    customer.store.level = min(customer.store.burst, state.tokens)
+    customer.store.at = captured_at
+    customer.use.value, customer.use.at = max(0.0, state.recent_use), captured_at
+    if state.notified_ago >= 0:
+        customer.told_at = now - state.notified_ago
+    customer.crowd, customer.k = max(0.0, state.demand_ratio), max(0.0, state.cost_estimate)
+
+
+def _restore_endpoint(gateway: Gateway, state: EndpointState, now: float) -> None:
+    server = gateway.servers.get(state.server)
+    if server is None or server.started != state.started:
+        return  # it is gone, or has started anew
+    server.pace, server.fails = max(MIN_LATENCY_RATIO, state.latency_ratio), max(0, state.ejections)
+    server.barred = now + state.ejected_for if state.ejected_for > 0 else 0.0
+    server.answered = now - max(0.0, state.silent_for)
+    server.allowance.level = min(server.allowance.burst, state.slow_start_budget)
 
 
 def charge_usage(gateway: Gateway, tag: int, units: float, now: float) -> None:
-    """The other process of this gateway used `units` of a customer's since it handed on what it knew.
+    """Charge a customer for `units` that the other process of this gateway used after it handed on its state.
 
-    It has told the customer's home itself; here only this view of the store, and of its use, is lowered.
+    That process has notified the customer's quota owner itself; here only this gateway's view of the token
+    bucket and of the use is lowered.
     """
-    if (c := gateway.customers.get(tag)) is not None:
-        c.store.level = c.store.fill(now) - units
-        if not c.keepers or c.keepers[0] == gateway.set.me:
-            c.use.add(now, units)
+    customer = gateway.customers.get(tag)
+    if customer is None:
+        return
+    customer.store.level = customer.store.fill(now) - units
+    if not customer.keepers or customer.keepers[0] == gateway.set.me:
+        customer.use.add(now, units)
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -69,7 +69,7 @@
             self.counters.add("knowledge_refused")
             log.log_event("knowledge_refused", source=source, why=error)
             return
-        customers, servers = len(known.customers), len(known.servers)
+        customers, servers = len(known.customers), len(known.endpoints)
         age = known.age(self.driver.now(), monotonic_ms())
         log.log_event("knowledge_taken", source=source, customers=customers, servers=servers, age=age)
 
--- /dev/null
+++ b/tests/test_lifecycle.py
@@ -0,0 +1,107 @@
+"""The life cycle that SIGTERM, the admin endpoint and maintenance share, against a model."""
+
+from __future__ import annotations
+
+import math
+
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
+
+from mapleshunt.lifecycle.lifecycle import (
+    DRAIN_GRACE_S,
+    KILL_DELAY_S,
+    KILL_MAX_DEADLINE_S,
+    LAST_RESPONSE_MARGIN_S,
+    LEGAL_TRANSITIONS,
+    READ_GRACE_S,
+    DrainRequester,
+    Lifecycle,
+    State,
+)
+
+
+class LifecycleMachine(RuleBasedStateMachine):
+    """The model keeps the list of what happened and reads the state off it."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.lifecycle, self.now = Lifecycle(), 0.0
+        self.history: list[tuple[str, float, bool]] = []
+        self.requesters: set[DrainRequester] = set()
+
+    @rule(step=st.sampled_from([0.0, 0.05, 0.3, 0.5, 1.5, 4.0]))
+    def wait(self, step: float) -> None:
+        self.now += step
+
+    @rule()
+    def start_serving(self) -> None:
+        if self.lifecycle.start_serving():
+            self.history.append(("start_serving", self.now, False))
+
+    @rule(requester=st.sampled_from(DrainRequester))
+    def drain(self, requester: DrainRequester) -> None:
+        may = self.history and self.history[-1][0] != "stop"
+        assert self.lifecycle.drain(self.now, requester) == bool(may and not self.requesters)
+        if may:
+            if not self.requesters:
+                self.history.append(("drain", self.now, False))
+            self.requesters.add(requester)
+
+    @rule(requester=st.sampled_from(DrainRequester))
+    def resume(self, requester: DrainRequester) -> None:
+        last = self.requesters == {requester} and self.history[-1][0] != "stop"
+        assert self.lifecycle.resume(requester) == last
+        self.requesters.discard(requester)
+        if last:
+            self.history.append(("resume", self.now, False))
+
+    @rule(has_successor=st.booleans())
+    def stop(self, has_successor: bool) -> None:
+        is_first = "stop" not in [one[0] for one in self.history]
+        assert self.lifecycle.stop(self.now, has_successor) == is_first
+        if is_first:
+            self.history.append(("stop", self.now, has_successor))
+
+    @invariant()
+    def agrees(self) -> None:
+        last = self.history[-1] if self.history else ("start", 0.0, False)
+        before = self.history[-2] if len(self.history) > 1 else ("start", 0.0, False)
+        working = last[0] in ("start_serving", "resume")
+        emptying = last[1] if last[0] in ("drain", "stop") else None
+        if last[0] == "stop" and before[0] == "drain":
+            emptying = before[1]
+        gone = self.now - emptying if emptying is not None else -1.0
+        has_successor = last[0] == "stop" and last[2]
+        left = last[1] if last[0] == "stop" else math.inf
+        assert self.lifecycle.last_response_at(2.0) == left + 2.0 + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
+        at_most = left + KILL_MAX_DEADLINE_S + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
+        assert self.lifecycle.last_response_at(10.0) == at_most
+        assert self.lifecycle.is_serving() == working
+        assert self.lifecycle.is_ready() == (working or has_successor)
+        assert self.lifecycle.closes_idle_connections(self.now) == (has_successor or gone >= DRAIN_GRACE_S)
+        assert self.lifecycle.reads_while_responding(self.now) == (gone < READ_GRACE_S)
+        if last[0] == "stop":
+            accepts = not has_successor and gone < DRAIN_GRACE_S
+            assert self.lifecycle.accepts_connections(self.now) == accepts
+        else:
+            assert self.lifecycle.accepts_connections(self.now) == (last[0] != "start")
+
+
+TestLifecycle = LifecycleMachine.TestCase
+TestLifecycle.settings = settings(derandomize=True, max_examples=60, deadline=None)
+
+
+def test_gateway_stays_draining_when_only_one_of_two_requesters_resumes() -> None:
+    lifecycle = Lifecycle()
+    lifecycle.start_serving()
+    assert lifecycle.drain(1.0, DrainRequester.OPERATORS)
+    assert not lifecycle.drain(2.0, DrainRequester.MAINTENANCE)
+    assert not lifecycle.resume(DrainRequester.MAINTENANCE) and not lifecycle.is_serving()
+    assert lifecycle.resume(DrainRequester.OPERATORS) and lifecycle.is_serving()
+
+
+def test_stopping_is_never_left_and_starting_is_never_entered_again() -> None:
+    assert not LEGAL_TRANSITIONS[State.STOPPING]
+    assert not any(State.STARTING in targets for targets in LEGAL_TRANSITIONS.values())
+    assert all(state not in targets for state, targets in LEGAL_TRANSITIONS.items())
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -192,8 +192,8 @@
         late.send(PING)
         for acceptor in one.acceptors:  # the loop does not get to it
             acceptor.stop()
-        monkeypatch.setattr(one.life, "accepts", lambda now: False)
-        monkeypatch.setattr(one.life, "closes", lambda now: True)
+        monkeypatch.setattr(one.lifecycle, "accepts_connections", lambda now: False)
+        monkeypatch.setattr(one.lifecycle, "closes_idle_connections", lambda now: True)
         one.stopped.set()
         data = await asyncio.get_running_loop().sock_recv(late, 100)
         late.close()
@@ -224,8 +224,8 @@
             acceptor.stop()  # the loop does not get to it before shutdown
             failing = FailingListener(acceptor.listener, list(errors))
             acceptor.listener = cast(socket.socket, failing)
-            one.life.accepts = lambda now: False  # type: ignore[method-assign]
-            one.life.closes = lambda now: True  # type: ignore[method-assign]
+            one.lifecycle.accepts_connections = lambda now: False  # type: ignore[method-assign]
+            one.lifecycle.closes_idle_connections = lambda now: True  # type: ignore[method-assign]
             one.stopped.set()
             data = await asyncio.get_running_loop().sock_recv(late, 100)
         await task
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -108,10 +108,18 @@
     # What one process hands on
     "warm state": (
         warm_state.WarmState,
-        "version at plans bound pace best answer word_ms warm alive mean shares customers servers monotonic",
+        "version captured_at plans concurrency_limit latency_ratio best_latency_ratio response_time"
+        " owner_reply_time warm_response_rate response_rate response_time_by_class grant_ratios customers"
+        " endpoints captured_monotonic",
+    ),
+    "customer": (
+        warm_state.CustomerState,
+        "tag plan tokens recent_use notified_ago demand_ratio cost_estimate",
+    ),
+    "server": (
+        warm_state.EndpointState,
+        "server started latency_ratio ejected_for ejections silent_for slow_start_budget",
     ),
-    "customer": (warm_state.CustomerState, "tag plan level use told crowd cost"),
-    "server": (warm_state.EndpointState, "server since pace barred fails silent allowance"),
 }
 # Each type of these has an example among the messages.
 UNIONS: tuple[Any, ...] = (replication.Message, wire.Frame, words.Operation, words.Result)
@@ -437,9 +445,9 @@
 def test_what_a_process_of_98386c1_hands_on_is_taken_over() -> None:
     """Decided with what was known: a store, a server that is left alone, a server that is slow."""
     known = warm_state.decode((DATA / "handover" / "warm-state.json").read_bytes())
-    gateway, now = decisions(known.at + 200), known.at + 200
-    warm_state.restore(gateway, known, now, (known.monotonic or 0.0) + 200)
-    again = plain(warm_state.capture(gateway, now, (known.monotonic or 0.0) + 200))
+    gateway, now = decisions(known.captured_at + 200), known.captured_at + 200
+    warm_state.restore(gateway, known, now, (known.captured_monotonic or 0.0) + 200)
+    again = plain(warm_state.capture(gateway, now, (known.captured_monotonic or 0.0) + 200))
     assert exact(rounded(again)) == exact(rounded(VALUES["warm state after 200 ms"]))
 
 
