--- a/mapleshunt/testbed/soak/discovery_agent.py
+++ b/mapleshunt/testbed/soak/discovery_agent.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ...fleet.discovery import Entry
+from ...fleet.discovery import EndpointEntry
 from ..discovery_agent import DiscoveryAgent
 from ..fault_proxy import FaultProxy
 from ..fleet import LoopbackFleet
@@ -22,7 +22,7 @@
     def revision(self) -> int:
         return self.base + len(self.changes)
 
-    def _told(self, entries: list[Entry]) -> None:
+    def _told(self, entries: list[EndpointEntry]) -> None:
         """The fleet says when changes count as told, whatever becomes of answers on their way."""
 
     def body(self, since: int | None) -> dict[str, Any]:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+import shutil
 import subprocess
 import sys
 from dataclasses import replace
@@ -15,24 +16,24 @@
 from mapleshunt.policy import interface as i
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.simulation import experiments, stats
-from mapleshunt.simulation.day import Scenario, day_of, sized
-from mapleshunt.simulation.engine import Engine, Factory
+from mapleshunt.simulation.day import Scenario, draw_day, resized
+from mapleshunt.simulation.engine import Engine, PolicyFactory
 from mapleshunt.simulation.policies import POLICIES
 from mapleshunt.simulation.scenarios import SCENARIOS
-from mapleshunt.simulation.score import Score, score
-from mapleshunt.simulation.variants import BadVariant, load, parse
+from mapleshunt.simulation.score import Score, score_day
+from mapleshunt.simulation.variants import VariantError, load, parse
 
 ROOT = Path(__file__).parent.parent
 
 
-def played(scenario: Scenario, seed: int = 1, factory: Factory = Gateway) -> tuple[Engine, Score]:
-    engine = Engine(day_of(scenario, seed), factory)
+def played(scenario: Scenario, seed: int = 1, factory: PolicyFactory = Gateway) -> tuple[Engine, Score]:
+    engine = Engine(draw_day(scenario, seed), factory)
     engine.run()
-    return engine, score(engine)
+    return engine, score_day(engine)
 
 
 def short(name: str, seconds: float = 12.0, **changes: Any) -> Scenario:
-    return replace(sized(SCENARIOS[name], servers=8, seconds=seconds), **changes)
+    return replace(resized(SCENARIOS[name], servers=8, seconds=seconds), **changes)
 
 
 def test_the_same_seed_gives_the_same_run_bit_for_bit_and_another_one_does_not() -> None:
@@ -226,14 +227,13 @@
 
 def test_a_checkout_whose_code_raises_is_reported_and_the_other_goes_on(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
-    package.mkdir()
-    for name in ("interface", "state", "report", "slow_start", "control"):
-        text = (ROOT / "mapleshunt" / f"{name}.py").read_text()
-        if name == "control":
-            text = text.replace(
-                "    def arrive(self", "    def arrive(self, event):\n        1 / 0\n\n    def was(self"
-            )
-        (package / f"{name}.py").write_text(text)
+    shutil.copytree(ROOT / "mapleshunt" / "policy", package / "policy")
+    gateway = package / "policy" / "gateway.py"
+    text = gateway.read_text()
+    gateway.write_text(
+        text.replace("    def arrive(self", "    def arrive(self, event):\n        1 / 0\n\n    def was(self")
+    )
+    assert gateway.read_text() != text
     (package / "__init__.py").write_text("")
     found = experiments.compare(
         short("quiet", 5.0), parse("here"), parse(f"path:{tmp_path}"), range(1, 4), jobs=2
@@ -245,9 +245,10 @@
 
 def test_a_variant_that_ends_its_process_does_not_end_the_experiment(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
-    package.mkdir()
+    (package / "policy").mkdir(parents=True)
     (package / "__init__.py").write_text("")
-    (package / "control.py").write_text("import os\nos._exit(3)\n")
+    (package / "policy" / "__init__.py").write_text("")
+    (package / "policy" / "gateway.py").write_text("import os\nos._exit(3)\n")
     found = experiments.compare(
         short("quiet", 4.0), parse("here"), parse(f"path:{tmp_path}"), range(1, 3), jobs=2
     )
@@ -256,7 +257,7 @@
 
 def test_settings_constants_and_figures_can_be_set() -> None:
     one = parse("set:mail_per_s=10,TARGET=0.5,world.peer_loss=0.2,plan.basic.rate=9")
-    day = day_of(one.scenario(SCENARIOS["quiet"]), 1)
+    day = draw_day(one.scenario(SCENARIOS["quiet"]), 1)
     assert day.figures["peer_loss"] == 0.2
     settings = day.settings()[0]
     assert settings.mail_per_s == 10 and settings.plans["basic"].rate == 9
@@ -271,7 +272,7 @@
         "there",
         "set:SMOOTHER=1",
     ):
-        with pytest.raises(BadVariant):
+        with pytest.raises(VariantError):
             parse(bad)
 
 
