--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -24,7 +24,7 @@
 from .net import log
 from .net.backoff import TOLD, Backoff
 from .net.client import connection as client
-from .net.client.listener import Acceptor, bound
+from .net.client.listener import Acceptor, bind_socket
 from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
 from .net.counters import Counters
 from .net.discovery.watcher import Discovery, MemberList, member_list
@@ -33,7 +33,7 @@
 from .net.policy_driver import PolicyDriver
 from .net.protocol import resp
 from .net.startup import StartSteps
-from .net.upstream.endpoint_group import UpstreamGroup
+from .net.upstream.endpoint_group import EndpointGroup
 from .policy import interface as i
 
 if TYPE_CHECKING:
@@ -72,11 +72,11 @@
             kept += DESCRIPTORS
         self.sockets = min(config.sockets, descriptors())  # whichever binds first
         self.usable = max(16, self.sockets - kept)
-        self.group = UpstreamGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
+        self.group = EndpointGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
         self.share(1)
         self.driver = PolicyDriver(config.settings, config.seed, self.group, self.counters)
-        self.service = client.Service(self.driver, self.counters, config.seed, config.max_open)
-        self.service.ready = self.ready
+        self.service = client.ClientConnections(self.driver, self.counters, config.seed, config.max_open)
+        self.service.is_ready = self.ready
         self.chance = random.Random(config.seed)
         self.tending = Periodic(self.tend, TEND_EVERY, self.counters.add)
         self.watching: asyncio.Task[None] | None = None
@@ -91,7 +91,7 @@
         self.accepting = False
         # A client that does not read may make the gateway hold this much: no more than a part of its memory.
         self.most_unwritten = min(client.MAX_UNWRITTEN_BYTES, max(4 * resp.MAX_VALUE, config.memory // 64))
-        self.service.ended = self.resume_accepting
+        self.service.on_connection_ended = self.resume_accepting
         self.door: Door | None = None
         self.succession: Succession | None = None
         self.extensions: Extensions | None = None
@@ -103,15 +103,15 @@
         self.most_clients = self.usable // processes - upstream
         # Usual clients hold a third at most: well before that, those that ask no more give up their places.
         self.many_clients = self.sockets // (5 * processes)
-        self.group.limit(upstream)
+        self.group.set_connection_limit(upstream)
         self.processes = processes
 
     def ready(self) -> bool:
-        return self.life.wanted() and bool(self.group.servers)
+        return self.life.wanted() and bool(self.group.pools)
 
     def told(self, found: MemberList) -> None:
         kind: i.ListKind = "complete" if found.complete else "partial"
-        self.driver.apply_event(self.group.update(kind, found.members, self.age))
+        self.driver.apply_event(self.group.apply_endpoint_list(kind, found.members, self.age))
         self.revision = found.revision
         self.last_told = self.time()
         if found.complete or found.members:
@@ -137,8 +137,8 @@
     # kernel. One that was accepted and closed might have carried a request, which would be lost.
 
     def accept(self, connection: socket.socket) -> None:
-        waited = max(one.longest_wait() for one in self.acceptors)
-        self.service.serve(IOStream(connection, max_write_buffer_size=self.most_unwritten), waited)
+        waited = max(one.max_backlog_wait_s() for one in self.acceptors)
+        self.service.add(IOStream(connection, max_write_buffer_size=self.most_unwritten), waited)
         if not self.room() and not self.service.evict_idle():
             log.log_event("accepting_paused", client_connections=len(self.service.connections))
             self.stop_accepting()
@@ -152,7 +152,7 @@
 
     def room(self) -> bool:
         """May one more client connection be taken? Some that only linger may stand beside the others."""
-        lingering = min(self.service.finishing, LINGERERS)
+        lingering = min(self.service.lingering_count, LINGERERS)
         return len(self.service.connections) - lingering < self.most_clients
 
     def sweep_clients(self) -> None:
@@ -185,7 +185,9 @@
         try:
             if self.config.known is not None:
                 known = member_list(self.config.known)
-                self.driver.apply_event(self.group.update("persisted", known.members, self.driver.now.age))
+                self.driver.apply_event(
+                    self.group.apply_endpoint_list("persisted", known.members, self.driver.now.age)
+                )
                 self.revision = known.revision if known.members else None
             steps = StartSteps(self.counters)
             await self._open_sockets(steps)
@@ -232,7 +234,7 @@
             if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 raise ValueError(f"descriptor {self.config.accept_fd} does not listen")
             return listener
-        return bound(self.config.listen)
+        return bind_socket(self.config.listen)
 
     def hear(self) -> None:
         """Exchange messages with other gateways from now on, if the settings allow it."""
@@ -270,7 +272,7 @@
         if self.door is not None:
             self.door.open()
         listen = text_of(self.config.listen)
-        log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
+        log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.pools))
 
     def called(self, method: str, path: str) -> Reply:
         """What the operators' door answers."""
@@ -345,11 +347,11 @@
     def figures(self) -> str:
         from .lifecycle import figures
 
-        listed, now = self.group.servers.values(), self.driver.now()
+        listed, now = self.group.pools.values(), self.driver.now()
         known = self.driver.gateway.servers
         avoided = sum(
-            one.member.state != "ready" or (number in known and known[number].barred > now)
-            for number, one in self.group.servers.items()
+            one.endpoint.state != "ready" or (number in known and known[number].barred > now)
+            for number, one in self.group.pools.items()
         )
         gauges = {
             "pending": len(self.driver.open_requests),
@@ -435,7 +437,7 @@
         loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
         loop.add_signal_handler(signal.SIGQUIT, self.counters.trace.log_all)
         sweeps = [
-            Periodic(self.group.sweep, SERVER_SWEEP_EVERY, self.counters.add),
+            Periodic(self.group.close_stale_idle, SERVER_SWEEP_EVERY, self.counters.add),
             Periodic(self.sweep_clients, CLIENT_SWEEP_EVERY, self.counters.add, self.loop_late),
             Periodic(self.print_counters, COUNTERS_EVERY, self.counters.add),
         ]
@@ -470,7 +472,7 @@
         succeeded = self.succession is not None and self.succession.succeeded()
         longest = max((cls.deadline for cls in self.config.settings.classes.values()), default=0.0) / 1000
         self.life.leave(self.time(), succeeded)
-        self.service.ends = self.life.last_answer(longest)
+        self.service.final_deadline = self.life.last_answer(longest)
         self.counters.trace.add("process", "stopping")
         log.log_event("stopping", open=len(self.driver.open_requests), succeeded=succeeded)
         while self.life.accepts(self.time()):
@@ -494,7 +496,7 @@
             left = len(self.service.connections)
             log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
             for connection in list(self.service.connections):
-                connection.end("stopped")
+                connection.close("stopped")
 
     def heard(self, peer: int, text: str) -> None:
         self.driver.apply_event(i.PeerMessage(peer, text))
--- a/mapleshunt/net/admin/endpoint.py
+++ b/mapleshunt/net/admin/endpoint.py
@@ -14,7 +14,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import log
-from ..client.listener import Acceptor, bound
+from ..client.listener import Acceptor, bind_socket
 from ..config import Address
 from ..counters import Counters
 from ..protocol import http
@@ -40,7 +40,7 @@
         """Raises OSError if the address cannot be had."""
         self.call, self.counters = call, counters
         self.callers: dict[Caller, None] = {}  # the oldest first
-        self.listener = bound(listen)
+        self.listener = bind_socket(listen)
         self.acceptor = Acceptor(self.listener, self._take, counters, "door_")
 
     def open(self) -> None:
--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -55,24 +55,28 @@
 )  # where bytes go that nobody will read; shared, for they are never looked at
 
 
-class Service:
+class ClientConnections:
     """What all client connections share."""
 
     def __init__(self, driver: PolicyDriver, counters: Counters, seed: int, max_open: int) -> None:
-        self.driver, self.counters, self.max_open = driver, counters, max_open
+        self.driver, self.counters, self.max_open_requests = driver, counters, max_open
         # Peers name a request by a part of its number: one that begins anew after a restart must not meet
         # the answers to questions from before.
-        self.refs = itertools.count(random.Random(seed).getrandbits(40))
+        self.request_ids = itertools.count(random.Random(seed).getrandbits(40))
         self.connections: dict[ClientConnection, None] = {}  # the oldest first
-        self.ids: set[str] = set()  # of the requests that are open
-        self.ready: Callable[[], bool] = lambda: True
-        self.finishing = 0  # of the connections: those that only wait for their clients to end them
-        self.ends = math.inf  # on the loop's clock: by then all that is taken from now on has its answer
+        self.open_client_ids: set[str] = set()  # of the requests that are open
+        self.is_ready: Callable[[], bool] = lambda: True
+        self.lingering_count = 0  # of the connections: those that only wait for their clients to end them
+        self.final_deadline = (
+            math.inf
+        )  # on the loop's clock: by then all that is taken from now on has its answer
         self.draining = False  # a connection ends as soon as nothing is owed on it
         self.rejecting_new_requests = False  # what comes on one behind its first command is refused
-        self.ended: Callable[[], None] = lambda: None  # told of each connection that gives up its place
+        self.on_connection_ended: Callable[[], None] = (
+            lambda: None
+        )  # told of each connection that gives up its place
 
-    def serve(self, stream: IOStream, waited: float = 0.0) -> None:
+    def add(self, stream: IOStream, waited: float = 0.0) -> None:
         """Take the connection; what it brought may have waited in the backlog for so many s at most."""
         connection = ClientConnection(stream, self, waited)
         self.connections[connection] = None
@@ -88,22 +92,26 @@
         newest, now = next(reversed(self.connections), None), asyncio.get_running_loop().time()
         best: ClientConnection | None = None
         for one in self.connections:
-            if one is newest or one.last or now - one.since < rested or one.busy():
+            if one is newest or one.closing or now - one.last_activity_at < rested or one.is_busy():
                 continue
-            if not one.commands and now - one.since > EVICT_SILENT_AFTER_S and not one.unread():
+            if (
+                not one.command_count
+                and now - one.last_activity_at > EVICT_SILENT_AFTER_S
+                and not one.has_unread_bytes()
+            ):
                 best = one
                 break
-            if (best is None or one.since < best.since) and not one.unread():
+            if (best is None or one.last_activity_at < best.last_activity_at) and not one.has_unread_bytes():
                 best = one
         if best is not None:
-            best.finish("made_room")
+            best.start_close("made_room")
         return best is not None
 
     def close_lingering(self, most: int) -> None:
         """End what has lingered longest, so that no more than `most` do."""
-        for connection in list(self.connections) if self.finishing > most else ():
-            if connection.lingering is not None and self.finishing > most:
-                connection.end(connection.reason)
+        for connection in list(self.connections) if self.lingering_count > most else ():
+            if connection.linger_timer is not None and self.lingering_count > most:
+                connection.close(connection.close_reason)
 
     def reap_overdue(self, many: int, rested: float) -> None:
         """End what stands idle, stops in the middle of a command, or does not read its answers; and of
@@ -111,8 +119,8 @@
         """
         now = asyncio.get_running_loop().time()
         for connection in list(self.connections):
-            connection.end_if_overdue(now)
-        while len(self.connections) - self.finishing > many and self.evict_idle(rested):
+            connection.close_if_overdue(now)
+        while len(self.connections) - self.lingering_count > many and self.evict_idle(rested):
             pass
 
     def close_idle(self, draining: bool, rejecting_new_requests: bool) -> None:
@@ -120,8 +128,8 @@
         self.draining, self.rejecting_new_requests = draining, rejecting_new_requests
         now = asyncio.get_running_loop().time()
         for connection in list(self.connections) if draining else ():
-            if connection.commands or now - connection.since > EVICT_SILENT_AFTER_S:
-                connection.finish_if_done()
+            if connection.command_count or now - connection.last_activity_at > EVICT_SILENT_AFTER_S:
+                connection.continue_close()
 
 
 class ResponseSlot:
@@ -153,58 +161,66 @@
     answers go out. What comes once its end has begun is thrown away.
     """
 
-    def __init__(self, stream: IOStream, service: Service, waited: float = 0.0) -> None:
-        self.stream, self.service = stream, service
-        self.waited = waited  # s that its first bytes may have stood in the kernel before it was accepted
+    def __init__(self, stream: IOStream, service: ClientConnections, waited: float = 0.0) -> None:
+        self.stream, self.registry = stream, service
+        self.backlog_wait_s = (
+            waited  # s that its first bytes may have stood in the kernel before it was accepted
+        )
         self.loop = asyncio.get_running_loop()
         self.buffer = ReadBuffer(resp.MAX_MESSAGE)
-        self.consumed = 0  # bytes, of all that were read
+        self.consumed_bytes = 0  # bytes, of all that were read
         self.arrivals: deque[tuple[int, float]] = deque()  # how many bytes had been read, and when
         self.slots: deque[ResponseSlot] = deque()
-        self.written: asyncio.Future[None] | None = None
-        self.paused = ""  # what the next command waits for: "room", "writing" or "turn"
-        self.last = False  # no further command is taken
-        self.commands, self.strikes, self.reason = 0, 0, ""
-        self.since = self.begun = self.loop.time()  # of: opening, last byte read or written; next command
-        self.wrote = 0.0  # when an answer was last written
+        self.pending_write: asyncio.Future[None] | None = None
+        self.pause_reason = ""  # what the next command waits for: "room", "writing" or "turn"
+        self.closing = False  # no further command is taken
+        self.command_count, self.unacceptable_count, self.close_reason = 0, 0, ""
+        self.last_activity_at = self.command_started_at = (
+            self.loop.time()
+        )  # of: opening, last byte read or written; next command
+        self.last_write_at = 0.0  # when an answer was last written
         self.task: asyncio.Task[None] | None = None
-        self.lingering: asyncio.TimerHandle | None = None
+        self.linger_timer: asyncio.TimerHandle | None = None
         stream.set_nodelay(True)
 
     async def run(self) -> None:
         """Read until the connection ends; one line in the log says why it did."""
-        while self in self.service.connections:
+        while self in self.registry.connections:
             try:
-                if self.last:
-                    await self._throw_away()
-                elif self.paused and self.buffer.end - self.buffer.start >= self.buffer.limit - CHUNK:
-                    if self._hung_up():  # its end stands behind what is not read
-                        return self.end("client_closed")
-                    before = self.consumed
-                    if self.paused == "room":
-                        self._refuse_ahead()
-                    goes_on = self.paused == "turn" or self.consumed > before
+                if self.closing:
+                    await self._discard_input()
+                elif self.pause_reason and self.buffer.end - self.buffer.start >= self.buffer.limit - CHUNK:
+                    if self._has_hung_up():  # its end stands behind what is not read
+                        return self.close("client_closed")
+                    before = self.consumed_bytes
+                    if self.pause_reason == "room":
+                        self._reject_flood()
+                    goes_on = self.pause_reason == "turn" or self.consumed_bytes > before
                     await asyncio.sleep(FLOOD_READ_PAUSE_S if goes_on else HANG_UP_CHECK_INTERVAL_S)
                 else:
                     await self._read()
-                    self._take_whole()
+                    self._process_commands()
             except StreamClosedError as closed:
-                return self.end(self.reason or ("client_reset" if closed.real_error else "client_closed"))
+                return self.close(
+                    self.close_reason or ("client_reset" if closed.real_error else "client_closed")
+                )
             except TooLong as error:
-                self._malformed(error)
+                self._reject_malformed(error)
             except Exception:
-                self._trouble()
-                if self.last:
-                    return self.end("exception")
-                self._last(svc.FAILURE, "exception")
+                self._log_exception()
+                if self.closing:
+                    return self.close("exception")
+                self._reply_and_close(svc.FAILURE, "exception")
 
     async def _read(self) -> None:
         empty = self.buffer.start == self.buffer.end
         age = self._age_of_first_bytes()
         await self.buffer.fill(self.stream)
-        self.since = self.loop.time()
-        self.begun = self.since if empty else self.begun
-        self.arrivals.append((self.consumed + self.buffer.end - self.buffer.start, self.since - age))
+        self.last_activity_at = self.loop.time()
+        self.command_started_at = self.last_activity_at if empty else self.command_started_at
+        self.arrivals.append(
+            (self.consumed_bytes + self.buffer.end - self.buffer.start, self.last_activity_at - age)
+        )
         if len(self.arrivals) > 4 * MAX_PIPELINED_COMMANDS:
             self.arrivals.popleft()
 
@@ -213,8 +229,8 @@
 
         The client's patience has run since. Everywhere else bytes are read as they come.
         """
-        waited, self.waited = self.waited, 0.0
-        if not waited or not self.unread():
+        waited, self.backlog_wait_s = self.backlog_wait_s, 0.0
+        if not waited or not self.has_unread_bytes():
             return 0.0
         try:
             info = self.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -225,31 +241,31 @@
         age_ms: int = struct.unpack_from("=I", info, TCP_LAST_DATA_RECEIVED)[0]
         return min(waited, age_ms / 1000)
 
-    def _refuse_ahead(self) -> None:
+    def _reject_flood(self) -> None:
         """More came than is read ahead. What was read of it is refused: only by reading on is it seen that
         the client of a flood has gone. Of one that does not stop nothing further is taken.
         """
         if len(self.slots) >= MAX_REFUSED_COMMANDS:
-            self.service.counters.add("floods_ended")
-            return self._last(resp.error("ERR too many commands at once"), "flood")
+            self.registry.counters.add("floods_ended")
+            return self._reply_and_close(resp.error("ERR too many commands at once"), "flood")
         try:
             while found := resp.parse_command(self.buffer.data, self.buffer.start, self.buffer.end):
-                self.consumed += found[1] - self.buffer.start
+                self.consumed_bytes += found[1] - self.buffer.start
                 self.buffer.consume(found[1])
-                self.commands += 1
-                self.service.counters.add("rejected_flood")
-                self._slot().put(svc.rejection(IMMEDIATE_RETRY_AFTER_MS))
+                self.command_count += 1
+                self.registry.counters.add("rejected_flood")
+                self._new_slot().put(svc.rejection(IMMEDIATE_RETRY_AFTER_MS))
         except resp.ProtocolError as error:
-            self._malformed(error)
+            self._reject_malformed(error)
 
-    async def _throw_away(self) -> None:
+    async def _discard_input(self) -> None:
         """What still comes is read and thrown away: closing over unread bytes resets the connection, and a
         reset can take the last answer from the client.
         """
         await self.stream.read_into(DISCARD_BUFFER, partial=True)
         await asyncio.sleep(FLOOD_READ_PAUSE_S)  # it may go on at full speed: the others come first
 
-    def _hung_up(self) -> bool:
+    def _has_hung_up(self) -> bool:
         """Has the client ended its side, whatever stands unread before that?"""
         raw = self._raw_socket()
         if raw is None:
@@ -258,103 +274,107 @@
         poller.register(raw.fileno(), select.POLLRDHUP)
         return bool(poller.poll(0))
 
-    def _malformed(self, error: Exception) -> None:
-        self.service.counters.add("malformed_commands")
-        self._last(resp.error(f"ERR {error}"), "malformed_command")
+    def _reject_malformed(self, error: Exception) -> None:
+        self.registry.counters.add("malformed_commands")
+        self._reply_and_close(resp.error(f"ERR {error}"), "malformed_command")
 
-    def _last(self, data: bytes, reason: str) -> None:
+    def _reply_and_close(self, data: bytes, reason: str) -> None:
         """Take no more; end once what is owed and this last line are written."""
-        self.last, self.reason = True, reason
-        self._slot().put(data)
+        self.closing, self.close_reason = True, reason
+        self._new_slot().put(data)
 
-    def _trouble(self) -> None:
-        self.service.counters.add("exceptions")
+    def _log_exception(self) -> None:
+        self.registry.counters.add("exceptions")
         log.log_exception("client_connection_exception")
 
-    def _take_whole(self) -> None:
+    def _process_commands(self) -> None:
         """Take the whole commands that have been read, until the next one has to wait."""
         buffer = self.buffer
         try:
-            while not (self.paused or self.last) and (
+            while not (self.pause_reason or self.closing) and (
                 found := resp.parse_command(buffer.data, buffer.start, buffer.end)
             ):
                 # What a client that does not read can make the gateway hold is bounded here.
                 if len(self.slots) >= MAX_PIPELINED_COMMANDS:
-                    self.paused = "room"
-                elif self.written is not None and not self.written.done():
-                    self.paused = "writing"
-                    self.written.add_done_callback(lambda _: self._go_on())
+                    self.pause_reason = "room"
+                elif self.pending_write is not None and not self.pending_write.done():
+                    self.pause_reason = "writing"
+                    self.pending_write.add_done_callback(lambda _: self._resume())
                 else:
-                    self.consumed += found[1] - buffer.start
+                    self.consumed_bytes += found[1] - buffer.start
                     buffer.consume(found[1])
-                    self._take_one(found[0])
-                    self.begun = self.loop.time()
+                    self._process_command(found[0])
+                    self.command_started_at = self.loop.time()
         except resp.ProtocolError as error:
-            self._malformed(error)
+            self._reject_malformed(error)
         except Exception:
-            self._trouble()
-            self._last(svc.FAILURE, "exception")
-        if not self.paused:
+            self._log_exception()
+            self._reply_and_close(svc.FAILURE, "exception")
+        if not self.pause_reason:
             self.arrivals.clear()  # what is left is part of a command: its last byte is still to come
 
-    def _take_one(self, words: list[memoryview]) -> None:
-        self.commands += 1
-        if not self._take(words, self._arrived()):
-            self.strikes += 1
-            if self.strikes == MAX_UNACCEPTABLE_COMMANDS:
+    def _process_command(self, words: list[memoryview]) -> None:
+        self.command_count += 1
+        if not self._handle_command(words, self._command_arrived_at()):
+            self.unacceptable_count += 1
+            if self.unacceptable_count == MAX_UNACCEPTABLE_COMMANDS:
                 raise resp.ProtocolError("too many commands that cannot be served")
-            self.paused = "turn"
-            self.loop.call_later(UNACCEPTABLE_COMMAND_DELAY_S, self._go_on)
+            self.pause_reason = "turn"
+            self.loop.call_later(UNACCEPTABLE_COMMAND_DELAY_S, self._resume)
         elif self.buffer.start != self.buffer.end:
-            self.paused = "turn"
-            self.loop.call_soon(self._go_on)  # hundreds at once must not hold up other connections
+            self.pause_reason = "turn"
+            self.loop.call_soon(self._resume)  # hundreds at once must not hold up other connections
 
-    def _go_on(self) -> None:
-        self.paused = ""
-        if self in self.service.connections and not self.stream.closed():
-            self._take_whole()
+    def _resume(self) -> None:
+        self.pause_reason = ""
+        if self in self.registry.connections and not self.stream.closed():
+            self._process_commands()
 
-    def _arrived(self) -> float:
+    def _command_arrived_at(self) -> float:
         """When the last byte of the command that was consumed last was read."""
-        while len(self.arrivals) > 1 and self.arrivals[0][0] < self.consumed:
+        while len(self.arrivals) > 1 and self.arrivals[0][0] < self.consumed_bytes:
             self.arrivals.popleft()
         return self.arrivals[0][1] if self.arrivals else self.loop.time()
 
-    def _slot(self) -> ResponseSlot:
+    def _new_slot(self) -> ResponseSlot:
         slot = ResponseSlot(self)
         self.slots.append(slot)
         return slot
 
-    def _take(self, words: list[memoryview], arrived: float) -> bool:
+    def _handle_command(self, words: list[memoryview], arrived: float) -> bool:
         """False if the command asks for what is not to be had."""
-        slot, driver = self._slot(), self.service.driver
+        slot, driver = self._new_slot(), self.registry.driver
         if bytes(words[0]).upper() == b"PING":
-            slot.put(b"+PONG\r\n" if self.service.ready() else resp.error("ERR not ready"))
+            slot.put(b"+PONG\r\n" if self.registry.is_ready() else resp.error("ERR not ready"))
             return True
         try:
             intake = svc.intake(words)
             # Behind others its time runs already, and it ends with the process.
             now = self.loop.time()
-            left = min(intake.timeout_ms - (now - arrived) * 1000, (self.service.ends - now) * 1000)
+            left = min(
+                intake.timeout_ms - (now - arrived) * 1000, (self.registry.final_deadline - now) * 1000
+            )
             if left <= intake.timeout_ms - 1:
                 intake = replace(intake, timeout_ms=max(1.0, left))
-            ref, ids = next(self.service.refs), self.service.ids
+            ref, ids = next(self.registry.request_ids), self.registry.open_client_ids
             context = parse(intake, slot, driver.settings, ref, driver.now(), ids)
         except (svc.BadCommand, UnacceptableRequestError) as error:
-            self.service.counters.add("commands_unacceptable")
+            self.registry.counters.add("commands_unacceptable")
             slot.put(resp.error(f"ERR {error}"))
             return False
         except Exception:
-            self._trouble()  # a defect met by one command: the others on this connection go on
+            self._log_exception()  # a defect met by one command: the others on this connection go on
             slot.put(svc.FAILURE)
             return True
         slot.context = context
         last_call = (
-            self.service.rejecting_new_requests and self.commands > 1
+            self.registry.rejecting_new_requests and self.command_count > 1
         )  # else one that always asks on would never end
         if last_call:
-            self.service.counters.add("rejected_last_call")
-        admit(context, driver, self.service.max_open, IMMEDIATE_RETRY_AFTER_MS if last_call else 0.0)
+            self.registry.counters.add("rejected_last_call")
+        admit(
+            context, driver, self.registry.max_open_requests, IMMEDIATE_RETRY_AFTER_MS if last_call else 0.0
+        )
         return True
 
     def flush(self) -> None:
@@ -364,43 +384,43 @@
             ready.append(data)
             self.slots.popleft()
         if ready and not self.stream.closed():
-            self.since = self.wrote = self.loop.time()
+            self.last_activity_at = self.last_write_at = self.loop.time()
             try:
-                self.written = self.stream.write(b"".join(ready))
+                self.pending_write = self.stream.write(b"".join(ready))
             except StreamBufferFullError:
-                self.end("slow_client")
+                self.close("slow_client")
             except StreamClosedError:
-                self.end("client_reset")
-        if self.paused == "room" and len(self.slots) < MAX_PIPELINED_COMMANDS:
-            self.paused = "turn"
-            self.loop.call_soon(self._go_on)
-        if self.last or self.service.draining:
-            self.finish_if_done()
+                self.close("client_reset")
+        if self.pause_reason == "room" and len(self.slots) < MAX_PIPELINED_COMMANDS:
+            self.pause_reason = "turn"
+            self.loop.call_soon(self._resume)
+        if self.closing or self.registry.draining:
+            self.continue_close()
 
     def _check_close(self, reason: str) -> None:
-        trace = self.service.counters.trace
+        trace = self.registry.counters.trace
         trace.closed("client_connections", reason)
         open_contexts = [
             slot.context for slot in self.slots if slot.context and slot.context.awaiting_response
         ]
         # Where no answer was written the reset can take none along: the request crossed the close unread.
-        unread = bool(self.wrote) and self.lingering is None and self.unread()
+        unread = bool(self.last_write_at) and self.linger_timer is None and self.has_unread_bytes()
         subject = open_contexts[0].client_request_id if open_contexts else "connection"
         trace.check(Guard.CLOSE, broken_by_closing(reason, len(open_contexts), unread), subject)
 
-    def writing(self) -> bool:
-        return self.written is not None and not self.written.done()
+    def is_writing(self) -> bool:
+        return self.pending_write is not None and not self.pending_write.done()
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Is an answer owed or not yet written, or has part of a command come?"""
-        part = self.buffer.start != self.buffer.end and not self.last
+        part = self.buffer.start != self.buffer.end and not self.closing
         if (
-            part and self.service.rejecting_new_requests and self.commands
+            part and self.registry.rejecting_new_requests and self.command_count
         ):  # one that goes on writing would never end
-            part = bool(self.paused)  # only what was read whole waits
-        return bool(self.slots) or part or self.writing()
+            part = bool(self.pause_reason)  # only what was read whole waits
+        return bool(self.slots) or part or self.is_writing()
 
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Has something come that is not read yet? It may be a request: it is taken before an end begins."""
         raw = self._raw_socket()
         if raw is None:
@@ -415,68 +435,71 @@
         raw: socket.socket | None = self.stream.socket
         return raw
 
-    def end_if_overdue(self, now: float) -> None:
+    def close_if_overdue(self, now: float) -> None:
         """Its client is owed an answer to what it asks, and no more than some time to ask it."""
         part = self.buffer.start != self.buffer.end
         if self.slots:
             return
-        if self.writing():
-            if now - self.wrote > RESPONSE_READ_TIMEOUT_S:
-                self.end("slow_client")
+        if self.is_writing():
+            if now - self.last_write_at > RESPONSE_READ_TIMEOUT_S:
+                self.close("slow_client")
         elif (
-            self.last
-            or self.paused
+            self.closing
+            or self.pause_reason
             or (
-                now - self.since < IDLE_TIMEOUT_S and not (part and now - self.begun > COMMAND_READ_TIMEOUT_S)
+                now - self.last_activity_at < IDLE_TIMEOUT_S
+                and not (part and now - self.command_started_at > COMMAND_READ_TIMEOUT_S)
             )
-            or self.unread()
+            or self.has_unread_bytes()
         ):
             return
         elif part:
-            self._last(resp.error("ERR a command was begun and not ended"), "half_a_command")
+            self._reply_and_close(resp.error("ERR a command was begun and not ended"), "half_a_command")
         else:
-            self.finish("idle")
+            self.start_close("idle")
 
-    def finish(self, reason: str) -> None:
+    def start_close(self, reason: str) -> None:
         """The one orderly end: take no more, write what is owed, end this side, then read on until the
         client has ended its own. A request that crosses it was not read before the client could see it.
         """
-        if not self.last:
-            self.last, self.reason = True, reason
-            self.finish_if_done()
+        if not self.closing:
+            self.closing, self.close_reason = True, reason
+            self.continue_close()
 
-    def finish_if_done(self) -> None:
+    def continue_close(self) -> None:
         """Go on with the end that has begun, or begin it where all are to end, once nothing is owed."""
-        if self.busy():
-            if not self.slots and self.writing() and self.written is not None:
-                self.written.add_done_callback(lambda _: self.finish_if_done())
-        elif not self.last:
-            if self.service.rejecting_new_requests or not self.unread():
-                self.finish("last_call" if self.service.rejecting_new_requests else "drained")
-        elif not self.wrote:  # no answer is on its way that a reset could take along
-            self.end(self.reason)
-        elif self.lingering is None and self in self.service.connections:
+        if self.is_busy():
+            if not self.slots and self.is_writing() and self.pending_write is not None:
+                self.pending_write.add_done_callback(lambda _: self.continue_close())
+        elif not self.closing:
+            if self.registry.rejecting_new_requests or not self.has_unread_bytes():
+                self.start_close("last_call" if self.registry.rejecting_new_requests else "drained")
+        elif not self.last_write_at:  # no answer is on its way that a reset could take along
+            self.close(self.close_reason)
+        elif self.linger_timer is None and self in self.registry.connections:
             if (raw := self._raw_socket()) is None:
                 return  # the task of this connection ends it
             with contextlib.suppress(OSError):
                 raw.shutdown(socket.SHUT_WR)
-            self.lingering = self.loop.call_later(LINGER_TIMEOUT_S, self.end, self.reason)
-            self.service.finishing += 1
-            self.service.ended()  # as good as ended: its place may be another's
+            self.linger_timer = self.loop.call_later(LINGER_TIMEOUT_S, self.close, self.close_reason)
+            self.registry.lingering_count += 1
+            self.registry.on_connection_ended()  # as good as ended: its place may be another's
 
-    def end(self, reason: str) -> None:
-        if self not in self.service.connections:
+    def close(self, reason: str) -> None:
+        if self not in self.registry.connections:
             return
-        del self.service.connections[self]
-        self.last = True
+        del self.registry.connections[self]
+        self.closing = True
         self._check_close(reason)
-        if self.lingering is not None:
-            self.lingering.cancel()
-            self.service.finishing -= 1
+        if self.linger_timer is not None:
+            self.linger_timer.cancel()
+            self.registry.lingering_count -= 1
         self.stream.close()
-        log.log_event("client_connection_ended", reason=reason, commands=self.commands, owed=len(self.slots))
+        log.log_event(
+            "client_connection_ended", reason=reason, commands=self.command_count, owed=len(self.slots)
+        )
         for slot in self.slots:
             if slot.context is not None and slot.context.awaiting_response:
-                self.service.driver.client_disconnected(slot.context)
+                self.registry.driver.client_disconnected(slot.context)
         self.slots.clear()
-        self.service.ended()
+        self.registry.on_connection_ended()
--- a/mapleshunt/net/client/listener.py
+++ b/mapleshunt/net/client/listener.py
@@ -35,7 +35,7 @@
     NO_RESOURCES = "no resources"  # it stays in the backlog
 
 
-def bound(listen: Address) -> socket.socket:
+def bind_socket(listen: Address) -> socket.socket:
     """A bound socket that does not listen yet. Raises OSError if the address cannot be had."""
     listener = socket.socket(family_of(listen))
     try:
@@ -63,11 +63,11 @@
         """`on_descriptors_exhausted` is called when this process may open no further descriptor. `inherited`:
         the socket listened before this process began, and connections may wait in its backlog since.
         """
-        self.listener, self.take, self.counters = listener, take, counters
+        self.listener, self.on_accept, self.counters = listener, take, counters
         self.counter_prefix = counter_prefix
         self.on_descriptors_exhausted = on_descriptors_exhausted
         self.running = False
-        self.retry: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.retry_delay = MIN_ACCEPT_RETRY_DELAY_S
         # s, on the loop's clock: connections may wait in the backlog since then; None if none does.
         self.blocked_since: float | None = -math.inf if inherited else None
@@ -79,11 +79,11 @@
 
     def stop(self) -> None:
         self._block()
-        if self.running and self.retry is None:
+        if self.running and self.retry_timer is None:
             IOLoop.current().remove_handler(self.listener)
-        if self.retry is not None:
-            self.retry.cancel()
-        self.running, self.retry = False, None
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+        self.running, self.retry_timer = False, None
 
     async def accept_backlog(self, has_room: Callable[[], bool]) -> None:
         """Accept what the kernel has queued, as long as there is room: closing the listener resets the rest.
@@ -110,7 +110,7 @@
             return self._accept_failed(error)
         self.retry_delay = MIN_ACCEPT_RETRY_DELAY_S
         connection.setblocking(False)
-        self._contained(lambda: self.take(connection))
+        self._contained(lambda: self.on_accept(connection))
         return AcceptResult.ACCEPTED
 
     def _contained(self, call: Callable[[], object]) -> None:
@@ -133,7 +133,7 @@
 
     def _ready(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            if not self.running or self.retry is not None:
+            if not self.running or self.retry_timer is not None:
                 return
             result = self.accept()
             if result is AcceptResult.EMPTY:
@@ -145,16 +145,16 @@
         if self.blocked_since is None:
             self.blocked_since = asyncio.get_running_loop().time()
 
-    def longest_wait(self) -> float:
+    def max_backlog_wait_s(self) -> float:
         """s for which a connection that is accepted now may have waited, with its request, at most."""
         return 0.0 if self.blocked_since is None else asyncio.get_running_loop().time() - self.blocked_since
 
     def _pause(self) -> None:
-        if self.running and self.retry is None:
+        if self.running and self.retry_timer is None:
             IOLoop.current().remove_handler(self.listener)
-            self.retry = asyncio.get_running_loop().call_later(self.retry_delay, self._resume)
+            self.retry_timer = asyncio.get_running_loop().call_later(self.retry_delay, self._resume)
             self.retry_delay = min(2 * self.retry_delay, MAX_ACCEPT_RETRY_DELAY_S)
 
     def _resume(self) -> None:
-        self.retry, self.running = None, False
+        self.retry_timer, self.running = None, False
         self.start()
--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -24,7 +24,7 @@
 from ..counters import Counters
 from ..protocol import http
 from ..protocol.read_buffer import ReadBuffer, TooLong
-from ..upstream.endpoint_group import Member
+from ..upstream.endpoint_group import Endpoint
 
 PATH = "/catalog/members"
 UNKNOWN = (400, 404, 410)  # statuses that may mean that the revision asked from is not known
@@ -34,20 +34,20 @@
 class MemberList:
     revision: int
     complete: bool
-    members: tuple[Member, ...]
+    members: tuple[Endpoint, ...]
 
 
 def member_list(raw: Mapping[str, Any]) -> MemberList:
     """A list in discovery's form. Raises ValueError."""
     try:
         members = tuple(
-            Member(
+            Endpoint(
                 id=str(row["id"]),
                 address=address(row["host_port"], "host_port"),
                 zone=str(row.get("locality") or ""),
                 cell=int(row.get("cell") or 0),
                 state=cast(i.ServerState, STATES[row["phase"]]),
-                started=float(row.get("up_since_ms") or 0.0),
+                started_at_ms=float(row.get("up_since_ms") or 0.0),
             )
             for row in raw["members"]
         )
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -21,7 +21,7 @@
 from .request.dispatch import dispatch
 from .request.record import record
 from .request.route import route
-from .upstream.endpoint_group import ServerConnection, UpstreamGroup
+from .upstream.endpoint_group import EndpointGroup, UpstreamConnection
 
 # ms before a request's patience ends at which the driver answers if the decisions have not. They do so four
 # ticks before, of 1 ms or more: at the same time as theirs, the net came first, failing what may be rejected.
@@ -47,7 +47,7 @@
 
 
 class PolicyDriver:
-    def __init__(self, settings: i.Settings, seed: int, group: UpstreamGroup, counters: Counters) -> None:
+    def __init__(self, settings: i.Settings, seed: int, group: EndpointGroup, counters: Counters) -> None:
         self.settings, self.group, self.counters = settings, group, counters
         self.trace = counters.trace
         self.now = UnixClock()
@@ -263,15 +263,15 @@
             self.trace.check(Guard.START, broken, context.client_request_id)
 
     def _check_send(
-        self, context: RequestContext, attempt: Attempt, connection: ServerConnection, passed_on: float
+        self, context: RequestContext, attempt: Attempt, connection: UpstreamConnection, passed_on: float
     ) -> None:
         """Check the invariants of sending and repeating, right before an attempt's first byte is written."""
-        now, member = self.now(), connection.member
+        now, member = self.now(), connection.endpoint
         attempt.zone, attempt.cell = member.zone, member.cell
         self.trace.add(
             context.client_request_id, "attempt_written", f"{attempt.number} for {passed_on:.0f} ms"
         )
-        ready = self.group.wanted(attempt.server) and self.group.current(connection)
+        ready = self.group.may_send(attempt.server) and self.group.is_current(connection)
         since_end = (
             None if context.awaiting_response else 1000 * (time.monotonic() - context.response_claimed_at)
         )
--- a/mapleshunt/net/replication/links.py
+++ b/mapleshunt/net/replication/links.py
@@ -15,7 +15,7 @@
 from ...replication import wire
 from ...replication.messages import Message
 from .. import log
-from ..client.listener import Acceptor, bound
+from ..client.listener import Acceptor, bind_socket
 from ..config import Address, family_of
 from ..counters import Counters
 from ..protocol.read_buffer import ReadBuffer, TooLong
@@ -146,7 +146,7 @@
         self.strangers: dict[Link, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.flushing = False
-        self.listener = bound(listen)
+        self.listener = bind_socket(listen)
         self.acceptor = Acceptor(self.listener, self._take, counters, "copies_")
 
     def open(self) -> None:
--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -4,17 +4,23 @@
 
 from collections.abc import Callable
 
-from ..upstream.endpoint_group import ConnectionLost, DialFailed, NoRoom, ServerConnection, UpstreamGroup
+from ..upstream.endpoint_group import (
+    ConnectionLostError,
+    DialError,
+    EndpointGroup,
+    NoConnectionAvailableError,
+    UpstreamConnection,
+)
 from .context import Attempt, AttemptResult, RequestContext
 
 # Called with the time that the server is told, right before the first byte is written.
-BeforeWrite = Callable[[RequestContext, Attempt, ServerConnection, float], None]
+BeforeWrite = Callable[[RequestContext, Attempt, UpstreamConnection, float], None]
 
 
 async def dispatch(
     context: RequestContext,
     attempt: Attempt,
-    group: UpstreamGroup,
+    group: EndpointGroup,
     now: Callable[[], float],
     check: BeforeWrite = lambda context, attempt, connection, passed_on: None,
 ) -> AttemptResult:
@@ -30,18 +36,18 @@
         """
         time = now()
         going = context.awaiting_response and attempt.cancel_status is None and attempt.deadline - time >= 1
-        return going and time < attempt.send_before and group.wanted(attempt.server)
+        return going and time < attempt.send_before and group.may_send(attempt.server)
 
     try:
         if not wanted():
             return AttemptResult("unsent")
-        connection = group.idle(attempt.server)
+        connection = group.take_idle(attempt.server)
         if connection is None:
-            connection = group.connection(attempt.server)
+            connection = group.new_connection(attempt.server)
             attempt.connection = connection
             await connection.connect()
         attempt.connection = connection
-        if not wanted() or not group.current(connection):
+        if not wanted() or not group.is_current(connection):
             group.release(connection)
             return AttemptResult("unsent")
         left = attempt.deadline - now()
@@ -51,11 +57,11 @@
             lambda: group.counters.add_class("upstream_requests", context.request.cls),
             left / 2000,
         )
-    except NoRoom:
+    except NoConnectionAvailableError:
         return AttemptResult("unsent")
-    except DialFailed as failed:
+    except DialError as failed:
         return AttemptResult("unsent" if failed.local or attempt.cancel_status is not None else "unreachable")
-    except ConnectionLost as lost:
+    except ConnectionLostError as lost:
         if attempt.cancel_status is not None:
             return AttemptResult(attempt.cancel_status if lost.written else "unsent")
         return AttemptResult("reset" if lost.written else "unreachable")
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -65,11 +65,11 @@
     async def run() -> None:
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
-        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
-        service.serve(IOStream(ours, max_write_buffer_size=client.MAX_UNWRITTEN_BYTES))
+        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service.add(IOStream(ours, max_write_buffer_size=client.MAX_UNWRITTEN_BYTES))
         (connection,) = service.connections
         await steps(connection, theirs)
-        connection.end("test over")
+        connection.close("test over")
         theirs.close()
 
     asyncio.run(run())
@@ -83,20 +83,24 @@
 
 def test_client_that_does_not_read_is_read_from_no_further() -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions = cast(Decisions, connection.service.driver)
+        decisions = cast(Decisions, connection.registry.driver)
         loop = asyncio.get_running_loop()
         commands = b"".join(query() for _ in range(1000))
         sending = loop.create_task(loop.sock_sendall(theirs, commands))
-        while connection.written is None or connection.written.done():  # until the kernel holds no more
+        while (
+            connection.pending_write is None or connection.pending_write.done()
+        ):  # until the kernel holds no more
             await rest()
             for context in list(decisions.open_requests.values()):
                 decisions.open_requests.pop(context.request_id).response_sink.serve(
                     memoryview(bytes(resp.MAX_VALUE))
                 )
         await rest()
-        held = connection.commands
+        held = connection.command_count
         await rest()
-        assert held == connection.commands < 1000 and len(connection.slots) <= client.MAX_PIPELINED_COMMANDS
+        assert (
+            held == connection.command_count < 1000 and len(connection.slots) <= client.MAX_PIPELINED_COMMANDS
+        )
         sending.cancel()
 
     play(steps)
@@ -115,12 +119,12 @@
         slot.put(bytes(1 << 20))
         theirs.send(b"nonsense\r\n")
         await rest()
-        assert connection.last and connection.writing()
-        connection.end_if_overdue(connection.loop.time())
-        assert connection in connection.service.connections
+        assert connection.closing and connection.is_writing()
+        connection.close_if_overdue(connection.loop.time())
+        assert connection in connection.registry.connections
         monkeypatch.setattr(client, "RESPONSE_READ_TIMEOUT_S", -1.0)
-        connection.end_if_overdue(connection.loop.time())
-        assert connection not in connection.service.connections and connection.reason != ""
+        connection.close_if_overdue(connection.loop.time())
+        assert connection not in connection.registry.connections and connection.close_reason != ""
 
     play(steps)
 
@@ -137,7 +141,7 @@
         monkeypatch.setattr(client, "parse", odd)
         theirs.send(query() + query())
         await rest()
-        (context,) = cast(Decisions, connection.service.driver).open_requests.values()
+        (context,) = cast(Decisions, connection.registry.driver).open_requests.values()
         context.response_sink.fail()
         assert theirs.recv(100) == b"-ERR failed\r\n-ERR failed\r\n"
 
@@ -158,18 +162,18 @@
 def test_idle_connection_makes_room_and_a_busy_one_does_not() -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         ours, other = socket.socketpair()
-        connection.service.serve(IOStream(ours))
+        connection.registry.add(IOStream(ours))
         theirs.send(query())
         await rest()
-        assert not connection.service.evict_idle()
-        (context,) = cast(Decisions, connection.service.driver).open_requests.values()
+        assert not connection.registry.evict_idle()
+        (context,) = cast(Decisions, connection.registry.driver).open_requests.values()
         context.response_sink.fail()
-        assert connection.service.evict_idle() and not connection.stream.closed()
+        assert connection.registry.evict_idle() and not connection.stream.closed()
         assert theirs.recv(100) == b"-ERR failed\r\n" and theirs.recv(1) == b""
-        assert not connection.service.evict_idle()  # the newest stays: its request may be on its way
+        assert not connection.registry.evict_idle()  # the newest stays: its request may be on its way
         theirs.close()
         await rest()
-        assert connection.stream.closed() and connection.reason == "made_room"
+        assert connection.stream.closed() and connection.close_reason == "made_room"
         other.close()
 
     play(steps)
@@ -183,10 +187,10 @@
         await rest()
         pairs = [socket.socketpair() for _ in range(3)]
         for ours, _ in pairs:
-            connection.service.serve(IOStream(ours))
-        assert connection.service.evict_idle() and connection.service.evict_idle()
-        assert connection.service.evict_idle() and connection.lingering is not None
-        assert len(connection.service.connections) == 2  # it, which was answered, and the newest
+            connection.registry.add(IOStream(ours))
+        assert connection.registry.evict_idle() and connection.registry.evict_idle()
+        assert connection.registry.evict_idle() and connection.linger_timer is not None
+        assert len(connection.registry.connections) == 2  # it, which was answered, and the newest
         for _, other in pairs:
             other.close()
 
@@ -198,18 +202,21 @@
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         pairs = [socket.socketpair() for _ in range(4)]
         for ours, other in pairs:
-            connection.service.serve(IOStream(ours))
+            connection.registry.add(IOStream(ours))
             other.send(resp.command([b"PING"]))
         theirs.send(query())
         await rest()
-        connection.service.reap_overdue(2, 3600.0)
-        assert len(connection.service.connections) == 5
-        connection.service.reap_overdue(2, 0.0)
-        assert len(connection.service.connections) - connection.service.finishing == 2 and not connection.last
+        connection.registry.reap_overdue(2, 3600.0)
+        assert len(connection.registry.connections) == 5
+        connection.registry.reap_overdue(2, 0.0)
+        assert (
+            len(connection.registry.connections) - connection.registry.lingering_count == 2
+            and not connection.closing
+        )
         for _, other in pairs:
             other.close()
         await rest()
-        assert list(connection.service.connections) == [connection]
+        assert list(connection.registry.connections) == [connection]
         for _, other in pairs:
             other.close()
 
@@ -221,12 +228,12 @@
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         monkeypatch.setattr(client, "IDLE_TIMEOUT_S", -1.0)
         ours, other = socket.socketpair()
-        connection.service.serve(IOStream(ours))
+        connection.registry.add(IOStream(ours))
         await rest()
         theirs.send(query())
-        assert not connection.service.evict_idle()
-        connection.service.reap_overdue(9, 0.5)
-        connection.service.close_idle(draining=True, rejecting_new_requests=False)
+        assert not connection.registry.evict_idle()
+        connection.registry.reap_overdue(9, 0.5)
+        connection.registry.close_idle(draining=True, rejecting_new_requests=False)
         await rest()
         assert not connection.stream.closed() and len(connection.slots) == 1
         other.close()
@@ -239,15 +246,15 @@
     # of the loop later. A search for an idle connection in between raised AttributeError in the acceptor.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         ours, other = socket.socketpair()
-        connection.service.serve(IOStream(ours))
+        connection.registry.add(IOStream(ours))
         await rest()
         connection.stream.close()
-        assert not connection.unread()
-        connection.service.evict_idle()
-        connection.wrote = 1.0  # an answer has gone out: finish would shut the socket down
-        connection.finish("drained")
+        assert not connection.has_unread_bytes()
+        connection.registry.evict_idle()
+        connection.last_write_at = 1.0  # an answer has gone out: finish would shut the socket down
+        connection.start_close("drained")
         await rest()
-        assert connection not in connection.service.connections
+        assert connection not in connection.registry.connections
         other.close()
 
     play(steps)
@@ -263,10 +270,10 @@
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         theirs.send(sent)
         await rest()
-        connection.service.reap_overdue(9, 0.5)
+        connection.registry.reap_overdue(9, 0.5)
         assert not connection.stream.closed()
         monkeypatch.setattr(client, "IDLE_TIMEOUT_S", -1.0)
-        connection.service.reap_overdue(9, 0.5)
+        connection.registry.reap_overdue(9, 0.5)
         await rest()
         assert theirs.recv(100) == got
         assert got == b"" or theirs.recv(1) == b""
@@ -278,9 +285,9 @@
     # They were taken in one go, and all other connections waited for a quarter of a second.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         theirs.send(50 * resp.command([b"PING"]))
-        while not connection.commands:
+        while not connection.command_count:
             await asyncio.sleep(0)
-        assert connection.commands < 5
+        assert connection.command_count < 5
 
     play(steps)
 
@@ -291,11 +298,11 @@
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         monkeypatch.setattr(client, "UNACCEPTABLE_COMMAND_DELAY_S", 0.0)
         theirs.send(600 * query(b"c=odd,t=wide,d=9"))
-        while not connection.last:
+        while not connection.closing:
             await asyncio.sleep(0)
         assert (
-            connection.commands == client.MAX_UNACCEPTABLE_COMMANDS
-            and connection.reason == "malformed_command"
+            connection.command_count == client.MAX_UNACCEPTABLE_COMMANDS
+            and connection.close_reason == "malformed_command"
         )
 
     play(steps)
@@ -304,7 +311,7 @@
 def test_id_of_an_open_request_is_refused_and_free_again_after_its_answer() -> None:
     # Sent on, it would have been a second attempt of the request that is open.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions, whole = cast(Decisions, connection.service.driver), query()
+        decisions, whole = cast(Decisions, connection.registry.driver), query()
         theirs.send(2 * whole)
         await rest()
         (context,) = decisions.open_requests.values()
@@ -312,7 +319,7 @@
         assert context.claim_response()
         await rest()
         assert theirs.recv(100) == b"-BUSY 5\r\n-ERR a request of this id is open\r\n"
-        assert not connection.service.ids
+        assert not connection.registry.open_client_ids
 
     play(steps)
 
@@ -343,11 +350,11 @@
 def test_client_that_leaves_while_its_commands_wait_is_seen_at_once() -> None:
     # While it waited for room nothing read the connection: 32 requests of one that had left were served on.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions = cast(Decisions, connection.service.driver)
+        decisions = cast(Decisions, connection.registry.driver)
         theirs.send(b"".join(query() for _ in range(client.MAX_PIPELINED_COMMANDS + 9)))
-        await until(lambda: connection.paused == "room")
+        await until(lambda: connection.pause_reason == "room")
         theirs.close()
-        await until(lambda: connection not in connection.service.connections)
+        await until(lambda: connection not in connection.registry.connections)
         assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS
 
     play(steps)
@@ -359,19 +366,19 @@
 
     async def steps(_: client.ClientConnection, __: socket.socket) -> None:
         decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
-        service.serve(IOStream(ours))
+        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service.add(IOStream(ours))
         (connection,) = service.connections
         flood = b"".join(query() for _ in range(3 * resp.MAX_MESSAGE // len(query())))
         await asyncio.get_running_loop().sock_sendall(theirs, flood)
         buffer = connection.buffer
-        await until(lambda: connection.consumed + buffer.end - buffer.start == len(flood))
+        await until(lambda: connection.consumed_bytes + buffer.end - buffer.start == len(flood))
         assert not decisions.left and len(decisions.open_requests) == client.MAX_PIPELINED_COMMANDS < len(
             connection.slots
         )
         assert connection.buffer.limit >= buffer.end - buffer.start
         theirs.close()
-        await until(lambda: connection not in connection.service.connections)
+        await until(lambda: connection not in connection.registry.connections)
         assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS
 
     play(steps)
@@ -398,8 +405,8 @@
             slept.append(delay)
             await rested(0)
 
-        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
-        service.serve(IOStream(ours))
+        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service.add(IOStream(ours))
         theirs.setblocking(True)
         flood = b"".join(query() for _ in range(3 * client.MAX_REFUSED_COMMANDS // 2)) + bytes(1 << 22)
 
@@ -427,10 +434,10 @@
 
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         theirs.send(query(b"c=odd,t=wide,d=9") + query())
-        await until(lambda: connection.paused)
+        await until(lambda: connection.pause_reason)
         connection.arrivals = deque((end, at - 0.3) for end, at in connection.arrivals)
-        connection._go_on()
-        (context,) = cast(Decisions, connection.service.driver).open_requests.values()
+        connection._resume()
+        (context,) = cast(Decisions, connection.registry.driver).open_requests.values()
         assert context.request.patience <= 180.0
 
     play(steps)
@@ -439,19 +446,19 @@
 def test_each_command_that_was_read_before_the_last_call_has_its_answer() -> None:
     # A whole command that had been read was dropped, and others behind it, with the connection's end.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions, ping = cast(Decisions, connection.service.driver), resp.command([b"PING"])
-        connection.service.ready = lambda: False
+        decisions, ping = cast(Decisions, connection.registry.driver), resp.command([b"PING"])
+        connection.registry.is_ready = lambda: False
         theirs.send(query())
         await until(lambda: decisions.open_requests)
-        connection.service.close_idle(draining=True, rejecting_new_requests=True)
+        connection.registry.close_idle(draining=True, rejecting_new_requests=True)
         theirs.send(query() + ping + query())
-        await until(lambda: connection.commands == 4)
+        await until(lambda: connection.command_count == 4)
         (context,) = decisions.open_requests.values()  # none of the others was put before the decisions
         context.response_sink.serve(memoryview(b"v"))
         await rest()
         no = b"-ERR not ready\r\n"
         assert received(theirs) == resp.bulk(b"v") + b"-BUSY 1\r\n" + no + b"-BUSY 1\r\n"
-        assert connection.lingering is not None
+        assert connection.linger_timer is not None
 
     play(steps)
 
@@ -468,36 +475,36 @@
 
     async def steps(_: client.ClientConnection, __: socket.socket) -> None:
         decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = client.Service(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
-        service.serve(IOStream(ours))
+        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service.add(IOStream(ours))
         (connection,) = service.connections
         long = resp.bulk(memoryview(bytes(resp.MAX_VALUE)))
         theirs.send(query())
         await until(lambda: decisions.open_requests)
         decisions.open_requests.popitem()[1].response_sink.serve(memoryview(bytes(resp.MAX_VALUE)))
-        await until(lambda: not connection.busy())
+        await until(lambda: not connection.is_busy())
         crossing = iter([b"", query()])
 
         def peek() -> bool:  # it comes when the gateway has looked
             theirs.send(next(crossing, b"") or next(crossing, b""))
             return False
 
-        monkeypatch.setattr(connection, "unread", peek)
+        monkeypatch.setattr(connection, "has_unread_bytes", peek)
         match how:
             case "drained" | "last_call":
                 service.close_idle(draining=True, rejecting_new_requests=how == "last_call")
             case "made_room":
                 pair = tcp_pair()
-                service.serve(IOStream(pair[0]))
+                service.add(IOStream(pair[0]))
                 assert service.evict_idle()
             case "idle":
-                connection.end_if_overdue(connection.since + client.IDLE_TIMEOUT_S)
-        assert connection.reason == how and connection.lingering is not None
+                connection.close_if_overdue(connection.last_activity_at + client.IDLE_TIMEOUT_S)
+        assert connection.close_reason == how and connection.linger_timer is not None
         theirs.sendall(query())
         await rest()
         assert await asyncio.to_thread(received, theirs) == long and not decisions.open_requests
         theirs.close()
-        await until(lambda: connection not in connection.service.connections)
+        await until(lambda: connection not in connection.registry.connections)
 
     play(steps)
 
@@ -505,19 +512,21 @@
 def test_client_that_rests_and_then_writes_slowly_is_not_cut_off_while_it_goes_on() -> None:
     # Its time for a command was counted from the opening of the connection.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        connection.since = connection.begun = connection.since - 100 * client.IDLE_TIMEOUT_S
+        connection.last_activity_at = connection.command_started_at = (
+            connection.last_activity_at - 100 * client.IDLE_TIMEOUT_S
+        )
         whole, rests = query(), list[float]()
         for at in range(0, len(whole) - 1, 20):
-            rests.append(connection.since)
+            rests.append(connection.last_activity_at)
             theirs.send(whole[at : min(at + 20, len(whole) - 1)])
-            await until(lambda: connection.since > rests[-1])
-            connection.end_if_overdue(asyncio.get_running_loop().time())
-            assert not connection.last
-        connection.end_if_overdue(connection.since + client.IDLE_TIMEOUT_S / 2)
-        assert not connection.last
-        connection.begun -= client.COMMAND_READ_TIMEOUT_S  # but not for ever
-        connection.end_if_overdue(connection.since + client.IDLE_TIMEOUT_S / 2)
-        assert connection.reason == "half_a_command"
+            await until(lambda: connection.last_activity_at > rests[-1])
+            connection.close_if_overdue(asyncio.get_running_loop().time())
+            assert not connection.closing
+        connection.close_if_overdue(connection.last_activity_at + client.IDLE_TIMEOUT_S / 2)
+        assert not connection.closing
+        connection.command_started_at -= client.COMMAND_READ_TIMEOUT_S  # but not for ever
+        connection.close_if_overdue(connection.last_activity_at + client.IDLE_TIMEOUT_S / 2)
+        assert connection.close_reason == "half_a_command"
 
     play(steps)
 
@@ -575,8 +584,8 @@
         self.theirs.setblocking(False)
 
         def start() -> None:
-            self.service = client.Service(cast(PolicyDriver, self.decisions), Counters(), 1, 1000)
-            self.service.serve(IOStream(ours))
+            self.service = client.ClientConnections(cast(PolicyDriver, self.decisions), Counters(), 1, 1000)
+            self.service.add(IOStream(ours))
             (self.connection,) = self.service.connections
 
         self.do(start)
@@ -704,7 +713,7 @@
 
     def teardown(self) -> None:
         if hasattr(self, "connection"):
-            self.do(lambda: self.connection.end("test over"))
+            self.do(lambda: self.connection.close("test over"))
             self.theirs.close()
         self.loop.close()
         (
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -31,7 +31,7 @@
 from mapleshunt.net.request import respond
 from mapleshunt.net.request.admit import admit
 from mapleshunt.net.request.context import RequestContext
-from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
+from mapleshunt.net.upstream.endpoint_group import Endpoint, EndpointGroup
 
 from .conftest import CLASSES, PLANS
 
@@ -68,7 +68,7 @@
 ) -> PolicyDriver:
     async def run() -> PolicyDriver:
         counters = Counters()
-        group = UpstreamGroup(counters, 250, 1000, 10)
+        group = EndpointGroup(counters, 250, 1000, 10)
         driver = PolicyDriver(Settings(me=0, instances=1, classes=CLASSES, plans=PLANS), 1, group, counters)
         scripted = Scripted(does)
         driver.gateway = scripted  # type: ignore[assignment]
@@ -99,8 +99,8 @@
 ) -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            member = Member("s-1", listener.getsockname(), "", 0, "ready", 0.0)
-            driver.group.update("complete", [member])
+            member = Endpoint("s-1", listener.getsockname(), "", 0, "ready", 0.0)
+            driver.group.apply_endpoint_list("complete", [member])
             context, told = ask(driver)
             with (await asyncio.to_thread(listener.accept))[0] as server:
                 await asyncio.to_thread(server.recv, 65536)
@@ -126,7 +126,7 @@
     def does(event: Event) -> list[Any]:
         match event:
             case Request(ref):
-                return [Send(ref, Member("s-1", ("", 0), "", 0, "ready", 0.0).number)]
+                return [Send(ref, Endpoint("s-1", ("", 0), "", 0, "ready", 0.0).number)]
             case ClientGone(ref):
                 return [Cancel(ref, 0)]
         return []
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.discovery.watcher import member_list
 from mapleshunt.net.protocol import http
-from mapleshunt.net.upstream.endpoint_group import UpstreamGroup
+from mapleshunt.net.upstream.endpoint_group import EndpointGroup
 
 PLAIN = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX: y\r\n\r\nbody"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2;x\r\ndy\r\n0\r\n\r\n"
@@ -77,12 +77,12 @@
             "members": [row("s-1"), row("s-2", phase="Terminating", up_since_ms=1764000000000)],
         }
     )
-    event = UpstreamGroup(Counters(), 250, 1000, 10).update("partial", found.members)
+    event = EndpointGroup(Counters(), 250, 1000, 10).apply_endpoint_list("partial", found.members)
     assert [(e.cell, e.zone, e.state, e.started) for e in event.entries] == [
         (3, "a", "ready", 0.0),
         (3, "a", "draining", 1764000000000.0),
     ]
-    again = UpstreamGroup(Counters(), 250, 1000, 10).update("complete", found.members[::-1])
+    again = EndpointGroup(Counters(), 250, 1000, 10).apply_endpoint_list("complete", found.members[::-1])
     # Peers tell each other of servers by number, so it must not rest on order or on the process.
     assert [e.server for e in again.entries] == [e.server for e in event.entries][::-1]
     assert event.entries[0].server == 3624031694
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -68,8 +68,8 @@
                 finally:
                     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
                 assert counters.counts["accepts_failed"] == len(spent) == 1 and not taken
-                assert acceptor.retry is not None
-                acceptor.retry.cancel()
+                assert acceptor.retry_timer is not None
+                acceptor.retry_timer.cancel()
                 acceptor._resume()
                 await until(lambda: taken)
                 taken[0].close()
@@ -119,18 +119,18 @@
             acceptor.start()
             with socket.create_connection(listener.getsockname()):
                 while not taken:
-                    await until(lambda: acceptor.retry is not None)
-                    assert acceptor.retry is not None
-                    delays.append(acceptor.retry.when() - loop.time())
-                    acceptor.retry.cancel()
+                    await until(lambda: acceptor.retry_timer is not None)
+                    assert acceptor.retry_timer is not None
+                    delays.append(acceptor.retry_timer.when() - loop.time())
+                    acceptor.retry_timer.cancel()
                     acceptor._resume()
-                    await until(lambda: taken or acceptor.retry is not None)
+                    await until(lambda: taken or acceptor.retry_timer is not None)
                 taken.pop().close()
                 failing.errors.append(errno.ENFILE)
                 with socket.create_connection(listener.getsockname()):
-                    await until(lambda: acceptor.retry is not None)
-                    assert acceptor.retry is not None
-                    delays.append(acceptor.retry.when() - loop.time())
+                    await until(lambda: acceptor.retry_timer is not None)
+                    assert acceptor.retry_timer is not None
+                    delays.append(acceptor.retry_timer.when() - loop.time())
             acceptor.stop()
         return delays
 
@@ -161,7 +161,7 @@
             late.sendall(query(7, b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"))
             await asyncio.sleep(0.5)
             taken: list[float] = []
-            monkeypatch.setattr(one.driver, "take", lambda context: taken.append(context.request.patience))
+            monkeypatch.setattr(one.driver, "submit", lambda context: taken.append(context.request.patience))
             acceptor.start()
             await until(lambda: taken)
         one.stopped.set()
@@ -185,7 +185,7 @@
             one.most_clients = 1
             resting = socket.create_connection(one.listeners[0].getsockname())
             resting.sendall(PING)
-            await until(lambda: any(c.wrote for c in one.service.connections))
+            await until(lambda: any(c.last_write_at for c in one.service.connections))
             one.stop_accepting()
         late = socket.create_connection(one.listeners[0].getsockname())
         late.setblocking(False)
@@ -243,7 +243,7 @@
             one = program(sockets=4096)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        return one.most_clients, one.group.most
+        return one.most_clients, one.group.max_connections
 
     clients, servers = asyncio.run(run())
     assert clients + servers <= 200 - 32
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -149,7 +149,7 @@
             reader, writer = await asyncio.open_connection(*program.listeners[0].getsockname())
             writer.write(query(1)[:20])  # part of a command: none of them is idle
             clients.append((reader, writer))
-            while number < 2 and sum(one.busy() for one in program.service.connections) <= number:
+            while number < 2 and sum(one.is_busy() for one in program.service.connections) <= number:
                 await asyncio.sleep(0)
         while program.accepting:
             await asyncio.sleep(0)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -21,11 +21,11 @@
 from mapleshunt.net.request.context import Attempt, AttemptResult, RequestContext, ResponseSink
 from mapleshunt.net.request.dispatch import dispatch
 from mapleshunt.net.upstream import endpoint_group as upstream
-from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
+from mapleshunt.net.upstream.endpoint_group import Endpoint, EndpointGroup
 from mapleshunt.policy.interface import Status
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=4\r\n$-1\r\n"
-Steps = Callable[[UpstreamGroup, int, socket.socket], Awaitable[list[AttemptResult]]]
+Steps = Callable[[EndpointGroup, int, socket.socket], Awaitable[list[AttemptResult]]]
 WORDS = [memoryview(b"SVC.QUERY"), memoryview(b"c" * 16), memoryview(b"i" * 16), memoryview(b"c=look")]
 
 
@@ -41,9 +41,9 @@
     async def run() -> list[AttemptResult]:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(10)
-            group = UpstreamGroup(Counters(), 5000, 10000, 2)
-            member = Member("s-1", listener.getsockname(), "", 0, "ready", 0.0)
-            group.update("complete", [member])
+            group = EndpointGroup(Counters(), 5000, 10000, 2)
+            member = Endpoint("s-1", listener.getsockname(), "", 0, "ready", 0.0)
+            group.apply_endpoint_list("complete", [member])
             try:
                 return await steps(group, member.number, listener)
             finally:
@@ -59,7 +59,7 @@
     return context, Attempt(0, number, 0.0, 480.0)
 
 
-def attempt_at(group: UpstreamGroup, number: int) -> tuple[Attempt, asyncio.Task[AttemptResult]]:
+def attempt_at(group: EndpointGroup, number: int) -> tuple[Attempt, asyncio.Task[AttemptResult]]:
     context, attempt = request_at(number)
     return attempt, asyncio.create_task(dispatch(context, attempt, group, lambda: 179.3))
 
@@ -101,7 +101,7 @@
     ],
 )
 def test_reply_or_end_after_the_last_byte(data: bytes, ending: AttemptResult) -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             assert b"c=look,d=300,r=1" in await taken(server)  # all as it came, but for the wait
@@ -113,7 +113,7 @@
 
 
 def test_refused_connection_proves_that_it_never_ran() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         listener.close()
         return [await attempt_at(group, number)[1]]
 
@@ -121,23 +121,23 @@
 
 
 def test_connection_that_never_comes_up_is_bounded_and_never_ran() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        group.dial_timeout = 0.0
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        group.dial_timeout_ms = 0.0
         return [await attempt_at(group, number)[1]]
 
     assert play(steps) == [AttemptResult("unreachable")]
 
 
 def test_unknown_server_and_spent_descriptors_leave_it_unsent() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        group.most = 0
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        group.max_connections = 0
         return [await attempt_at(group, number + 1)[1], await attempt_at(group, number)[1]]
 
     assert play(steps) == [AttemptResult("unsent"), AttemptResult("unsent")]
 
 
 def test_given_up_before_it_is_written_it_never_ran_after_that_it_may_have() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         early, task = attempt_at(group, number)
         await asyncio.sleep(0)  # it dials
         early.cancel("cancelled")
@@ -162,13 +162,13 @@
 
 
 def test_connection_is_used_again_unless_its_end_has_come() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         server = await accept(listener)
         await taken(server)
         server.send(GOOD)
         endings = [await task]
-        await asyncio.sleep(2 * upstream.SETTLE)
+        await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
         _, task = attempt_at(group, number)
         await taken(server)  # on the same connection
         server.send(GOOD)
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize("more", [b"*3\r\n$5\r\nval", b"\r\n", b"+", GOOD])
 def test_what_follows_an_answer_never_reaches_the_next_try(more: bytes) -> None:
     # A part of a reply stayed in the buffer, and the next answer was read as its end.
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, first = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
@@ -204,24 +204,24 @@
 
 def test_connection_that_has_only_just_answered_rests(monkeypatch: pytest.MonkeyPatch) -> None:
     # Noise that came a moment behind an answer would have been taken for the next one's.
-    monkeypatch.setattr(upstream, "SETTLE", 3600.0)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", 3600.0)
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        connection = group.connection(number)
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
             group.release(connection)
-            assert group.idle(number) is None
-            upstream.SETTLE = 0.0
-            assert group.idle(number) is connection
+            assert group.take_idle(number) is None
+            upstream.REUSE_DELAY_S = 0.0
+            assert group.take_idle(number) is connection
         return []
 
     assert play(steps) == []
 
 
 def test_reply_that_does_not_end_is_spoilt_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "STALL", 0.01)
+    monkeypatch.setattr(upstream, "REPLY_STALL_TIMEOUT_S", 0.01)
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
@@ -235,55 +235,59 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Each try on one of them ended as reset: it may have run, and its till server was held for dead.
-    monkeypatch.setattr(upstream, "AT_ONCE", 10.0)
+    monkeypatch.setattr(upstream, "STALE_RESET_WITHIN_S", 10.0)
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
             server.send(GOOD)
             endings = [await task]
-            await asyncio.sleep(2 * upstream.SETTLE)
+            await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
             _, task = attempt_at(group, number)
             await taken(server)
         endings.append(await task)
         now = asyncio.get_running_loop().time()
-        assert upstream.SETTLE <= group.trusted(now) < 1.0  # it had stood idle for less than a second
-        assert group.trusted(now + 100 * upstream.REGAIN) == group.idle_limit / 1000
-        connection = group.connection(number)
+        assert (
+            upstream.REUSE_DELAY_S <= group.max_idle_s(now) < 1.0
+        )  # it had stood idle for less than a second
+        assert group.max_idle_s(now + 100 * upstream.IDLE_TRUST_DOUBLING_S) == group.idle_timeout_ms / 1000
+        connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
             group.release(connection)
             connection.idle_since -= 5.0
-            assert group.idle(number) is None
+            assert group.take_idle(number) is None
         return endings
 
     assert [one.status for one in play(steps)] == ["ok", "reset"]
 
 
 def test_servers_that_are_gone_are_forgotten_and_their_connections_end() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        connection = group.connection(number)
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
             address = listener.getsockname()
-            group.update("partial", [Member("s-1", address, "", 0, "gone", 0.0)])
-            group.update("partial", [Member("s-2", address, "", 0, "ready", 0.0)])  # at the same address
-            assert number not in group.servers and len(group.servers) == 1
+            group.apply_endpoint_list("partial", [Endpoint("s-1", address, "", 0, "gone", 0.0)])
+            group.apply_endpoint_list(
+                "partial", [Endpoint("s-2", address, "", 0, "ready", 0.0)]
+            )  # at the same address
+            assert number not in group.pools and len(group.pools) == 1
             group.release(connection)  # its try had still been out
-            assert connection.reason == "server_moved" and not group.connections
+            assert connection.close_reason == "server_moved" and not group.connections
         return []
 
     assert play(steps) == []
 
 
 def test_reply_to_nothing_ends_the_connection() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        connection = group.connection(number)
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
             group.release(connection)
             server.send(GOOD)
             while not connection.stream.closed():
                 await asyncio.sleep(0)
-        assert connection.reason == "malformed_reply" and group.idle(number) is None
+        assert connection.close_reason == "malformed_reply" and group.take_idle(number) is None
         return []
 
     assert play(steps) == []
@@ -295,12 +299,12 @@
 
 
 def test_idle_connections_are_closed_in_time_and_when_the_server_goes() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        for close in (group.sweep, lambda: group.update("complete", [])):
-            connection = group.connection(number)
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        for close in (group.close_stale_idle, lambda: group.apply_endpoint_list("complete", [])):
+            connection = group.new_connection(number)
             with await accept_while(connection.connect(), listener):
                 group.release(connection)
-                group.idle_limit = -1000.0  # ms ago
+                group.idle_timeout_ms = -1000.0  # ms ago
                 close()
                 assert isinstance(connection.stream, IOStream) and connection.stream.closed()
         return []
@@ -308,19 +312,19 @@
     assert play(steps) == []
 
 
-def listed_as(**changes: Any) -> Callable[[UpstreamGroup, int], None]:
+def listed_as(**changes: Any) -> Callable[[EndpointGroup, int], None]:
     """The list changes under a try."""
 
-    def change(group: UpstreamGroup, number: int) -> None:
-        group.update("partial", [replace(group.servers[number].member, **changes)])
+    def change(group: EndpointGroup, number: int) -> None:
+        group.apply_endpoint_list("partial", [replace(group.pools[number].endpoint, **changes)])
 
     return change
 
 
-CROSSINGS: dict[str, Callable[[UpstreamGroup, int, RequestContext, Attempt, list[float]], Any]] = {
+CROSSINGS: dict[str, Callable[[EndpointGroup, int, RequestContext, Attempt, list[float]], Any]] = {
     "drained": lambda group, number, *_: listed_as(state="draining")(group, number),
     "gone": lambda group, number, *_: listed_as(state="gone")(group, number),
-    "restarted": lambda group, number, *_: listed_as(started=5.0)(group, number),
+    "restarted": lambda group, number, *_: listed_as(started_at_ms=5.0)(group, number),
     "moved": lambda group, number, *_: listed_as(address=("127.0.0.1", 1))(group, number),
     "left": lambda _group, _number, context, *_: context.claim_response(),
     "given up": lambda _group, _number, _context, attempt, _clock: attempt.cancel("cancelled"),
@@ -342,12 +346,12 @@
     whose client had left, or whose window for repeats had ended.
     """
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        connection = group.connection(number)
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        connection = group.new_connection(number)
         server = await accept_while(connection.connect(), listener)
         if kept:
             group.release(connection)
-            await asyncio.sleep(2 * upstream.SETTLE)
+            await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
         else:  # the next one's dial is the turn of the loop in which all changes
             connection.close("test")
         (context, attempt), clock = request_at(number), [179.3]
@@ -376,20 +380,20 @@
 
 def test_long_answer_that_comes_slowly_but_goes_on_is_not_spoilt() -> None:
     # It counted as spoilt 0.1 s after its first part, however it went on.
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
             connection, ends = attempt.connection, list[float]()
-            assert isinstance(connection, upstream.ServerConnection)
+            assert isinstance(connection, upstream.UpstreamConnection)
             for at in range(0, len(GOOD) - 1, 4):
                 server.send(GOOD[at : min(at + 4, len(GOOD) - 1)])
                 while connection.buffer.end < min(at + 4, len(GOOD) - 1):
                     await asyncio.sleep(0)
-                assert connection.stall is not None
-                ends.append(connection.stall.when())
+                assert connection.stall_timer is not None
+                ends.append(connection.stall_timer.when())
             assert ends == sorted(set(ends))  # each part moves the moment at which it counts as spoilt
-            assert ends[-1] <= connection.whole_by  # which half of what is left of the try bounds
+            assert ends[-1] <= connection.reply_deadline  # which half of what is left of the try bounds
             server.send(GOOD[-1:])
             return [await task]
 
@@ -397,8 +401,8 @@
 
 
 def test_answer_that_goes_on_without_end_is_spoilt_while_there_is_time_left() -> None:
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        connection = group.connection(number)
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+        connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
             task = asyncio.create_task(connection.exchange(b"x", longest=0.0))
             await asyncio.to_thread(server.recv, 1)
@@ -411,7 +415,7 @@
 @pytest.mark.parametrize("crossing", ["drained", "gone", "left", "given up", "window over", "patience over"])
 def test_what_is_no_longer_wanted_is_not_dialled_for(crossing: str) -> None:
     # A try given up before its task began dialled all the same: work for the till server, and for nobody.
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         (context, attempt), clock = request_at(number), [179.3]
         task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
         CROSSINGS[crossing](group, number, context, attempt, clock)
@@ -441,7 +445,7 @@
         stream.close(exc_info=OSError(error, os.strerror(error)))
         raise StreamClosedError(real_error=OSError(error, os.strerror(error)))
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         monkeypatch.setattr(IOStream, "connect", connect)
         _, task = attempt_at(group, number)
         return [await task]
@@ -455,12 +459,12 @@
 ) -> None:
     """An answer that was read counts; what a reset ended may have run, whoever gave it up meanwhile."""
 
-    async def steps(group: UpstreamGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
+    async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
             connection = attempt.connection
-            assert isinstance(connection, upstream.ServerConnection)
+            assert isinstance(connection, upstream.UpstreamConnection)
             ended = "_take_reply" if data else "close"
             reads = getattr(connection, ended)
 
