--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -20,12 +20,12 @@
 
 
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
-    from ..simulation.day import day_of
+    from ..simulation.day import draw_day
     from ..testbed import fleet
     from ..testbed.gateway_process import GatewayError
 
     try:
-        return fleet.play_day(day_of(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
+        return fleet.play_day(draw_day(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
     except (GatewayError, OSError) as error:
         raise Trouble(str(error)) from None
 
