--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -20,11 +20,11 @@
 from tornado.iostream import IOStream
 
 from .invariants import Guard, broken_by_starting
-from .lifecycle.lifecycle import DrainRequester, Lifecycle
+from .lifecycle.lifecycle import DrainRequester, Lifecycle, State
 from .net import log
 from .net.backoff import TOLD, Backoff
 from .net.client import connection as client
-from .net.client.listener import Acceptor, bound
+from .net.client.listener import Acceptor, bind_socket
 from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
 from .net.counters import Counters
 from .net.discovery.watcher import Discovery, MemberList, member_list
@@ -33,7 +33,7 @@
 from .net.policy_driver import PolicyDriver
 from .net.protocol import resp
 from .net.startup import StartupSteps
-from .net.upstream.endpoint_group import UpstreamGroup
+from .net.upstream.endpoint_group import EndpointGroup
 from .policy import interface as i
 
 if TYPE_CHECKING:
@@ -72,11 +72,11 @@
             kept += DESCRIPTORS
         self.sockets = min(config.sockets, descriptors())  # whichever binds first
         self.usable = max(16, self.sockets - kept)
-        self.group = UpstreamGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
+        self.group = EndpointGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
         self.share(1)
         self.driver = PolicyDriver(config.settings, config.seed, self.group, self.counters)
-        self.service = client.Service(self.driver, self.counters, config.seed, config.max_open)
-        self.service.ready = self.ready
+        self.service = client.ClientConnections(self.driver, self.counters, config.seed, config.max_open)
+        self.service.is_ready = self.ready
         self.chance = random.Random(config.seed)
         self.tending = PeriodicTask(self.tend, TEND_EVERY, self.counters.add)
         self.watching: asyncio.Task[None] | None = None
@@ -85,13 +85,13 @@
         self.told_early: list[int] = []  # SIGHUPs since before the configuration was read
         self.peers: Peers | None = None
         self.stopped = asyncio.Event()
-        self.life = Lifecycle()
+        self.lifecycle = Lifecycle()
         self.listeners: list[socket.socket] = []
         self.acceptors: list[Acceptor] = []
         self.accepting = False
         # A client that does not read may make the gateway hold this much: no more than a part of its memory.
         self.most_unwritten = min(client.MAX_UNWRITTEN_BYTES, max(4 * resp.MAX_VALUE, config.memory // 64))
-        self.service.ended = self.resume_accepting
+        self.service.on_connection_ended = self.resume_accepting
         self.door: AdminEndpoint | None = None
         self.succession: Takeover | None = None
         self.extensions: Extensions | None = None
@@ -103,15 +103,15 @@
         self.most_clients = self.usable // processes - upstream
         # Usual clients hold a third at most: well before that, those that ask no more give up their places.
         self.many_clients = self.sockets // (5 * processes)
-        self.group.limit(upstream)
+        self.group.set_connection_limit(upstream)
         self.processes = processes
 
     def ready(self) -> bool:
-        return self.life.wanted() and bool(self.group.servers)
+        return self.lifecycle.is_ready() and bool(self.group.pools)
 
     def told(self, found: MemberList) -> None:
         kind: i.ListKind = "complete" if found.complete else "partial"
-        self.driver.apply_event(self.group.update(kind, found.members, self.age))
+        self.driver.apply_event(self.group.apply_endpoint_list(kind, found.members, self.age))
         self.revision = found.revision
         self.last_told = self.time()
         if found.complete or found.members:
@@ -137,8 +137,8 @@
     # kernel. One that was accepted and closed might have carried a request, which would be lost.
 
     def accept(self, connection: socket.socket) -> None:
-        waited = max(one.longest_wait() for one in self.acceptors)
-        self.service.serve(IOStream(connection, max_write_buffer_size=self.most_unwritten), waited)
+        waited = max(one.max_backlog_wait_s() for one in self.acceptors)
+        self.service.add(IOStream(connection, max_write_buffer_size=self.most_unwritten), waited)
         if not self.room() and not self.service.evict_idle():
             log.log_event("accepting_paused", client_connections=len(self.service.connections))
             self.stop_accepting()
@@ -152,7 +152,7 @@
 
     def room(self) -> bool:
         """May one more client connection be taken? Some that only linger may stand beside the others."""
-        lingering = min(self.service.finishing, LINGERERS)
+        lingering = min(self.service.lingering_count, LINGERERS)
         return len(self.service.connections) - lingering < self.most_clients
 
     def sweep_clients(self) -> None:
@@ -166,7 +166,7 @@
             log.log_event("loop_held_up", ms=1000 * seconds)
 
     def resume_accepting(self) -> None:
-        if not self.accepting and self.life.accepts(self.time()) and self.room():
+        if not self.accepting and self.lifecycle.accepts_connections(self.time()) and self.room():
             log.log_event("accepting_resumed", client_connections=len(self.service.connections))
             self.start_accepting()
 
@@ -185,7 +185,9 @@
         try:
             if self.config.known is not None:
                 known = member_list(self.config.known)
-                self.driver.apply_event(self.group.update("persisted", known.members, self.driver.now.age))
+                self.driver.apply_event(
+                    self.group.apply_endpoint_list("persisted", known.members, self.driver.now.age)
+                )
                 self.revision = known.revision if known.members else None
             steps = StartupSteps(self.counters)
             await self._open_sockets(steps)
@@ -232,7 +234,7 @@
             if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 raise ValueError(f"descriptor {self.config.accept_fd} does not listen")
             return listener
-        return bound(self.config.listen)
+        return bind_socket(self.config.listen)
 
     def hear(self) -> None:
         """Exchange messages with other gateways from now on, if the settings allow it."""
@@ -262,7 +264,7 @@
         broken = broken_by_starting(1000 * (time.monotonic() - BEGAN), bool(self.service.connections))
         self.counters.trace.check(Guard.START, broken, "process")
         self.start_accepting()
-        self.life.listening(self.time())
+        self.lifecycle.start_serving()
         self.counters.trace.add("process", "listening")
         if self.succession is not None:
             self.succession.ready()
@@ -270,7 +272,7 @@
         if self.door is not None:
             self.door.open()
         listen = text_of(self.config.listen)
-        log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
+        log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.pools))
 
     def called(self, method: str, path: str) -> AdminResponse:
         """What the operators' door answers."""
@@ -278,30 +280,36 @@
 
         match method, path:
             case "GET", "/_ready":
-                return AdminResponse(200, "yes\n") if self.life.takes() else AdminResponse(503, "no\n")
+                return (
+                    AdminResponse(200, "yes\n") if self.lifecycle.is_serving() else AdminResponse(503, "no\n")
+                )
             case "POST", "/_lameduck/on":
                 self.drain(DrainRequester.OPERATORS)
                 return (
                     AdminResponse(200, "drained\n")
-                    if self.life.phase == "drained"
+                    if self.lifecycle.state is State.DRAINING
                     else AdminResponse(503, "no\n")
                 )
             case "POST", "/_lameduck/off":
                 self.work_again(DrainRequester.OPERATORS)
-                return AdminResponse(200, "working\n") if self.life.takes() else AdminResponse(503, "no\n")
+                return (
+                    AdminResponse(200, "working\n")
+                    if self.lifecycle.is_serving()
+                    else AdminResponse(503, "no\n")
+                )
             case "GET", "/_vars":
                 return AdminResponse(200, self.figures())
         return AdminResponse(404, "no such call\n")
 
     def drain(self, drainer: DrainRequester) -> None:
-        self._told("drained", self.life.drain(self.time(), drainer))
+        self._told("drained", self.lifecycle.drain(self.time(), drainer))
 
     def work_again(self, drainer: DrainRequester) -> None:
-        self._told("back_to_work", self.life.resume(self.time(), drainer))
+        self._told("back_to_work", self.lifecycle.resume(drainer))
 
     def held(self) -> tuple[int, int, bool]:
         """Requests that are owed an answer, client connections, and whether it takes no clients."""
-        return len(self.driver.open_requests), len(self.service.connections), not self.life.takes()
+        return len(self.driver.open_requests), len(self.service.connections), not self.lifecycle.is_serving()
 
     def load(self) -> float:
         """The part of this gateway's slots at its servers that tries hold."""
@@ -319,7 +327,7 @@
 
     def keep_tending(self) -> None:
         """Tend from time to time, for as long as there is something to tend."""
-        if self.succession is None and self.life.takes():
+        if self.succession is None and self.lifecycle.is_serving():
             self.tending.stop()
         elif not self.tending.is_running():
             self.tending.start()
@@ -336,31 +344,33 @@
         """Do what the gateway's state asks for."""
         now = self.time()
         if self.succession is not None:
-            self.succession.tend(self.life.takes())
+            self.succession.tend(self.lifecycle.is_serving())
             self.hear_if_possible()
             if (processes := 1 + self.succession.together) != self.processes:
                 self.share(processes)
-        self.service.close_idle(self.life.closes(now), not self.life.reads(now))
+        self.service.close_idle(
+            self.lifecycle.closes_idle_connections(now), not self.lifecycle.reads_while_responding(now)
+        )
 
     @staticmethod
     def time() -> float:
         return asyncio.get_running_loop().time()
 
     def figures(self) -> str:
-        from .lifecycle import statistics as figures
+        from .lifecycle import statistics
 
-        listed, now = self.group.servers.values(), self.driver.now()
+        listed, now = self.group.pools.values(), self.driver.now()
         known = self.driver.gateway.servers
         avoided = sum(
-            one.member.state != "ready" or (number in known and known[number].barred > now)
-            for number, one in self.group.servers.items()
+            one.endpoint.state != "ready" or (number in known and known[number].barred > now)
+            for number, one in self.group.pools.items()
         )
         gauges = {
             "pending": len(self.driver.open_requests),
             "members": len(listed),
             "members_unavailable": avoided,
         }
-        return figures.text_of(self.config.settings.classes, self.counters.classes, gauges)
+        return statistics.render(self.config.settings.classes, self.counters.classes, gauges)
 
     def load_extensions(self) -> None:
         """What the operators' file asks for; without one nothing of it is imported. Raises `ConfigError`, and
@@ -439,7 +449,7 @@
         loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
         loop.add_signal_handler(signal.SIGQUIT, self.counters.trace.log_all)
         sweeps = [
-            PeriodicTask(self.group.sweep, SERVER_SWEEP_EVERY, self.counters.add),
+            PeriodicTask(self.group.close_stale_idle, SERVER_SWEEP_EVERY, self.counters.add),
             PeriodicTask(self.sweep_clients, CLIENT_SWEEP_EVERY, self.counters.add, self.loop_late),
             PeriodicTask(self.print_counters, COUNTERS_EVERY, self.counters.add),
         ]
@@ -473,11 +483,11 @@
         """Go on for a little, since the front learns late; then finish what was taken."""
         succeeded = self.succession is not None and self.succession.succeeded()
         longest = max((cls.deadline for cls in self.config.settings.classes.values()), default=0.0) / 1000
-        self.life.leave(self.time(), succeeded)
-        self.service.ends = self.life.last_answer(longest)
+        self.lifecycle.stop(self.time(), succeeded)
+        self.service.final_deadline = self.lifecycle.last_response_at(longest)
         self.counters.trace.add("process", "stopping")
         log.log_event("stopping", open=len(self.driver.open_requests), succeeded=succeeded)
-        while self.life.accepts(self.time()):
+        while self.lifecycle.accepts_connections(self.time()):
             await asyncio.sleep(0.01)
         self._tend_contained()
         # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
@@ -498,7 +508,7 @@
             left = len(self.service.connections)
             log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
             for connection in list(self.service.connections):
-                connection.end("stopped")
+                connection.close("stopped")
 
     def heard(self, peer: int, text: str) -> None:
         self.driver.apply_event(i.PeerMessage(peer, text))
