--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -13,7 +13,6 @@
 from typing import Any
 
 import click
-import msgspec
 
 from .output import Trouble, json_option, print_json, table
 
@@ -255,6 +254,19 @@
     return list(await asyncio.gather(*(one(group) for group in groups)))
 
 
+def _bucket_json(bucket: Any) -> dict[str, Any]:
+    """By the keys that the command has always had."""
+    return {
+        "rate": bucket.rate_per_ms,
+        "burst": bucket.burst,
+        "level": bucket.level,
+        "at": bucket.updated_at,
+        "held": bucket.leases,
+        "names": bucket.reservations,
+        "counted": bucket.counted_usage,
+    }
+
+
 @click.group()
 def holdings() -> None:
     """What gateways hold for customers."""
@@ -287,13 +299,13 @@
         click.echo("mapleshunt: nobody who leads that customer's group answers", err=True)
         raise SystemExit(NOT_NOW) from None
     if as_json:
-        print_json(msgspec.structs.asdict(found) if found is not None else None)
+        print_json(_bucket_json(found) if found is not None else None)
     elif found is None:
         click.echo(f"nothing is held for {customer}")
     else:
         table(["figure", "value"], [
             ["level, units", found.level], ["burst, units", found.burst],
-            ["rate, units/s", found.rate * 1000],
-            ["leases", len(found.held)], ["units leased", sum(one.units for _, one in found.held)],
-            ["reservations", len(found.names)], ["counted use, units", found.counted],
+            ["rate, units/s", found.rate_per_ms * 1000],
+            ["leases", len(found.leases)], ["units leased", sum(one.units for _, one in found.leases)],
+            ["reservations", len(found.reservations)], ["counted use, units", found.counted_usage],
         ])  # fmt: skip
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -15,8 +15,9 @@
 from typing import Any
 
 import click
-import msgspec
 
+from ..maintenance.budget import Budget
+from ..maintenance.commands import RequestMaintenance
 from .copies import NOT_NOW, PATIENCE, _addresses, _section, _statuses, settings_option
 from .output import Trouble, json_option, print_json, table
 
@@ -58,7 +59,7 @@
 
     stamp, frozen = _with(section, lambda caller: caller.read("works", "", tuple[float, MaintenanceSnapshot]))
     works = MaintenanceJobs()
-    works.thaw(frozen)
+    works.restore(frozen)
     return stamp, works
 
 
@@ -73,7 +74,7 @@
 
     result = _with(section, once)
     if isinstance(result, Denied):
-        raise Trouble(result.why)
+        raise Trouble(result.reason)
 
 
 def _known(section: Any, machines: tuple[str, ...]) -> None:
@@ -100,8 +101,6 @@
     urgency: int, long_work: bool, version: str, name: str | None, file: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
     """Ask for work on MACHINES; prints the request's id."""
-    from ..maintenance.commands import RequestMaintenance
-
     section = _section(file)
     if every == bool(machines):
         raise Trouble("name machines, or --all")
@@ -120,11 +119,11 @@
 
 def _rows(works: Any, stamp: float, only: str = "") -> list[dict[str, Any]]:
     return [
-        {"request": one.request, "machine": one.machine, "state": one.state, "fence": one.fence,
-         "for_s": round((stamp - one.since) / 1000, 1),
-         "left_s": round((one.until - stamp) / 1000, 1) if one.until and one.state in
+        {"request": one.request_id, "machine": one.machine, "state": one.state, "fence": one.fencing_token,
+         "for_s": round((stamp - one.state_since) / 1000, 1),
+         "left_s": round((one.expires_at - stamp) / 1000, 1) if one.expires_at and one.state in
          ("granted", "draining", "safe") else None}
-        for one in works.places.values() if not only or one.request == only
+        for one in works.jobs.values() if not only or one.request_id == only
     ]  # fmt: skip
 
 
@@ -147,6 +146,35 @@
         _table(_rows(works, stamp))
 
 
+def _request_json(request: RequestMaintenance) -> dict[str, Any]:
+    """By the keys that `show` has always had."""
+    return {
+        "id": request.request_id,
+        "machines": request.machines,
+        "reason": request.reason,
+        "author": request.author,
+        "expected": request.expected_s,
+        "earliest": request.earliest_time,
+        "urgency": request.urgency,
+        "long": request.move_replicas,
+        "version": request.target_version,
+    }
+
+
+def _budget_json(budget: Budget) -> dict[str, Any]:
+    """By the keys that `status` has always had."""
+    return {
+        "most": budget.max_out,
+        "zone": budget.max_out_per_zone,
+        "load": budget.max_load,
+        "slack": budget.load_slack,
+        "pause": budget.pause_s,
+        "drain": budget.drain_s,
+        "failures": budget.max_failures,
+        "closed": budget.closed_windows,
+    }
+
+
 @maintenance.command()
 @click.argument("name", metavar="ID")
 @settings_option
@@ -159,13 +187,14 @@
     asked = works.requests[name]
     stories = [
         {"machine": one.machine, "ago_s": round((stamp - step.at) / 1000, 1), "state": step.state,
-         "why": step.why, "who": step.who}
-        for one in works.places.values() if one.request == name for step in one.story
+         "why": step.reason, "who": step.author}
+        for one in works.jobs.values() if one.request_id == name for step in one.history
     ]  # fmt: skip
     if as_json:
-        print_json({"request": msgspec.structs.asdict(asked.ask), "story": stories})
+        print_json({"request": _request_json(asked.details), "story": stories})
         return
-    click.echo(f"{name}: {asked.ask.reason} ({asked.ask.author}), {round((stamp - asked.at) / 1000)} s ago")
+    age_s = round((stamp - asked.submitted_at) / 1000)
+    click.echo(f"{name}: {asked.details.reason} ({asked.details.author}), {age_s} s ago")
     table(["machine", "s ago", "state", "why", "who"], [list(one.values()) for one in stories])
 
 
@@ -179,16 +208,18 @@
     while True:
         stamp, works = _works(section)
         rows = [one for one in _rows(works, stamp) if one["state"] not in ("done", "withdrawn", "failed")]
-        over = len(works.places) - len(rows)
+        over = len(works.jobs) - len(rows)
         told = {
-            "open": rows, "over": over, "waits_for": works.blocked, "held": works.held,
-            "failures": works.failures, "budget": msgspec.structs.asdict(works.budget),
+            "open": rows, "over": over, "waits_for": works.blocked_reason, "held": works.hold_reason,
+            "failures": works.failures, "budget": _budget_json(works.budget),
         }  # fmt: skip
         if as_json:
             print_json(told)
         else:
             _table(rows)
-            click.echo(f"{over} over, {len(rows)} open; {works.blocked or 'nobody waits for anything'}")
+            click.echo(
+                f"{over} over, {len(rows)} open; {works.blocked_reason or 'nobody waits for anything'}"
+            )
         if not watch or not rows:
             return
         time.sleep(1.0)
@@ -202,13 +233,13 @@
     section = _section(file)
     stamp, works = _works(section)
     batches, took = _simulated(section, works, stamp, _statuses(section))
-    left = [one.machine for one in works.open() if one.state == "queued"]
+    left = [one.machine for one in works.open_jobs() if one.state == "queued"]
     went = [one for batch in batches for one in batch]
     stuck = [one for one in left if one not in went]
     spread = _spread(works)
     told = {
         "batches": batches, "expected_s": round(took), "spread_s": [round(took * one) for one in spread],
-        "blocked": stuck, "why": works.blocked if stuck else "",
+        "blocked": stuck, "why": works.blocked_reason if stuck else "",
     }  # fmt: skip
     if as_json:
         print_json(told)
@@ -217,16 +248,16 @@
         low, high = (round(took * one) for one in spread)
         click.echo(f"about {round(took)} s, {low} to {high} s by those done so far")
         if stuck:
-            click.echo(f"would not go: {' '.join(stuck)}: {works.blocked}")
+            click.echo(f"would not go: {' '.join(stuck)}: {works.blocked_reason}")
 
 
 def _spread(works: Any) -> tuple[float, float]:
     """Least and most of the times that machines were out, as parts of what was expected."""
     parts = []
-    for one in works.places.values():
-        at = {step.state: step.at for step in one.story}
+    for one in works.jobs.values():
+        at = {step.state: step.at for step in one.history}
         if one.state == "done" and "out" in at:
-            parts.append((at["done"] - at["out"]) / 1000 / works.requests[one.request].ask.expected)
+            parts.append((at["done"] - at["out"]) / 1000 / works.requests[one.request_id].details.expected_s)
     return (min(parts), max(parts)) if parts else (1.0, 1.0)
 
 
@@ -242,20 +273,23 @@
     ways = {"granted": ("draining", "safe", "out"), "draining": ("safe", "out"), "safe": ("out",),
             "recalled": ("undone",)}  # fmt: skip
     idle, took = 0, 0.0
-    while works.open() and idle < 100:
+    while works.open_jobs() and idle < 100:
         works.apply(now, sight.build_fleet_view(wall, zones, section.groups, told, works))
         batch = []
-        for one in works.open():
+        for one in works.open_jobs():
             for what in ways.get(one.state, ()):
-                works.apply(now, w.ReportProgress(one.machine, one.fence, what))
+                works.apply(now, w.ReportProgress(one.machine, one.fencing_token, what))
             if "out" in ways.get(one.state, ()):
                 batch.append(one.machine)
         batches += [batch] if batch else []
-        out = [one for one in works.open() if one.state in ("out", "overdue")]
-        lasts = max((works.requests[one.request].ask.expected for one in out), default=works.budget.pause + 1)
+        out = [one for one in works.open_jobs() if one.state in ("out", "overdue")]
+        lasts = max(
+            (works.requests[one.request_id].details.expected_s for one in out),
+            default=works.budget.pause_s + 1,
+        )
         now, wall = now + 1000 * lasts, wall + lasts
         for one in out:
-            works.apply(now, w.ReportProgress(one.machine, one.fence, "returning"))
+            works.apply(now, w.ReportProgress(one.machine, one.fencing_token, "returning"))
         idle = 0 if out else idle + 1
         took = (now - stamp) / 1000 if out else took
     return batches, took
@@ -322,13 +356,13 @@
     end = time.monotonic() + patience
     while time.monotonic() < end:
         _, works = _works(section)
-        place = works.place_of(machine)
+        place = works.job_of(machine)
         if place is None:
             break
         if place.state == "out":
             return
         if place.state == "safe":
-            told = w.ReportProgress(machine, place.fence, "out")
+            told = w.ReportProgress(machine, place.fencing_token, "out")
 
             async def once(caller: Any, told: w.ReportProgress = told) -> Any:
                 await caller.do(h.OpenSession())
@@ -350,7 +384,7 @@
 
     section = _section(file)
     _known(section, (machine,))
-    place = _works(section)[1].place_of(machine)
+    place = _works(section)[1].job_of(machine)
     if place is None or place.state not in ("out", "overdue", "returning"):
         raise Trouble(f"{machine} is not out, but {place.state if place is not None else 'not asked for'}")
-    _do(section, ReportProgress(machine, place.fence, "returning"))
+    _do(section, ReportProgress(machine, place.fencing_token, "returning"))
--- a/mapleshunt/maintenance/agent.py
+++ b/mapleshunt/maintenance/agent.py
@@ -18,16 +18,16 @@
 class RemainingWork:
     """What a gateway has to be rid of before it is safe."""
 
-    open: int  # requests that are owed an answer
+    open_requests: int  # requests that are owed an answer
     clients: int
-    leads: int  # groups
-    copies: int
+    groups_led: int  # groups
+    replicas: int
     drained: bool  # it takes no clients
 
     def waits_for(self, long: bool) -> str:
-        left = {"requests": self.open, "clients": self.clients, "groups led": self.leads}
+        left = {"requests": self.open_requests, "clients": self.clients, "groups led": self.groups_led}
         if long:
-            left["copies"] = self.copies
+            left["copies"] = self.replicas
         return ", ".join(f"{name} {number}" for name, number in left.items() if number)
 
 
@@ -35,37 +35,41 @@
 class AgentAction:
     """`how`: drain, resume, hand_over (leadership, and with `long` copies), take_back (copies), or tell."""
 
-    how: str
-    what: str = ""
-    why: str = ""
-    fence: int = 0
+    kind: str
+    state: str = ""
+    reason: str = ""
+    fencing_token: int = 0
 
 
 class MaintenanceAgent:
     def __init__(self) -> None:
-        self.fence, self.deadline = 0, float("-inf")
-        self.drained = self.away = False  # by its grant; operators may have drained it besides
+        self.fencing_token, self.deadline = 0, float("-inf")
+        self.drained = self.replicas_moved = False  # by its grant; operators may have drained it besides
 
-    def told(self, asked: float, stamp: float, place: MachineJob | None) -> None:
+    def update_grant(self, asked: float, stamp: float, place: MachineJob | None) -> None:
         """What the log says of it: asked for at `asked` (s, own clock), at the log's time `stamp` (ms)."""
         if place is not None and place.state in ("granted", "draining", "safe"):
-            self.fence = place.fence
-            self.deadline = asked + (place.until - stamp) / 1000 * (1 - MAX_CLOCK_DRIFT)
+            self.fencing_token = place.fencing_token
+            self.deadline = asked + (place.expires_at - stamp) / 1000 * (1 - MAX_CLOCK_DRIFT)
 
     def step(
         self, now: float, place: MachineJob | None, long: bool, sees: RemainingWork
     ) -> list[AgentAction]:
         state = place.state if place is not None else ""
-        if place is not None and state in ("granted", "draining", "safe") and place.fence == self.fence:
+        if (
+            place is not None
+            and state in ("granted", "draining", "safe")
+            and place.fencing_token == self.fencing_token
+        ):
             if now >= self.deadline:
                 return [
                     *self._undo(),
-                    AgentAction("tell", "undone", "too late by its own clock", place.fence),
+                    AgentAction("tell", "undone", "too late by its own clock", place.fencing_token),
                 ]
             return self._empty(place, long, sees)
         if state == "recalled" and place is not None:
             # It has taken back what it began, if this life began anything, and takes clients again.
-            tell = AgentAction("tell", "undone", "called back", place.fence)
+            tell = AgentAction("tell", "undone", "called back", place.fencing_token)
             return self._undo() or ([tell] if not sees.drained else [])
         if state in ("out", "overdue"):
             return []  # whoever works on it ends it
@@ -73,23 +77,23 @@
 
     def _empty(self, place: MachineJob, long: bool, sees: RemainingWork) -> list[AgentAction]:
         if not self.drained:
-            self.drained, self.away = True, long
+            self.drained, self.replicas_moved = True, long
             acts = [AgentAction("drain"), AgentAction("hand_over", "copies" if long else "")]
             return (
-                [*acts, AgentAction("tell", "draining", "", place.fence)]
+                [*acts, AgentAction("tell", "draining", "", place.fencing_token)]
                 if place.state == "granted"
                 else acts
             )
         if place.state == "granted":
-            return [AgentAction("tell", "draining", "", place.fence)]
+            return [AgentAction("tell", "draining", "", place.fencing_token)]
         left = sees.waits_for(long)
         if place.state == "draining" and not left and sees.drained:
-            return [AgentAction("tell", "safe", "", place.fence)]
-        return [AgentAction("hand_over", "copies" if long else "", left)] if sees.leads else []
+            return [AgentAction("tell", "safe", "", place.fencing_token)]
+        return [AgentAction("hand_over", "copies" if long else "", left)] if sees.groups_led else []
 
     def _undo(self) -> list[AgentAction]:
         if not self.drained:
             return []
-        acts = [AgentAction("resume"), *([AgentAction("take_back")] if self.away else [])]
-        self.drained = self.away = False
+        acts = [AgentAction("resume"), *([AgentAction("take_back")] if self.replicas_moved else [])]
+        self.drained = self.replicas_moved = False
         return acts
--- a/mapleshunt/maintenance/commands.py
+++ b/mapleshunt/maintenance/commands.py
@@ -12,26 +12,26 @@
 class RequestMaintenance(msgspec.Struct, array_like=True, tag=30, frozen=True):
     """A request for work; the same `id` again changes nothing."""
 
-    id: str
+    request_id: str
     machines: tuple[str, ...]
     reason: str
     author: str
-    expected: float = 600.0  # s that a machine is out
-    earliest: float = 0.0  # Unix time
+    expected_s: float = 600.0  # s that a machine is out
+    earliest_time: float = 0.0  # Unix time
     urgency: int = 0  # 0 to 9
-    long: bool = False  # copies are to be moved off first
-    version: str = ""  # that a machine is to have when it is back
+    move_replicas: bool = False  # copies are to be moved off first
+    target_version: str = ""  # that a machine is to have when it is back
 
 
 class WithdrawRequest(msgspec.Struct, array_like=True, tag=31, frozen=True):
-    id: str
+    request_id: str
     author: str
 
 
 class SetHold(msgspec.Struct, array_like=True, tag=32, frozen=True):
     """No grants from now on, or again."""
 
-    on: bool
+    held: bool
     author: str
     reason: str = ""
 
@@ -54,8 +54,8 @@
 
     name: str
     zone: str
-    here: bool
-    leads: int = 0  # groups
+    available: bool
+    groups_led: int = 0  # groups
     load: float = 0.0
     version: str = ""
 
@@ -64,13 +64,13 @@
     """Gateways that decide in a group, and those of them whose copies are there and not far behind."""
 
     voters: tuple[str, ...]
-    sound: tuple[str, ...]
+    up_to_date: tuple[str, ...]
 
 
 class FleetView(msgspec.Struct, array_like=True, tag=35, frozen=True):
     """What the coordinator sees now: grants and returns follow from this entry and the state before it."""
 
-    wall: float  # Unix time
+    wall_time: float  # Unix time
     machines: tuple[MachineView, ...]
     groups: tuple[GroupView, ...]
 
@@ -79,9 +79,9 @@
     """A machine, or whoever works on it, tells how far it is, under its grant's number."""
 
     machine: str
-    fence: int
-    what: str  # draining, safe, out, returning, undone, failed
-    why: str = ""
+    fencing_token: int
+    state: str  # draining, safe, out, returning, undone, failed
+    reason: str = ""
 
 
 Operation = (
--- a/mapleshunt/maintenance/fleet_view.py
+++ b/mapleshunt/maintenance/fleet_view.py
@@ -25,7 +25,9 @@
     One that takes no clients and has no grant is out, whoever drained it.
     """
     heard = {name: status for name, status in told.items() if status is not None}
-    busy = {one.machine for one in works.open() if one.state in ("granted", "draining", "safe", "recalled")}
+    busy = {
+        one.machine for one in works.open_jobs() if one.state in ("granted", "draining", "safe", "recalled")
+    }
     leads: dict[int, tuple[int, Mapping[str, Any]]] = {}
     copies: dict[int, dict[str, int]] = {}
     for name, status in heard.items():
--- a/mapleshunt/maintenance/records.py
+++ b/mapleshunt/maintenance/records.py
@@ -22,38 +22,38 @@
 
     at: float  # ms of the log's time
     state: str
-    why: str = ""
-    who: str = ""
+    reason: str = ""
+    author: str = ""
 
 
 class MachineJob(msgspec.Struct, array_like=True, frozen=True):
     """A machine within a request."""
 
     machine: str
-    request: str
+    request_id: str
     state: str = "queued"
-    fence: int = 0
-    since: float = 0.0  # ms of the log's time
-    until: float = 0.0  # when the grant ends
-    ends: str = ""  # how it ends once it is undone: withdrawn or failed; else it is queued again
-    story: tuple[HistoryEntry, ...] = ()
+    fencing_token: int = 0
+    state_since: float = 0.0  # ms of the log's time
+    expires_at: float = 0.0  # when the grant ends
+    outcome: str = ""  # how it ends once it is undone: withdrawn or failed; else it is queued again
+    history: tuple[HistoryEntry, ...] = ()
 
 
 class MaintenanceRequest(msgspec.Struct, array_like=True, frozen=True):
-    ask: RequestMaintenance
-    at: float  # ms of the log's time
+    details: RequestMaintenance
+    submitted_at: float  # ms of the log's time
 
 
 class MaintenanceSnapshot(msgspec.Struct, array_like=True, frozen=True):
     """A snapshot's form."""
 
     budget: Budget
-    held: str
-    fence: int
+    hold_reason: str
+    last_fencing_token: int
     failures: int
-    returned: float
-    strained: bool
+    last_return_at: float
+    overloaded: bool
     requests: tuple[MaintenanceRequest, ...]
-    places: tuple[MachineJob, ...]
-    blocked: str
-    chosen: bool
+    jobs: tuple[MachineJob, ...]
+    blocked_reason: str
+    budget_was_set: bool
--- a/mapleshunt/maintenance/summary.py
+++ b/mapleshunt/maintenance/summary.py
@@ -28,18 +28,18 @@
 
 def _over(frozen: MaintenanceSnapshot) -> list[str]:
     """Requests of which no place is open, the oldest first."""
-    open_requests = {one.request for one in frozen.places if one.state not in FINAL_STATES}
-    return [one.ask.id for one in frozen.requests if one.ask.id not in open_requests]
+    open_requests = {one.request_id for one in frozen.jobs if one.state not in FINAL_STATES}
+    return [one.details.request_id for one in frozen.requests if one.details.request_id not in open_requests]
 
 
 def _without(frozen: MaintenanceSnapshot, ids: set[str]) -> MaintenanceSnapshot:
-    requests = tuple(one for one in frozen.requests if one.ask.id not in ids)
-    places = tuple(one for one in frozen.places if one.request not in ids)
-    return msgspec.structs.replace(frozen, requests=requests, places=places)
+    requests = tuple(one for one in frozen.requests if one.details.request_id not in ids)
+    places = tuple(one for one in frozen.jobs if one.request_id not in ids)
+    return msgspec.structs.replace(frozen, requests=requests, jobs=places)
 
 
 def _with_few_steps(frozen: MaintenanceSnapshot) -> MaintenanceSnapshot:
     places = tuple(
-        msgspec.structs.replace(one, story=one.story[-MIN_HISTORY_ENTRIES:]) for one in frozen.places
+        msgspec.structs.replace(one, history=one.history[-MIN_HISTORY_ENTRIES:]) for one in frozen.jobs
     )
-    return msgspec.structs.replace(frozen, places=places)
+    return msgspec.structs.replace(frozen, jobs=places)
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -16,6 +16,7 @@
 from ..maintenance import commands as w
 from ..maintenance import fleet_view as sight
 from ..maintenance.agent import AgentAction, MaintenanceAgent, RemainingWork
+from ..maintenance.jobs import MaintenanceJobs
 from ..maintenance.records import MachineJob
 from ..replicated_state import commands as h
 from ..replicated_state.results import Applied, Denied, Result, decode_result
@@ -106,7 +107,7 @@
         if not self.opened:
             self.opened = isinstance(result, Applied)
             self.next = now if self.opened else now + OPEN_RETRY_DELAY_S
-        elif isinstance(result, Denied) and result.why == "session":
+        elif isinstance(result, Denied) and result.reason == "session":
             self._begin_session()
         else:
             self.waiting.popleft().done(result)
@@ -162,7 +163,7 @@
         log.log_event(
             "maintenance_budget",
             result="Denied" if isinstance(result, Denied) else "Done",
-            why=getattr(result, "why", ""),
+            why=result.reason if isinstance(result, Denied) else "",
         )
 
     def line(self, group: int) -> ProposalSession:
@@ -181,7 +182,7 @@
                 self._hold(now)
             host = self.copies.hosts.get(0)
             if host is not None and host.leads():
-                self._coordinate(now, host.holdings.works)
+                self._coordinate(now, host.holdings.maintenance)
             else:
                 self.leading = float("inf")
         except Exception:
@@ -203,9 +204,11 @@
             return
         stamp, place, self.long, self.some = TOLD.decode(reply.data)
         if place is not None and (self.place is None or self.place.state != place.state):
-            log.log_event("maintenance_place", request=place.request, state=place.state, fence=place.fence)
+            log.log_event(
+                "maintenance_place", request=place.request_id, state=place.state, fence=place.fencing_token
+            )
         self.place, self.known = place, True
-        self.holder.told(asked, stamp, place)
+        self.holder.update_grant(asked, stamp, place)
 
     def _hold(self, now: float) -> None:
         open_, clients, drained = self.hands.sees()
@@ -220,23 +223,23 @@
             self._mark("", BY_WORK)
 
     def _do(self, act: AgentAction) -> None:
-        match act.how:
+        match act.kind:
             case "drain":
-                log.log_event("maintenance_drains", fence=self.holder.fence)
+                log.log_event("maintenance_drains", fence=self.holder.fencing_token)
                 self.hands.drain()
             case "resume":
-                log.log_event("maintenance_resumes", fence=self.holder.fence)
+                log.log_event("maintenance_resumes", fence=self.holder.fencing_token)
                 self.hands.resume()
             case "hand_over":
                 for host in self.copies.hosts.values():
                     if host.leads():
                         host.step(m.Transfer())
-                if act.what == "copies":
+                if act.state == "copies":
                     self._mark(BY_WORK, "")
             case "take_back":
                 self._mark("", BY_WORK)
             case "tell" if not self.line(0).busy():
-                told = w.ReportProgress(self.copies.name, act.fence, act.what, act.why)
+                told = w.ReportProgress(self.copies.name, act.fencing_token, act.state, act.reason)
                 self.line(0).propose(told, lambda _: self._ask(self.copies.now()))
 
     def _mark(self, value: str, before: str) -> None:
@@ -258,10 +261,10 @@
 
     # As the coordinator
 
-    def _coordinate(self, now: float, works: Any) -> None:
-        if works.budget != self.section.budget() and not works.chosen and not self.line(0).busy():
+    def _coordinate(self, now: float, works: MaintenanceJobs) -> None:
+        if works.budget != self.section.budget() and not works.budget_was_set and not self.line(0).busy():
             self.line(0).propose(w.SetBudget(self.section.budget(), self.copies.name), self._budget_set)
-        if not works.open() or now - self.saw < SEE:
+        if not works.open_jobs() or now - self.saw < SEE:
             return
         self.saw = now
         for peer in self.copies.links.links:
@@ -277,9 +280,9 @@
         )
         if not self.line(0).busy():
             self.line(0).propose(found, lambda _: None)
-        if works.blocked != self.said:
-            self.said = works.blocked
-            log.log_event("maintenance_waits", why=works.blocked or "no more")
+        if works.blocked_reason != self.said:
+            self.said = works.blocked_reason
+            log.log_event("maintenance_waits", why=works.blocked_reason or "no more")
 
     def _status(self, peer: str, reply: wire.Reply) -> None:
         if reply.how == "done":
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -46,7 +46,7 @@
     def __init__(self, copies: ReplicationHost, group: int, stored: m.Stored) -> None:
         self.copies, self.group = copies, group
         self.holdings = ReplicatedState()
-        self.holdings.thaw(stored.snapshot.data)
+        self.holdings.restore(stored.snapshot.data)
         now = copies.now()
         self.node = Node(copies.me, stored, copies.timing, copies.chance.getrandbits(32), now)
         self.timer: asyncio.TimerHandle | None = None
@@ -116,12 +116,12 @@
             case m.Apply(entry, call):
                 self._apply(entry, call)
             case m.Install(snapshot):
-                self.holdings.thaw(snapshot.data)
+                self.holdings.restore(snapshot.data)
                 copies.counters.add("copies_installed")
             case m.Answer(call, how, _, hint):
                 self._answer(call, how, hint)
             case m.WantSnapshot(index):
-                asyncio.get_running_loop().call_soon(self._snap, index, self.holdings.freeze())
+                asyncio.get_running_loop().call_soon(self._snap, index, self.holdings.snapshot())
             case m.Role(role, term, leader, why):
                 leads = m.gateway_of(leader) or "none"
                 log.log_event("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
@@ -150,13 +150,13 @@
         kind, _, name = what.partition(" ")
         holdings, stamp = self.holdings, self.node.last_stamp()
         if kind == "store":
-            return msgspec.msgpack.encode(holdings.store(stamp, name))
+            return msgspec.msgpack.encode(holdings.bucket_at(stamp, name))
         if kind == "place":
-            place, now = holdings.works.place_of(name), self.node.stamp(self.copies.now())
-            long = place is not None and holdings.works.requests[place.request].ask.long
-            return msgspec.msgpack.encode((now, place, long, bool(holdings.works.open())))
+            place, now = holdings.maintenance.job_of(name), self.node.stamp(self.copies.now())
+            long = place is not None and holdings.maintenance.requests[place.request_id].details.move_replicas
+            return msgspec.msgpack.encode((now, place, long, bool(holdings.maintenance.open_jobs())))
         if kind == "works":
-            told = summarize(holdings.works.freeze(), wire.MOST_REPLY_DATA // 2)
+            told = summarize(holdings.maintenance.snapshot(), wire.MOST_REPLY_DATA // 2)
             return msgspec.msgpack.encode((self.node.stamp(self.copies.now()), told))
         if kind == "record":
             return msgspec.msgpack.encode(holdings.records.get(name))
@@ -187,7 +187,7 @@
         return {
             "group": self.group, "role": node.role, "term": node.term, "leader": m.gateway_of(node.leader),
             "voters": list(members.voters), "learners": list(members.learners), "commit": node.commit,
-            "last": node.last_index(), "snapshot": node.snapshot.index, "stores": len(self.holdings.stores),
+            "last": node.last_index(), "snapshot": node.snapshot.index, "stores": len(self.holdings.buckets),
             "quorum": self.copies.quorum(self), "last_term": node.last_term(), "stamp": node.last_stamp(),
             "state": self.state(),
         }  # fmt: skip
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -91,7 +91,7 @@
         result = decode_result(reply.data)
         if one.ask is None:
             self._opened(number, result, now)
-        elif isinstance(result, Denied) and result.why == "session":
+        elif isinstance(result, Denied) and result.reason == "session":
             self.leases.forget(self)
         else:
             del self.operations[number]
@@ -176,13 +176,13 @@
         if plan.rate and (len(self.plans) < 100_000 or request.customer in self.plans):
             self.plans[request.customer] = request.plan
             now, burst = self.driver.now(), plan.burst
-            actions = self.leaser.demand(
+            actions = self.leaser.request_units(
                 now, request.customer, plan.rate, burst, request.spread, request.units
             )
             self._do(actions)
             if self.sound and request.patience > 2 * HOLD:
                 waiting = self.waiting.get(request.customer)
-                if waiting is not None or self.leaser.waits(now, request.customer, request.units):
+                if waiting is not None or self.leaser.is_waiting(now, request.customer, request.units):
                     one = (now + HOLD, request.ref, request.units)
                     self.waiting.setdefault(request.customer, []).append(one)
                     return True
@@ -195,8 +195,8 @@
         while waiting:
             end, ref, units = waiting[0]
             if now < end and self._level(customer, now) < units:
-                self._do(self.leaser.more(now, customer, units))
-                if self.leaser.waits(now, customer, units):
+                self._do(self.leaser.request_more(now, customer, units))
+                if self.leaser.is_waiting(now, customer, units):
                     self.waiting[customer] = waiting + self.waiting.pop(customer, [])
                     return
             del waiting[0]
@@ -205,7 +205,7 @@
     def come(self, ask: ProposeOperation, result: Result | None) -> None:
         self._say_if_changed(result is not None)
         self.counters.add("leases_denied", int(isinstance(result, Denied)))
-        self._do(self.leaser.answered(self.driver.now(), ask, result))
+        self._do(self.leaser.apply_result(self.driver.now(), ask, result))
         if isinstance(ask.operation, w.AcquireLease):
             self._resume(ask.customer)
 
@@ -219,9 +219,9 @@
             if isinstance(action, LeaseUpdate):
                 plan = self.plans.get(action.customer)
                 if plan is not None:
-                    self.counters.add("leases_had", int(action.lease > 0))
+                    self.counters.add("leases_had", int(action.lease_id > 0))
                     self.driver.apply_event(
-                        i.Leased(action.customer, plan, action.lease, action.units, action.until)
+                        i.Leased(action.customer, plan, action.lease_id, action.units, action.usable_until)
                     )
             else:
                 group = group_of(action.customer, self.copies.section.groups)
--- a/mapleshunt/replicated_state/commands.py
+++ b/mapleshunt/replicated_state/commands.py
@@ -28,9 +28,9 @@
     rate: float  # of the store, units a second
     burst: float  # the most that it holds, leases included
     units: float
-    least: float
-    term: float
-    back: tuple[tuple[int, float], ...] = ()
+    min_units: float
+    term_ms: float
+    returned: tuple[tuple[int, float], ...] = ()
 
 
 class ReturnLease(msgspec.Struct, array_like=True, tag=2, frozen=True):
@@ -39,8 +39,8 @@
     """
 
     customer: str
-    lease: int
-    used: float
+    lease_id: int
+    used_units: float
 
 
 class SettleUsage(msgspec.Struct, array_like=True, tag=3, frozen=True):
@@ -63,7 +63,7 @@
     customer: str
     name: str
     units: float
-    term: float
+    term_ms: float
 
 
 class ReleaseReservation(msgspec.Struct, array_like=True, tag=6, frozen=True):
@@ -76,7 +76,7 @@
 
     key: str
     value: str
-    version: int
+    expected_version: int
 
 
 Operation = (
@@ -94,8 +94,8 @@
 
 class Command(msgspec.Struct, array_like=True, frozen=True):
     session: str
-    number: int
-    answered: int  # the session has the answers to all below this number
+    sequence_number: int
+    acknowledged_below: int  # the session has the answers to all below this number
     operation: Operation
 
 
--- a/mapleshunt/replicated_state/leases.py
+++ b/mapleshunt/replicated_state/leases.py
@@ -33,7 +33,7 @@
 
     customer: str
     operation: w.Operation
-    asked: float
+    proposed_at: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,9 +44,9 @@
     """
 
     customer: str
-    lease: int
+    lease_id: int
     units: float
-    until: float
+    usable_until: float
 
 
 Action = ProposeOperation | LeaseUpdate
@@ -84,7 +84,7 @@
         self.rest, self.left, self.level, self.owed = rest, left, level, owed
         self.customers: dict[str, CustomerDemand] = {}
 
-    def demand(
+    def request_units(
         self, now: float, customer: str, rate: float, burst: float, spread: int, units: float
     ) -> list[Action]:
         """A request of that customer wants units; `spread` gateways share what it may use."""
@@ -97,12 +97,12 @@
         one.at = now
         return self._draw(now, customer, one, units)
 
-    def more(self, now: float, customer: str, units: float) -> list[Action]:
+    def request_more(self, now: float, customer: str, units: float) -> list[Action]:
         """A request that has waited finds too little: it may ask on."""
         one = self.customers.get(customer)
         return self._draw(now, customer, one, units) if one is not None else []
 
-    def waits(self, now: float, customer: str, units: float) -> bool:
+    def is_waiting(self, now: float, customer: str, units: float) -> bool:
         """Is the answer on its way that says whether so many units may be used?"""
         one = self.customers.get(customer)
         return one is not None and one.asking and self.level(customer, now) < units
@@ -135,7 +135,7 @@
         one.back.append((number, units - min(units, self.left(customer, number))))
         one.back_by = min(one.back_by, back_by)
 
-    def answered(self, now: float, ask: ProposeOperation, result: Result | None) -> list[Action]:
+    def apply_result(self, now: float, ask: ProposeOperation, result: Result | None) -> list[Action]:
         """`None`: nobody could tell in time; it may have been done, and runs out by itself."""
         one = self.customers.get(ask.customer)
         if not isinstance(ask.operation, w.AcquireLease) or one is None:
@@ -143,8 +143,8 @@
         one.asking = False
         match result:
             case LeaseGranted(number, units):
-                term = ask.operation.term
-                until = ask.asked + term * (1 - MAX_CLOCK_DRIFT)
+                term = ask.operation.term_ms
+                until = ask.proposed_at + term * (1 - MAX_CLOCK_DRIFT)
                 one.leases[number] = (units, until, until - RETURN_MARGIN_TERMS * self.term)
                 use: list[Action] = [
                     LeaseUpdate(ask.customer, number, units, until - RETURN_MARGIN_TERMS * self.term),
--- a/mapleshunt/replicated_state/results.py
+++ b/mapleshunt/replicated_state/results.py
@@ -12,14 +12,14 @@
 
 
 class LeaseGranted(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    lease: int
+    lease_id: int
     units: float
 
 
 class Denied(msgspec.Struct, array_like=True, tag=12, frozen=True):
     """Nothing was done: `why` is store, lease, name, version, full, session, order, or what forbids work."""
 
-    why: str
+    reason: str
     value: float = 0.0
 
 
--- a/mapleshunt/simulation/history_checker.py
+++ b/mapleshunt/simulation/history_checker.py
@@ -53,7 +53,7 @@
     found = []
     for customer, sum_ in sums.items():
         state = final.get(f"store {customer}")
-        held = state.counted if state is not None else 0.0
+        held = state.counted_usage if state is not None else 0.0
         if abs(held - sum_) > RELATIVE_TOLERANCE * max(1.0, sum_):
             found.append(f"use of {customer}: {sum_:g} was acknowledged, {held:g} is held")
     return found
@@ -68,16 +68,18 @@
     found, seen = [], dict[tuple[str, int], HistoryEvent]()
     changes: dict[str, list[tuple[float, float]]] = defaultdict(list)
     back = {
-        (e.operation.customer, e.operation.lease): e for e in events if isinstance(e.operation, w.ReturnLease)
+        (e.operation.customer, e.operation.lease_id): e
+        for e in events
+        if isinstance(e.operation, w.ReturnLease)
     }
     for event in events:
         if not isinstance(event.operation, w.AcquireLease) or not isinstance(event.result, LeaseGranted):
             continue
-        lease = event.operation.customer, event.result.lease
+        lease = event.operation.customer, event.result.lease_id
         if lease in seen:
             found.append(f"lease {lease} was granted to {seen[lease].session} and {event.session}")
         seen[lease] = event
-        end = event.begun + event.operation.term / 1000
+        end = event.begun + event.operation.term_ms / 1000
         if lease in back:
             end = min(end, back[lease].begun)
         if end > event.ended:
@@ -120,7 +122,7 @@
         ]
         least = sum(e.operation.units for e in counts if e.ended and e.ended < read.begun)
         most = sum(e.operation.units for e in counts if e.begun < read.ended)
-        held = read.result.counted if read.result is not None else 0.0
+        held = read.result.counted_usage if read.result is not None else 0.0
         if not least - RELATIVE_TOLERANCE * max(1, least) <= held <= most + RELATIVE_TOLERANCE * max(1, most):
             found.append(f"a read of {customer} says {held:g}, not between {least:g} and {most:g}")
     return found
--- a/mapleshunt/simulation/maintenance_plays.py
+++ b/mapleshunt/simulation/maintenance_plays.py
@@ -19,7 +19,7 @@
 NAMES = ("a", "b", "c")
 ZONES = {"a": "x", "b": "y", "c": "y"}
 DRAIN = 10.0  # s
-BUDGET = Budget(most=1, zone=1, load=2.0, pause=0.0, drain=DRAIN, failures=9)
+BUDGET = Budget(max_out=1, max_out_per_zone=1, max_load=2.0, pause_s=0.0, drain_s=DRAIN, max_failures=9)
 REQUESTS = (
     w.RequestMaintenance("r1", ("a", "b"), "disks", "op", 1000.0),
     w.RequestMaintenance("r2", ("c",), "memory", "op", 1000.0),
@@ -62,7 +62,7 @@
                 done.append(True)
             except MaintenanceError:
                 done.append(False)
-        if done[0] != done[1] or self.works.freeze() != self.twin.freeze():
+        if done[0] != done[1] or self.works.snapshot() != self.twin.snapshot():
             raise InvariantViolationError("two gateways came to different states from the same log")
         return done[0]
 
@@ -86,7 +86,7 @@
                     yield "hide", name
             elif not one.worked_on:
                 yield "start", name
-            place = self.works.place_of(name)
+            place = self.works.job_of(name)
             if place is not None and place.state == "safe" and one.up:
                 yield "work", name
             if one.worked_on:
@@ -109,8 +109,8 @@
             case "pass":
                 self.now += PASS
             case "look":
-                one.view = self.works.place_of(name)
-                one.holder.told(self.now, 1000 * self.now, one.view)
+                one.view = self.works.job_of(name)
+                one.holder.update_grant(self.now, 1000 * self.now, one.view)
                 self.act(name, one)
             case "wake":
                 self.act(name, one)
@@ -124,16 +124,16 @@
             case "show":
                 self.hidden = ""
             case "work":
-                place = self.works.place_of(name)
-                if place is not None and self.apply(w.ReportProgress(name, place.fence, "out")):
-                    self.went[place.request, name] = self.went.get((place.request, name), 0) + 1
+                place = self.works.job_of(name)
+                if place is not None and self.apply(w.ReportProgress(name, place.fencing_token, "out")):
+                    self.went[place.request_id, name] = self.went.get((place.request_id, name), 0) + 1
                     one.up, one.worked_on, one.drained = False, True, False
                     one.holder, one.view = self.make(), None
             case "finish":
-                place = self.works.place_of(name)
+                place = self.works.job_of(name)
                 one.up, one.worked_on = True, False
                 if place is not None:
-                    self.apply(w.ReportProgress(name, place.fence, "returning"))
+                    self.apply(w.ReportProgress(name, place.fencing_token, "returning"))
         self.check()
 
     def see(self) -> None:
@@ -141,13 +141,13 @@
             w.MachineView(name, ZONES[name], one.up and name != self.hidden)
             for name, one in self.machines.items()
         )
-        sound = tuple(one.name for one in sights if one.here)
-        before = {key for key, one in self.works.places.items() if one.state == "granted"}
+        sound = tuple(one.name for one in sights if one.available)
+        before = {key for key, one in self.works.jobs.items() if one.state == "granted"}
         self.apply(w.FleetView(self.now, sights, (w.GroupView(NAMES, sound),)))
-        for key, place in self.works.places.items():
+        for key, place in self.works.jobs.items():
             if place.state == "granted" and key not in before:
-                lost = [one.name for one in sights if not one.here and one.name != place.machine]
-                if len(lost) + 1 > BUDGET.most:
+                lost = [one.name for one in sights if not one.available and one.name != place.machine]
+                if len(lost) + 1 > BUDGET.max_out:
                     raise InvariantViolationError(
                         f"{place.machine} was granted though {' and '.join(lost)} is lost"
                     )
@@ -156,49 +156,50 @@
         place = one.view
         acts = one.holder.step(self.now, place, False, RemainingWork(0, 0, 0, 0, one.drained))
         for act in acts:
-            if act.how == "drain":
+            if act.kind == "drain":
                 self.granted(name)
                 one.drained = True
-            elif act.how == "resume":
+            elif act.kind == "resume":
                 one.drained = False
-            elif act.how == "tell":
-                self.apply(w.ReportProgress(name, act.fence, act.what, act.why))
+            elif act.kind == "tell":
+                self.apply(w.ReportProgress(name, act.fencing_token, act.state, act.reason))
 
     # What must hold
 
     def granted(self, name: str) -> None:
-        place = self.works.place_of(name)
+        place = self.works.job_of(name)
         if place is None or place.state not in ("granted", "draining", "safe", "recalled"):
             raise InvariantViolationError(f"{name} drains without a grant: {place and place.state}")
-        if 1000 * self.now > place.until:
+        if 1000 * self.now > place.expires_at:
             raise InvariantViolationError(f"{name} drains under a grant that has run out")
 
     def check(self) -> None:
         planned = [name for name, one in self.machines.items() if one.drained or one.worked_on]
-        if len(planned) > BUDGET.most:
-            raise InvariantViolationError(f"{' and '.join(planned)} are out by plan, {BUDGET.most} may be")
+        if len(planned) > BUDGET.max_out:
+            raise InvariantViolationError(f"{' and '.join(planned)} are out by plan, {BUDGET.max_out} may be")
         for key, count in self.went.items():
-            if count > 1 or self.works.places[key].state in ("queued", "granted", "draining", "safe"):
+            if count > 1 or self.works.jobs[key].state in ("queued", "granted", "draining", "safe"):
                 raise InvariantViolationError(f"{key[1]} was out for {key[0]}, and is to go again")
-        for place in self.works.places.values():
+        for place in self.works.jobs.values():
             if place.state == "done" and self.machines[place.machine].worked_on:
                 raise InvariantViolationError(f"{place.machine} is done while it is worked on")
-            if place.state == "done" and not any(step.state == "out" for step in place.story):
+            if place.state == "done" and not any(step.state == "out" for step in place.history):
                 raise InvariantViolationError(f"{place.machine} is done and never was out")
         wanted = sum(len(one.machines) for one in REQUESTS[: self.asked])
-        if len(self.works.requests) != self.asked or len(self.works.places) != wanted:
+        if len(self.works.requests) != self.asked or len(self.works.jobs) != wanted:
             raise InvariantViolationError("a request was taken twice, or lost")
 
     def key(self) -> bytes:
         """States alike in all that decides what comes; stories and times before now do not."""
         places = tuple(
-            (one.request, one.machine, one.state, one.fence > 0, one.ends,
-             one.until > 0 and one.until - 1000 * self.now) for one in self.works.places.values()
+            (one.request_id, one.machine, one.state, one.fencing_token > 0, one.outcome,
+             one.expires_at > 0 and one.expires_at - 1000 * self.now) for one in self.works.jobs.values()
         )  # fmt: skip
         machines = tuple(
-            (one.up, one.worked_on, one.drained, one.holder.fence > 0, one.holder.drained,
+            (one.up, one.worked_on, one.drained, one.holder.fencing_token > 0, one.holder.drained,
              one.holder.deadline > self.now and one.holder.deadline - self.now,
-             one.view and (one.view.state, one.view.fence == getattr(self.works.place_of(name), "fence", -1)))
+             one.view and (one.view.state, one.view.fencing_token ==
+                           getattr(self.works.job_of(name), "fencing_token", -1)))
             for name, one in self.machines.items()
         )  # fmt: skip
         return repr((places, machines, self.hidden, self.asked, self.went, self.works.failures)).encode()
@@ -247,7 +248,7 @@
                     world.move(*move)
             if world.asked < len(REQUESTS):
                 world.move("ask")
-        if left := world.works.open():
+        if left := world.works.open_jobs():
             raise InvariantViolationError(
                 f"not done when all was calm: {[(one.machine, one.state) for one in left]}"
             )
@@ -262,8 +263,8 @@
 class ExpiredGrantUsed(MaintenanceAgent):
     """A machine goes on under a grant that has run out by its own clock."""
 
-    def told(self, asked: float, stamp: float, place: MachineJob | None) -> None:
-        super().told(asked, stamp, place)
+    def update_grant(self, asked: float, stamp: float, place: MachineJob | None) -> None:
+        super().update_grant(asked, stamp, place)
         self.deadline = float("inf")
 
 
@@ -283,7 +284,9 @@
     """The budget counts what it took out, and nothing else; and so do majorities."""
 
     def _out(self, sights: dict[str, w.MachineView]) -> set[str]:
-        return {one.machine for one in self.open() if one.state in ("granted", "draining", "safe", "out")}
+        return {
+            one.machine for one in self.open_jobs() if one.state in ("granted", "draining", "safe", "out")
+        }
 
 
 class ReturnTakenForGranted(MaintenanceJobs):
@@ -291,19 +294,19 @@
 
     def _run_out(self, now: float, sights: dict[str, w.MachineView]) -> None:
         super()._run_out(now, sights)
-        for place in self.open():
-            if place.state == "out" and now > place.since:
-                self._enter(now, place, "done", fence=0)
+        for place in self.open_jobs():
+            if place.state == "out" and now > place.state_since:
+                self._enter(now, place, "done", fencing_token=0)
 
 
 class AskedTwice(MaintenanceJobs):
     """A request that comes again begins anew."""
 
-    def _ask(self, now: float, ask: w.RequestMaintenance) -> None:
-        if ask.id in self.requests:
+    def _request_maintenance(self, now: float, ask: w.RequestMaintenance) -> None:
+        if ask.request_id in self.requests:
             for machine in ask.machines:
-                self.places[ask.id, machine] = MachineJob(machine, ask.id, since=now)
-        super()._ask(now, ask)
+                self.jobs[ask.request_id, machine] = MachineJob(machine, ask.request_id, state_since=now)
+        super()._request_maintenance(now, ask)
 
 
 class OrderByOwnClock(MaintenanceJobs):
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -112,8 +112,10 @@
         if not plan.rate:
             return False
         self.plans[customer] = plan.name
-        self.do(self.leaser.demand(now, customer, plan.rate, plan.burst, request.spread, request.units))
-        there = customer in self.waiting or self.leaser.waits(now, customer, request.units)
+        self.do(
+            self.leaser.request_units(now, customer, plan.rate, plan.burst, request.spread, request.units)
+        )
+        there = customer in self.waiting or self.leaser.is_waiting(now, customer, request.units)
         if there and self.sound and request.patience > 2 * HOLD:
             self.waiting.setdefault(customer, []).append((now + HOLD, request, now))
             return True
@@ -124,8 +126,8 @@
         while waiting:
             end, request, since = waiting[0]
             if now < end and self._level(customer, now) < request.units:
-                self.do(self.leaser.more(now, customer, request.units))
-                if self.leaser.waits(now, customer, request.units):
+                self.do(self.leaser.request_more(now, customer, request.units))
+                if self.leaser.is_waiting(now, customer, request.units):
                     self.waiting[customer] = waiting + self.waiting.pop(customer, [])
                     return
             del waiting[0]
@@ -144,7 +146,9 @@
         for action in actions:
             if isinstance(action, LeaseUpdate):
                 if (plan := self.plans.get(action.customer)) is not None:
-                    leased = i.Leased(action.customer, plan, action.lease, action.units, action.until)
+                    leased = i.Leased(
+                        action.customer, plan, action.lease_id, action.units, action.usable_until
+                    )
                     self.engine._feed(self.number, leased)
             else:
                 self.propose(action)
@@ -176,7 +180,7 @@
                 self.propose(ask)
             return
         self.sound = result is not None
-        self.do(self.leaser.answered(self.engine.now(), call.ask, result))
+        self.do(self.leaser.apply_result(self.engine.now(), call.ask, result))
         if isinstance(call.ask.operation, w.AcquireLease):
             self.resume(call.ask.customer)
 
@@ -224,7 +228,7 @@
                 one.life += 1
                 one.disk.pending.clear()
                 one.holdings = ReplicatedState()
-                one.holdings.thaw(one.disk.stored.snapshot.data)
+                one.holdings.restore(one.disk.stored.snapshot.data)
                 seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
                 one.node = Node(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
@@ -277,9 +281,9 @@
             case m.Answer(call, _, _, hint):
                 self._reply(one, call, None, hint)
             case m.Install(snapshot):
-                one.holdings.thaw(snapshot.data)
+                one.holdings.restore(snapshot.data)
             case m.WantSnapshot(index):
-                data = msgspec.msgpack.encode(one.holdings.freeze())
+                data = msgspec.msgpack.encode(one.holdings.snapshot())
                 self.agenda.at(self.agenda.now, self._snapped, one, one.life, index, data)
             case m.Role(role, _, _, _) if role == "leader":
                 self.elections += 1
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -44,11 +44,11 @@
 
     def thaw(self, data: bytes) -> Any:
         state = self.holdings()
-        state.thaw(data)
+        state.restore(data)
         return state
 
     def freeze(self, state: Any) -> bytes:
-        return msgspec.msgpack.encode(state.freeze())
+        return msgspec.msgpack.encode(state.snapshot())
 
     def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         result = one.state.apply(entry.stamp, entry.data) if entry.data else None
@@ -58,7 +58,7 @@
         event.result, event.ended = result, self.now
         self.open.pop(event.session, None)
         if isinstance(result, LeaseGranted) and isinstance(event.operation, w.AcquireLease):
-            self.leases.append((event.operation.customer, result.lease, result.units))
+            self.leases.append((event.operation.customer, result.lease_id, result.units))
 
     def operation(self) -> w.Operation:
         chance, customer = self.random, f"c{self.random.randrange(CUSTOMERS)}"
@@ -107,7 +107,7 @@
         self.run(self.now + 20.0)
         nodes = [one for one in self.machines.values() if one.node is not None]
         state = max(nodes, key=lambda one: one.last).state
-        final = {f"store c{n}": state.stores.get(f"c{n}") for n in range(CUSTOMERS)}
+        final = {f"store c{n}": state.buckets.get(f"c{n}") for n in range(CUSTOMERS)}
         if said := find_violations(self.history, final, BURST):
             raise InvariantViolationError(said[0])
 
@@ -118,8 +118,8 @@
 class Forgetful(ReplicatedState):
     """A snapshot leaves the sessions' answers out."""
 
-    def freeze(self) -> StateSnapshot:
-        whole = super().freeze()
+    def snapshot(self) -> StateSnapshot:
+        whole = super().snapshot()
         bare = [(name, msgspec.structs.replace(one, results=())) for name, one in whole.sessions]
         return msgspec.structs.replace(whole, sessions=bare)
 
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -31,7 +31,7 @@
                 units = chance.choice([1.0, 5.0, 15.0])
                 got = await caller.do(w.AcquireLease(customer, RATE, BURST, units, 1.0, TERM))
                 if isinstance(got, LeaseGranted):
-                    leases.append((customer, got.lease, got.units))
+                    leases.append((customer, got.lease_id, got.units))
             case "return" if leases:
                 whose, lease, units = leases.pop(0)
                 await caller.do(w.ReturnLease(whose, lease, chance.uniform(0.0, units)))
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -47,7 +47,7 @@
     """The state of maintenance, as the group's leader tells it."""
     works = MaintenanceJobs()
     _, frozen = await caller.read("works", "", tuple[float, MaintenanceSnapshot])
-    works.thaw(frozen)
+    works.restore(frozen)
     return works
 
 
@@ -83,11 +83,11 @@
         caller = self.caller(1000 + number)
         await caller.do(h.OpenSession())
         while not self.over:
-            place = (await self.read(caller)).place_of(machine.name)
+            place = (await self.read(caller)).job_of(machine.name)
             if place is not None and place.state == "safe":
-                told = await caller.do(w.ReportProgress(machine.name, place.fence, "out"))
+                told = await caller.do(w.ReportProgress(machine.name, place.fencing_token, "out"))
                 if isinstance(told, Applied):
-                    await self.work(machine, caller, place.fence)
+                    await self.work(machine, caller, place.fencing_token)
             await asyncio.sleep(0.1)
         caller.close()
 
@@ -121,11 +121,11 @@
         """The machine that is in that state next."""
         end = time.monotonic() + CALM
         while time.monotonic() < end:
-            for place in (await self.read(caller)).open():
+            for place in (await self.read(caller)).open_jobs():
                 if place.state == state:
                     return self.machines[place.machine]
             await asyncio.sleep(0.02)
-        raise GatewayError(f"no machine is {state} after {CALM:g} s: {self.works.blocked}")
+        raise GatewayError(f"no machine is {state} after {CALM:g} s: {self.works.blocked_reason}")
 
     async def strike(self, what: str, state: str, caller: ReplicaClient) -> None:
         it = await self.when(caller, state)
@@ -184,7 +184,7 @@
             for what, state in schedule or drawn:
                 await self.strike(what, state, caller)
             end = time.monotonic() + 4 * CALM
-            while (await self.read(caller)).open() and time.monotonic() < end:
+            while (await self.read(caller)).open_jobs() and time.monotonic() < end:
                 await asyncio.sleep(0.1)
             await self.whole()
             self.over = True
@@ -203,14 +203,14 @@
         return self.roll
 
     def _told(self) -> str:
-        return ", ".join(f"{one.machine} {one.state}" for one in self.works.places.values())
+        return ", ".join(f"{one.machine} {one.state}" for one in self.works.jobs.values())
 
     def _judge(self) -> None:
         broken = self.roll.broken
-        if left := [one for one in self.works.places.values() if one.state != "done"]:
+        if left := [one for one in self.works.jobs.values() if one.state != "done"]:
             broken.append(f"not done: {self._told()} ({len(left)})")
-        for place in self.works.places.values():
-            self.roll.story.append(f"{place.machine}: {' '.join(step.state for step in place.story)}")
+        for place in self.works.jobs.values():
+            self.roll.story.append(f"{place.machine}: {' '.join(step.state for step in place.history)}")
         if odd := {name: n for name, n in self.roll.times.items() if n != 1}:
             broken.append(f"out more than once: {odd}")
         # Each grant's number was one machine's alone, whoever coordinated.
--- a/mapleshunt/testbed/soak/maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -49,10 +49,10 @@
 
     async def _open_places(self, request: str) -> list[MachineJob]:
         works = await read_maintenance_state(self.caller)
-        return [one for one in works.open() if one.request == request]
+        return [one for one in works.open_jobs() if one.request_id == request]
 
     async def _work_on(self, place: MachineJob) -> None:
-        told = await self.caller.do(w.ReportProgress(place.machine, place.fence, "out"))
+        told = await self.caller.do(w.ReportProgress(place.machine, place.fencing_token, "out"))
         if isinstance(told, Applied):
             await self.restart(place.machine)
-            await self.caller.do(w.ReportProgress(place.machine, place.fence, "returning"))
+            await self.caller.do(w.ReportProgress(place.machine, place.fencing_token, "returning"))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -185,14 +185,14 @@
             assert code == 0, said
             await played.whole()
             found: Any = await caller.read("store", "c0")
-            assert found is not None and found.counted == 36.0  # most had it, and so had this one
+            assert found is not None and found.counted_usage == 36.0  # most had it, and so had this one
             await caller.do(w.CountUsage("c0", 4.0))
             for one in lost:  # each comes back as it was, first one: together they were most of the group
                 one.put_back()
                 one.start()
                 await played.whole()
             found = await caller.read("store", "c0")
-            assert found is not None and found.counted == 40.0
+            assert found is not None and found.counted_usage == 40.0
             caller.close()
         finally:
             await played.down()
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -90,7 +90,7 @@
 def test_odd_figures_change_nothing(odd: float) -> None:
     one = Session()
     assert isinstance(one.do(w.CountUsage("c", odd)), Denied) and isinstance(one.lease(odd), Denied)
-    assert not one.state.stores
+    assert not one.state.buckets
 
 
 class HoldingsMachine(RuleBasedStateMachine):
@@ -116,8 +116,8 @@
     def lease(self, units: float, term: float) -> None:
         result = self.do(w.AcquireLease("c", RATE, BURST, units, 0.5, term))
         if isinstance(result, LeaseGranted):
-            assert result.units <= units + 1e-9 and result.lease not in self.leases
-            self.leases[result.lease] = (result.units, self.one.now + term)
+            assert result.units <= units + 1e-9 and result.lease_id not in self.leases
+            self.leases[result.lease_id] = (result.units, self.one.now + term)
 
     @rule(pick=st.integers(0, 9), part=st.floats(0, 1.5))
     def back(self, pick: int, part: float) -> None:
@@ -140,18 +140,18 @@
     def copied(self) -> None:
         """Another copy takes a snapshot in place of the log."""
         self.copy = ReplicatedState()
-        self.copy.thaw(msgspec.msgpack.encode(self.one.state.freeze()))
+        self.copy.restore(msgspec.msgpack.encode(self.one.state.snapshot()))
 
     @invariant()
     def holds(self) -> None:
-        store = self.one.state.store(self.one.now, "c")
+        store = self.one.state.bucket_at(self.one.now, "c")
         if store is not None:
-            out = sum(held.units for _, held in (*store.held, *store.names))
+            out = sum(held.units for _, held in (*store.leases, *store.reservations))
             # Below 0 by what leases were overspent by, which are half of the burst at most here.
             assert store.level + out <= BURST + 1e-6 and store.level >= -BURST / 2 - 1e-6
             # What was spent for good came out of the burst, was earned since, or is owed to the store.
             assert self.spent + store.level + out <= BURST + RATE / 1000 * self.one.now + 1e-6
-            assert self.one.state.freeze() == self.copy.freeze()
+            assert self.one.state.snapshot() == self.copy.snapshot()
 
 
 TestHoldings = HoldingsMachine.TestCase
@@ -180,7 +180,7 @@
 def held(counted: float) -> Any:
     one = Session()
     one.do(w.CountUsage("c", counted))
-    return {"store c": one.state.stores["c"]}
+    return {"store c": one.state.buckets["c"]}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -104,7 +104,7 @@
     def do(self, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, LeaseUpdate):
-                self.leases[action.lease] = [action.units, action.until]
+                self.leases[action.lease_id] = [action.units, action.usable_until]
             elif self.world.quorum:
                 self.number += 1
                 command = w.Command(self.name, self.number, self.number, action.operation)
@@ -115,7 +115,7 @@
 
     def want(self, units: float) -> None:
         now = self.world.now
-        self.do(self.leaser.demand(now, "c", RATE, BURST, 3, units))
+        self.do(self.leaser.request_units(now, "c", RATE, BURST, 3, units))
         for lease in self.leases.values():
             if lease[1] > now and lease[0] >= units:
                 lease[0] -= units
@@ -148,13 +148,13 @@
     def answered(self, count: int) -> None:
         for _ in range(min(count, len(self.answers))):
             one, ask, result = self.answers.pop(0)
-            one.do(one.leaser.answered(self.now, ask, result))
+            one.do(one.leaser.apply_result(self.now, ask, result))
 
     @rule()
     def lost(self) -> None:
         if self.answers:  # the operation was done, and its answer never came
             one, ask, _ = self.answers.pop(0)
-            one.do(one.leaser.answered(self.now, ask, None))
+            one.do(one.leaser.apply_result(self.now, ask, None))
 
     @rule(here=st.booleans())
     def majority(self, here: bool) -> None:
@@ -187,24 +187,24 @@
 def test_a_holder_draws_ahead_gives_back_and_forgets() -> None:
     left: dict[int, float] = {}
     one = holder(left)
-    ask = asked(one.demand(0.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask, ProposeOperation) and not one.demand(
+    ask = asked(one.request_units(0.0, "c", RATE, BURST, 3, 1.0))
+    assert isinstance(ask, ProposeOperation) and not one.request_units(
         1.0, "c", RATE, BURST, 3, 1.0
     )  # one at a time
-    assert one.waits(1.0, "c", 1.0)
-    use, none = one.answered(20.0, ask, LeaseGranted(7, 2.0))
+    assert one.is_waiting(1.0, "c", 1.0)
+    use, none = one.apply_result(20.0, ask, LeaseGranted(7, 2.0))
     assert (
-        isinstance(ask.operation, w.AcquireLease) and ask.operation.term > TERM
+        isinstance(ask.operation, w.AcquireLease) and ask.operation.term_ms > TERM
     )  # little is asked for: for longer
     assert (
         isinstance(use, LeaseUpdate)
-        and use.until < ask.operation.term
+        and use.usable_until < ask.operation.term_ms
         and none == LeaseUpdate("c", 0, 0.0, 20.0 + TERM)
     )
     left[7] = 1.5
-    assert not one.waits(30.0, "c", 1.0) and not one.tick(use.until - 10)
-    assert not one.tick(use.until + 10)  # it may go with what is asked for next
-    assert asked(one.tick(use.until + TERM / 4)).operation == w.ReturnLease("c", 7, 0.5)
+    assert not one.is_waiting(30.0, "c", 1.0) and not one.tick(use.usable_until - 10)
+    assert not one.tick(use.usable_until + 10)  # it may go with what is asked for next
+    assert asked(one.tick(use.usable_until + TERM / 4)).operation == w.ReturnLease("c", 7, 0.5)
     one.tick(100 * TERM)
     assert not one.customers
 
@@ -212,12 +212,12 @@
 def test_what_is_left_over_goes_back_with_what_is_asked_for_next() -> None:
     left = {7: 0.0, 8: 0.25}
     one = holder(left)
-    ask = asked(one.demand(0.0, "c", RATE, BURST, 3, 1.0))
-    one.answered(5.0, ask, LeaseGranted(7, 2.0))
-    ask = asked(one.demand(6.0, "c", RATE, BURST, 3, 1.0))
-    one.answered(9.0, ask, LeaseGranted(8, 1.0))
-    ask = asked(one.demand(10.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.back == ((8, 0.75),) and not left
+    ask = asked(one.request_units(0.0, "c", RATE, BURST, 3, 1.0))
+    one.apply_result(5.0, ask, LeaseGranted(7, 2.0))
+    ask = asked(one.request_units(6.0, "c", RATE, BURST, 3, 1.0))
+    one.apply_result(9.0, ask, LeaseGranted(8, 1.0))
+    ask = asked(one.request_units(10.0, "c", RATE, BURST, 3, 1.0))
+    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.returned == ((8, 0.75),) and not left
     state = ReplicatedState()
     operations: list[w.Operation] = [
         w.OpenSession(), w.AcquireLease("c", RATE, BURST, BURST, 1.0, 1e9),
@@ -234,9 +234,9 @@
     """True costs above the guess: it was clipped to the lease's units, and nobody paid for it."""
     left = {7: -3.0}
     one = holder(left)
-    one.answered(5.0, asked(one.demand(0.0, "c", RATE, BURST, 3, 1.0)), LeaseGranted(7, 2.0))
-    ask = asked(one.demand(6.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.back == ((7, 5.0),)
+    one.apply_result(5.0, asked(one.request_units(0.0, "c", RATE, BURST, 3, 1.0)), LeaseGranted(7, 2.0))
+    ask = asked(one.request_units(6.0, "c", RATE, BURST, 3, 1.0))
+    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.returned == ((7, 5.0),)
     state = ReplicatedState()
     operations: list[w.Operation] = [
         w.OpenSession(),
@@ -250,13 +250,13 @@
 
 def test_one_that_was_denied_asks_again_for_what_the_store_may_have_by_then() -> None:
     one = holder({})
-    ask = asked(one.demand(0.0, "c", RATE, BURST, 3, 5.0))
-    one.answered(10.0, ask, Denied("store", 2.0))
-    assert not one.demand(100.0, "c", RATE, BURST, 3, 5.0)  # 2.9 by then
-    ask = asked(one.demand(101.0, "c", RATE, BURST, 3, 1.0))
-    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.least == 1.0
-    one.answered(110.0, ask, Denied("store", 0.0))
-    assert not one.more(150.0, "c", 1.0) and one.more(211.0, "c", 1.0)
+    ask = asked(one.request_units(0.0, "c", RATE, BURST, 3, 5.0))
+    one.apply_result(10.0, ask, Denied("store", 2.0))
+    assert not one.request_units(100.0, "c", RATE, BURST, 3, 5.0)  # 2.9 by then
+    ask = asked(one.request_units(101.0, "c", RATE, BURST, 3, 1.0))
+    assert isinstance(ask.operation, w.AcquireLease) and ask.operation.min_units == 1.0
+    one.apply_result(110.0, ask, Denied("store", 0.0))
+    assert not one.request_more(150.0, "c", 1.0) and one.request_more(211.0, "c", 1.0)
 
 
 # Real gateways
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -116,9 +116,11 @@
         "c": status("c", True, "follower", 100), "d": None,
     }  # fmt: skip
     found = build_fleet_view(1.0, {"a": "x", "b": "x", "c": "y", "d": "y"}, 2, told, MaintenanceJobs())
-    assert [(one.name, one.here, one.leads) for one in found.machines] == [
+    assert [(one.name, one.available, one.groups_led) for one in found.machines] == [
         ("a", True, 1), ("b", False, 0), ("c", True, 0), ("d", False, 0)
     ]  # fmt: skip
     assert found.groups[0].voters == ("a", "b", "c")
-    assert found.groups[0].sound == ("a", "b")  # c is far behind
-    assert found.groups[1].voters == ("a", "b", "c", "d") and not found.groups[1].sound  # nobody leads it
+    assert found.groups[0].up_to_date == ("a", "b")  # c is far behind
+    assert (
+        found.groups[1].voters == ("a", "b", "c", "d") and not found.groups[1].up_to_date
+    )  # nobody leads it
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -166,10 +166,10 @@
         await until(lambda: bool(group.calls))
         group.answer_all()
         held = {
-            one.customer: group.holdings.stores.get(one.customer) for one in decisions.leased if one.lease
+            one.customer: group.holdings.buckets.get(one.customer) for one in decisions.leased if one.lease
         }
         assert set(held) == {"c1"}
-        assert all(store is not None and store.held for store in held.values()), held
+        assert all(store is not None and store.leases for store in held.values()), held
         leases.close()
 
     asyncio.run(run())
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -74,41 +74,48 @@
     "reply": (wire.Reply, "number how hint data"),
     "question": (wire.Ask, "number what group copy"),
     # Commands and their results
-    "command": (words.Command, "session number answered operation"),
+    "command": (words.Command, "session sequence_number acknowledged_below operation"),
     "open": (words.OpenSession, ""),
-    "lease": (words.AcquireLease, "customer rate burst units least term back"),
-    "return": (words.ReturnLease, "customer lease used"),
+    "lease": (words.AcquireLease, "customer rate burst units min_units term_ms returned"),
+    "return": (words.ReturnLease, "customer lease_id used_units"),
     "settle": (words.SettleUsage, "customer units"),
     "count": (words.CountUsage, "customer units"),
-    "reserve": (words.ReserveUnits, "customer name units term"),
+    "reserve": (words.ReserveUnits, "customer name units term_ms"),
     "release": (words.ReleaseReservation, "customer name"),
-    "put": (words.SetRecord, "key value version"),
+    "put": (words.SetRecord, "key value expected_version"),
     "done": (Applied, "value"),
-    "granted": (LeaseGranted, "lease units"),
-    "denied": (Denied, "why value"),
+    "granted": (LeaseGranted, "lease_id units"),
+    "denied": (Denied, "reason value"),
     # The replicated state
-    "held": (state.Allocation, "units until holder"),
-    "store": (state.TokenBucket, "rate burst level at held names counted"),
-    "record": (state.Record, "value version author at"),
-    "session": (state.Session, "answered at results"),
-    "state": (state.StateSnapshot, "version leases stores records sessions works"),
+    "held": (state.Allocation, "units expires_at holder"),
+    "store": (state.TokenBucket, "rate_per_ms burst level updated_at leases reservations counted_usage"),
+    "record": (state.Record, "value version author updated_at"),
+    "session": (state.Session, "acknowledged_below last_active results"),
+    "state": (state.StateSnapshot, "version last_lease_id buckets records sessions maintenance"),
     # Maintenance
-    "budget": (Budget, "most zone load slack pause drain failures closed"),
-    "work": (works.RequestMaintenance, "id machines reason author expected earliest urgency long version"),
-    "withdraw": (works.WithdrawRequest, "id author"),
-    "hold": (works.SetHold, "on author reason"),
+    "budget": (
+        Budget,
+        "max_out max_out_per_zone max_load load_slack pause_s drain_s max_failures closed_windows",
+    ),
+    "work": (
+        works.RequestMaintenance,
+        "request_id machines reason author expected_s earliest_time urgency move_replicas target_version",
+    ),
+    "withdraw": (works.WithdrawRequest, "request_id author"),
+    "hold": (works.SetHold, "held author reason"),
     "force": (works.ForceGrant, "machine author reason"),
     "set budget": (works.SetBudget, "budget author"),
-    "machine": (works.MachineView, "name zone here leads load version"),
-    "group": (works.GroupView, "voters sound"),
-    "seen": (works.FleetView, "wall machines groups"),
-    "told": (works.ReportProgress, "machine fence what why"),
-    "step": (HistoryEntry, "at state why who"),
-    "place": (MachineJob, "machine request state fence since until ends story"),
-    "request": (MaintenanceRequest, "ask at"),
+    "machine": (works.MachineView, "name zone available groups_led load version"),
+    "group": (works.GroupView, "voters up_to_date"),
+    "seen": (works.FleetView, "wall_time machines groups"),
+    "told": (works.ReportProgress, "machine fencing_token state reason"),
+    "step": (HistoryEntry, "at state reason author"),
+    "place": (MachineJob, "machine request_id state fencing_token state_since expires_at outcome history"),
+    "request": (MaintenanceRequest, "details submitted_at"),
     "works": (
         MaintenanceSnapshot,
-        "budget held fence failures returned strained requests places blocked chosen",
+        "budget hold_reason last_fencing_token failures last_return_at overloaded requests jobs"
+        " blocked_reason budget_was_set",
     ),
     # Recordings
     "row": (
@@ -193,8 +200,8 @@
 
 def thawed(data: bytes) -> Any:
     holdings = ReplicatedState()
-    holdings.thaw(data)
-    return holdings.freeze()
+    holdings.restore(data)
+    return holdings.snapshot()
 
 
 def packed(kind: Any) -> Form:
@@ -256,8 +263,8 @@
     data = msgspec.msgpack.decode(bytes.fromhex(MESSAGES["state"]["hex"]))
     holdings = ReplicatedState()
     with pytest.raises(ValueError, match="a snapshot of version 2"):
-        holdings.thaw(msgspec.msgpack.encode([2, *data[1:]]))
-    assert not holdings.stores and not holdings.records
+        holdings.restore(msgspec.msgpack.encode([2, *data[1:]]))
+    assert not holdings.buckets and not holdings.records
 
 
 def test_a_log_of_98386c1_gives_the_same_results_and_the_same_state() -> None:
@@ -267,8 +274,8 @@
     for stamp, data, result in log["entries"]:
         found = holdings.apply(stamp, bytes.fromhex(data))
         assert words.encode(found).hex() == result, (stamp, data)
-    assert exact(plain(holdings.freeze())) == exact(log["holds"])
-    assert msgspec.msgpack.encode(holdings.freeze()).hex() == log["hex"]
+    assert exact(plain(holdings.snapshot())) == exact(log["holds"])
+    assert msgspec.msgpack.encode(holdings.snapshot()).hex() == log["hex"]
 
 
 def test_stored_names_are_those_of_98386c1() -> None:
