--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -18,7 +18,7 @@
 
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replication import messages as m
-from mapleshunt.storage.durable_store import Disk
+from mapleshunt.storage.durable_store import DurableStore
 from mapleshunt.testbed import faulty
 from mapleshunt.testbed.faults import FLEET, Faults, plain_config
 from mapleshunt.testbed.workload_clients import Address, Caller
@@ -31,7 +31,7 @@
 
 def bare(folder: Path, slow: float) -> float:
     """Durable batches of one entry a second, each `slow` s slower than the disk is."""
-    disk = Disk(folder, "bare", "a")
+    disk = DurableStore(folder, "bare", "a")
     disk.create(0, m.Snapshot(0, 0, 0.0, m.Members(("a/1",)), b""))
     begun, count = time.perf_counter(), 0
     while time.perf_counter() - begun < SECONDS / 2:
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -263,15 +263,15 @@
 @json_option
 def show(customer: str, file: Path | None, as_json: bool) -> None:
     """A customer's store as its group's leader holds it now: level, leases, reservations, counted use."""
-    from ..replication.placement import group_of
+    from ..replication.placement import group_of_customer
     from ..testbed.workload_clients import Caller
 
     section = _section(file)
 
     async def read() -> Any:
         caller = Caller(
-            f"cli-{os.getpid()}", _addresses(section), section.fleet, group_of(customer, section.groups), [],
-            time.monotonic, random.Random(),
+            f"cli-{os.getpid()}", _addresses(section), section.fleet,
+            group_of_customer(customer, section.groups), [], time.monotonic, random.Random(),
         )  # fmt: skip
         try:
             return await asyncio.wait_for(caller.read("store", customer), PATIENCE)
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -19,7 +19,7 @@
 from .net.replication.leases import Leases
 from .recording.writer import Recorder
 from .settings import operators
-from .storage.durable_store import Disk, StoreUnavailable
+from .storage.durable_store import DurableStore, StoreUnavailableError
 from .transient_errors import may_pass
 
 STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
@@ -69,7 +69,7 @@
             return
         try:
             self._start_copies(section, open_store(section, self.config.name))
-        except (StoreUnavailable, HeldElsewhere) as error:
+        except (StoreUnavailableError, HeldElsewhere) as error:
             if isinstance(error, HeldElsewhere) and self.config.accept_fd is None:
                 raise
             self._store_unavailable(error)
@@ -82,7 +82,7 @@
             try:
                 disk = await in_thread(lambda: open_store(section, self.config.name))
                 self._start_copies(section, disk)
-            except (StoreUnavailable, ConfigError) as error:
+            except (StoreUnavailableError, ConfigError) as error:
                 self._store_unavailable(error)
             except Exception:  # a defect must not leave the gateway without its replicas for good
                 self.counters.add("exceptions")
@@ -92,7 +92,7 @@
         self.counters.add("copies_store_unavailable")
         log.say("copies_store_unavailable", why=error)
 
-    def _start_copies(self, section: operators.Copies, disk: Disk) -> None:
+    def _start_copies(self, section: operators.Copies, disk: DurableStore) -> None:
         copies = Copies(section, self.config.name, disk, self.counters, self.config.seed)
         copies.start()
         self.copies = copies
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -88,7 +88,7 @@
         number, to = self.number, self.copies.leads(self.group)
         self.call = self.copies.call(self.group, self.command, to, lambda one: self._replied(number, one))
 
-    def _replied(self, number: int, reply: wire.Reply) -> None:
+    def _replied(self, number: int, reply: wire.ClientResponse) -> None:
         if number != self.number or not self.command:
             return
         now = self.copies.now()
@@ -188,7 +188,7 @@
         read = f"place {self.copies.name}"
         self.call = self.copies.call(0, b"", self.copies.leads(0), lambda one: self._told(now, one), read)
 
-    def _told(self, asked: float, reply: wire.Reply) -> None:
+    def _told(self, asked: float, reply: wire.ClientResponse) -> None:
         if reply.how != "done":
             self.copies.learn(0, reply)
             self.asked = min(self.asked, self.copies.now() - IDLE + EVERY / 2)  # soon again
@@ -220,7 +220,7 @@
             case "hand_over":
                 for host in self.copies.hosts.values():
                     if host.leads():
-                        host.step(m.Transfer())
+                        host.step(m.TransferLeadership())
                 if act.what == "copies":
                     self._mark(BY_WORK, "")
             case "take_back":
@@ -239,7 +239,7 @@
                     f"record {key}",
                 )  # fmt: skip
 
-        def read(group: int, reply: wire.Reply) -> None:
+        def read(group: int, reply: wire.ClientResponse) -> None:
             if reply.how == "done" and not self.line(group).busy():
                 known: Record | None = msgspec.msgpack.decode(reply.data, type=Record | None)
                 if (known.value if known is not None else "") == before:
@@ -269,6 +269,6 @@
             self.said = works.blocked
             log.say("maintenance_waits", why=works.blocked or "no more")
 
-    def _status(self, peer: str, reply: wire.Reply) -> None:
+    def _status(self, peer: str, reply: wire.ClientResponse) -> None:
         if reply.how == "done":
             self.statuses[peer] = (self.copies.now(), msgspec.msgpack.decode(reply.data))
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -16,7 +16,7 @@
 from ...replicated_state.state_machine import Holdings
 from ...replication import messages as m
 from ...replication import wire
-from ...replication.node import Node
+from ...replication.node import RaftNode
 from .. import log
 from .links import Link
 
@@ -29,26 +29,26 @@
 class LocalConnection:
     """Stands for a connection where this gateway calls itself."""
 
-    def __init__(self, replied: Callable[[wire.Reply], None]) -> None:
+    def __init__(self, replied: Callable[[wire.ClientResponse], None]) -> None:
         self.replied = replied
 
     def write(self, frame: wire.Frame) -> None:
-        if isinstance(frame, wire.Reply):
+        if isinstance(frame, wire.ClientResponse):
             asyncio.get_running_loop().call_soon(self.replied, frame)
 
 
 class GroupHost:
     """One group's copy on this gateway."""
 
-    def __init__(self, copies: Copies, group: int, stored: m.Stored) -> None:
+    def __init__(self, copies: Copies, group: int, stored: m.PersistentState) -> None:
         self.copies, self.group = copies, group
         self.holdings = Holdings()
         self.holdings.thaw(stored.snapshot.data)
         now = copies.now()
-        self.node = Node(copies.me, stored, copies.timing, copies.chance.getrandbits(32), now)
+        self.node = RaftNode(copies.me, stored, copies.timing, copies.chance.getrandbits(32), now)
         self.timer: asyncio.TimerHandle | None = None
         self.due = float("inf")
-        self.calls: dict[int, tuple[Link | LocalConnection, wire.Call]] = {}
+        self.calls: dict[int, tuple[Link | LocalConnection, wire.ClientRequest]] = {}
         self.begun = False  # it takes part; before that it neither hears nor says anything
         self.seen: Any = None  # the records that `left` was read from
         self.left: set[str] = set()
@@ -103,7 +103,7 @@
     def _do(self, output: m.Output) -> None:
         copies = self.copies
         match output:
-            case m.Send(to, m.Piece() as piece):
+            case m.Send(to, m.SnapshotChunk() as piece):
                 copies.pace.offer((self.group, to), len(piece.data), piece)
                 copies.send_pieces()
             case m.Send(to, message):
@@ -112,20 +112,20 @@
                 copies.writer.write(self.group, output)
             case m.Apply(entry, call):
                 self._apply(entry, call)
-            case m.Install(snapshot):
+            case m.RestoreSnapshot(snapshot):
                 self.holdings.thaw(snapshot.data)
                 copies.counters.add("copies_installed")
-            case m.Answer(call, how, _, hint):
+            case m.RequestResult(call, how, _, hint):
                 self._answer(call, how, hint)
-            case m.WantSnapshot(index):
+            case m.CreateSnapshot(index):
                 asyncio.get_running_loop().call_soon(self._snap, index, self.holdings.freeze())
-            case m.Role(role, term, leader, why):
+            case m.RoleChanged(role, term, leader, why):
                 leads = m.gateway_of(leader) or "none"
                 log.say("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
 
     def _snap(self, index: int, frozen: Any) -> None:
         if self.begun:
-            self.step(m.Snapped(index, msgspec.msgpack.encode(frozen)))
+            self.step(m.SnapshotCreated(index, msgspec.msgpack.encode(frozen)))
 
     def _apply(self, entry: m.Entry, call: int | None) -> None:
         result: words.Result = words.Done()
@@ -153,7 +153,7 @@
             long = place is not None and holdings.works.requests[place.request].ask.long
             return msgspec.msgpack.encode((now, place, long, bool(holdings.works.open())))
         if kind == "works":
-            told = excerpt(holdings.works.freeze(), wire.MOST_REPLY_DATA // 2)
+            told = excerpt(holdings.works.freeze(), wire.MAX_REPLY_DATA_BYTES // 2)
             return msgspec.msgpack.encode((self.node.stamp(self.copies.now()), told))
         if kind == "record":
             return msgspec.msgpack.encode(holdings.records.get(name))
@@ -162,18 +162,18 @@
     def _reply(self, call: int, how: str, hint: str, data: bytes) -> None:
         if (known := self.calls.pop(call, None)) is not None:
             link, asked = known
-            if len(data) > wire.MOST_REPLY_DATA:
+            if len(data) > wire.MAX_REPLY_DATA_BYTES:
                 self.copies.counters.add("copies_replies_too_long")
                 how, data = "unknown", b""
-            link.write(wire.Reply(asked.number, how, hint, data))
+            link.write(wire.ClientResponse(asked.number, how, hint, data))
 
-    def called(self, link: Link | LocalConnection, call: wire.Call) -> None:
+    def called(self, link: Link | LocalConnection, call: wire.ClientRequest) -> None:
         number = self.copies.own_calls.number()
         self.calls[number] = (link, call)
         if call.command:
             self.step(m.Propose(number, call.command))
         else:
-            self.step(m.Read(number))
+            self.step(m.ReadRequest(number))
 
     def state(self) -> str:
         """What a copy of a group holds, in a word that an operator confirms."""
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -16,13 +16,13 @@
 
 from ...replication import messages as m
 from ...replication import wire
-from ...replication.membership import Patience, Seen, next_step
-from ...replication.node import Timing
-from ...replication.pace import Pace
-from ...replication.placement import place
+from ...replication.membership import GatewayPresence, ReplacementDelays, next_membership_step
+from ...replication.node import RaftConfig
+from ...replication.pace import SnapshotPacer
+from ...replication.placement import place_replicas
 from ...settings.operators import Copies as Section
-from ...storage.durable_store import Disk, StoreError, StoreInUse, StoreUnavailable
-from ...storage.writer import Writer
+from ...storage.durable_store import DurableStore, StoreError, StoreInUseError, StoreUnavailableError
+from ...storage.writer import StoreWriter
 from ...transient_errors import may_pass
 from .. import log
 from ..config import Address, ConfigError, address
@@ -41,13 +41,13 @@
     """Another process has the store or the address of this gateway's replicas."""
 
 
-def open_store(section: Section, name: str) -> Disk:
+def open_store(section: Section, name: str) -> DurableStore:
     """Open and check the store, which blocks. Raises `ConfigError`, `HeldElsewhere` among them, and
-    `StoreUnavailable` where another attempt may succeed.
+    `StoreUnavailableError` where another attempt may succeed.
     """
     try:
-        return Disk(Path(section.folder.replace("{name}", name)), section.fleet, name)
-    except StoreInUse as error:
+        return DurableStore(Path(section.folder.replace("{name}", name)), section.fleet, name)
+    except StoreInUseError as error:
         raise HeldElsewhere(f"copies: {error}") from None
     except StoreError as error:
         raise ConfigError(f"copies: {error}") from None
@@ -62,9 +62,11 @@
             raise ConfigError(f"copies: no peer is named {name!r}, as this gateway is")
         return addresses
 
-    def __init__(self, section: Section, name: str, disk: Disk, counters: Counters, seed: int) -> None:
+    def __init__(
+        self, section: Section, name: str, disk: DurableStore, counters: Counters, seed: int
+    ) -> None:
         """Takes the address, and closes the disk if it cannot. Raises `ConfigError`, `HeldElsewhere` among
-        them, and `StoreUnavailable` where another attempt may succeed.
+        them, and `StoreUnavailableError` where another attempt may succeed.
         """
         self.section, self.name, self.counters = section, name, counters
         self.chance = random.Random(seed)
@@ -72,7 +74,7 @@
         self.zones = {one.name: one.zone for one in section.peer}
         addresses = self.check(section, name)
         election = section.election_ms / 1000
-        self.timing = Timing(election=election, heartbeat=election / 5)
+        self.timing = RaftConfig(election=election, heartbeat=election / 5)
         self.disk = disk
         if self.disk.set_aside:
             log.say("copies_disk_damaged", set_aside=self.disk.set_aside, incarnation=self.disk.incarnation)
@@ -85,7 +87,7 @@
         except OSError as error:
             self.disk.close()
             if may_pass(error):
-                raise StoreUnavailable(f"cannot listen: {error}") from None
+                raise StoreUnavailableError(f"cannot listen: {error}") from None
             kind = HeldElsewhere if error.errno == errno.EADDRINUSE else ConfigError
             raise kind(f"copies: cannot listen: {error}") from None
         self.known, self.formed = dict(self.disk.known), self.disk.formed
@@ -94,14 +96,14 @@
         self.creating: set[int] = set()
         self.since = dict.fromkeys(self.zones, 0.0)  # when a gateway was last seen to come, or to be gone
         self.present: set[str] = set()  # other gateways that are here
-        self.patience = Patience(section.replace_after_s, section.settle_after_s)
+        self.patience = ReplacementDelays(section.replace_after_s, section.settle_after_s)
         self.ended = self.renewing = False
         self.here = LocalConnection(self.own_calls.reply)
         self.led: dict[int, str] = {}  # by group: who was last told to lead, of groups without a copy here
         self.serves: Callable[[], dict[str, Any]] = dict  # how the gateway does, for its status
 
     @property
-    def me(self) -> m.Copy:
+    def me(self) -> m.Replica:
         return f"{self.name}/{self.disk.incarnation}"
 
     def now(self) -> float:
@@ -122,11 +124,11 @@
 
             return tell
 
-        self.writer = Writer(self.disk, told(self._durable), told(self._disk_failed))
+        self.writer = StoreWriter(self.disk, told(self._durable), told(self._disk_failed))
         self.begun = self.now()
         self.since = dict.fromkeys(self.zones, self.begun)
         rate = self.section.transfer_kb_per_s * 1024
-        self.pace: Pace[tuple[int, m.Copy], m.Piece] = Pace(rate, rate / 4, self.begun)
+        self.pace = SnapshotPacer[tuple[int, m.Replica], m.SnapshotChunk](rate, rate / 4, self.begun)
         self.pacing: asyncio.TimerHandle | None = None
         for group, stored in self.disk.loaded.items():
             self.hosts[group] = GroupHost(self, group, stored)
@@ -149,14 +151,14 @@
         last = dict(done)  # the highest of each group: they come in order
         for group, number in last.items():
             if group in self.hosts:
-                self.hosts[group].step(m.Written(number))
+                self.hosts[group].step(m.WriteCompleted(number))
 
     def _disk_failed(self, why: str) -> None:
         """Nothing is acknowledged until it is durable; what this copy leads goes to one that can write."""
         self.counters.add("copies_disk_failures")
         log.say("copies_disk_failed", why=why)
         for host in self.hosts.values():
-            host.step(m.Transfer())
+            host.step(m.TransferLeadership())
 
     def _create(self, group: int, snapshot: m.Snapshot) -> None:
         if group in self.creating or group in self.hosts or self.renewing:
@@ -172,7 +174,7 @@
         generation = self.generations.get(group, 0)
         self.writer.call(create)
 
-    def _created(self, group: int, generation: int, stored: m.Stored) -> None:
+    def _created(self, group: int, generation: int, stored: m.PersistentState) -> None:
         self.creating.discard(group)
         if self.renewing:
             return  # its rows are deleted with all others of the incarnation that is given up
@@ -224,9 +226,9 @@
 
     # Links
 
-    def send(self, group: int, to: m.Copy, message: m.Message) -> None:
+    def send(self, group: int, to: m.Replica, message: m.Message) -> None:
         gateway, _, incarnation = to.rpartition("/")
-        channel = wire.channel(group, self.generations.get(group, 0))
+        channel = wire.channel_of(group, self.generations.get(group, 0))
         self.links.send(gateway, incarnation, channel, message)
 
     def send_pieces(self) -> None:
@@ -241,22 +243,22 @@
         self.pacing = None
         self.send_pieces()
 
-    def greeting(self) -> wire.Hello:
-        return wire.Hello(
-            self.section.fleet, wire.LOWEST, wire.HIGHEST, self.name, self.disk.incarnation, self.disk.boot,
-            self.known, self.formed, self.generations,
+    def greeting(self) -> wire.Handshake:
+        return wire.Handshake(
+            self.section.fleet, wire.MIN_VERSION, wire.MAX_VERSION, self.name, self.disk.incarnation,
+            self.disk.boot, self.known, self.formed, self.generations,
         )  # fmt: skip
 
-    def _met(self, hello: wire.Hello) -> None:
+    def _met(self, hello: wire.Handshake) -> None:
         told = dict(hello.known)
         mine = told.pop(self.disk.incarnation, 0)
-        known = wire.met(wire.merged(self.known, told), hello.incarnation, hello.boot)
+        known = wire.remember_boot(wire.merge_known_boots(self.known, told), hello.incarnation, hello.boot)
         changed = known != self.known or hello.formed | self.formed != self.formed
         self.known, self.formed = known, self.formed | hello.formed  # the order of `known` counts too
         if changed:
             self._keep_known()
         self.since[hello.name] = self.now()
-        if wire.is_older(self.disk.boot, mine):
+        if wire.is_store_outdated(self.disk.boot, mine):
             self._older(hello.name, mine)
         for group, generation in hello.generations.items():
             if 0 <= group < self.section.groups and generation > self.generations.get(group, 0):
@@ -286,10 +288,10 @@
 
         self.writer.call(renew)
 
-    def _heard(self, hello: wire.Hello, channel: int, message: m.Message) -> None:
+    def _heard(self, hello: wire.Handshake, channel: int, message: m.Message) -> None:
         group, generation = wire.group_and_generation(channel)
         if not 0 <= group < self.section.groups:
-            raise wire.Strange(f"there is no group {group}")
+            raise wire.ProtocolError(f"there is no group {group}")
         if generation < self.generations.get(group, 0):
             return  # it will be told, and forgets what it holds
         if generation > self.generations.get(group, 0):
@@ -298,38 +300,39 @@
         if host is None:  # it is to become a copy, or its vote is wanted: it has none, and says so
             self._create(group, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
         else:
-            host.step(m.Heard(f"{hello.name}/{hello.incarnation}", message))
+            host.step(m.MessageReceived(f"{hello.name}/{hello.incarnation}", message))
 
-    def _called(self, link: Link | LocalConnection, frame: wire.Call | wire.Ask) -> None:
-        if isinstance(frame, wire.Ask):
-            link.write(wire.Reply(frame.number, *self._asked(frame)))
+    def _called(self, link: Link | LocalConnection, frame: wire.ClientRequest | wire.AdminRequest) -> None:
+        if isinstance(frame, wire.AdminRequest):
+            link.write(wire.ClientResponse(frame.number, *self._asked(frame)))
             return
         host = self.hosts.get(frame.group)
         open_calls = sum(len(one.calls) for one in self.hosts.values())
-        if host is None or not host.begun or open_calls >= MOST_CALLS or len(frame.command) > wire.MOST_DATA:
-            holders = place(frame.group, self.zones, self.section.size)
+        too_much = open_calls >= MOST_CALLS or len(frame.command) > wire.MAX_PROPOSAL_BYTES
+        if host is None or not host.begun or too_much:
+            holders = place_replicas(frame.group, self.zones, self.section.size)
             hint = next((one for one in holders if one != self.name and self.links.here(one)), "")
-            link.write(wire.Reply(frame.number, "refused", hint if host is None else ""))
+            link.write(wire.ClientResponse(frame.number, "refused", hint if host is None else ""))
         else:
             host.called(link, frame)
 
     # This gateway's own calls
 
     def call(
-        self, group: int, command: bytes, to: str, done: Callable[[wire.Reply], None], read: str = ""
+        self, group: int, command: bytes, to: str, done: Callable[[wire.ClientResponse], None], read: str = ""
     ) -> int:
         """Through that gateway; `done` is told of its reply, if one comes. The number, to stop waiting."""
         number = self.own_calls.begin(self.now(), done)
-        self._send_call(wire.Call(number, group, command, read), to)
+        self._send_call(wire.ClientRequest(number, group, command, read), to)
         return number
 
-    def ask(self, to: str, what: str, done: Callable[[wire.Reply], None]) -> int:
+    def ask(self, to: str, what: str, done: Callable[[wire.ClientResponse], None]) -> int:
         """What operators ask, of another gateway."""
         number = self.own_calls.begin(self.now(), done)
-        self._send_call(wire.Ask(number, what), to)
+        self._send_call(wire.AdminRequest(number, what), to)
         return number
 
-    def _send_call(self, frame: wire.Call | wire.Ask, to: str) -> None:
+    def _send_call(self, frame: wire.ClientRequest | wire.AdminRequest, to: str) -> None:
         if to == self.name:
             self._called(self.here, frame)
         elif to in self.links.links:
@@ -339,7 +342,7 @@
         """Wait no longer for the reply to a call of this gateway's own."""
         self.own_calls.abandon(call)
 
-    def learn(self, group: int, reply: wire.Reply) -> None:
+    def learn(self, group: int, reply: wire.ClientResponse) -> None:
         """A call was refused: go where the reply points, or anywhere."""
         if reply.hint:
             self.led[group] = reply.hint
@@ -353,11 +356,11 @@
             return m.gateway_of(host.node.leader)
         if (led := self.led.get(group)) is not None and self.links.here(led):
             return led
-        holders = place(group, self.zones, self.section.size)
+        holders = place_replicas(group, self.zones, self.section.size)
         here = [one for one in holders if one == self.name or self.links.here(one)]
         return self.chance.choice(here) if here else self.name
 
-    def _asked(self, ask: wire.Ask) -> tuple[str, str, bytes]:
+    def _asked(self, ask: wire.AdminRequest) -> tuple[str, str, bytes]:
         if ask.what == "status":
             return "done", "", msgspec.msgpack.encode(self.status())
         if ask.what == "recover":
@@ -367,7 +370,7 @@
             hint = m.gateway_of(host.node.leader) if host is not None else ""
             return "refused", hint, b""
         if ask.what == "transfer":
-            host.step(m.Transfer(ask.copy))
+            host.step(m.TransferLeadership(ask.copy))
             return "done", "", b""
         return "refused", "", b""
 
@@ -392,7 +395,9 @@
                     self.since[peer] = now
                     self.present ^= {peer}
             fleet = {
-                one: Seen(zone, self.me if one == self.name else self._copy_of(one), now - self.since[one])
+                one: GatewayPresence(
+                    zone, self.me if one == self.name else self._copy_of(one), now - self.since[one]
+                )
                 for one, zone in self.zones.items()
             }
             for host in self.hosts.values():
@@ -422,7 +427,7 @@
         """The first in the group's order makes it, once: when all that will hold it are here, most of the
         fleet is, and nobody has heard of it.
         """
-        holders = place(group, self.zones, self.section.size)
+        holders = place_replicas(group, self.zones, self.section.size)
         hellos = {one: self.links.here(one) for one in self.zones if one != self.name}
         here = {one: hello for one, hello in hellos.items() if hello is not None}
         if holders[0] != self.name or not all(one == self.name or one in here for one in holders):
@@ -433,18 +438,18 @@
         log.say("copies_formed", group=group, voters=",".join(copies))
         self._create(group, m.Snapshot(1, 1, 0.0, m.Members(copies), b""))
 
-    def _members(self, host: GroupHost, fleet: dict[str, Seen]) -> None:
+    def _members(self, host: GroupHost, fleet: dict[str, GatewayPresence]) -> None:
         """Replace what is lost, and move what is out of place."""
         begun = sum(len(one.node.members().learners) > 0 for one in self.hosts.values() if one.leads())
-        step = next_step(
+        step = next_membership_step(
             host.group, self.section.size, self.me, host.node.members(), fleet, host.away(), self.patience,
             begun < MOST_MOVES,
         )  # fmt: skip
         if step is not None and step.how == "transfer":
-            host.step(m.Transfer(step.copy))
+            host.step(m.TransferLeadership(step.copy))
         elif step is not None:
-            host.step(m.Change(self.own_calls.number(), step.how, step.copy))
+            host.step(m.ChangeMembership(self.own_calls.number(), step.how, step.copy))
 
-    def _copy_of(self, gateway: str) -> m.Copy | None:
+    def _copy_of(self, gateway: str) -> m.Replica | None:
         hello = self.links.here(gateway)
         return f"{gateway}/{hello.incarnation}" if hello is not None else None
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -12,7 +12,7 @@
 from ...replicated_state import commands as w
 from ...replicated_state.leases import Action, Ask, Leaser, Use
 from ...replication import wire
-from ...replication.placement import group_of
+from ...replication.placement import group_of_customer
 from .. import log
 from ..counters import Counters
 from ..periodic import Periodic
@@ -74,7 +74,7 @@
         self.hint = ""
         one.call = copies.call(self.group, one.command, to, lambda reply: self._replied(number, reply))
 
-    def _replied(self, number: int, reply: wire.Reply) -> None:
+    def _replied(self, number: int, reply: wire.ClientResponse) -> None:
         one = self.operations.get(number)
         if one is None:
             return
@@ -219,7 +219,7 @@
                         i.Leased(action.customer, plan, action.lease, action.units, action.until)
                     )
             else:
-                group = group_of(action.customer, self.copies.section.groups)
+                group = group_of_customer(action.customer, self.copies.section.groups)
                 if group not in self.sessions:
                     self.sessions[group] = Session(self, group)
                 self.sessions[group].do(action)
--- a/mapleshunt/net/replication/links.py
+++ b/mapleshunt/net/replication/links.py
@@ -26,7 +26,7 @@
 MOST_STRANGERS = 64  # connections that have not said who they are, or are clients
 GREETING = 2.0  # s for that
 AGAIN = 0.05, 1.0  # s, the widest pause before a link is dialled again: the first and the longest
-ROOM = wire.MOST_FRAME + wire.HEAD.size
+ROOM = wire.MAX_FRAME_BYTES + wire.FRAME_HEADER.size
 
 
 class Link:
@@ -34,7 +34,7 @@
 
     def __init__(self, links: Links, stream: IOStream, dialled: str = "") -> None:
         self.links, self.stream, self.dialled = links, stream, dialled
-        self.hello: wire.Hello | None = None
+        self.hello: wire.Handshake | None = None
         self.waiting: list[tuple[int, Message]] = []
         self.ended = False
         self.said = ""  # the incarnation that this end greeted as
@@ -49,7 +49,7 @@
             self.said = hello.incarnation
             self.write(hello)
             while True:
-                while found := wire.parse(buffer.data, buffer.start, buffer.end):
+                while found := wire.decode_frame(buffer.data, buffer.start, buffer.end):
                     buffer.consume(found[1])
                     self._take(found[0])
                     if self.ended:
@@ -57,7 +57,7 @@
                 await buffer.fill(self.stream)
         except StreamClosedError:
             return "closed"
-        except (wire.Strange, TooLong) as strange:
+        except (wire.ProtocolError, TooLong) as strange:
             self.links.counters.add("copies_strange")
             return str(strange)
         except Exception:
@@ -81,27 +81,27 @@
 
     def _take(self, frame: wire.Frame) -> None:
         if self.stale():
-            raise wire.Strange("greeted as another incarnation")
+            raise wire.ProtocolError("greeted as another incarnation")
         if self.hello is None:
-            if not isinstance(frame, wire.Hello):
-                raise wire.Strange("no greeting")
-            wire.greeted(frame, self.links.fleet)
+            if not isinstance(frame, wire.Handshake):
+                raise wire.ProtocolError("no greeting")
+            wire.check_handshake(frame, self.links.fleet)
             self.hello = frame
             self.links.met(self)
-        elif isinstance(frame, wire.Packet) and self.hello.incarnation:
+        elif isinstance(frame, wire.MessageBatch) and self.hello.incarnation:
             for group, message in frame.messages:
                 self.links.heard(self.hello, group, message)
-        elif isinstance(frame, wire.Call | wire.Ask):
+        elif isinstance(frame, wire.ClientRequest | wire.AdminRequest):
             self.links.called(self, frame)
-        elif isinstance(frame, wire.Reply):
+        elif isinstance(frame, wire.ClientResponse):
             self.links.replied(frame)
         else:
-            raise wire.Strange("a frame out of place")
+            raise wire.ProtocolError("a frame out of place")
 
     def write(self, frame: wire.Frame) -> None:
         if not self.ended and not self.stream.closed():
             try:
-                self.stream.write(wire.encode(frame))
+                self.stream.write(wire.encode_frame(frame))
             except (StreamClosedError, StreamBufferFullError):
                 self.links.counters.add("copies_dropped")
 
@@ -114,7 +114,7 @@
                 size += 64 + sum(len(one.data) for one in getattr(message, "entries", ()))
                 size += len(getattr(message, "data", b""))
                 count += 1
-            self.write(wire.Packet(tuple(waiting[:count])))
+            self.write(wire.MessageBatch(tuple(waiting[:count])))
             waiting = waiting[count:]
 
 
@@ -129,11 +129,11 @@
         name: str,
         listen: Address,
         peers: Mapping[str, Address],
-        greeting: Callable[[], wire.Hello],
-        heard: Callable[[wire.Hello, int, Message], None],
-        called: Callable[[Link, wire.Call | wire.Ask], None],
-        replied: Callable[[wire.Reply], None],
-        met: Callable[[wire.Hello], None],
+        greeting: Callable[[], wire.Handshake],
+        heard: Callable[[wire.Handshake, int, Message], None],
+        called: Callable[[Link, wire.ClientRequest | wire.AdminRequest], None],
+        replied: Callable[[wire.ClientResponse], None],
+        met: Callable[[wire.Handshake], None],
         counters: Counters,
         chance: random.Random,
     ) -> None:
@@ -203,7 +203,7 @@
         if not hello.incarnation:
             return  # a client
         if hello.name not in self.peers or (link.dialled and link.dialled != hello.name):
-            raise wire.Strange(f"{hello.name!r} is not expected here")
+            raise wire.ProtocolError(f"{hello.name!r} is not expected here")
         self.strangers.pop(link, None)
         if (before := self.links.get(hello.name)) is not None:
             before.stream.close()  # the other end has begun anew
@@ -211,7 +211,7 @@
         log.say("link_up", peer=hello.name, incarnation=hello.incarnation, boot=hello.boot)
         self.told_met(hello)
 
-    def here(self, peer: str) -> wire.Hello | None:
+    def here(self, peer: str) -> wire.Handshake | None:
         link = self.links.get(peer)
         return link.hello if link is not None else None
 
--- a/mapleshunt/net/replication/own_calls.py
+++ b/mapleshunt/net/replication/own_calls.py
@@ -12,7 +12,7 @@
 # s after which a session that a group had no room for is asked for again.
 OPEN_RETRY_DELAY_S = 1.0
 
-Replied = Callable[[wire.Reply], None]
+Replied = Callable[[wire.ClientResponse], None]
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
         """Wait no longer for its reply. A number that is not open is none of them."""
         self._open.pop(number, None)
 
-    def reply(self, reply: wire.Reply) -> None:
+    def reply(self, reply: wire.ClientResponse) -> None:
         """Hand a reply on, unless nobody waits for it."""
         if (call := self._open.pop(reply.number, None)) is not None:
             call.replied(reply)
--- a/mapleshunt/replication/messages.py
+++ b/mapleshunt/replication/messages.py
@@ -9,20 +9,20 @@
 
 import msgspec
 
-Copy = str  # NAME/INCARNATION
+Replica = str  # NAME/INCARNATION
 
 
-def gateway_of(copy: Copy) -> str:
+def gateway_of(copy: Replica) -> str:
     return copy.rpartition("/")[0]
 
 
 class Members(msgspec.Struct, array_like=True, frozen=True):
     """Who decides (voters) and who only listens (learners)."""
 
-    voters: tuple[Copy, ...]
-    learners: tuple[Copy, ...] = ()
+    voters: tuple[Replica, ...]
+    learners: tuple[Replica, ...] = ()
 
-    def all(self) -> tuple[Copy, ...]:
+    def all(self) -> tuple[Replica, ...]:
         return self.voters + self.learners
 
     def majority(self) -> int:
@@ -49,19 +49,19 @@
     data: bytes
 
 
-class Stored(msgspec.Struct, frozen=True):
+class PersistentState(msgspec.Struct, frozen=True):
     """What a copy's disk holds."""
 
     snapshot: Snapshot
     term: int = 0
-    vote: Copy = ""
+    vote: Replica = ""
     entries: tuple[Entry, ...] = ()
 
 
 # Messages. All but the first two and the last carry their sender's term.
 
 
-class Ask(msgspec.Struct, array_like=True, tag=1, frozen=True):
+class VoteRequest(msgspec.Struct, array_like=True, tag=1, frozen=True):
     """A candidate asks for a vote; `pre`: would it get one in that term?"""
 
     term: int
@@ -71,13 +71,13 @@
     told: bool  # the leader told it to: others that hear the leader vote too
 
 
-class Vote(msgspec.Struct, array_like=True, tag=2, frozen=True):
+class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
     term: int
     granted: bool
     pre: bool
 
 
-class Append(msgspec.Struct, array_like=True, tag=3, frozen=True):
+class AppendEntries(msgspec.Struct, array_like=True, tag=3, frozen=True):
     """Entries after the one at `before`; empty as a heartbeat. `round` numbers what a majority confirms."""
 
     term: int
@@ -88,7 +88,7 @@
     round: int
 
 
-class Appended(msgspec.Struct, array_like=True, tag=4, frozen=True):
+class AppendEntriesResponse(msgspec.Struct, array_like=True, tag=4, frozen=True):
     """`index` up to which its durable log is the leader's, or, if not `good`, where to look for agreement."""
 
     term: int
@@ -97,7 +97,7 @@
     round: int
 
 
-class Piece(msgspec.Struct, array_like=True, tag=5, frozen=True):
+class SnapshotChunk(msgspec.Struct, array_like=True, tag=5, frozen=True):
     """A part of a snapshot, from `offset` on."""
 
     term: int
@@ -111,7 +111,7 @@
     round: int
 
 
-class PieceTaken(msgspec.Struct, array_like=True, tag=6, frozen=True):
+class SnapshotChunkAck(msgspec.Struct, array_like=True, tag=6, frozen=True):
     """`offset` is where the next piece is to begin."""
 
     term: int
@@ -126,18 +126,21 @@
     term: int
 
 
-Message = Ask | Vote | Append | Appended | Piece | PieceTaken | TimeoutNow
+Message = (
+    VoteRequest | VoteResponse | AppendEntries | AppendEntriesResponse | SnapshotChunk | SnapshotChunkAck
+    | TimeoutNow
+)  # fmt: skip
 
 
 # Events
 
 
-class Heard(msgspec.Struct, frozen=True):
-    sender: Copy
+class MessageReceived(msgspec.Struct, frozen=True):
+    sender: Replica
     message: Message
 
 
-class Written(msgspec.Struct, frozen=True):
+class WriteCompleted(msgspec.Struct, frozen=True):
     """The write of that number, and all before it, are durable."""
 
     number: int
@@ -152,39 +155,42 @@
     data: bytes
 
 
-class Read(msgspec.Struct, frozen=True):
+class ReadRequest(msgspec.Struct, frozen=True):
     call: int
 
 
-class Change(msgspec.Struct, frozen=True):
+class ChangeMembership(msgspec.Struct, frozen=True):
     """One copy more or less: `how` is learner (joins to listen), voter (may decide), or out."""
 
     call: int
     how: str
-    copy: Copy
+    copy: Replica
 
 
-class Transfer(msgspec.Struct, frozen=True):
+class TransferLeadership(msgspec.Struct, frozen=True):
     """Hand leadership to that copy, or to whoever is furthest."""
 
-    to: Copy = ""
+    to: Replica = ""
 
 
-class Snapped(msgspec.Struct, frozen=True):
+class SnapshotCreated(msgspec.Struct, frozen=True):
     """The state as of the entry at `index`, all applied up to there."""
 
     index: int
     data: bytes
 
 
-Event = Heard | Written | Tick | Propose | Read | Change | Transfer | Snapped
+Event = (
+    MessageReceived | WriteCompleted | Tick | Propose | ReadRequest | ChangeMembership | TransferLeadership
+    | SnapshotCreated
+)  # fmt: skip
 
 
 # What a step asks of its host, in order
 
 
 class Send(msgspec.Struct, frozen=True):
-    to: Copy
+    to: Replica
     message: Message
 
 
@@ -195,7 +201,7 @@
 
     number: int
     term: int
-    vote: Copy
+    vote: Replica
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
     reset: bool = False
@@ -208,13 +214,13 @@
     call: int | None = None  # of the one who proposed it here
 
 
-class Install(msgspec.Struct, frozen=True):
+class RestoreSnapshot(msgspec.Struct, frozen=True):
     """Take this state in place of all that was applied."""
 
     snapshot: Snapshot
 
 
-class Answer(msgspec.Struct, frozen=True):
+class RequestResult(msgspec.Struct, frozen=True):
     """To a call: "read" (answer once all up to `index` is applied), "refused" (nothing was or will be done),
     or "unknown" (it may come to be applied, or not). `hint` is who leads, if known.
     """
@@ -222,22 +228,22 @@
     call: int
     how: str
     index: int = 0
-    hint: Copy = ""
+    hint: Replica = ""
 
 
-class WantSnapshot(msgspec.Struct, frozen=True):
+class CreateSnapshot(msgspec.Struct, frozen=True):
     """Hand in the state as of the entry at `index`, the last that was handed out to be applied."""
 
     index: int
 
 
-class Role(msgspec.Struct, frozen=True):
+class RoleChanged(msgspec.Struct, frozen=True):
     """The role has changed: leader, follower, candidate; `leader` is who leads, if known."""
 
     role: str
     term: int
-    leader: Copy
+    leader: Replica
     why: str
 
 
-Output = Send | Write | Apply | Install | Answer | WantSnapshot | Role
+Output = Send | Write | Apply | RestoreSnapshot | RequestResult | CreateSnapshot | RoleChanged
--- a/mapleshunt/replication/node.py
+++ b/mapleshunt/replication/node.py
@@ -5,8 +5,8 @@
 (4.1 and the correction of 2015), learners, snapshots in pieces (5), reads by a confirmed round (6.4).
 
 `step(now, event)` takes what happened at `now` (s, a clock that never goes back) and returns what to do, in
-order. Writes are made durable in their order and told with `Written`; whatever a copy says that rests on a
-write is held until then. Only a leader's entries go out earlier: others may have them durable before it has.
+order. Writes are made durable in their order and told with `WriteCompleted`; whatever a copy says that rests
+on a write is held until then. Only a leader's entries go out earlier: others may have them durable before it has.
 """
 
 from __future__ import annotations
@@ -18,43 +18,43 @@
 from typing import TypeVar
 
 from .messages import (
-    Answer,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Apply,
-    Ask,
-    Change,
-    Copy,
+    ChangeMembership,
+    CreateSnapshot,
     Entry,
     Event,
-    Heard,
-    Install,
     Members,
     Message,
+    MessageReceived,
     Output,
-    Piece,
-    PieceTaken,
+    PersistentState,
     Propose,
-    Read,
-    Role,
+    ReadRequest,
+    Replica,
+    RequestResult,
+    RestoreSnapshot,
+    RoleChanged,
     Send,
-    Snapped,
     Snapshot,
-    Stored,
+    SnapshotChunk,
+    SnapshotChunkAck,
+    SnapshotCreated,
     Tick,
     TimeoutNow,
-    Transfer,
-    Vote,
-    WantSnapshot,
+    TransferLeadership,
+    VoteRequest,
+    VoteResponse,
     Write,
-    Written,
+    WriteCompleted,
 )
 
 T = TypeVar("T", int, float)
 
 
 @dataclass(slots=True, frozen=True)
-class Timing:
+class RaftConfig:
     """Times in s, sizes in bytes. The source of the proportions is the thesis, 9.3: a broadcast takes far
     less than an election's timeout, and timeouts are drawn from [election, 2 election).
     """
@@ -90,7 +90,7 @@
 
     index: int
     term: int
-    sender: Copy
+    sender: Replica
     data: bytearray = field(default_factory=bytearray)
 
 
@@ -99,8 +99,10 @@
     return type(message), bool(getattr(message, "pre", False))
 
 
-class Node:
-    def __init__(self, me: Copy, stored: Stored, timing: Timing, seed: int, now: float) -> None:
+class RaftNode:
+    def __init__(
+        self, me: Replica, stored: PersistentState, timing: RaftConfig, seed: int, now: float
+    ) -> None:
         self.me, self.timing, self.random = me, timing, random.Random(seed)
         self.term, self.vote = stored.term, stored.vote
         self.snapshot, self.log = stored.snapshot, list(stored.entries)
@@ -110,17 +112,17 @@
         self.written = self.numbered = 0  # writes that are durable, and that were asked for
         self.durable = self.last_index()  # the log up to here is on disk
         self.marks: deque[tuple[int, int]] = deque()  # by write: the log's end once it is durable
-        self.held: deque[tuple[int, Copy, Message]] = deque()  # by write: what waits for it
+        self.held: deque[tuple[int, Replica, Message]] = deque()  # by write: what waits for it
         self.self_vote = 0  # the write that makes the own vote durable
-        self.votes: set[Copy] = set()
-        self.progress: dict[Copy, Progress] = {}
+        self.votes: set[Replica] = set()
+        self.progress: dict[Replica, Progress] = {}
         self.calls: dict[int, tuple[int, int]] = {}  # by index: term and call
         self.reads: list[tuple[int, int, int]] = []  # call, index, round that must be confirmed
         self.early: list[int] = []  # reads that wait for a first committed entry of this term
         self.next_reads: list[int] = []  # that came while a round was out: they share the one after it
         self.round = 0
         self.base_stamp, self.base_now = 0.0, now
-        self.transferring: Copy = ""
+        self.transferring: Replica = ""
         self.transfer_until = 0.0
         self.incoming: Incoming | None = None
         self.wanted = False  # a snapshot was asked for
@@ -136,19 +138,19 @@
         match event:
             case Tick():
                 pass
-            case Written(number):
+            case WriteCompleted(number):
                 self._written(now, number)
-            case Heard(sender, message):
+            case MessageReceived(sender, message):
                 self._heard(now, sender, message)
             case Propose(call, data):
                 self._propose(now, call, data)
-            case Read(call):
+            case ReadRequest(call):
                 self._read(now, call)
-            case Change():
+            case ChangeMembership():
                 self._change(now, event)
-            case Transfer(to):
+            case TransferLeadership(to):
                 self._transfer(now, to)
-            case Snapped(index, data):
+            case SnapshotCreated(index, data):
                 self._snapped(index, data)
         self._look(now)
         return self.out
@@ -207,14 +209,14 @@
         self.marks.append((self.numbered, self.last_index()))
         self.out.append(Write(self.numbered, self.term, self.vote, entries, snapshot, reset))
 
-    def _say(self, to: Copy, message: Message) -> None:
+    def _say(self, to: Replica, message: Message) -> None:
         """Tell once all that was written before is durable."""
         if self.numbered > self.written:
             self._hold(to, message)
         else:
             self.out.append(Send(to, message))
 
-    def _hold(self, to: Copy, message: Message) -> None:
+    def _hold(self, to: Replica, message: Message) -> None:
         """Keep it until the last write is durable, in place of an earlier one of its kind that waits for the
         same write: the newer says all that still matters, and a disk may take nothing for hours.
         """
@@ -248,20 +250,20 @@
     def _hears_leader(self, now: float) -> bool:
         return now - self.heard_leader < self.timing.election
 
-    def _become(self, role: str, leader: Copy, why: str) -> None:
+    def _become(self, role: str, leader: Replica, why: str) -> None:
         if (role, leader) != (self.role, self.leader):
-            self.out.append(Role(role, self.term, leader, why))
+            self.out.append(RoleChanged(role, self.term, leader, why))
         self.leader = leader
         if self.role == "leader" and role != "leader":
             for index in sorted(self.calls):
-                self.out.append(Answer(self.calls[index][1], "unknown", hint=self.leader))
+                self.out.append(RequestResult(self.calls[index][1], "unknown", hint=self.leader))
             for call in [*(call for call, _, _ in self.reads), *self.early, *self.next_reads]:
                 self._refuse(call)
             self.calls, self.reads, self.early, self.next_reads, self.progress = {}, [], [], [], {}
             self.transferring = ""
         self.role = role
 
-    def _follow(self, now: float, term: int, leader: Copy, why: str) -> None:
+    def _follow(self, now: float, term: int, leader: Replica, why: str) -> None:
         if term > self.term:
             self.term, self.vote = term, ""
             self._write()
@@ -283,11 +285,11 @@
         term = self.term + 1 if pre else self.term
         for copy in self.members().voters:
             if copy != self.me:
-                self._say(copy, Ask(term, self.last_index(), self.last_term(), pre, told))
+                self._say(copy, VoteRequest(term, self.last_index(), self.last_term(), pre, told))
         if pre:
             self._take_vote(now, self.me)
 
-    def _take_vote(self, now: float, copy: Copy) -> None:
+    def _take_vote(self, now: float, copy: Replica) -> None:
         members = self.members()
         if copy in members.voters:
             self.votes.add(copy)
@@ -316,13 +318,13 @@
         """
         return max(self.last_stamp(), self.base_stamp + 1000 * (now - self.base_now))
 
-    def _asked(self, now: float, sender: Copy, ask: Ask) -> None:
+    def _asked(self, now: float, sender: Replica, ask: VoteRequest) -> None:
         if not ask.told and (self._hears_leader(now) or self.role == "leader"):
             return  # whoever hears a leader helps nobody to another term
         newer = (ask.last_term, ask.last_index) >= (self.last_term(), self.last_index())
         if ask.pre:
             granted = newer and ask.term > self.term
-            self._say(sender, Vote(ask.term if granted else self.term, granted, True))
+            self._say(sender, VoteResponse(ask.term if granted else self.term, granted, True))
             return
         if ask.term > self.term:
             self._follow(now, ask.term, "", "term")
@@ -333,9 +335,9 @@
             self._write()
         if granted:
             self.deadline = now + self._timeout()
-        self._say(sender, Vote(self.term, granted, False))
+        self._say(sender, VoteResponse(self.term, granted, False))
 
-    def _voted(self, now: float, sender: Copy, vote: Vote) -> None:
+    def _voted(self, now: float, sender: Replica, vote: VoteResponse) -> None:
         if vote.pre and vote.granted:
             if self.role == "precandidate" and vote.term == self.term + 1:
                 self._take_vote(now, sender)
@@ -346,7 +348,7 @@
 
     # Following
 
-    def _from_leader(self, now: float, sender: Copy, term: int) -> bool:
+    def _from_leader(self, now: float, sender: Replica, term: int) -> bool:
         if term < self.term:
             return False
         if term > self.term or self.role != "follower" or self.leader != sender:
@@ -354,9 +356,9 @@
         self.heard_leader, self.deadline = now, now + self._timeout()
         return True
 
-    def _take_entries(self, now: float, sender: Copy, message: Append) -> None:
+    def _take_entries(self, now: float, sender: Replica, message: AppendEntries) -> None:
         if not self._from_leader(now, sender, message.term):
-            self._say(sender, Appended(self.term, False, self.last_index(), 0))
+            self._say(sender, AppendEntriesResponse(self.term, False, self.last_index(), 0))
             return
         before, entries = message.before, message.entries
         if before < self.commit:  # what is committed is the same everywhere
@@ -366,7 +368,7 @@
             hint = min(before - 1, self.last_index())
             while hint > self.commit and (self.term_at(hint) or 0) > message.before_term:
                 hint -= 1
-            self._say(sender, Appended(self.term, False, max(hint, self.commit), message.round))
+            self._say(sender, AppendEntriesResponse(self.term, False, max(hint, self.commit), message.round))
             return
         new = tuple(entry for entry in entries if self.term_at(entry.index) != entry.term)
         if new:
@@ -383,14 +385,14 @@
         agreed = entries[-1].index if entries else before
         if min(message.commit, agreed) > self.commit:
             self._commit_to(min(message.commit, agreed))
-        self._say(sender, Appended(self.term, True, agreed, message.round))
+        self._say(sender, AppendEntriesResponse(self.term, True, agreed, message.round))
 
-    def _take_piece(self, now: float, sender: Copy, piece: Piece) -> None:
+    def _take_piece(self, now: float, sender: Replica, piece: SnapshotChunk) -> None:
         if not self._from_leader(now, sender, piece.term):
-            self._say(sender, Appended(self.term, False, self.last_index(), 0))
+            self._say(sender, AppendEntriesResponse(self.term, False, self.last_index(), 0))
             return
         if piece.index <= self.commit:
-            self._say(sender, Appended(self.term, True, self.commit, piece.round))
+            self._say(sender, AppendEntriesResponse(self.term, True, self.commit, piece.round))
             return
         here = self.incoming
         if here is None or (here.index, here.term, here.sender) != (piece.index, piece.term, sender):
@@ -401,9 +403,9 @@
                 self.incoming = None
                 whole = Snapshot(piece.index, piece.at_term, piece.stamp, piece.members, bytes(here.data))
                 self._install(whole)
-                self._say(sender, Appended(self.term, True, piece.index, piece.round))
+                self._say(sender, AppendEntriesResponse(self.term, True, piece.index, piece.round))
                 return
-        self._say(sender, PieceTaken(self.term, piece.index, len(here.data), piece.round))
+        self._say(sender, SnapshotChunkAck(self.term, piece.index, len(here.data), piece.round))
 
     def _install(self, snapshot: Snapshot) -> None:
         agrees = self.term_at(snapshot.index) == snapshot.term
@@ -413,7 +415,7 @@
         self.durable = min(self.durable, self.last_index())
         self._write(snapshot=snapshot, reset=not agrees)
         self.wanted = False
-        self.out.append(Install(snapshot))
+        self.out.append(RestoreSnapshot(snapshot))
 
     # Leading
 
@@ -435,7 +437,7 @@
         for copy in self.progress:
             self._feed(now, copy)
 
-    def _feed(self, now: float, copy: Copy, beat: bool = False) -> None:
+    def _feed(self, now: float, copy: Replica, beat: bool = False) -> None:
         """Send what the other copy lacks, as far as its window allows; `beat`: at least a heartbeat."""
         one = self.progress[copy]
         sent = False
@@ -465,35 +467,35 @@
             else:
                 self._send_append(copy, at, ())
 
-    def _begin_snapshot(self, now: float, copy: Copy) -> None:
+    def _begin_snapshot(self, now: float, copy: Replica) -> None:
         one = self.progress[copy]
         one.snapshot, one.offset, one.moved = self.snapshot, 0, now
         one.out.clear()
         self._feed_piece(copy)
 
-    def _send_append(self, copy: Copy, before: int, entries: tuple[Entry, ...]) -> None:
+    def _send_append(self, copy: Replica, before: int, entries: tuple[Entry, ...]) -> None:
         term = self.term_at(before)
         assert term is not None
-        self.out.append(Send(copy, Append(self.term, before, term, entries, self.commit, self.round)))
+        self.out.append(Send(copy, AppendEntries(self.term, before, term, entries, self.commit, self.round)))
 
-    def _feed_piece(self, copy: Copy) -> None:
+    def _feed_piece(self, copy: Replica) -> None:
         one = self.progress[copy]
         if (whole := one.snapshot) is None:
             return
         data = whole.data[one.offset : one.offset + self.timing.piece]
         last = one.offset + len(data) >= len(whole.data)
-        self.out.append(Send(copy, Piece(
+        self.out.append(Send(copy, SnapshotChunk(
             self.term, whole.index, whole.term, whole.stamp, whole.members, one.offset, data, last, self.round
         )))  # fmt: skip
 
-    def _answered(self, now: float, sender: Copy, round_: int) -> Progress | None:
+    def _answered(self, now: float, sender: Replica, round_: int) -> Progress | None:
         one = self.progress.get(sender)
         if one is not None:
             one.heard, one.round = now, max(one.round, round_)
             self._confirm(now)
         return one
 
-    def _appended(self, now: float, sender: Copy, message: Appended) -> None:
+    def _appended(self, now: float, sender: Replica, message: AppendEntriesResponse) -> None:
         one = self._answered(now, sender, message.round)
         if one is None:
             return
@@ -514,7 +516,7 @@
             self._feed(now, sender)
             self._may_hand_over(now)
 
-    def _piece_taken(self, now: float, sender: Copy, message: PieceTaken) -> None:
+    def _piece_taken(self, now: float, sender: Replica, message: SnapshotChunkAck) -> None:
         one = self._answered(now, sender, message.round)
         if one is None or not one.snapshot or one.snapshot.index != message.index:
             return
@@ -534,12 +536,12 @@
                 return
             self._begin_early(now)
 
-    def _reached(self, of: Callable[[Copy], T]) -> T:
+    def _reached(self, of: Callable[[Replica], T]) -> T:
         """What a majority of the voters has come to, at least."""
         members = self.members()
         return sorted((of(copy) for copy in members.voters), reverse=True)[members.majority() - 1]
 
-    def _matched(self, copy: Copy) -> int:
+    def _matched(self, copy: Replica) -> int:
         if copy == self.me:
             return self.durable
         return self.progress[copy].match if copy in self.progress else 0
@@ -554,12 +556,12 @@
             self.out.append(Apply(entry, call if term == entry.term else None))
         if self.commit - self.snapshot.index >= self.timing.compact and not self.wanted:
             self.wanted = True
-            self.out.append(WantSnapshot(self.commit))
+            self.out.append(CreateSnapshot(self.commit))
 
     # Calls
 
     def _refuse(self, call: int) -> None:
-        self.out.append(Answer(call, "refused", hint=self.leader if self.leader != self.me else ""))
+        self.out.append(RequestResult(call, "refused", hint=self.leader if self.leader != self.me else ""))
 
     def _propose(self, now: float, call: int, data: bytes) -> None:
         if self.role != "leader" or self.transferring or len(self.calls) >= self.timing.queue:
@@ -603,10 +605,10 @@
         sure = self._reached(lambda c: self.round if c == self.me else known[c].round if c in known else 0)
         while self.reads and self.reads[0][2] <= sure:
             call, index, _ = self.reads.pop(0)
-            self.out.append(Answer(call, "read", index))
+            self.out.append(RequestResult(call, "read", index))
         self._begin_round(now)
 
-    def _change(self, now: float, change: Change) -> None:
+    def _change(self, now: float, change: ChangeMembership) -> None:
         """One at a time, each once the one before is committed, and none before an entry of this term is."""
         members = self.members()
         voters, learners = list(members.voters), list(members.learners)
@@ -634,18 +636,18 @@
         self.calls[index] = (self.term, change.call)
         self._append(now, Entry(index, self.term, self._stamp(now), members=changed))
 
-    def _is_here(self, now: float, copy: Copy) -> bool:
+    def _is_here(self, now: float, copy: Replica) -> bool:
         one = self.progress.get(copy)
         return copy == self.me or (one is not None and now - one.heard < self.timing.election)
 
     def _one_change_only(self) -> bool:
         return self._changing() or self.term_at(self.commit) != self.term
 
-    def _caught_up(self, copy: Copy) -> bool:
+    def _caught_up(self, copy: Replica) -> bool:
         one = self.progress.get(copy)
         return one is not None and one.snapshot is None and self.commit - one.match <= self.timing.keep
 
-    def _transfer(self, now: float, to: Copy) -> None:
+    def _transfer(self, now: float, to: Replica) -> None:
         others = [one for one in self.members().voters if one != self.me and one in self.progress]
         to = to or max(others, key=lambda one: self.progress[one].match, default="")
         if self.role == "leader" and to in others and not self.transferring:
@@ -674,21 +676,21 @@
 
     # What comes, and what is due
 
-    def _heard(self, now: float, sender: Copy, message: Message) -> None:
+    def _heard(self, now: float, sender: Replica, message: Message) -> None:
         match message:
-            case Ask():
+            case VoteRequest():
                 self._asked(now, sender, message)
-            case Vote():
+            case VoteResponse():
                 self._voted(now, sender, message)
-            case Append():
+            case AppendEntries():
                 self._take_entries(now, sender, message)
-            case Piece():
+            case SnapshotChunk():
                 self._take_piece(now, sender, message)
-            case Appended() | PieceTaken() if message.term > self.term:
+            case AppendEntriesResponse() | SnapshotChunkAck() if message.term > self.term:
                 self._follow(now, message.term, "", "term")
-            case Appended() if self.role == "leader" and message.term == self.term:
+            case AppendEntriesResponse() if self.role == "leader" and message.term == self.term:
                 self._appended(now, sender, message)
-            case PieceTaken() if self.role == "leader" and message.term == self.term:
+            case SnapshotChunkAck() if self.role == "leader" and message.term == self.term:
                 self._piece_taken(now, sender, message)
             case TimeoutNow(term) if term == self.term and self.role == "follower" and sender == self.leader:
                 self._campaign(now, pre=False, told=True)
--- a/mapleshunt/replication/pace.py
+++ b/mapleshunt/replication/pace.py
@@ -12,7 +12,7 @@
 What = TypeVar("What")
 
 
-class Pace(Generic[Key, What]):
+class SnapshotPacer(Generic[Key, What]):
     """`rate` in bytes a second, `burst` in bytes: how much may go at once after a pause."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
--- a/mapleshunt/replication/placement.py
+++ b/mapleshunt/replication/placement.py
@@ -12,7 +12,7 @@
 import xxhash
 
 
-def rank(group: int, gateways: Mapping[str, str]) -> Sequence[str]:
+def rank_gateways(group: int, gateways: Mapping[str, str]) -> Sequence[str]:
     """All gateways (name to zone), the best first: one of each zone before a second of any."""
     return _rank(group, tuple(sorted(gateways.items())))
 
@@ -32,9 +32,9 @@
     return tuple(name for _, name in sorted(levels, key=lambda one: one[0]))  # it keeps the order by weight
 
 
-def place(group: int, gateways: Mapping[str, str], size: int) -> Sequence[str]:
-    return rank(group, gateways)[:size]
+def place_replicas(group: int, gateways: Mapping[str, str], size: int) -> Sequence[str]:
+    return rank_gateways(group, gateways)[:size]
 
 
-def group_of(customer: str, groups: int) -> int:
+def group_of_customer(customer: str, groups: int) -> int:
     return int(xxhash.xxh3_64_intdigest(customer.encode()) % groups)
--- a/mapleshunt/simulation/copies.py
+++ b/mapleshunt/simulation/copies.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from ..replication import messages as m
-from ..replication.node import Node, Timing
+from ..replication.node import RaftConfig, RaftNode
 
-TIMING = Timing(election=1.0, heartbeat=0.2, batch=400, window=4, piece=200, keep=4, compact=20, queue=64)
+TIMING = RaftConfig(election=1.0, heartbeat=0.2, batch=400, window=4, piece=200, keep=4, compact=20, queue=64)
 MOVES = (
     "kill", "start", "cut", "one_way", "heal", "pause", "go_on", "wipe", "transfer", "slow_disk",
     "add", "promote", "remove",
@@ -39,7 +39,7 @@
 class Disk:
     """What is durable, and the writes that are not yet."""
 
-    stored: m.Stored
+    stored: m.PersistentState
     pending: list[m.Write] = field(default_factory=list)
     delay: float = 0.005
 
@@ -50,35 +50,35 @@
             entries = [] if write.reset else [one for one in entries if one.index > snapshot.index]
         if write.entries:
             entries = [one for one in entries if one.index < write.entries[0].index] + list(write.entries)
-        self.stored = m.Stored(snapshot, write.term, write.vote, tuple(entries))
+        self.stored = m.PersistentState(snapshot, write.term, write.vote, tuple(entries))
 
 
 @dataclass
 class Machine:
-    copy: m.Copy
+    copy: m.Replica
     disk: Disk
-    node: Node | None = None
+    node: RaftNode | None = None
     paused: float = 0.0  # until then it does nothing, and does not know
     life: int = 0  # of the process: what was meant for the one before is lost
     state: Any = None
     last: int = 0  # index of the last entry that its state knows of
 
 
-Make = Callable[[m.Copy, m.Stored, Timing, int, float], Node]
+Make = Callable[[m.Replica, m.PersistentState, RaftConfig, int, float], RaftNode]
 
 
 class Group:
     """A play. `make` builds each copy, so that a planted fault can take its place."""
 
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = Node) -> None:
+    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = RaftNode) -> None:
         self.random, self.make, self.now = random.Random(seed), make, 0.0
         names = [f"g{n}/1" for n in range(copies + spare)]
         self.first = m.Snapshot(0, 0, 0.0, m.Members(tuple(names[:copies])), b"")
-        self.machines = {name: Machine(name, Disk(m.Stored(self.first))) for name in names}
+        self.machines = {name: Machine(name, Disk(m.PersistentState(self.first))) for name in names}
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
-        self.cut: set[tuple[m.Copy, m.Copy]] = set()  # ordered pairs that hear nothing
-        self.leaders: dict[int, m.Copy] = {}  # by term
+        self.cut: set[tuple[m.Replica, m.Replica]] = set()  # ordered pairs that hear nothing
+        self.leaders: dict[int, m.Replica] = {}  # by term
         self.committed: dict[int, tuple[int, bytes]] = {}  # index: term, data
         self.committed_in: dict[int, int] = {}  # index: term of the one that first knew of it
         self.calls: dict[int, dict[str, Any]] = {}
@@ -96,7 +96,7 @@
         self.count += 1
         heapq.heappush(self.events, (when, self.count, what))
 
-    def start(self, copy: m.Copy) -> None:
+    def start(self, copy: m.Replica) -> None:
         one = self.machines[copy]
         if one.node is not None:
             return
@@ -106,7 +106,7 @@
         one.node = self.make(copy, one.disk.stored, self.timing, self.random.getrandbits(32), self.now)
         self.tick(copy, one.life)
 
-    def kill(self, copy: m.Copy) -> None:
+    def kill(self, copy: m.Replica) -> None:
         one = self.machines[copy]
         one.node = None
         # Of what was being written a part from the beginning is durable.
@@ -115,7 +115,7 @@
         one.disk.pending.clear()
         one.life += 1
 
-    def tick(self, copy: m.Copy, life: int) -> None:
+    def tick(self, copy: m.Replica, life: int) -> None:
         one = self.machines.get(copy)
         if one is None or one.node is None or one.life != life:
             return
@@ -129,7 +129,7 @@
         life = one.life
         self.at(self.now, lambda: self.step(one.copy, event) if one.life == life else None)
 
-    def step(self, copy: m.Copy, event: m.Event) -> None:
+    def step(self, copy: m.Replica, event: m.Event) -> None:
         one = self.machines.get(copy)
         if one is None or one.node is None:
             return
@@ -144,7 +144,8 @@
         match output:
             case m.Send(to, message):
                 self.send(one.copy, to, message)
-                if self.mood == "elections" and isinstance(message, m.Vote) and self.random.random() < 0.1:
+                voted = self.mood == "elections" and isinstance(message, m.VoteResponse)
+                if voted and self.random.random() < 0.1:
                     self.at(self.now, lambda: self.kill(one.copy) if one.copy in self.machines else None)
                     self.at(self.now + 0.05, lambda: self.move("start"))
             case m.Write():
@@ -154,14 +155,14 @@
                 self.at(self.now + delay, lambda: self.written(one, output.number, life))
             case m.Apply(entry, call):
                 self.applied(one, entry, call)
-            case m.Install(snapshot):
+            case m.RestoreSnapshot(snapshot):
                 self.installs += 1
                 one.state, one.last = self.thaw(snapshot.data), snapshot.index
-            case m.Answer():
+            case m.RequestResult():
                 self.answered(one, output)
-            case m.WantSnapshot(index):
-                self.later(one, m.Snapped(index, self.freeze(one.state)))
-            case m.Role(role, term, _, _) if role == "leader":
+            case m.CreateSnapshot(index):
+                self.later(one, m.SnapshotCreated(index, self.freeze(one.state)))
+            case m.RoleChanged(role, term, _, _) if role == "leader":
                 self.elections += 1
                 if self.leaders.setdefault(term, one.copy) != one.copy:
                     raise Broken(f"two leaders in term {term}: {self.leaders[term]} and {one.copy}")
@@ -172,18 +173,18 @@
             return
         while one.disk.pending and one.disk.pending[0].number <= number:
             one.disk.apply(one.disk.pending.pop(0))
-        self.step(one.copy, m.Written(number))
+        self.step(one.copy, m.WriteCompleted(number))
 
-    def send(self, sender: m.Copy, to: m.Copy, message: m.Message) -> None:
+    def send(self, sender: m.Replica, to: m.Replica, message: m.Message) -> None:
         if (sender, to) in self.cut or to not in self.machines or self.random.random() < self.lossy:
             return
         for _ in range(2 if self.random.random() < self.lossy / 4 else 1):
             delay = self.random.uniform(0.001, 0.02) if self.random.random() > self.lossy else 0.4
             self.at(self.now + delay, lambda: self.arrive(sender, to, message))
 
-    def arrive(self, sender: m.Copy, to: m.Copy, message: m.Message) -> None:
+    def arrive(self, sender: m.Replica, to: m.Replica, message: m.Message) -> None:
         if (sender, to) not in self.cut and to in self.machines:
-            self.step(to, m.Heard(sender, message))
+            self.step(to, m.MessageReceived(sender, message))
 
     # What must hold
 
@@ -216,7 +217,7 @@
         if entry.data:
             one.state.append(entry.data)
 
-    def answered(self, one: Machine, answer: m.Answer) -> None:
+    def answered(self, one: Machine, answer: m.RequestResult) -> None:
         call = self.calls.pop(answer.call, None)
         if call is None or answer.how != "read":
             return
@@ -258,7 +259,7 @@
         number = self.next_call
         if self.random.random() < 0.3:
             self.calls[number] = {"data": None, "known": self.acknowledged}
-            self.step(one.copy, m.Read(number))
+            self.step(one.copy, m.ReadRequest(number))
         else:
             data = b"op%d" % number
             self.calls[number] = {"data": data, "known": 0}
@@ -278,7 +279,7 @@
                 "out": set(members.voters)}  # fmt: skip
         if fits[how]:
             copy = self.random.choice(sorted(fits[how]))
-            self.step(leader.copy, m.Change(self.next_call, how, copy))
+            self.step(leader.copy, m.ChangeMembership(self.next_call, how, copy))
 
     def move(self, what: str) -> None:
         names = list(self.machines)
@@ -310,7 +311,7 @@
             case "wipe":
                 self.wipe(one)
             case "transfer":
-                self.step(one.copy, m.Transfer())
+                self.step(one.copy, m.TransferLeadership())
             case "slow_disk":
                 one.disk.delay = self.random.choice([0.001, 0.005, 0.1, 0.5])
             case "add":
@@ -330,13 +331,13 @@
         self.incarnations += 1
         del self.machines[one.copy]
         copy = f"{m.gateway_of(one.copy)}/{self.incarnations}"
-        self.machines[copy] = Machine(copy, Disk(m.Stored(self.first_of_newcomer())))
+        self.machines[copy] = Machine(copy, Disk(m.PersistentState(self.first_of_newcomer())))
         self.start(copy)
 
     def first_of_newcomer(self) -> m.Snapshot:
         return m.Snapshot(0, 0, 0.0, m.Members(()), b"")
 
-    def whole(self, without: m.Copy = "") -> bool:
+    def whole(self, without: m.Replica = "") -> bool:
         """Does every membership that some copy goes by have a majority of voters with their disks?"""
         stored = [one.disk.stored for one in self.machines.values()]
         known = {e.members for one in stored for e in one.entries} | {one.snapshot.members for one in stored}
--- a/mapleshunt/simulation/copies_fleet.py
+++ b/mapleshunt/simulation/copies_fleet.py
@@ -23,14 +23,14 @@
 from ..replicated_state.leases import Action, Ask, Leaser, Use
 from ..replicated_state.state_machine import Holdings
 from ..replication import messages as m
-from ..replication.node import Node, Timing
-from ..replication.placement import group_of, place
+from ..replication.node import RaftConfig, RaftNode
+from ..replication.placement import group_of_customer, place_replicas
 from .copies import Disk
 from .day import Day, Scenario
 from .engine import Engine
 
 GROUPS, SIZE = 64, 3
-TIMING = Timing()
+TIMING = RaftConfig()
 DISK = 2.0  # ms until a write is durable
 LEASE_TERM, LONGEST, HOLD = 2000.0, 10_000.0, 100.0  # as net/leases.py has them
 EVERY = 50.0  # between two looks at what leases are due
@@ -45,10 +45,10 @@
 
     group: int
     gateway: int
-    name: m.Copy
+    name: m.Replica
     disk: Disk
     holdings: Holdings = field(default_factory=Holdings)
-    node: Node | None = None
+    node: RaftNode | None = None
     life: int = 0
     due: float = float("inf")
 
@@ -149,7 +149,7 @@
                 self.propose(action)
 
     def propose(self, ask: Ask) -> None:
-        group = group_of(ask.customer, GROUPS)
+        group = group_of_customer(ask.customer, GROUPS)
         session = f"{self.number}.{self.epoch}.{group}"
         if group not in self.sessions:
             self.sessions[group] = 0
@@ -204,12 +204,12 @@
         fleet = {f"g{n}": f"z{n % 3}" for n in range(len(self.gateways))}
         numbers = {name: number for number, name in enumerate(fleet)}
         for group in range(GROUPS):
-            names = place(group, fleet, SIZE)
+            names = place_replicas(group, fleet, SIZE)
             first = m.Snapshot(1, 1, 0.0, m.Members(tuple(f"{name}/1" for name in names)), b"")
             self.holders.append([numbers[name] for name in names])
             for name in names:
                 self.copies[group, numbers[name]] = Copy(
-                    group, numbers[name], f"{name}/1", Disk(m.Stored(first, 1))
+                    group, numbers[name], f"{name}/1", Disk(m.PersistentState(first, 1))
                 )
         self.ready = True
         for number in range(len(self.gateways)):
@@ -225,7 +225,7 @@
                 one.holdings = Holdings()
                 one.holdings.thaw(one.disk.stored.snapshot.data)
                 seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
-                one.node = Node(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
+                one.node = RaftNode(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
         self.leasing[number] = Leasing(self, number)
 
@@ -273,25 +273,25 @@
             case m.Apply(entry, call):
                 result: w.Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else w.Done()
                 self._reply(one, call, result, "")
-            case m.Answer(call, _, _, hint):
+            case m.RequestResult(call, _, _, hint):
                 self._reply(one, call, None, hint)
-            case m.Install(snapshot):
+            case m.RestoreSnapshot(snapshot):
                 one.holdings.thaw(snapshot.data)
-            case m.WantSnapshot(index):
+            case m.CreateSnapshot(index):
                 data = msgspec.msgpack.encode(one.holdings.freeze())
                 self.agenda.at(self.agenda.now, self._snapped, one, one.life, index, data)
-            case m.Role(role, _, _, _) if role == "leader":
+            case m.RoleChanged(role, _, _, _) if role == "leader":
                 self.elections += 1
 
     def _snapped(self, one: Copy, life: int, index: int, data: bytes) -> None:
         if one.life == life:
-            self._step(one, m.Snapped(index, data))
+            self._step(one, m.SnapshotCreated(index, data))
 
     def _written(self, one: Copy, number: int, life: int) -> None:
         if one.life == life:
             while one.disk.pending and one.disk.pending[0].number <= number:
                 one.disk.apply(one.disk.pending.pop(0))
-            self._step(one, m.Written(number))
+            self._step(one, m.WriteCompleted(number))
 
     # Wires
 
@@ -320,7 +320,7 @@
         for group, message in messages:
             one = self.copies.get((group, b))
             if one is not None:
-                self._step(one, m.Heard(self.copies[group, a].name, message))
+                self._step(one, m.MessageReceived(self.copies[group, a].name, message))
 
     # Calls
 
@@ -353,7 +353,7 @@
         self.calls[number] = (call, at)
         self._step(one, m.Propose(number, call.command))
 
-    def _reply(self, one: Copy, number: int | None, result: w.Result | None, hint: m.Copy) -> None:
+    def _reply(self, one: Copy, number: int | None, result: w.Result | None, hint: m.Replica) -> None:
         if number is None or number not in self.calls:
             return
         call, _ = self.calls.pop(number)
--- a/mapleshunt/simulation/copies_promises.py
+++ b/mapleshunt/simulation/copies_promises.py
@@ -13,7 +13,7 @@
 from ..replicated_state.state_machine import Frozen, Holdings
 from ..replication import messages as m
 from ..replication.messages import gateway_of
-from ..replication.node import Node
+from ..replication.node import RaftNode
 from .copies import Broken, Group, Machine, Make, verdict
 from .promises import Event, broken
 
@@ -26,7 +26,7 @@
 class Promises(Group):
     holdings: type[Holdings] = Holdings
 
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = Node) -> None:
+    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = RaftNode) -> None:
         super().__init__(seed, copies, spare, make)
         self.history: list[Event] = []
         self.open: dict[str, Event] = {}  # what each session waits for
@@ -119,7 +119,7 @@
     holdings = Forgetful
 
 
-class JumpedClock(Node):
+class JumpedClock(RaftNode):
     """Entries are stamped by a wall clock, which jumps ahead at one copy in two now and then."""
 
     def _stamp(self, now: float) -> float:
@@ -145,14 +145,14 @@
     holdings = NoSessions
 
 
-PLANTS: dict[str, tuple[type[Promises], type[Node]]] = {
-    "SnapshotWithoutSessions": (SnapshotWithoutSessions, Node),
-    "DoneAgain": (DoneAgain, Node),
+PLANTS: dict[str, tuple[type[Promises], type[RaftNode]]] = {
+    "SnapshotWithoutSessions": (SnapshotWithoutSessions, RaftNode),
+    "DoneAgain": (DoneAgain, RaftNode),
     "JumpedClock": (Promises, JumpedClock),
 }
 
 
 def play(seed: int, plant: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    kind, make = PLANTS.get(plant, (Promises, Node))
+    kind, make = PLANTS.get(plant, (Promises, RaftNode))
     return verdict(kind, seed, make)
--- a/mapleshunt/storage/durable_store.py
+++ b/mapleshunt/storage/durable_store.py
@@ -27,7 +27,7 @@
 from .read_errors import ReadErrorVFS
 
 FORMAT = 1
-NAME = "copies.db"
+FILE_NAME = "copies.db"
 BUSY = 200  # ms to wait for another process to let go
 ENTRY: msgspec.msgpack.Decoder[m.Entry] = msgspec.msgpack.Decoder(m.Entry)
 SNAPSHOT: msgspec.msgpack.Decoder[m.Snapshot] = msgspec.msgpack.Decoder(m.Snapshot)
@@ -45,20 +45,20 @@
     """The store cannot be used, and must not be touched; its text is for the operator."""
 
 
-class StoreInUse(StoreError):
+class StoreInUseError(StoreError):
     """Another process has the store open."""
 
 
-class StoreUnavailable(Exception):
+class StoreUnavailableError(Exception):
     """The store cannot be opened now, and may be later: the disk is full, or a call failed."""
 
 
-class Damaged(Exception):
+class StoreDamagedError(Exception):
     """What the store holds is not whole."""
 
 
 # What opening and checking a store raises if its content is damaged, or if a read of it failed.
-DAMAGE = (Damaged, ValueError, TypeError, apsw.CorruptError, apsw.NotADBError)
+DAMAGE = (StoreDamagedError, ValueError, TypeError, apsw.CorruptError, apsw.NotADBError)
 # Errors that may pass by themselves. All others are the fault of the configuration.
 # A corrupt database stands here too: behind the check of the whole content it is a read that failed.
 PASSING_SQLITE_ERRORS = (apsw.FullError, apsw.IOError, apsw.NoMemError, apsw.CorruptError)
@@ -86,14 +86,14 @@
     return ((boot >> 32) + 1) << 32 | secrets.randbits(32)
 
 
-class Disk:
+class DurableStore:
     """Open and checked. Its methods block: the writer's thread calls `commit`."""
 
     def __init__(self, folder: Path, fleet: str, name: str, vfs: str | None = None) -> None:
         """Raises `StoreError`: another fleet's, another gateway's or a newer format's, in use, or a folder
-        that cannot be written to. Raises `StoreUnavailable` where another attempt may succeed.
+        that cannot be written to. Raises `StoreUnavailableError` where another attempt may succeed.
         """
-        self.folder, self.path, self.vfs = folder, folder / NAME, vfs
+        self.folder, self.path, self.vfs = folder, folder / FILE_NAME, vfs
         self.set_aside = ""  # where a damaged one went
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -102,9 +102,9 @@
         except BaseException as error:
             self._close_after_failure()
             if isinstance(error, apsw.BusyError):
-                raise StoreInUse(f"{self.path} is in use by another process") from None
+                raise StoreInUseError(f"{self.path} is in use by another process") from None
             if isinstance(error, (OSError, apsw.Error, MemoryError)):
-                kind = StoreUnavailable if may_succeed_later(error) else StoreError
+                kind = StoreUnavailableError if may_succeed_later(error) else StoreError
                 raise kind(f"{self.path} cannot be used: {error}") from None
             raise
 
@@ -152,7 +152,7 @@
             self.loaded = {}
 
     def _damage(self, fleet: str, name: str) -> str | None:
-        """What is wrong with the store's content; None if it is whole. Raises `StoreUnavailable` if a read
+        """What is wrong with the store's content; None if it is whole. Raises `StoreUnavailableError` if a read
         failed: what cannot be read is not damaged.
         """
         reads = ReadErrorVFS(self.vfs or "")
@@ -162,7 +162,7 @@
             return None
         except DAMAGE as error:
             if reads.failed:
-                raise StoreUnavailable(f"{self.path} cannot be read: {error}") from None
+                raise StoreUnavailableError(f"{self.path} cannot be read: {error}") from None
             return str(error)
         finally:
             self._close_after_failure()
@@ -207,7 +207,7 @@
             if not aside.exists():
                 aside.mkdir()
                 break
-        for file in list(self.folder.glob(NAME + "*")):
+        for file in list(self.folder.glob(FILE_NAME + "*")):
             os.replace(file, aside / file.name)
         self.set_aside = f"{aside} ({why})"
 
@@ -230,46 +230,46 @@
     def _get(self, key: str) -> bytes:
         for value, sum_ in self.db.execute("select value, sum from meta where key = ?", (key,)):
             if not isinstance(value, bytes) or checksum(key, value) != sum_:
-                raise Damaged(f"the checksum of {key!r} is wrong")
+                raise StoreDamagedError(f"the checksum of {key!r} is wrong")
             return value
-        raise Damaged(f"{key!r} is missing")
+        raise StoreDamagedError(f"{key!r} is missing")
 
     def _put(self, key: str, value: bytes) -> None:
         self._run("replace into meta values (?, ?, ?)", (key, value, checksum(key, value)))
 
     # Groups
 
-    def _load_all(self) -> dict[int, m.Stored]:
+    def _load_all(self) -> dict[int, m.PersistentState]:
         groups = [row[0] for row in self.db.execute("select grp from snapshot order by grp")]
         orphans = "select 1 from log where grp not in (select grp from snapshot) limit 1"
         if list(self.db.execute(orphans)):
-            raise Damaged("entries of a group without a snapshot")
+            raise StoreDamagedError("entries of a group without a snapshot")
         return {group: self._load(group) for group in groups}
 
-    def _load(self, group: int) -> m.Stored:
+    def _load(self, group: int) -> m.PersistentState:
         ((data, sum_),) = self.db.execute("select data, sum from snapshot where grp = ?", (group,))
         if checksum("snapshot", group, data) != sum_:
-            raise Damaged(f"the checksum of group {group}'s snapshot is wrong")
+            raise StoreDamagedError(f"the checksum of group {group}'s snapshot is wrong")
         snapshot = SNAPSHOT.decode(data)
         votes = list(self.db.execute("select term, vote, sum from vote where grp = ?", (group,)))
         if len(votes) != 1 or checksum("vote", group, votes[0][0], votes[0][1]) != votes[0][2]:
-            raise Damaged(f"group {group}'s vote is missing, or its checksum is wrong")
+            raise StoreDamagedError(f"group {group}'s vote is missing, or its checksum is wrong")
         entries: list[m.Entry] = []
         for index, data, sum_ in self.db.execute(
             "select idx, data, sum from log where grp = ? order by idx", (group,)
         ):
             if checksum("log", group, index, data) != sum_:
-                raise Damaged(f"the checksum of group {group}'s entry {index} is wrong")
+                raise StoreDamagedError(f"the checksum of group {group}'s entry {index} is wrong")
             entry = ENTRY.decode(data)
             after = entries[-1].index if entries else min(snapshot.index, index - 1)
             if entry.index != index or index != after + 1 or entry.term < (entries or [entry])[-1].term:
-                raise Damaged(f"group {group}'s log has a gap or a turn at {index}")
+                raise StoreDamagedError(f"group {group}'s log has a gap or a turn at {index}")
             entries.append(entry)
-        return m.Stored(snapshot, votes[0][0], votes[0][1], tuple(entries))
+        return m.PersistentState(snapshot, votes[0][0], votes[0][1], tuple(entries))
 
-    def create(self, group: int, snapshot: m.Snapshot) -> m.Stored:
+    def create(self, group: int, snapshot: m.Snapshot) -> m.PersistentState:
         """A group that this gateway has no copy of yet."""
-        stored = m.Stored(snapshot, snapshot.term)
+        stored = m.PersistentState(snapshot, snapshot.term)
         with self._transaction():
             self._snapshot(group, snapshot)
             self._vote(group, snapshot.term, "")
@@ -284,7 +284,7 @@
             self._begin_generation(group, generation)
         self.loaded.pop(group, None)
 
-    def recover(self, group: int, generation: int, me: m.Copy) -> m.Stored:
+    def recover(self, group: int, generation: int, me: m.Replica) -> m.PersistentState:
         """Go on with what this copy holds, committed or not, as the only one that decides."""
         held = self._load(group)
         last = held.entries[-1] if held.entries else None
--- a/mapleshunt/storage/writer.py
+++ b/mapleshunt/storage/writer.py
@@ -10,7 +10,7 @@
 import apsw
 
 from ..replication import messages as m
-from .durable_store import Disk
+from .durable_store import DurableStore
 
 MOST_AT_ONCE = 512  # writes in one commit
 AGAIN = 0.5  # s after a commit that failed: the disk may have room again
@@ -19,10 +19,10 @@
 Failed = Callable[[str], None]
 
 
-class Writer:
+class StoreWriter:
     """Writes in the order they come, of all groups together."""
 
-    def __init__(self, disk: Disk, done: Done, failed: Failed) -> None:
+    def __init__(self, disk: DurableStore, done: Done, failed: Failed) -> None:
         """`failed` is told why a commit did not succeed; it is tried again until one does, or `close`."""
         self.disk, self.done, self.failed = disk, done, failed
         self.waiting: queue.SimpleQueue[tuple[int, m.Write] | Callable[[], None] | None] = queue.SimpleQueue()
--- a/mapleshunt/testbed/faulty.py
+++ b/mapleshunt/testbed/faulty.py
@@ -18,7 +18,7 @@
 from .. import __main__ as program
 from ..net.replication.group_host import GroupHost
 from ..replication import messages as m
-from ..storage.durable_store import Disk
+from ..storage.durable_store import DurableStore
 
 VARIABLE = "MAPLESHUNT_FAULTS"
 # In the order in which an operation passes them: before it is on disk, on disk and not told, told and nothing
@@ -48,16 +48,16 @@
                 os.kill(os.getpid(), signal.SIGKILL)
 
     def wrap(self) -> None:
-        commit, step, apply, wall = Disk.commit, GroupHost.step, GroupHost._apply, time.time
+        commit, step, apply, wall = DurableStore.commit, GroupHost.step, GroupHost._apply, time.time
 
-        def slow_commit(disk: Disk, writes: Any, beside: Any = None) -> None:
+        def slow_commit(disk: DurableStore, writes: Any, beside: Any = None) -> None:
             time.sleep(self.plan.slow)
             self.reach("unwritten")
             commit(disk, writes, beside)
             self.reach("written")
 
         def told(host: GroupHost, event: m.Event) -> None:
-            if isinstance(event, m.Written):
+            if isinstance(event, m.WriteCompleted):
                 self.reach("durable")
                 step(host, event)
                 self.reach("said")
@@ -71,7 +71,7 @@
             if call is not None:
                 self.reach("answered")
 
-        Disk.commit = slow_commit  # type: ignore[method-assign, assignment]
+        DurableStore.commit = slow_commit  # type: ignore[method-assign, assignment]
         GroupHost.step = told  # type: ignore[method-assign, assignment]
         GroupHost._apply = applied  # type: ignore[method-assign, assignment]
         time.time = lambda: wall() + self.plan.clock
--- a/mapleshunt/testbed/workload_clients.py
+++ b/mapleshunt/testbed/workload_clients.py
@@ -31,13 +31,17 @@
     async def open(cls, where: Address, fleet: str) -> Line:
         reader, writer = await asyncio.open_connection(*where)
         line = cls(reader, writer)
-        writer.write(wire.encode(wire.Hello(fleet, wire.LOWEST, wire.HIGHEST, "client", "", 0, {}, 0)))
-        await line.next(wire.Hello)
+        writer.write(
+            wire.encode_frame(
+                wire.Handshake(fleet, wire.MIN_VERSION, wire.MAX_VERSION, "client", "", 0, {}, 0)
+            )
+        )
+        await line.next(wire.Handshake)
         return line
 
     async def next(self, kind: type[Any]) -> Any:
         while True:
-            while found := wire.parse(self.data, 0, len(self.data)):
+            while found := wire.decode_frame(self.data, 0, len(self.data)):
                 self.data = self.data[found[1] :]
                 if isinstance(found[0], kind):
                     return found[0]
@@ -50,14 +54,16 @@
         self.writer.close()
 
 
-async def ask(where: Address, fleet: str, what: str, group: int = -1, copy: str = "") -> wire.Reply | None:
+async def ask(
+    where: Address, fleet: str, what: str, group: int = -1, copy: str = ""
+) -> wire.ClientResponse | None:
     """An operator's question; None if nobody answers."""
-    with contextlib.suppress(OSError, TimeoutError, wire.Strange):
+    with contextlib.suppress(OSError, TimeoutError, wire.ProtocolError):
         async with asyncio.timeout(PATIENCE):
             line = await Line.open(where, fleet)
             try:
-                line.writer.write(wire.encode(wire.Ask(1, what, group, copy)))
-                reply: wire.Reply = await line.next(wire.Reply)
+                line.writer.write(wire.encode_frame(wire.AdminRequest(1, what, group, copy)))
+                reply: wire.ClientResponse = await line.next(wire.ClientResponse)
                 return reply
             finally:
                 line.close()
@@ -92,17 +98,17 @@
         self.at = chance.choice(list(gateways))
         self.repeats = 0
 
-    async def _once(self, call: wire.Call) -> wire.Reply | None:
+    async def _once(self, call: wire.ClientRequest) -> wire.ClientResponse | None:
         try:
             async with asyncio.timeout(PATIENCE):
                 if self.line is None:
                     self.line = await Line.open(self.gateways[self.at], self.fleet)
-                self.line.writer.write(wire.encode(call))
+                self.line.writer.write(wire.encode_frame(call))
                 while True:
-                    reply: wire.Reply = await self.line.next(wire.Reply)
+                    reply: wire.ClientResponse = await self.line.next(wire.ClientResponse)
                     if reply.number == call.number:
                         return reply
-        except (OSError, TimeoutError, wire.Strange):
+        except (OSError, TimeoutError, wire.ProtocolError):
             self._leave()
             return None
 
@@ -112,7 +118,7 @@
         self.line = None
         self.at = self.chance.choice(list(self.gateways))
 
-    async def _until(self, make: Callable[[int], wire.Call]) -> bytes:
+    async def _until(self, make: Callable[[int], wire.ClientRequest]) -> bytes:
         """Call until it is done: the same operation by the same number, wherever it goes."""
         number = 0
         while True:
@@ -135,7 +141,7 @@
         data = words.ENCODE(command)
         event = Event(self.name, mine, operation, self.now())
         self.history.append(event)
-        result = words.RESULT(await self._until(lambda n: wire.Call(n, self.group, data)))
+        result = words.RESULT(await self._until(lambda n: wire.ClientRequest(n, self.group, data)))
         event.result, event.ended = result, self.now()
         return result
 
@@ -144,7 +150,7 @@
         self.number += 1
         event = Event(self.name, self.number, f"{kind} {name}", self.now())
         self.history.append(event)
-        data = await self._until(lambda n: wire.Call(n, self.group, read=f"{kind} {name}"))
+        data = await self._until(lambda n: wire.ClientRequest(n, self.group, read=f"{kind} {name}"))
         found = msgspec.msgpack.decode(data, type=type or (StoreState if kind == "store" else Record) | None)
         event.result, event.ended = found, self.now()
         return found
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mapleshunt.replication import messages as m
-from mapleshunt.replication.node import Node, Timing
+from mapleshunt.replication.node import RaftConfig, RaftNode
 from mapleshunt.simulation.copies import Group
 from mapleshunt.simulation.copies_faults import NODES, play
 
@@ -47,40 +47,40 @@
     assert story(5) == story(5) and story(5) != story(6)
 
 
-def figure_8(make: type[Node]) -> list[bytes]:
+def figure_8(make: type[RaftNode]) -> list[bytes]:
     """The thesis' figure 3.7 (in the paper, 8): what the first copy applies once its entry of term 2 is
     on three of five. One that leads term 3 elsewhere could still replace it.
     """
     names = tuple(f"{name}/1" for name in "abcde")
     first = m.Snapshot(0, 0, 0.0, m.Members(names), b"")
     mine = m.Entry(1, 2, 0.0, b"of term 2")
-    leader = make("a/1", m.Stored(first, 3, "", (mine,)), Timing(batch=1), 1, 0.0)
+    leader = make("a/1", m.PersistentState(first, 3, "", (mine,)), RaftConfig(batch=1), 1, 0.0)
     done = finish(leader, 5.0, leader.step(5.0, m.Tick()))
     for name in names[1:3]:
-        done += finish(leader, 5.0, leader.step(5.0, m.Heard(name, m.Vote(4, True, True))))
+        done += finish(leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, True))))
     for name in names[1:3]:
-        done += finish(leader, 5.0, leader.step(5.0, m.Heard(name, m.Vote(4, True, False))))
+        done += finish(leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, False))))
     assert leader.role == "leader" and leader.term == 4
     for name in names[1:3]:  # they have the older entry, and not yet that of this term
-        done += leader.step(5.1, m.Heard(name, m.Appended(4, True, 1, 1)))
+        done += leader.step(5.1, m.MessageReceived(name, m.AppendEntriesResponse(4, True, 1, 1)))
     return [one.entry.data for one in done if isinstance(one, m.Apply)]
 
 
 def test_an_older_terms_entry_is_not_committed_by_count() -> None:
-    assert figure_8(Node) == []
+    assert figure_8(RaftNode) == []
     assert figure_8(NODES["OlderTermByCount"]) == [b"of term 2"]
 
 
-def alone() -> Node:
-    stored = m.Stored(m.Snapshot(0, 0, 0.0, m.Members(("a/1",)), b""))
-    return Node("a/1", stored, Timing(), 1, 0.0)
+def alone() -> RaftNode:
+    stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1",)), b""))
+    return RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
 
 
-def finish(node: Node, now: float, outputs: list[m.Output]) -> list[m.Output]:
+def finish(node: RaftNode, now: float, outputs: list[m.Output]) -> list[m.Output]:
     """Carry out the writes, and what they lead to."""
     done = list(outputs)
     while writes := [one for one in outputs if isinstance(one, m.Write)]:
-        outputs = node.step(now, m.Written(writes[-1].number))
+        outputs = node.step(now, m.WriteCompleted(writes[-1].number))
         done += outputs
     return done
 
@@ -93,7 +93,7 @@
     assert not [one for one in asked if isinstance(one, m.Apply)]  # not before it is durable
     applied = [one for one in finish(node, 5.2, asked) if isinstance(one, m.Apply)]
     assert [(one.entry.data, one.call) for one in applied] == [(b"x", 7)]
-    assert m.Answer(8, "read", node.commit) in node.step(5.3, m.Read(8))
+    assert m.RequestResult(8, "read", node.commit) in node.step(5.3, m.ReadRequest(8))
 
 
 def test_the_logs_time_neither_goes_back_nor_runs_ahead_of_what_passed() -> None:
@@ -104,7 +104,9 @@
         finish(node, now, node.step(now, m.Propose(1, b"x")))
         stamps.append(node.last_stamp())
     assert stamps == pytest.approx([1000.0, 1500.0, 4000.0])
-    again = Node("a/1", m.Stored(node.snapshot, node.term, node.vote, tuple(node.log)), Timing(), 1, 500.0)
+    again = RaftNode(
+        "a/1", m.PersistentState(node.snapshot, node.term, node.vote, tuple(node.log)), RaftConfig(), 1, 500.0
+    )
     finish(again, 505.0, again.step(505.0, m.Tick()))
     finish(again, 505.5, again.step(505.5, m.Propose(1, b"x")))
     assert again.last_stamp() == pytest.approx(4500.0)  # while nobody led, it stood
@@ -113,14 +115,16 @@
 def test_a_leader_whose_disk_takes_no_more_hands_over() -> None:
     """The word to campaign waited for its writes, which never came to an end: nobody else led for 20 s."""
     names = ("a/1", "b/1", "c/1")
-    node = Node("a/1", m.Stored(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), Timing(), 1, 0.0)
+    node = RaftNode(
+        "a/1", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), RaftConfig(), 1, 0.0
+    )
     finish(node, 5.0, node.step(5.0, m.Tick()))
-    finish(node, 5.0, node.step(5.0, m.Heard("b/1", m.Vote(1, True, True))))
-    finish(node, 5.0, node.step(5.0, m.Heard("b/1", m.Vote(1, True, False))))
+    finish(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, True))))
+    finish(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, False))))
     assert node.role == "leader"
     node.step(5.1, m.Propose(1, b"x"))  # not written
-    node.step(5.2, m.Heard("b/1", m.Appended(1, True, 2, 1)))
-    assert m.Send("b/1", m.TimeoutNow(1)) in node.step(5.3, m.Transfer())
+    node.step(5.2, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 2, 1)))
+    assert m.Send("b/1", m.TimeoutNow(1)) in node.step(5.3, m.TransferLeadership())
 
 
 def test_nobody_leads_a_term_that_is_not_on_its_own_disk() -> None:
@@ -128,42 +132,46 @@
     with another entry in the same place.
     """
     names = tuple(f"{name}/1" for name in "abcde")
-    node = Node("a/1", m.Stored(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), Timing(), 1, 0.0)
+    node = RaftNode(
+        "a/1", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), RaftConfig(), 1, 0.0
+    )
     node.step(5.0, m.Tick())
     for pre in True, False:
         for name in names[1:4]:
-            node.step(5.0, m.Heard(name, m.Vote(1, True, pre)))
+            node.step(5.0, m.MessageReceived(name, m.VoteResponse(1, True, pre)))
     assert node.role == "candidate" and node.term == 1
-    node.step(5.1, m.Written(node.numbered))
+    node.step(5.1, m.WriteCompleted(node.numbered))
     assert node.role == "leader"
 
 
 def test_one_that_never_was_a_member_does_not_campaign() -> None:
-    node = Node("b/2", m.Stored(m.Snapshot(0, 0, 0.0, m.Members(()), b"")), Timing(), 1, 0.0)
+    node = RaftNode("b/2", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(()), b"")), RaftConfig(), 1, 0.0)
     assert node.step(100.0, m.Tick()) == [] and node.role == "follower" and node.term == 0
 
 
 def test_what_waits_for_a_disk_that_takes_nothing_stays_bounded() -> None:
     """A follower whose writes fail for an hour hears a heartbeat five times a second, in each group."""
-    stored = m.Stored(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
-    node = Node("a/1", stored, Timing(), 1, 0.0)
+    stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
+    node = RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
     entry = m.Entry(1, 1, 0.0, b"x")
-    node.step(0.0, m.Heard("b/1", m.Append(1, 0, 0, (entry,), 0, 1)))
+    node.step(0.0, m.MessageReceived("b/1", m.AppendEntries(1, 0, 0, (entry,), 0, 1)))
     rounds = 18_000
     for number in range(rounds):
-        node.step(0.2 * number, m.Heard("b/1", m.Append(1, 1, 1, (), 0, number)))
+        node.step(0.2 * number, m.MessageReceived("b/1", m.AppendEntries(1, 1, 1, (), 0, number)))
     assert len(node.held) < 10
-    sent = [one.message for one in finish(node, 4000.0, node.step(4000.0, m.Written(node.numbered)))
+    sent = [one.message for one in finish(node, 4000.0, node.step(4000.0, m.WriteCompleted(node.numbered)))
             if isinstance(one, m.Send)]  # fmt: skip
-    assert m.Appended(1, True, 1, rounds - 1) in sent
+    assert m.AppendEntriesResponse(1, True, 1, rounds - 1) in sent
 
 
 def test_one_that_campaigns_without_a_disk_holds_back_a_bounded_number_of_messages() -> None:
-    stored = m.Stored(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
-    node = Node("a/1", stored, Timing(), 1, 0.0)
+    stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
+    node = RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
     for number in range(5000):
         sent = node.step(2.0 * number, m.Tick())
-        asked = [one.message for one in sent if isinstance(one, m.Send) and isinstance(one.message, m.Ask)]
+        asked = [
+            one.message for one in sent if isinstance(one, m.Send) and isinstance(one.message, m.VoteRequest)
+        ]
         for ask in asked:  # the others hear no leader either
-            node.step(2.0 * number, m.Heard("b/1", m.Vote(ask.term, True, ask.pre)))
+            node.step(2.0 * number, m.MessageReceived("b/1", m.VoteResponse(ask.term, True, ask.pre)))
     assert len(node.held) < 10
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -22,7 +22,7 @@
 
     def __init__(self, copies: list[Copies], missing: str) -> None:
         voters = (*(one.me for one in copies), missing)
-        stored = m.Stored(m.Snapshot(1, 1, 0.0, m.Members(voters), b""), term=1)
+        stored = m.PersistentState(m.Snapshot(1, 1, 0.0, m.Members(voters), b""), term=1)
         self.nodes = {one.me: GroupHost(one, 0, stored).node for one in copies}
         self.start = max(one.deadline for one in self.nodes.values()) - 2 * copies[0].timing.election
         self.events: list[tuple[float, int, str, m.Event]] = []
@@ -41,9 +41,9 @@
             for output in node.step(now, event):
                 match output:
                     case m.Send(to, message) if to in self.nodes:
-                        self.put(now + MESSAGE_DELAY_S, to, m.Heard(name, message))
+                        self.put(now + MESSAGE_DELAY_S, to, m.MessageReceived(name, message))
                     case m.Write():
-                        self.put(now + MESSAGE_DELAY_S, name, m.Written(output.number))
+                        self.put(now + MESSAGE_DELAY_S, name, m.WriteCompleted(output.number))
             if node.role == "leader":
                 return name
             if isinstance(event, m.Tick):
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -21,8 +21,8 @@
 from mapleshunt.__main__ import Program
 from mapleshunt.net import config
 from mapleshunt.replication import messages as m
-from mapleshunt.storage.durable_store import Damaged, Disk
-from mapleshunt.storage.writer import Writer
+from mapleshunt.storage.durable_store import DurableStore, StoreDamagedError
+from mapleshunt.storage.writer import StoreWriter
 from mapleshunt.testbed.syscall_faults import FaultControl, FaultRates, build
 
 from .processes import EXAMPLE, ROOT, free_port
@@ -32,11 +32,11 @@
 OPEN_AGAIN_AND_AGAIN = f"""
 import json, sys
 from pathlib import Path
-from mapleshunt.storage.disk import Disk
+from mapleshunt.storage.durable_store import DurableStore
 opened, failed = [], []
 for _ in range({OPENS}):
     try:
-        disk = Disk(Path(sys.argv[1]), "fleet", "a")
+        disk = DurableStore(Path(sys.argv[1]), "fleet", "a")
     except Exception as error:
         failed.append(type(error).__name__)
     else:
@@ -47,8 +47,8 @@
 OPEN_ONCE = """
 import sys
 from pathlib import Path
-from mapleshunt.storage.disk import Disk
-Disk(Path(sys.argv[1]), "fleet", "a")
+from mapleshunt.storage.durable_store import DurableStore
+DurableStore(Path(sys.argv[1]), "fleet", "a")
 """
 
 
@@ -58,10 +58,10 @@
 import sys, threading, time
 from pathlib import Path
 from mapleshunt.copies import messages as m
-from mapleshunt.storage.disk import Disk
+from mapleshunt.storage.durable_store import DurableStore
 
 def write():
-    disk = Disk(Path(sys.argv[1]), "fleet", "a")
+    disk = DurableStore(Path(sys.argv[1]), "fleet", "a")
     disk.commit([(3, m.Write(9, 9, ""))])
     disk.know({"b": 1 << 32}, 1)
     disk.close()
@@ -102,7 +102,7 @@
     assert control.counts()["disk_read"] > OPENS / 4
     assert not list((tmp_path / "store").glob("damaged-*"))
     assert all(one == [incarnation, 5, ""] for one in opened), opened
-    assert opened and set(failed) <= {"StoreUnavailable"}, failed
+    assert opened and set(failed) <= {"StoreUnavailableError"}, failed
 
 
 class FailingDisk:
@@ -144,7 +144,7 @@
     # and a generation that could not be written were given up: the copy stood still until its next start.
     disk, finished = FailingDisk(2), threading.Event()
     told: list[str] = []
-    writer = Writer(disk, lambda done: None, told.append)  # type: ignore[arg-type]
+    writer = StoreWriter(disk, lambda done: None, told.append)  # type: ignore[arg-type]
 
     def create() -> None:
         disk.do("create")
@@ -168,10 +168,10 @@
     disk = filled(tmp_path)
     done: list[tuple[int, int]] = []
     failed: list[str] = []
-    writer = Writer(disk, done.extend, failed.append)
+    writer = StoreWriter(disk, done.extend, failed.append)
 
     def recover() -> None:
-        raise Damaged("the checksum is wrong")
+        raise StoreDamagedError("the checksum is wrong")
 
     writer.call(recover)
     writer.write(3, m.Write(9, 9, ""))
@@ -179,7 +179,7 @@
     while not done:
         assert time.monotonic() < end, failed
         time.sleep(0.01)
-    assert done == [(3, 9)] and failed == ["Damaged: the checksum is wrong"]
+    assert done == [(3, 9)] and failed == ["StoreDamagedError: the checksum is wrong"]
     writer.close()
     disk.close()
 
@@ -188,9 +188,9 @@
     control = FaultControl(library, tmp_path / "control", 6, tmp_path)
     control.set(FaultRates(disk=1.0))
     done = script(OPEN_ONCE, tmp_path / "store", control)
-    assert "StoreUnavailable" in done.stderr, done.stderr
+    assert "StoreUnavailableError" in done.stderr, done.stderr
     control.set(FaultRates())
-    disk = Disk(tmp_path / "store", "fleet", "a")
+    disk = DurableStore(tmp_path / "store", "fleet", "a")
     assert disk.create(3, FIRST).snapshot == FIRST and not disk.set_aside
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -23,7 +23,7 @@
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
-from mapleshunt.replication.placement import group_of, place, rank
+from mapleshunt.replication.placement import group_of_customer, place_replicas, rank_gateways
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
 from mapleshunt.testbed.faults import FAULTS, Faults, Report, plain_config
@@ -63,9 +63,9 @@
     """Half of the group speaks one version more than the other half, and goes on with it."""
     newer = tmp_path / "newer"
     shutil.copytree(ROOT / "mapleshunt", newer / "mapleshunt", ignore=shutil.ignore_patterns("__pycache__"))
-    file = newer / "mapleshunt" / "copies" / "wire.py"
-    file.write_text(file.read_text().replace("LOWEST, HIGHEST = 1, 1 ", "LOWEST, HIGHEST = 1, 2 "))
-    assert "HIGHEST = 1, 2" in file.read_text()
+    file = newer / "mapleshunt" / "replication" / "wire.py"
+    file.write_text(file.read_text().replace("MIN_VERSION, MAX_VERSION = 1, 1 ", "MIN_VERSION, MAX_VERSION = 1, 2 "))
+    assert "MAX_VERSION = 1, 2" in file.read_text()
     played = Faults(tmp_path / "play", plain_config(), 3, 7, 3, election_ms=600.0)
     first, second, third = played.machines.values()
     first.program = second.program = newer
@@ -233,72 +233,76 @@
 
 # Frames and placement
 
-HELLO = wire.Hello("f", 1, 1, "n0", "ab", 3, {"ab": 3}, 5)
-PACKET = wire.Packet(((0, m.Append(1, 2, 1, (m.Entry(3, 1, 4.0, b"x"),), 2, 7)), (1, m.TimeoutNow(4))))
+HELLO = wire.Handshake("f", 1, 1, "n0", "ab", 3, {"ab": 3}, 5)
+PACKET = wire.MessageBatch(
+    ((0, m.AppendEntries(1, 2, 1, (m.Entry(3, 1, 4.0, b"x"),), 2, 7)), (1, m.TimeoutNow(4)))
+)
 
 
 @given(st.integers(0, 200), st.binary(max_size=40))
 def test_frames_are_read_alike_in_whatever_pieces_they_come(cut: int, noise: bytes) -> None:
-    whole = bytearray(wire.encode(HELLO) + wire.encode(PACKET))
-    first = wire.parse(whole, 0, len(whole))
+    whole = bytearray(wire.encode_frame(HELLO) + wire.encode_frame(PACKET))
+    first = wire.decode_frame(whole, 0, len(whole))
     assert first is not None and first[0] == HELLO
-    assert wire.parse(whole, first[1], len(whole)) == (PACKET, len(whole))
-    part = wire.parse(whole, 0, min(cut, len(whole)))
+    assert wire.decode_frame(whole, first[1], len(whole)) == (PACKET, len(whole))
+    part = wire.decode_frame(whole, 0, min(cut, len(whole)))
     assert part is None or part == first
-    spoilt = bytearray(wire.HEAD.pack(len(noise)) + noise)
-    with contextlib.suppress(wire.Strange):
-        wire.parse(spoilt, 0, len(spoilt))
+    spoilt = bytearray(wire.FRAME_HEADER.pack(len(noise)) + noise)
+    with contextlib.suppress(wire.ProtocolError):
+        wire.decode_frame(spoilt, 0, len(spoilt))
 
 
 @pytest.mark.parametrize(
     ("hello", "said"),
     [
-        (wire.Hello("other", 1, 1, "n0", "ab", 3, {}, 0), "another fleet"),
-        (wire.Hello("f", 2, 3, "n0", "ab", 3, {}, 0), "versions 2 to 3"),
-        (wire.Hello("f", 1, 1, "n0", "ab", 3, {str(k): 1 for k in range(2000)}, 0), "knows too many"),
+        (wire.Handshake("other", 1, 1, "n0", "ab", 3, {}, 0), "another fleet"),
+        (wire.Handshake("f", 2, 3, "n0", "ab", 3, {}, 0), "versions 2 to 3"),
+        (wire.Handshake("f", 1, 1, "n0", "ab", 3, {str(k): 1 for k in range(2000)}, 0), "knows too many"),
     ],
 )
-def test_who_cannot_take_part_is_told_why(hello: wire.Hello, said: str) -> None:
-    with pytest.raises(wire.Strange, match=said):
-        wire.greeted(hello, "f")
-    wire.greeted(wire.Hello("f", 1, 2, "n0", "ab", 3, {}, 0), "f")  # the next version speaks this one too
+def test_who_cannot_take_part_is_told_why(hello: wire.Handshake, said: str) -> None:
+    with pytest.raises(wire.ProtocolError, match=said):
+        wire.check_handshake(hello, "f")
+    # The next version speaks this one too.
+    wire.check_handshake(wire.Handshake("f", 1, 2, "n0", "ab", 3, {}, 0), "f")
 
 
 def test_a_disk_that_was_put_back_is_known_by_its_boot() -> None:
     first, second, again = (1 << 32) + 5, (2 << 32) + 9, (2 << 32) + 11
-    assert not wire.is_older(second, second) and not wire.is_older(second, first)
-    assert wire.is_older(first, second) and wire.is_older(again, second) and not wire.is_older(second, 0)
-    assert wire.merged({"a": second}, {"a": again, "b": 1}) == {"a": second, "b": 1}
-    assert wire.merged({"a": first}, {"a": second}) == {"a": second}
+    assert not wire.is_store_outdated(second, second) and not wire.is_store_outdated(second, first)
+    assert wire.is_store_outdated(first, second)
+    assert wire.is_store_outdated(again, second) and not wire.is_store_outdated(second, 0)
+    assert wire.merge_known_boots({"a": second}, {"a": again, "b": 1}) == {"a": second, "b": 1}
+    assert wire.merge_known_boots({"a": first}, {"a": second}) == {"a": second}
 
 
 def test_the_boot_of_whoever_is_met_is_remembered_however_many_incarnations_are_gone() -> None:
     """Each disk that was lost leaves one behind. Without its boot a disk that is put back is not known."""
-    gone = {f"gone-{number}": 1 << 32 for number in range(2 * wire.MOST_KNOWN)}
-    known = wire.merged({}, gone)
-    known = wire.met(known, "here", 2 << 32)
-    assert known["here"] == 2 << 32 and len(known) <= wire.MOST_KNOWN
-    for number in range(wire.MOST_KNOWN // 2):
-        known = wire.met(wire.merged(known, gone), f"new-{number}", 1 << 32)
-    assert known["here"] == 2 << 32 and len(known) <= wire.MOST_KNOWN
-    assert wire.met(known, "here", 1 << 32)["here"] == 2 << 32  # its disk was put back
+    gone = {f"gone-{number}": 1 << 32 for number in range(2 * wire.MAX_KNOWN_INCARNATIONS)}
+    known = wire.merge_known_boots({}, gone)
+    known = wire.remember_boot(known, "here", 2 << 32)
+    assert known["here"] == 2 << 32 and len(known) <= wire.MAX_KNOWN_INCARNATIONS
+    for number in range(wire.MAX_KNOWN_INCARNATIONS // 2):
+        known = wire.remember_boot(wire.merge_known_boots(known, gone), f"new-{number}", 1 << 32)
+    assert known["here"] == 2 << 32 and len(known) <= wire.MAX_KNOWN_INCARNATIONS
+    assert wire.remember_boot(known, "here", 1 << 32)["here"] == 2 << 32  # its disk was put back
 
 
 def test_too_long_a_frame_is_told_from_its_head() -> None:
-    with pytest.raises(wire.Strange, match="too long"):
-        wire.parse(bytearray(wire.HEAD.pack(1 << 30)), 0, 4)
+    with pytest.raises(wire.ProtocolError, match="too long"):
+        wire.decode_frame(bytearray(wire.FRAME_HEADER.pack(1 << 30)), 0, 4)
 
 
 def test_groups_are_spread_and_few_move_when_a_gateway_goes() -> None:
     fleet = {f"g{n}": f"z{n % 3}" for n in range(12)}
-    placed = {group: list(place(group, fleet, 3)) for group in range(64)}
+    placed = {group: list(place_replicas(group, fleet, 3)) for group in range(64)}
     assert all(len({fleet[one] for one in some}) == 3 for some in placed.values())  # a zone each
     counts = [sum(name in some for some in placed.values()) for name in fleet]
     assert min(counts) >= 6 and max(counts) <= 30
     fewer = {name: zone for name, zone in fleet.items() if name != "g5"}
-    moved = [group for group, some in placed.items() if list(place(group, fewer, 3)) != some]
+    moved = [group for group, some in placed.items() if list(place_replicas(group, fewer, 3)) != some]
     assert all("g5" in placed[group] for group in moved)
-    assert set(rank(3, fleet)) == set(fleet) and 0 <= group_of("c", 64) < 64
+    assert set(rank_gateways(3, fleet)) == set(fleet) and 0 <= group_of_customer("c", 64) < 64
 
 
 def test_nothing_passes_on_a_link_that_was_greeted_as_another_incarnation() -> None:
@@ -309,8 +313,8 @@
         incarnation = "old"
         heard: list[object] = []  # noqa: RUF012
 
-        def greeting(self) -> wire.Hello:
-            return wire.Hello("f", 1, 1, "n0", self.incarnation, 3, {}, 0)
+        def greeting(self) -> wire.Handshake:
+            return wire.Handshake("f", 1, 1, "n0", self.incarnation, 3, {}, 0)
 
         def met(self, link: Link) -> None:
             self.heard.append(link.hello)
@@ -322,7 +326,7 @@
         task = asyncio.create_task(link.run())
         await asyncio.sleep(0)
         stub.incarnation = "new"
-        theirs.sendall(wire.encode(HELLO))
+        theirs.sendall(wire.encode_frame(HELLO))
         reason = await task
         assert not stub.heard
         theirs.close()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,23 +6,30 @@
 from hypothesis import strategies as st
 
 from mapleshunt.replication import messages as m
-from mapleshunt.replication.membership import Patience, Seen, Step, next_step
-from mapleshunt.replication.node import Node, Timing
-from mapleshunt.replication.pace import Pace
-from mapleshunt.replication.placement import place
-
-SIZE, PATIENCE = 3, Patience(60.0, 30.0)
+from mapleshunt.replication.membership import (
+    GatewayPresence,
+    MembershipStep,
+    ReplacementDelays,
+    next_membership_step,
+)
+from mapleshunt.replication.node import RaftConfig, RaftNode
+from mapleshunt.replication.pace import SnapshotPacer
+from mapleshunt.replication.placement import place_replicas
+
+SIZE, PATIENCE = 3, ReplacementDelays(60.0, 30.0)
 NAMES = [f"g{n}" for n in range(6)]
 ZONES = {name: f"z{n % 3}" for n, name in enumerate(NAMES)}
 
 
-def settle(members: m.Members, fleet: dict[str, Seen], away: set[str], group: int) -> list[m.Members]:
+def settle(
+    members: m.Members, fleet: dict[str, GatewayPresence], away: set[str], group: int
+) -> list[m.Members]:
     """Carry out what the leader does until it does nothing more, whoever that is then."""
     alive = {one.copy for one in fleet.values()}
     me = next(one for one in members.voters if one in alive)
     went = [members]
     for _ in range(40):
-        step = next_step(group, SIZE, me, members, fleet, away, PATIENCE, True)
+        step = next_membership_step(group, SIZE, me, members, fleet, away, PATIENCE, True)
         if step is None:
             return went
         voters = [one for one in members.voters if one != step.copy]
@@ -44,7 +51,7 @@
 
 fleets = st.fixed_dictionaries({
     name: st.builds(
-        Seen, st.just(ZONES[name]), st.sampled_from([f"{name}/1", f"{name}/1", f"{name}/2", None]),
+        GatewayPresence, st.just(ZONES[name]), st.sampled_from([f"{name}/1", f"{name}/1", f"{name}/2", None]),
         st.sampled_from([1.0, 100.0]),
     ) for name in NAMES
 })  # fmt: skip
@@ -52,9 +59,9 @@
 
 @given(fleets, st.sets(st.sampled_from(NAMES), max_size=2), st.integers(0, 63))
 def test_membership_comes_to_rest_with_none_lost_none_moved_and_never_too_few(
-    fleet: dict[str, Seen], away: set[str], group: int
+    fleet: dict[str, GatewayPresence], away: set[str], group: int
 ) -> None:
-    first = m.Members(tuple(f"{name}/1" for name in place(group, ZONES, SIZE)))
+    first = m.Members(tuple(f"{name}/1" for name in place_replicas(group, ZONES, SIZE)))
     alive = {one.copy for one in fleet.values()}
     if sum(one in alive for one in first.voters) < 2:
         return  # nobody leads
@@ -72,23 +79,25 @@
             assert name not in away and not (seen.copy is None and seen.since > PATIENCE.replace)
         assert seen.copy in (voter, None) or len(able) < SIZE
     if not away and all(one.copy is not None and one.since > PATIENCE.settle for one in fleet.values()):
-        assert kept == set(place(group, ZONES, SIZE))  # all is well: each is in its place
+        assert kept == set(place_replicas(group, ZONES, SIZE))  # all is well: each is in its place
 
 
 def test_a_copy_that_may_not_begin_waits_and_one_that_was_lost_goes_before_one_out_of_place() -> None:
-    members = m.Members(tuple(f"{name}/1" for name in place(0, ZONES, SIZE)))
+    members = m.Members(tuple(f"{name}/1" for name in place_replicas(0, ZONES, SIZE)))
     lost = m.gateway_of(members.voters[1])
-    fleet = {name: Seen(ZONES[name], f"{name}/1", 100.0) for name in NAMES}
-    fleet[lost] = Seen(ZONES[lost], f"{lost}/2", 0.0)
+    fleet = {name: GatewayPresence(ZONES[name], f"{name}/1", 100.0) for name in NAMES}
+    fleet[lost] = GatewayPresence(ZONES[lost], f"{lost}/2", 0.0)
     me = members.voters[0]
-    assert next_step(0, SIZE, me, members, fleet, set(), PATIENCE, False) is None
-    assert next_step(0, SIZE, me, members, fleet, set(), PATIENCE, True) == Step("learner", f"{lost}/2")
-    gone = fleet | {lost: Seen(ZONES[lost], None, 1.0)}
-    assert next_step(0, SIZE, me, members, gone, set(), PATIENCE, True) is None  # it may be back
+    assert next_membership_step(0, SIZE, me, members, fleet, set(), PATIENCE, False) is None
+    assert next_membership_step(0, SIZE, me, members, fleet, set(), PATIENCE, True) == MembershipStep(
+        "learner", f"{lost}/2"
+    )
+    gone = fleet | {lost: GatewayPresence(ZONES[lost], None, 1.0)}
+    assert next_membership_step(0, SIZE, me, members, gone, set(), PATIENCE, True) is None  # it may be back
 
 
 def test_pieces_go_as_fast_as_they_may_and_the_latest_of_each() -> None:
-    pace: Pace[str, int] = Pace(rate=1000.0, burst=500.0, now=0.0)
+    pace: SnapshotPacer[str, int] = SnapshotPacer(rate=1000.0, burst=500.0, now=0.0)
     for number in range(20):
         pace.offer(f"to {number}", 250, number)
     pace.offer("to 19", 250, 99)
@@ -101,16 +110,16 @@
     assert pace.take(20.0) == []
 
 
-def leader(timing: Timing) -> Node:
+def leader(timing: RaftConfig) -> RaftNode:
     """Of three: elected in term 1, its first entry committed at time 5."""
     names = ("a/1", "b/1", "c/1")
-    node = Node("a/1", m.Stored(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), timing, 1, 0.0)
+    node = RaftNode("a/1", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), timing, 1, 0.0)
     node.step(5.0, m.Tick())
-    node.step(5.0, m.Heard("b/1", m.Vote(1, True, True)))
-    node.step(5.0, m.Written(node.numbered))
-    node.step(5.0, m.Heard("b/1", m.Vote(1, True, False)))
-    node.step(5.0, m.Written(node.numbered))
-    node.step(5.0, m.Heard("b/1", m.Appended(1, True, 1, node.round)))
+    node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, True)))
+    node.step(5.0, m.WriteCompleted(node.numbered))
+    node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, False)))
+    node.step(5.0, m.WriteCompleted(node.numbered))
+    node.step(5.0, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 1, node.round)))
     assert node.role == "leader" and node.commit == 1
     return node
 
@@ -120,37 +129,38 @@
 
 
 def test_reads_that_come_while_a_round_is_out_share_the_next() -> None:
-    node = leader(Timing())
-    beats = [sent(node.step(5.01, m.Read(call)), m.Append) for call in range(10)]
+    node = leader(RaftConfig())
+    beats = [sent(node.step(5.01, m.ReadRequest(call)), m.AppendEntries) for call in range(10)]
     assert [len(one) for one in beats] == [2] + [0] * 9  # to both others, once
     first = node.round
-    out = node.step(5.02, m.Heard("b/1", m.Appended(1, True, 1, first)))
-    assert [one.call for one in out if isinstance(one, m.Answer)] == [0]
-    assert len(sent(out, m.Append)) == 2 and node.round == first + 1
-    out = node.step(5.03, m.Heard("b/1", m.Appended(1, True, 1, first)))  # of the round before: not enough
-    assert not [one for one in out if isinstance(one, m.Answer)]
-    out = node.step(5.04, m.Heard("c/1", m.Appended(1, True, 1, first + 1)))
-    assert [one.call for one in out if isinstance(one, m.Answer)] == list(range(1, 10))
+    out = node.step(5.02, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 1, first)))
+    assert [one.call for one in out if isinstance(one, m.RequestResult)] == [0]
+    assert len(sent(out, m.AppendEntries)) == 2 and node.round == first + 1
+    # Of the round before: not enough.
+    out = node.step(5.03, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 1, first)))
+    assert not [one for one in out if isinstance(one, m.RequestResult)]
+    out = node.step(5.04, m.MessageReceived("c/1", m.AppendEntriesResponse(1, True, 1, first + 1)))
+    assert [one.call for one in out if isinstance(one, m.RequestResult)] == list(range(1, 10))
 
 
 def test_one_that_is_sent_a_snapshot_hears_heartbeats_while_its_pieces_are_held_back() -> None:
-    node = leader(Timing(keep=0, compact=4, piece=10))
+    node = leader(RaftConfig(keep=0, compact=4, piece=10))
     for call in range(6):
         node.step(5.1, m.Propose(call, b"x"))
-        node.step(5.1, m.Written(node.numbered))
-        out = node.step(5.1, m.Heard("b/1", m.Appended(1, True, node.last_index(), 0)))
-        for wanted in (one for one in out if isinstance(one, m.WantSnapshot)):
-            node.step(5.1, m.Snapped(wanted.index, b"s" * 100))
-    out = node.step(5.2, m.Heard("c/1", m.Appended(1, False, 0, 0)))
-    assert len(sent(out, m.Piece)) == 1
+        node.step(5.1, m.WriteCompleted(node.numbered))
+        out = node.step(5.1, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, node.last_index(), 0)))
+        for wanted in (one for one in out if isinstance(one, m.CreateSnapshot)):
+            node.step(5.1, m.SnapshotCreated(wanted.index, b"s" * 100))
+    out = node.step(5.2, m.MessageReceived("c/1", m.AppendEntriesResponse(1, False, 0, 0)))
+    assert len(sent(out, m.SnapshotChunk)) == 1
     out = node.step(5.41, m.Tick())
-    assert {one.to for one in sent(out, m.Append)} == {"b/1", "c/1"}
-    stored = m.Stored(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
-    other = Node("c/1", stored, Timing(), 2, 5.0)
-    beat = next(one.message for one in sent(out, m.Append) if one.to == "c/1")
-    told = sent(other.step(5.5, m.Heard("a/1", beat)), m.Appended)
+    assert {one.to for one in sent(out, m.AppendEntries)} == {"b/1", "c/1"}
+    stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
+    other = RaftNode("c/1", stored, RaftConfig(), 2, 5.0)
+    beat = next(one.message for one in sent(out, m.AppendEntries) if one.to == "c/1")
+    told = sent(other.step(5.5, m.MessageReceived("a/1", beat)), m.AppendEntriesResponse)
     assert other.leader == "a/1" and not told  # held until its term is written
-    (reply,) = sent(other.step(5.5, m.Written(other.numbered)), m.Appended)
-    assert reply.message == m.Appended(1, False, 0, node.round)
-    out = node.step(5.5, m.Heard("c/1", m.Appended(1, False, 0, 0)))
+    (reply,) = sent(other.step(5.5, m.WriteCompleted(other.numbered)), m.AppendEntriesResponse)
+    assert reply.message == m.AppendEntriesResponse(1, False, 0, node.round)
+    out = node.step(5.5, m.MessageReceived("c/1", m.AppendEntriesResponse(1, False, 0, 0)))
     assert node.progress["c/1"].snapshot is not None  # it goes on
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -23,7 +23,7 @@
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
 from mapleshunt.settings import operators
-from mapleshunt.storage.durable_store import Disk, StoreUnavailable
+from mapleshunt.storage.durable_store import DurableStore, StoreUnavailableError
 from mapleshunt.testbed.faults import plain_config
 
 from .processes import free_port
@@ -70,13 +70,13 @@
         copies._older("g1", copies.disk.boot + (1 << 32))
         await until(lambda: copies.disk.incarnation != before and not copies.renewing)
         for host in copies.hosts.values():
-            host.step(m.Heard("g1/1", m.Append(7, 0, 0, (m.Entry(1, 7, 0.0, b"x"),), 0, 1)))
+            host.step(m.MessageReceived("g1/1", m.AppendEntries(7, 0, 0, (m.Entry(1, 7, 0.0, b"x"),), 0, 1)))
         commits = copies.writer.commits
         await until(lambda: not copies.hosts or copies.writer.commits > commits)
         copies.close()
 
     asyncio.run(run())
-    disk = Disk(tmp_path, FLEET, NAMES[0])
+    disk = DurableStore(tmp_path, FLEET, NAMES[0])
     assert not disk.set_aside
     disk.close()
 
@@ -88,10 +88,10 @@
     loop_went_on = threading.Event()
     attempts: list[bool] = []
 
-    def open_slowly(section: operators.Copies, name: str) -> Disk:
+    def open_slowly(section: operators.Copies, name: str) -> DurableStore:
         if not attempts:
             attempts.append(False)
-            raise StoreUnavailable("the disk is full")
+            raise StoreUnavailableError("the disk is full")
         attempts.append(loop_went_on.wait(WAIT_S))
         return open_store(section, name)
 
@@ -121,11 +121,11 @@
     def __init__(self) -> None:
         self.ours, self.theirs = socket.socketpair()
         super().__init__(cast(Any, None), IOStream(self.ours))
-        self.replies: list[wire.Reply] = []
+        self.replies: list[wire.ClientResponse] = []
 
     def write(self, frame: wire.Frame) -> None:
         super().write(frame)
-        if isinstance(frame, wire.Reply):
+        if isinstance(frame, wire.ClientResponse):
             self.replies.append(frame)
 
     def close(self) -> None:
@@ -137,9 +137,9 @@
     """Let the replica lead its group, with the votes and the word of one follower."""
     host.begun, host.node.deadline = True, 0.0
     host.step(m.Tick())
-    host.step(m.Heard(follower, m.Vote(host.node.term + 1, True, True)))
+    host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term + 1, True, True)))
     await until(lambda: host.node.written == host.node.numbered)
-    host.step(m.Heard(follower, m.Vote(host.node.term, True, False)))
+    host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term, True, False)))
     assert host.leads()
     await follow(host, follower)
 
@@ -148,7 +148,9 @@
     """The follower has all that the leader has, and says so."""
     node = host.node
     await until(lambda: node.written == node.numbered)
-    host.step(m.Heard(follower, m.Appended(node.term, True, node.last_index(), node.round)))
+    host.step(
+        m.MessageReceived(follower, m.AppendEntriesResponse(node.term, True, node.last_index(), node.round))
+    )
 
 
 def test_an_answer_that_is_too_long_to_be_sent_keeps_no_entry_from_being_applied(
@@ -162,9 +164,9 @@
         host = host_in(copies)
         await lead(host, "g1/1")
         reader, writer = Client(), Client()
-        monkeypatch.setattr(host, "_read", lambda what: bytes(2 * wire.MOST_FRAME))
-        host.called(reader, wire.Call(1, 0, read="works"))
-        host.called(writer, wire.Call(2, 0, words.ENCODE(words.Command("s", 1, 1, words.Open()))))
+        monkeypatch.setattr(host, "_read", lambda what: bytes(2 * wire.MAX_FRAME_BYTES))
+        host.called(reader, wire.ClientRequest(1, 0, read="works"))
+        host.called(writer, wire.ClientRequest(2, 0, words.ENCODE(words.Command("s", 1, 1, words.Open()))))
         with contextlib.suppress(ValueError):  # as the follower's link contains it
             await follow(host, "g1/1")
         assert "s" in host.holdings.sessions
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -35,7 +35,7 @@
     name: str = "g0"
     section: Any = field(default_factory=lambda: SimpleNamespace(groups=1))
     holdings: Holdings = field(default_factory=Holdings)
-    waiting: dict[int, Callable[[wire.Reply], None]] = field(default_factory=dict)
+    waiting: dict[int, Callable[[wire.ClientResponse], None]] = field(default_factory=dict)
     calls: dict[int, bytes] = field(default_factory=dict)  # not answered yet, the oldest first
     number: int = 0
 
@@ -45,10 +45,10 @@
     def leads(self, _: int) -> str:
         return self.name
 
-    def learn(self, group: int, reply: wire.Reply) -> None:
+    def learn(self, group: int, reply: wire.ClientResponse) -> None:
         raise AssertionError(f"group {group} refused: {reply}")
 
-    def call(self, _group: int, command: bytes, _to: str, done: Callable[[wire.Reply], None]) -> int:
+    def call(self, _group: int, command: bytes, _to: str, done: Callable[[wire.ClientResponse], None]) -> int:
         self.number += 1
         self.waiting[self.number], self.calls[self.number] = done, command
         return self.number
@@ -57,7 +57,7 @@
         """Apply a call and tell what came of it, if anybody still waits."""
         result = self.holdings.apply(1000 * time.monotonic(), self.calls.pop(number))
         if (done := self.waiting.pop(number, None)) is not None:
-            done(wire.Reply(number, "done", "", w.ENCODE(result)))
+            done(wire.ClientResponse(number, "done", "", w.ENCODE(result)))
         return result
 
     def answer_all(self) -> list[w.Result]:
@@ -222,10 +222,10 @@
 
 
 def test_calls_that_nobody_answers_are_let_go() -> None:
-    calls, replies = OwnCalls(), list[wire.Reply]()
+    calls, replies = OwnCalls(), list[wire.ClientResponse]()
     for number in range(1000):  # one a second, of which the last are still waited for
         last = calls.begin(float(number), replies.append)
     assert len(calls) <= CALL_TIMEOUT_S
-    calls.reply(wire.Reply(1, "done"))
-    calls.reply(wire.Reply(last, "done"))
+    calls.reply(wire.ClientResponse(1, "done"))
+    calls.reply(wire.ClientResponse(last, "done"))
     assert [one.number for one in replies] == [last]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from mapleshunt.replication import messages as m
-from mapleshunt.storage.durable_store import NAME, Disk, StoreError
-from mapleshunt.storage.writer import Writer
+from mapleshunt.storage.durable_store import FILE_NAME, DurableStore, StoreError
+from mapleshunt.storage.writer import StoreWriter
 
 FIRST = m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b"")
 
@@ -25,8 +25,8 @@
     return m.Entry(index, term, 10.0 * index, data)
 
 
-def filled(folder: Path, count: int = 5) -> Disk:
-    disk = Disk(folder, "fleet", "a")
+def filled(folder: Path, count: int = 5) -> DurableStore:
+    disk = DurableStore(folder, "fleet", "a")
     disk.create(3, FIRST)
     disk.commit([(3, m.Write(n, 1, "a/1", (entry(n),))) for n in range(1, count + 1)])
     return disk
@@ -37,7 +37,7 @@
     name, boot = disk.incarnation, disk.boot
     disk.commit([(3, m.Write(6, 2, "b/1", (entry(4, 2, b"y"),)))])  # replaces from there on
     disk.close()
-    again = Disk(tmp_path, "fleet", "a")
+    again = DurableStore(tmp_path, "fleet", "a")
     held = again.loaded[3]
     assert (held.term, held.vote) == (2, "b/1") and again.incarnation == name
     assert again.boot >> 32 == (boot >> 32) + 1
@@ -47,7 +47,7 @@
     whole = m.Snapshot(3, 1, 30.0, FIRST.members, b"state")
     again.commit([(3, m.Write(7, 2, "b/1", (), whole))])
     again.close()
-    third = Disk(tmp_path, "fleet", "a").loaded[3]
+    third = DurableStore(tmp_path, "fleet", "a").loaded[3]
     assert third.snapshot == whole and [one.index for one in third.entries] == [4]
 
 
@@ -57,12 +57,12 @@
     with pytest.raises(apsw.Error):
         disk.commit([(3, m.Write(6, 8, "b/1")), (3, bad)])
     disk.close()
-    held = Disk(tmp_path, "fleet", "a").loaded[3]
+    held = DurableStore(tmp_path, "fleet", "a").loaded[3]
     assert held.term == 1 and len(held.entries) == 5
 
 
 def change(folder: Path, sql: str) -> None:
-    db = apsw.Connection(str(folder / NAME))
+    db = apsw.Connection(str(folder / FILE_NAME))
     db.execute(sql)
     db.close()
 
@@ -86,9 +86,9 @@
     was = disk.incarnation
     disk.close()
     change(tmp_path, sql)
-    again = Disk(tmp_path, "fleet", "a")
+    again = DurableStore(tmp_path, "fleet", "a")
     assert again.incarnation != was and again.loaded == {} and "damaged-1" in again.set_aside
-    assert (tmp_path / "damaged-1" / NAME).exists()
+    assert (tmp_path / "damaged-1" / FILE_NAME).exists()
 
 
 @settings(derandomize=True, deadline=None, max_examples=40, suppress_health_check=list(HealthCheck))
@@ -99,11 +99,11 @@
     disk = filled(folder)
     was, before = disk.incarnation, disk.loaded | {3: None}
     disk.close()
-    with (folder / NAME).open("r+b") as file:
-        file.seek(at % os.path.getsize(folder / NAME))
+    with (folder / FILE_NAME).open("r+b") as file:
+        file.seek(at % os.path.getsize(folder / FILE_NAME))
         file.write(noise)
     try:
-        again = Disk(folder, "fleet", "a")
+        again = DurableStore(folder, "fleet", "a")
     except StoreError:  # of no fleet, or no store at all that it knows: not touched
         return
     assert before
@@ -119,14 +119,14 @@
         disk.commit([(3, m.Write(n, 1, "a/1", (entry(n),)))])
     copy = tmp_path / "copy"
     copy.mkdir()
-    for file in (tmp_path / "live").glob(NAME + "*"):  # as a machine that lost its power left it
+    for file in (tmp_path / "live").glob(FILE_NAME + "*"):  # as a machine that lost its power left it
         if not file.name.endswith("-shm"):
             shutil.copy(file, copy)
-    wal = copy / (NAME + "-wal")
+    wal = copy / (FILE_NAME + "-wal")
     with wal.open("r+b") as torn:
         torn.truncate(int(keep * wal.stat().st_size))
     disk.close()
-    again = Disk(copy, "fleet", "a")
+    again = DurableStore(copy, "fleet", "a")
     indexes = [one.index for one in again.loaded[3].entries] if again.loaded else []
     assert indexes == list(range(1, len(indexes) + 1)) and len(indexes) < 29
 
@@ -134,22 +134,22 @@
 def test_what_must_not_be_touched_is_refused_in_one_line(tmp_path: Path) -> None:
     disk = filled(tmp_path)
     with pytest.raises(StoreError, match="in use by another process"):
-        Disk(tmp_path, "fleet", "a")
+        DurableStore(tmp_path, "fleet", "a")
     disk.close()
     with pytest.raises(StoreError, match="of the fleet 'fleet', not of 'other'"):
-        Disk(tmp_path, "other", "a")
+        DurableStore(tmp_path, "other", "a")
     with pytest.raises(StoreError, match="of the name 'a', not of 'b'"):
-        Disk(tmp_path, "fleet", "b")
-    newer = Disk(tmp_path, "fleet", "a")
+        DurableStore(tmp_path, "fleet", "b")
+    newer = DurableStore(tmp_path, "fleet", "a")
     with newer.db:
         newer._put("format", b"2")
     newer.close()
     with pytest.raises(StoreError, match="newer format"):
-        Disk(tmp_path, "fleet", "a")
+        DurableStore(tmp_path, "fleet", "a")
     file = tmp_path / "file"
     file.write_text("")
     with pytest.raises(StoreError, match="cannot be used"):
-        Disk(file, "fleet", "a")
+        DurableStore(file, "fleet", "a")
 
 
 class FullVFS(apsw.VFS):
@@ -182,7 +182,7 @@
 
 
 def test_a_full_disk_acknowledges_nothing_and_goes_on_with_room(tmp_path: Path, vfs: FullVFS) -> None:
-    disk = Disk(tmp_path, "fleet", "a", vfs="full-disk")
+    disk = DurableStore(tmp_path, "fleet", "a", vfs="full-disk")
     disk.create(3, FIRST)
     done: list[tuple[int, int]] = []
     said, durable, troubled = list[str](), threading.Event(), threading.Event()
@@ -195,7 +195,7 @@
         said.append(why)
         troubled.set()
 
-    writer = Writer(disk, finished, failed)
+    writer = StoreWriter(disk, finished, failed)
     vfs.full.set()
     writer.write(3, m.Write(1, 1, "a/1", (entry(1),)))
     writer.write(3, m.Write(2, 1, "a/1", (entry(2),)))
@@ -205,7 +205,7 @@
     writer.close()
     assert done == [(3, 1), (3, 2)]
     disk.close()
-    assert len(Disk(tmp_path, "fleet", "a", vfs="full-disk").loaded[3].entries) == 2
+    assert len(DurableStore(tmp_path, "fleet", "a", vfs="full-disk").loaded[3].entries) == 2
 
 
 def test_renewed_it_holds_nothing_under_another_incarnation(tmp_path: Path) -> None:
@@ -214,6 +214,6 @@
     disk.renew()
     disk.know({"x": 4}, 5)
     disk.close()
-    again = Disk(tmp_path, "fleet", "a")
+    again = DurableStore(tmp_path, "fleet", "a")
     assert again.incarnation != was and not again.loaded and again.boot >> 32 == 2 and again.known == {"x": 4}
     assert again.formed == 5
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -32,7 +32,7 @@
 from mapleshunt.replicated_state import state_machine as state
 from mapleshunt.replication import messages as replication
 from mapleshunt.replication import wire
-from mapleshunt.storage.durable_store import NAME, Disk, StoreError
+from mapleshunt.storage.durable_store import FILE_NAME, DurableStore, StoreError
 from mapleshunt.testbed.workload_clients import Caller, ask
 
 from .processes import LONG, Gateway, free_port, toy
@@ -48,20 +48,20 @@
     "members": (replication.Members, "voters learners"),
     "entry": (replication.Entry, "index term stamp data members"),
     "snapshot": (replication.Snapshot, "index term stamp members data"),
-    "stored": (replication.Stored, "snapshot term vote entries"),
-    "vote request": (replication.Ask, "term last_index last_term pre told"),
-    "vote": (replication.Vote, "term granted pre"),
-    "append": (replication.Append, "term before before_term entries commit round"),
-    "appended": (replication.Appended, "term good index round"),
-    "snapshot part": (replication.Piece, "term index at_term stamp members offset data last round"),
-    "snapshot part taken": (replication.PieceTaken, "term index offset round"),
+    "stored": (replication.PersistentState, "snapshot term vote entries"),
+    "vote request": (replication.VoteRequest, "term last_index last_term pre told"),
+    "vote": (replication.VoteResponse, "term granted pre"),
+    "append": (replication.AppendEntries, "term before before_term entries commit round"),
+    "appended": (replication.AppendEntriesResponse, "term good index round"),
+    "snapshot part": (replication.SnapshotChunk, "term index at_term stamp members offset data last round"),
+    "snapshot part taken": (replication.SnapshotChunkAck, "term index offset round"),
     "timeout now": (replication.TimeoutNow, "term"),
     # Frames
-    "hello": (wire.Hello, "fleet lowest highest name incarnation boot known formed generations"),
-    "packet": (wire.Packet, "messages"),
-    "call": (wire.Call, "number group command read"),
-    "reply": (wire.Reply, "number how hint data"),
-    "question": (wire.Ask, "number what group copy"),
+    "hello": (wire.Handshake, "fleet lowest highest name incarnation boot known formed generations"),
+    "packet": (wire.MessageBatch, "messages"),
+    "call": (wire.ClientRequest, "number group command read"),
+    "reply": (wire.ClientResponse, "number how hint data"),
+    "question": (wire.AdminRequest, "number what group copy"),
     # Commands and their results
     "command": (words.Command, "session number answered operation"),
     "open": (words.Open, ""),
@@ -167,7 +167,7 @@
 
 
 def frame(data: bytes) -> Any:
-    found = wire.parse(bytearray(data), 0, len(data))
+    found = wire.decode_frame(bytearray(data), 0, len(data))
     assert found is not None and found[1] == len(data)
     return found[0]
 
@@ -187,7 +187,7 @@
         lambda data: gossip.decode(data.decode()),
         lambda value: gossip.encode(value.pace, value.lines, value.words).encode(),
     ),
-    "frame": Form(frame, wire.encode),
+    "frame": Form(frame, wire.encode_frame),
     "command": Form(words.DECODE, words.ENCODE),
     "result": Form(words.RESULT, words.ENCODE),
     "state": Form(thawed, msgspec.msgpack.encode),
@@ -268,13 +268,13 @@
     """A folder with a copy of the store."""
     folder = tmp_path / "store"
     folder.mkdir()
-    shutil.copy(DATA / "store" / NAME, folder / NAME)
+    shutil.copy(DATA / "store" / FILE_NAME, folder / FILE_NAME)
     return folder
 
 
 def rows(folder: Path, *tables: str) -> dict[str, list[Any]]:
     """What the tables of a store hold, beside the store's own code."""
-    db = apsw.Connection(str(folder / NAME))
+    db = apsw.Connection(str(folder / FILE_NAME))
     found = {one: list(db.execute(f"select * from {one} order by 1, 2")) for one in tables}
     db.close()
     return found
@@ -282,7 +282,7 @@
 
 def test_a_store_of_98386c1_is_loaded_with_its_values(store: Path) -> None:
     expected = VALUES["store"]
-    disk = Disk(store, FLEET, GATEWAY)
+    disk = DurableStore(store, FLEET, GATEWAY)
     assert not disk.set_aside
     assert exact(plain(disk.loaded)) == exact(expected["groups"])
     assert (disk.incarnation, disk.boot >> 32) == (expected["incarnation"], (expected["boot"] >> 32) + 1)
@@ -295,8 +295,8 @@
     """The tables, and in them the bytes and checksums, are those of 98386c1."""
     tables = "vote", "log", "snapshot", "(select name, sql from sqlite_schema)"
     before = rows(store, *tables, "meta")
-    old, other = Disk(store, FLEET, GATEWAY), tmp_path / "other"
-    new = Disk(other, FLEET, GATEWAY)
+    old, other = DurableStore(store, FLEET, GATEWAY), tmp_path / "other"
+    new = DurableStore(other, FLEET, GATEWAY)
     for group, stored in old.loaded.items():
         new.create(group, stored.snapshot)
         new.commit([(group, replication.Write(1, stored.term, stored.vote, stored.entries))])
@@ -312,15 +312,15 @@
 
 
 def test_a_store_of_a_newer_format_is_refused_by_name_and_left_as_it_was(store: Path) -> None:
-    newer = Disk(store, FLEET, GATEWAY)
+    newer = DurableStore(store, FLEET, GATEWAY)
     with newer.db:
         newer._put("format", b"2")
     newer.close()
     tables = "meta", "vote", "log", "snapshot"
     before = rows(store, *tables)
     with pytest.raises(StoreError, match="newer format"):
-        Disk(store, FLEET, GATEWAY)
-    assert rows(store, *tables) == before and [one.name for one in store.iterdir()] == [NAME]
+        DurableStore(store, FLEET, GATEWAY)
+    assert rows(store, *tables) == before and [one.name for one in store.iterdir()] == [FILE_NAME]
 
 
 def test_a_gateway_on_a_store_of_98386c1_serves_its_state(store: Path, tmp_path: Path) -> None:
