--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -30,7 +30,7 @@
 from .net.discovery.watcher import Discovery, MemberList, member_list
 from .net.gossip_transport import Peers
 from .net.periodic import Periodic
-from .net.policy_driver import Driver
+from .net.policy_driver import PolicyDriver
 from .net.protocol import resp
 from .net.startup import StartSteps
 from .net.upstream.endpoint_group import UpstreamGroup
@@ -74,7 +74,7 @@
         self.usable = max(16, self.sockets - kept)
         self.group = UpstreamGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
         self.share(1)
-        self.driver = Driver(config.settings, config.seed, self.group, self.counters)
+        self.driver = PolicyDriver(config.settings, config.seed, self.group, self.counters)
         self.service = client.Service(self.driver, self.counters, config.seed, config.max_open)
         self.service.ready = self.ready
         self.chance = random.Random(config.seed)
@@ -111,11 +111,11 @@
 
     def told(self, found: MemberList) -> None:
         kind: i.ListKind = "complete" if found.complete else "partial"
-        self.driver.feed(self.group.update(kind, found.members, self.age))
+        self.driver.apply_event(self.group.update(kind, found.members, self.age))
         self.revision = found.revision
         self.last_told = self.time()
         if found.complete or found.members:
-            log.say("members", kind=kind, revision=found.revision, entries=len(found.members))
+            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.members))
 
     def age(self, started: float) -> float:
         """For how many ms a server that the list names now, and did not name before, has been up at most.
@@ -127,7 +127,7 @@
 
     def print_counters(self) -> None:
         self.counters.print(
-            open=len(self.driver.open),
+            open=len(self.driver.open_requests),
             client_connections_now=len(self.service.connections),
             server_connections_now=len(self.group.connections),
             **self.driver.gateway.figures(self.driver.now()),
@@ -140,7 +140,7 @@
         waited = max(one.longest_wait() for one in self.acceptors)
         self.service.serve(IOStream(connection, max_write_buffer_size=self.most_unwritten), waited)
         if not self.room() and not self.service.evict_idle():
-            log.say("accepting_paused", client_connections=len(self.service.connections))
+            log.log_event("accepting_paused", client_connections=len(self.service.connections))
             self.stop_accepting()
         if not self.room():
             self.service.close_lingering(LINGERERS)
@@ -163,11 +163,11 @@
         if seconds > HELD_UP_S:
             self.counters.add("loop_held_up")
             self.counters.trace.add("process", "loop_held_up", f"{1000 * seconds:.0f} ms")
-            log.say("loop_held_up", ms=1000 * seconds)
+            log.log_event("loop_held_up", ms=1000 * seconds)
 
     def resume_accepting(self) -> None:
         if not self.accepting and self.life.accepts(self.time()) and self.room():
-            log.say("accepting_resumed", client_connections=len(self.service.connections))
+            log.log_event("accepting_resumed", client_connections=len(self.service.connections))
             self.start_accepting()
 
     def start_accepting(self) -> None:
@@ -185,7 +185,7 @@
         try:
             if self.config.known is not None:
                 known = member_list(self.config.known)
-                self.driver.feed(self.group.update("persisted", known.members, self.driver.now.age))
+                self.driver.apply_event(self.group.update("persisted", known.members, self.driver.now.age))
                 self.revision = known.revision if known.members else None
             steps = StartSteps(self.counters)
             await self._open_sockets(steps)
@@ -242,7 +242,7 @@
             self.peers = Peers(
                 config.peer_listen, config.peers, config.peers_all, self.heard, self.counters, shared
             )
-            self.driver.tell = self.peers.tell
+            self.driver.send_gossip = self.peers.tell
 
     def hear_if_possible(self) -> None:
         """A process of a version that does not share the address may still have it: try again later."""
@@ -253,7 +253,7 @@
             try:
                 self.hear()
             except OSError as error:
-                log.say("peers_not_heard", why=error)
+                log.log_event("peers_not_heard", why=error)
 
     def listen(self) -> None:
         """Take connections, which are refused until now."""
@@ -270,7 +270,7 @@
         if self.door is not None:
             self.door.open()
         listen = text_of(self.config.listen)
-        log.say("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
+        log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
 
     def called(self, method: str, path: str) -> Reply:
         """What the operators' door answers."""
@@ -297,7 +297,7 @@
 
     def held(self) -> tuple[int, int, bool]:
         """Requests that are owed an answer, client connections, and whether it takes no clients."""
-        return len(self.driver.open), len(self.service.connections), not self.life.takes()
+        return len(self.driver.open_requests), len(self.service.connections), not self.life.takes()
 
     def load(self) -> float:
         """The part of this gateway's slots at its servers that tries hold."""
@@ -307,7 +307,9 @@
     def _told(self, event: str, changed: bool) -> None:
         if changed:
             self.counters.trace.add("process", event)
-            log.say(event, open=len(self.driver.open), client_connections=len(self.service.connections))
+            log.log_event(
+                event, open=len(self.driver.open_requests), client_connections=len(self.service.connections)
+            )
         self.tend()
         self.keep_tending()
 
@@ -324,7 +326,7 @@
             self.tend()
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("tend_exception")
+            log.log_exception("tend_exception")
 
     def tend(self) -> None:
         """Do what the gateway's state asks for."""
@@ -349,7 +351,11 @@
             one.member.state != "ready" or (number in known and known[number].barred > now)
             for number, one in self.group.servers.items()
         )
-        gauges = {"pending": len(self.driver.open), "members": len(listed), "members_unavailable": avoided}
+        gauges = {
+            "pending": len(self.driver.open_requests),
+            "members": len(listed),
+            "members_unavailable": avoided,
+        }
         return figures.text_of(self.config.settings.classes, self.counters.classes, gauges)
 
     def load_extensions(self) -> None:
@@ -386,7 +392,7 @@
         """It goes on until it is cancelled: whatever else ended it is told, and it begins anew."""
         if not task.cancelled() and task is self.watching:
             self.counters.add("exceptions")
-            log.say("watch_ended", why=repr(task.exception()))
+            log.log_event("watch_ended", why=repr(task.exception()))
             asyncio.get_running_loop().call_later(WATCH_AGAIN, self._watch_again, task)
 
     def _watch_again(self, ended: asyncio.Task[None]) -> None:
@@ -402,15 +408,15 @@
         try:
             config = reload()
         except ConfigUnreadable as error:
-            log.say("reload_retried", why=error)
+            log.log_event("reload_retried", why=error)
             asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY, self.reload)
             return
         except ConfigError as error:
             self.counters.add("reloads_failed")
-            log.say("reload_failed", why=error)
+            log.log_event("reload_failed", why=error)
             return
         self.counters.add("reloads")
-        log.say("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
+        log.log_event("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
         if config.discovery != self.config.discovery:
             self.revision = None  # another agent may count otherwise
         self.config = config
@@ -466,7 +472,7 @@
         self.life.leave(self.time(), succeeded)
         self.service.ends = self.life.last_answer(longest)
         self.counters.trace.add("process", "stopping")
-        log.say("stopping", open=len(self.driver.open), succeeded=succeeded)
+        log.log_event("stopping", open=len(self.driver.open_requests), succeeded=succeeded)
         while self.life.accepts(self.time()):
             await asyncio.sleep(0.01)
         self._tend_contained()
@@ -482,16 +488,16 @@
         self.keep_tending()
         try:
             async with asyncio.timeout(longest + LATE):
-                while self.service.connections or self.driver.open:
+                while self.service.connections or self.driver.open_requests:
                     await asyncio.sleep(0.01)
         except TimeoutError:  # a client that does not read must not hold up the restart
             left = len(self.service.connections)
-            log.say("stopped_late", open=len(self.driver.open), client_connections=left)
+            log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
             for connection in list(self.service.connections):
                 connection.end("stopped")
 
     def heard(self, peer: int, text: str) -> None:
-        self.driver.feed(i.PeerMessage(peer, text))
+        self.driver.apply_event(i.PeerMessage(peer, text))
 
 
 def descriptors() -> int:
@@ -520,7 +526,7 @@
 
 def daemon() -> int:
     """Run the gateway until it is told to end; its exit status."""
-    log.set_up()
+    log.configure()
     told_early: list[int] = []
     # Until the loop has it, SIGHUP would end the program. Up to here it is ignored: the deploy file's `run`.
     signal.signal(signal.SIGHUP, lambda number, _frame: told_early.append(number))
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -14,7 +14,7 @@
 from .net.config import Config, ConfigError
 from .net.counters import Counters
 from .net.maintenance import Hands, Maintenance
-from .net.policy_driver import Driver
+from .net.policy_driver import PolicyDriver
 from .net.replication.host import Copies, HeldElsewhere, open_store
 from .net.replication.leases import Leases
 from .recording.writer import Recorder
@@ -28,7 +28,7 @@
 class Extensions:
     """The parts that the operators' file asks for. Without replication of their own they do nothing else."""
 
-    def __init__(self, config: Config, driver: Driver, counters: Counters, hands: Hands) -> None:
+    def __init__(self, config: Config, driver: PolicyDriver, counters: Counters, hands: Hands) -> None:
         """Reads the file. Raises `ConfigError`, and OSError where another attempt may succeed."""
         self.config, self.driver, self.counters, self.hands = config, driver, counters, hands
         self.copies: Copies | None = None
@@ -53,11 +53,11 @@
         except OSError as error:
             if not may_pass(error):
                 raise ConfigError(str(error)) from None
-            log.say("record_failed", path=path, why=error)
+            log.log_event("record_failed", path=path, why=error)
             return
         self.recorder.start()
-        self.driver.seen = self.recorder.seen
-        log.say("recording", path=path, bytes=size)
+        self.driver.on_request_released = self.recorder.seen
+        log.log_event("recording", path=path, bytes=size)
 
     def start(self) -> None:
         """Open the store and take part in replication. Raises `ConfigError`.
@@ -86,11 +86,11 @@
                 self._store_unavailable(error)
             except Exception:  # a defect must not leave the gateway without its replicas for good
                 self.counters.add("exceptions")
-                log.trouble("copies_exception")
+                log.log_exception("copies_exception")
 
     def _store_unavailable(self, error: Exception) -> None:
         self.counters.add("copies_store_unavailable")
-        log.say("copies_store_unavailable", why=error)
+        log.log_event("copies_store_unavailable", why=error)
 
     def _start_copies(self, section: operators.Copies, disk: DurableStore) -> None:
         copies = Copies(section, self.config.name, disk, self.counters, self.config.seed)
@@ -111,7 +111,7 @@
             chosen = operators.load(Path(os.environ[operators.VARIABLE]))
         except (ValueError, OSError) as error:
             self.counters.add("reloads_failed")
-            log.say("reload_failed", why=error)
+            log.log_event("reload_failed", why=error)
             return
         if chosen.maintenance is not None:
             self.chosen = chosen
--- a/mapleshunt/storage/durable_store.py
+++ b/mapleshunt/storage/durable_store.py
@@ -152,8 +152,8 @@
             self.loaded = {}
 
     def _damage(self, fleet: str, name: str) -> str | None:
-        """What is wrong with the store's content; None if it is whole. Raises `StoreUnavailableError` if a read
-        failed: what cannot be read is not damaged.
+        """What is wrong with the store's content; None if it is whole. Raises `StoreUnavailableError` if a
+        read failed: what cannot be read is not damaged.
         """
         reads = ReadErrorVFS(self.vfs or "")
         try:
