--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -23,13 +23,13 @@
 from ...settings.operators import Copies as Section
 from ...storage.durable_store import DurableStore, StoreError, StoreInUseError, StoreUnavailableError
 from ...storage.writer import StoreWriter
-from ...transient_errors import may_pass
+from ...transient_errors import is_transient
 from .. import log
 from ..config import Address, ConfigError, address
 from ..counters import Counters
+from .connections import PeerConnection, PeerConnections
 from .group_host import GroupHost, LocalConnection
-from .links import Link, Links
-from .own_calls import OwnCalls
+from .local_calls import LocalCalls
 
 TEND = 0.25  # of an election's timeout: how often membership and forming are looked at
 GRACE = 3.0  # elections that a start waits for the other voters to greet: one may know of a later life
@@ -37,23 +37,23 @@
 MOST_MOVES = 2  # groups led here that are sent to another copy at a time
 
 
-class HeldElsewhere(ConfigError):
+class ReplicationInUseError(ConfigError):
     """Another process has the store or the address of this gateway's replicas."""
 
 
 def open_store(section: Section, name: str) -> DurableStore:
-    """Open and check the store, which blocks. Raises `ConfigError`, `HeldElsewhere` among them, and
+    """Open and check the store, which blocks. Raises `ConfigError`, `ReplicationInUseError` among them, and
     `StoreUnavailableError` where another attempt may succeed.
     """
     try:
         return DurableStore(Path(section.folder.replace("{name}", name)), section.fleet, name)
     except StoreInUseError as error:
-        raise HeldElsewhere(f"copies: {error}") from None
+        raise ReplicationInUseError(f"copies: {error}") from None
     except StoreError as error:
         raise ConfigError(f"copies: {error}") from None
 
 
-class Copies:
+class ReplicationHost:
     @staticmethod
     def check(section: Section, name: str) -> dict[str, Address]:
         """The addresses of all gateways. Raises `ConfigError`."""
@@ -65,12 +65,12 @@
     def __init__(
         self, section: Section, name: str, disk: DurableStore, counters: Counters, seed: int
     ) -> None:
-        """Takes the address, and closes the disk if it cannot. Raises `ConfigError`, `HeldElsewhere` among
-        them, and `StoreUnavailableError` where another attempt may succeed.
+        """Takes the address, and closes the disk if it cannot. Raises `ConfigError`, `ReplicationInUseError`
+        among them, and `StoreUnavailableError` where another attempt may succeed.
         """
         self.section, self.name, self.counters = section, name, counters
         self.chance = random.Random(seed)
-        self.own_calls = OwnCalls()
+        self.local_calls = LocalCalls()
         self.zones = {one.name: one.zone for one in section.peer}
         addresses = self.check(section, name)
         election = section.election_ms / 1000
@@ -81,16 +81,16 @@
                 "copies_disk_damaged", set_aside=self.disk.set_aside, incarnation=self.disk.incarnation
             )
         try:
-            self.links = Links(
+            self.links = PeerConnections(
                 section.fleet, name, addresses[name], {k: v for k, v in addresses.items() if k != name},
-                self.greeting, self._heard, self._called, self.own_calls.reply, self._met, counters,
+                self.greeting, self._heard, self._called, self.local_calls.reply, self._met, counters,
                 self.chance,
             )  # fmt: skip
         except OSError as error:
             self.disk.close()
-            if may_pass(error):
+            if is_transient(error):
                 raise StoreUnavailableError(f"cannot listen: {error}") from None
-            kind = HeldElsewhere if error.errno == errno.EADDRINUSE else ConfigError
+            kind = ReplicationInUseError if error.errno == errno.EADDRINUSE else ConfigError
             raise kind(f"copies: cannot listen: {error}") from None
         self.known, self.formed = dict(self.disk.known), self.disk.formed
         self.generations = dict(self.disk.generations)
@@ -100,7 +100,7 @@
         self.present: set[str] = set()  # other gateways that are here
         self.patience = ReplacementDelays(section.replace_after_s, section.settle_after_s)
         self.ended = self.renewing = False
-        self.here = LocalConnection(self.own_calls.reply)
+        self.here = LocalConnection(self.local_calls.reply)
         self.led: dict[int, str] = {}  # by group: who was last told to lead, of groups without a copy here
         self.serves: Callable[[], dict[str, Any]] = dict  # how the gateway does, for its status
 
@@ -113,7 +113,7 @@
 
     def session_name(self, purpose: str) -> str:
         """A name for a session, which none has had before, of this process or another."""
-        number = self.own_calls.number()
+        number = self.local_calls.number()
         return f"{self.me}.{self.disk.boot}.{purpose}{number}"
 
     def start(self) -> None:
@@ -228,7 +228,7 @@
         known, formed = dict(self.known), self.formed
         self.writer.call(lambda: self.disk.know(known, formed))
 
-    # Links
+    # Connections
 
     def send(self, group: int, to: m.Replica, message: m.Message) -> None:
         gateway, _, incarnation = to.rpartition("/")
@@ -306,14 +306,20 @@
         else:
             host.step(m.MessageReceived(f"{hello.name}/{hello.incarnation}", message))
 
-    def _called(self, link: Link | LocalConnection, frame: wire.ClientRequest | wire.AdminRequest) -> None:
+    def _called(
+        self, link: PeerConnection | LocalConnection, frame: wire.ClientRequest | wire.AdminRequest
+    ) -> None:
         if isinstance(frame, wire.AdminRequest):
             link.write(wire.ClientResponse(frame.number, *self._asked(frame)))
             return
         host = self.hosts.get(frame.group)
         open_calls = sum(len(one.calls) for one in self.hosts.values())
-        too_much = open_calls >= MOST_CALLS or len(frame.command) > wire.MAX_PROPOSAL_BYTES
-        if host is None or not host.begun or too_much:
+        if (
+            host is None
+            or not host.begun
+            or open_calls >= MOST_CALLS
+            or len(frame.command) > wire.MAX_PROPOSAL_BYTES
+        ):
             holders = place_replicas(frame.group, self.zones, self.section.size)
             hint = next((one for one in holders if one != self.name and self.links.here(one)), "")
             link.write(wire.ClientResponse(frame.number, "refused", hint if host is None else ""))
@@ -326,13 +332,13 @@
         self, group: int, command: bytes, to: str, done: Callable[[wire.ClientResponse], None], read: str = ""
     ) -> int:
         """Through that gateway; `done` is told of its reply, if one comes. The number, to stop waiting."""
-        number = self.own_calls.begin(self.now(), done)
+        number = self.local_calls.begin(self.now(), done)
         self._send_call(wire.ClientRequest(number, group, command, read), to)
         return number
 
     def ask(self, to: str, what: str, done: Callable[[wire.ClientResponse], None]) -> int:
         """What operators ask, of another gateway."""
-        number = self.own_calls.begin(self.now(), done)
+        number = self.local_calls.begin(self.now(), done)
         self._send_call(wire.AdminRequest(number, what), to)
         return number
 
@@ -344,7 +350,7 @@
 
     def abandon(self, call: int) -> None:
         """Wait no longer for the reply to a call of this gateway's own."""
-        self.own_calls.abandon(call)
+        self.local_calls.abandon(call)
 
     def learn(self, group: int, reply: wire.ClientResponse) -> None:
         """A call was refused: go where the reply points, or anywhere."""
@@ -452,7 +458,7 @@
         if step is not None and step.how == "transfer":
             host.step(m.TransferLeadership(step.copy))
         elif step is not None:
-            host.step(m.ChangeMembership(self.own_calls.number(), step.how, step.copy))
+            host.step(m.ChangeMembership(self.local_calls.number(), step.how, step.copy))
 
     def _copy_of(self, gateway: str) -> m.Replica | None:
         hello = self.links.here(gateway)
--- a/mapleshunt/replication/node.py
+++ b/mapleshunt/replication/node.py
@@ -6,7 +6,8 @@
 
 `step(now, event)` takes what happened at `now` (s, a clock that never goes back) and returns what to do, in
 order. Writes are made durable in their order and told with `WriteCompleted`; whatever a copy says that rests
-on a write is held until then. Only a leader's entries go out earlier: others may have them durable before it has.
+on a write is held until then. Only a leader's entries go out earlier: others may have them durable before it
+has.
 """
 
 from __future__ import annotations
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -57,7 +57,7 @@
 WRITE_WHILE_LOOKING = """
 import sys, threading, time
 from pathlib import Path
-from mapleshunt.copies import messages as m
+from mapleshunt.replication import messages as m
 from mapleshunt.storage.durable_store import DurableStore
 
 def write():
