--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -11,27 +11,27 @@
 from pathlib import Path
 from typing import Any
 
-from ..fleet.backend import TillServer
-from ..fleet.discovery import Entry
+from ..fleet.backend import Backend
+from ..fleet.discovery import EndpointEntry
 from ..fleet.faults import Fault
 from ..net.protocol import resp
 from ..platform_terms import wire_of
-from ..simulation.day import Day, Rules
-from ..simulation.host import Host
-from ..simulation.record import AskRecord, TryRecord
-from ..simulation.score import Score, score
+from ..simulation.day import Day, RuleLimits
+from ..simulation.fleet_host import FleetHost
+from ..simulation.records import ClientAttempt, RequestRecord
+from ..simulation.score import Score, score_day
 from .backends import HOST, InFlightAttempt, SocketBackend
 from .clients import SocketClients
 from .clock import Clock
 from .discovery_agent import CounterServer, DiscoveryAgent, GossipRelay
 from .gateway_process import GatewayError, GatewayProcess
 
-SOCKET_RULES = Rules(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
+SOCKET_RULES = RuleLimits(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
 USAGE_SAMPLE_INTERVAL_S = 0.5  # s between looks at the gateways' CPU and memory
 CHECKOUT_ROOT = Path(__file__).parent.parent.parent
 
 
-class LoopbackFleet(Host):
+class LoopbackFleet(FleetHost):
     """One run. `program` is the checkout whose gateways run; `env` is added to theirs."""
 
     backend_class: type[SocketBackend] = SocketBackend
@@ -49,9 +49,9 @@
         self.backends: dict[int, SocketBackend] = {}
         super().__init__(day)
         self.zone = self.settings[0].zone
-        self.by_id: dict[str, tuple[TryRecord, AskRecord]] = {}
+        self.by_id: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
         self.in_flight: dict[int, list[InFlightAttempt]] = {}
-        self.timed_out: list[TryRecord] = []
+        self.timed_out: list[ClientAttempt] = []
         self.request_id_base = day.streams.integer("ids") >> 8 << 8
         self.unknown_requests = self.oversized_datagrams = 0
         self.down: set[int] = set()
@@ -79,7 +79,7 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         self.clock.at(when, call, *arguments)
 
-    def _take_in(self, till: TillServer) -> None:
+    def _take_in(self, till: Backend) -> None:
         self.backends[till.number] = self.backend_class(till, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
@@ -127,7 +127,7 @@
         self.events = sum(len(one.attempts) + 1 for one in self.watchman.tries)
         if self.exited_gateways:
             raise GatewayError(f"gateways {self.exited_gateways} ended by themselves; see {self.folder}")
-        found = score(self)
+        found = score_day(self)
         found.wall_s = time.perf_counter() - wall
         return found
 
@@ -175,7 +175,7 @@
 
     # What the parts ask
 
-    def command(self, one: TryRecord, name: str) -> bytes:
+    def command(self, one: ClientAttempt, name: str) -> bytes:
         ask = one.ask
         who = self.day.traffic.customers[ask.customer]
         pairs = (
@@ -206,7 +206,7 @@
 
     # Faults
 
-    def _told(self, gateway: int, entry: Entry) -> None:
+    def _told(self, gateway: int, entry: EndpointEntry) -> None:
         self.agents[gateway].change(entry)
 
     def _die(self, number: int) -> None:
