--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -49,7 +49,7 @@
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(resp.command([b"PING"]))
+                writer.write(resp.encode_command([b"PING"]))
                 said = await reader.readline()
                 writer.close()
                 if said == b"+PONG\r\n":
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -14,7 +14,13 @@
 import statistics
 import sys
 
-from mapleshunt.net.backoff import EACH, SILENCE, TOLD, WAIT, Backoff
+from mapleshunt.net.backoff import (
+    NOTIFICATION_BUDGET_MS,
+    SERVICE_TIME_MS,
+    SILENCE_TIMEOUT_MS,
+    WATCH_WAIT_MS,
+    Backoff,
+)
 
 
 def told(gateways: int, service: float, lost: str, seed: int) -> tuple[list[float], int]:
@@ -25,12 +31,12 @@
     backoffs = [Backoff(gateways if service else 0, chance) for _ in range(gateways)]
     calls: list[tuple[float, int, float]] = []  # when, by whom, and when its last answer came
     for number, backoff in enumerate(backoffs):
-        heard = -chance.uniform(0.0, WAIT)
+        heard = -chance.uniform(0.0, WATCH_WAIT_MS)
         if lost == "moved":
-            at = backoff.start()
+            at = backoff.initial_delay_ms()
         else:
-            noticed = heard + WAIT + SILENCE if lost == "silent" else 0.0
-            at = noticed + backoff.pause(noticed - heard)
+            noticed = heard + WATCH_WAIT_MS + SILENCE_TIMEOUT_MS if lost == "silent" else 0.0
+            at = noticed + backoff.next_delay_ms(noticed - heard)
         calls.append((at, number, heard))
     heapq.heapify(calls)
     free, found, made = 0.0, list[float](), list[float]()
@@ -38,11 +44,11 @@
         at, number, heard = heapq.heappop(calls)
         made.append(at)
         free = (max(free, at) if service else at) + service
-        if free - at <= backoffs[number].answer:
+        if free - at <= backoffs[number].answer_timeout_ms:
             found.append(free)
         else:
-            end = at + backoffs[number].answer
-            heapq.heappush(calls, (end + backoffs[number].pause(end - heard), number, heard))
+            end = at + backoffs[number].answer_timeout_ms
+            heapq.heappush(calls, (end + backoffs[number].next_delay_ms(end - heard), number, heard))
     made.sort()
     peak = max(sum(one <= other < one + 1000 for other in made) for one in made)
     return found, peak
@@ -52,11 +58,11 @@
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 20)
     print("gateways, ms a call, lost: ms until told: median, nine in ten, last; part late; calls in a second")
     for gateways in (2, 40, 200):
-        for service in (0.0, 10.0, EACH):
+        for service in (0.0, 10.0, SERVICE_TIME_MS):
             for lost in ("silent", "reset", "moved"):
                 plays = [told(gateways, service, lost, seed) for seed in seeds]
                 times = sorted(one for found, _ in plays for one in found)
-                bound = 4000.0 if lost == "moved" else TOLD
+                bound = 4000.0 if lost == "moved" else NOTIFICATION_BUDGET_MS
                 late = sum(one > bound for one in times) / len(times)
                 most, nine = max(peak for _, peak in plays), times[int(0.9 * len(times))]
                 name, middle = f"{gateways:4} {service:2.0f} {lost:6}", statistics.median(times)
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -20,14 +20,14 @@
 async def main(address: str, requests: int) -> None:
     host, _, port = address.rpartition(":")
     stream = await TCPClient().connect(host, int(port))
-    buffer = ReadBuffer(resp.MAX_MESSAGE)
+    buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
     commands = [[b"PING"]]
     asked = b"c=lookup,t=small,d=2000,units=1,spread=1,first=0"
     for _ in range(requests):
         request_id = os.urandom(8).hex().encode()
         commands.append([b"SVC.QUERY", CUSTOMER, request_id, asked])
     for words in commands:
-        await stream.write(resp.command(words))
+        await stream.write(resp.encode_command(words))
         while not (found := resp.parse_reply(buffer.data, buffer.start, buffer.end)):
             await buffer.fill(stream)
         buffer.consume(found[1])
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -33,7 +33,7 @@
         self.port = listener.getsockname()[1]
 
     async def handle_stream(self, stream: IOStream, address: object) -> None:
-        buffer = ReadBuffer(resp.MAX_MESSAGE)
+        buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         try:
             while True:
                 await buffer.fill(stream)
@@ -45,12 +45,12 @@
 
     async def answer(self, words: list[memoryview]) -> bytes:
         if bytes(words[0]) not in (b"SVC.QUERY", b"SVC.SUBMIT"):
-            return resp.error("ERR unknown command")
+            return resp.encode_error("ERR unknown command")
         print(self.name, *(str(word, "latin-1") for word in words), flush=True)
         await asyncio.sleep(WORK)
         value = b"%s did %s" % (self.name.encode(), words[2])
         load = b"qps=1,latency_ms=20,inflight=1"
-        return b"*3\r\n" + resp.bulk(value) + resp.bulk(b"cost=1") + resp.bulk(load)
+        return b"*3\r\n" + resp.encode_bulk(value) + resp.encode_bulk(b"cost=1") + resp.encode_bulk(load)
 
 
 class Members(RequestHandler):
--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -22,13 +22,13 @@
 from .invariants import Guard, broken_by_starting
 from .lifecycle.lifecycle import DrainRequester, Lifecycle
 from .net import log
-from .net.backoff import TOLD, Backoff
+from .net.backoff import NOTIFICATION_BUDGET_MS, Backoff
 from .net.client import connection as client
 from .net.client.listener import Acceptor, bind_socket
-from .net.config import Address, Config, ConfigError, ConfigUnreadable, load, reload, text_of
+from .net.config import Address, Config, ConfigError, ConfigUnreadableError, format_address, load, reload
 from .net.counters import Counters
-from .net.discovery.watcher import Discovery, MemberList, member_list
-from .net.gossip_transport import Peers
+from .net.discovery.watcher import EndpointList, EndpointWatcher, parse_endpoint_list
+from .net.gossip_transport import GossipTransport
 from .net.periodic import PeriodicTask
 from .net.policy_driver import PolicyDriver
 from .net.protocol import resp
@@ -66,16 +66,18 @@
     def __init__(self, config: Config) -> None:
         self.config, self.counters = config, Counters()
         kept = RESERVE
-        if config.management is not None:
+        if config.admin_address is not None:
             from .net.admin.endpoint import DESCRIPTORS
 
             kept += DESCRIPTORS
-        self.sockets = min(config.sockets, descriptors())  # whichever binds first
+        self.sockets = min(config.max_descriptors, descriptors())  # whichever binds first
         self.usable = max(16, self.sockets - kept)
-        self.group = EndpointGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
+        self.group = EndpointGroup(self.counters, config.dial_timeout_ms, config.idle_timeout_ms / 3, 0)
         self.share(1)
         self.driver = PolicyDriver(config.settings, config.seed, self.group, self.counters)
-        self.service = client.ClientConnections(self.driver, self.counters, config.seed, config.max_open)
+        self.service = client.ClientConnections(
+            self.driver, self.counters, config.seed, config.max_open_requests
+        )
         self.service.is_ready = self.ready
         self.chance = random.Random(config.seed)
         self.tending = PeriodicTask(self.tend, TEND_EVERY, self.counters.add)
@@ -83,14 +85,16 @@
         self.revision: int | None = None  # of the list known
         self.last_told = -math.inf  # s, on the loop's clock: when discovery last answered
         self.told_early: list[int] = []  # SIGHUPs since before the configuration was read
-        self.peers: Peers | None = None
+        self.peers: GossipTransport | None = None
         self.stopped = asyncio.Event()
         self.life = Lifecycle()
         self.listeners: list[socket.socket] = []
         self.acceptors: list[Acceptor] = []
         self.accepting = False
         # A client that does not read may make the gateway hold this much: no more than a part of its memory.
-        self.most_unwritten = min(client.MAX_UNWRITTEN_BYTES, max(4 * resp.MAX_VALUE, config.memory // 64))
+        self.most_unwritten = min(
+            client.MAX_UNWRITTEN_BYTES, max(4 * resp.MAX_VALUE_BYTES, config.memory_bytes // 64)
+        )
         self.service.on_connection_ended = self.resume_accepting
         self.door: AdminEndpoint | None = None
         self.succession: Takeover | None = None
@@ -109,13 +113,13 @@
     def ready(self) -> bool:
         return self.life.wanted() and bool(self.group.pools)
 
-    def told(self, found: MemberList) -> None:
+    def told(self, found: EndpointList) -> None:
         kind: i.ListKind = "complete" if found.complete else "partial"
-        self.driver.apply_event(self.group.apply_endpoint_list(kind, found.members, self.age))
+        self.driver.apply_event(self.group.apply_endpoint_list(kind, found.endpoints, self.age))
         self.revision = found.revision
         self.last_told = self.time()
-        if found.complete or found.members:
-            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.members))
+        if found.complete or found.endpoints:
+            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.endpoints))
 
     def age(self, started: float) -> float:
         """For how many ms a server that the list names now, and did not name before, has been up at most.
@@ -123,10 +127,12 @@
         The wall clock may have been stepped before this process began, and no list tells that. But what
         started long before the last answer would have been in that one: discovery tells all within `TOLD`.
         """
-        return min(self.driver.now.age(started), 1000 * (self.time() - self.last_told) + TOLD)
+        return min(
+            self.driver.now.age(started), 1000 * (self.time() - self.last_told) + NOTIFICATION_BUDGET_MS
+        )
 
     def print_counters(self) -> None:
-        self.counters.print(
+        self.counters.log_totals(
             open=len(self.driver.open_requests),
             client_connections_now=len(self.service.connections),
             server_connections_now=len(self.group.connections),
@@ -183,12 +189,12 @@
     async def prepare(self) -> None:
         """Take over the known list and make all ready. Raises `ConfigError` for what does not pass."""
         try:
-            if self.config.known is not None:
-                known = member_list(self.config.known)
+            if self.config.initial_endpoints is not None:
+                known = parse_endpoint_list(self.config.initial_endpoints)
                 self.driver.apply_event(
-                    self.group.apply_endpoint_list("persisted", known.members, self.driver.now.age)
+                    self.group.apply_endpoint_list("persisted", known.endpoints, self.driver.now.age)
                 )
-                self.revision = known.revision if known.members else None
+                self.revision = known.revision if known.endpoints else None
             steps = StartupSteps(self.counters)
             await self._open_sockets(steps)
             await steps.run("operators", self.load_extensions)
@@ -201,7 +207,7 @@
             await steps.run("handover", self._join_succession)
         else:
             await steps.run("peers", self.hear)
-        if config.management is not None:
+        if config.admin_address is not None:
             await steps.run("door", self._open_door)
         self.listeners = [await steps.run("listener", self.listener)]
         self.acceptors = [
@@ -224,8 +230,8 @@
     def _open_door(self) -> None:
         from .net.admin.endpoint import AdminEndpoint
 
-        assert self.config.management is not None
-        self.door = AdminEndpoint(self.config.management, self.called, self.counters)
+        assert self.config.admin_address is not None
+        self.door = AdminEndpoint(self.config.admin_address, self.called, self.counters)
 
     def listener(self) -> socket.socket:
         if self.config.accept_fd is not None:  # the platform's, which other processes have too
@@ -234,21 +240,26 @@
             if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 raise ValueError(f"descriptor {self.config.accept_fd} does not listen")
             return listener
-        return bind_socket(self.config.listen)
+        return bind_socket(self.config.listen_address)
 
     def hear(self) -> None:
         """Exchange messages with other gateways from now on, if the settings allow it."""
         config = self.config
-        if config.peer_listen is not None and config.peers_all is not None:
+        if config.gossip_address is not None and config.gossip_broadcast_address is not None:
             shared = self.succession is not None
-            self.peers = Peers(
-                config.peer_listen, config.peers, config.peers_all, self.heard, self.counters, shared
+            self.peers = GossipTransport(
+                config.gossip_address,
+                config.gossip_peers,
+                config.gossip_broadcast_address,
+                self.heard,
+                self.counters,
+                shared,
             )
-            self.driver.send_gossip = self.peers.tell
+            self.driver.send_gossip = self.peers.send
 
     def hear_if_possible(self) -> None:
         """A process of a version that does not share the address may still have it: try again later."""
-        if self.peers is not None or self.config.peer_listen is None:
+        if self.peers is not None or self.config.gossip_address is None:
             return
         if self.time() - self.last_try_to_hear >= HEAR_AGAIN:
             self.last_try_to_hear = self.time()
@@ -262,7 +273,7 @@
         for listener in self.listeners if self.config.accept_fd is None else ():
             listener.listen(BACKLOG)
         broken = broken_by_starting(1000 * (time.monotonic() - BEGAN), bool(self.service.connections))
-        self.counters.trace.check(Guard.START, broken, "process")
+        self.counters.trace.report_violations(Guard.START, broken, "process")
         self.start_accepting()
         self.life.listening(self.time())
         self.counters.trace.add("process", "listening")
@@ -271,7 +282,7 @@
         self.keep_tending()
         if self.door is not None:
             self.door.open()
-        listen = text_of(self.config.listen)
+        listen = format_address(self.config.listen_address)
         log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.pools))
 
     def called(self, method: str, path: str) -> AdminResponse:
@@ -362,7 +373,7 @@
             "members": len(listed),
             "members_unavailable": avoided,
         }
-        return figures.text_of(self.config.settings.classes, self.counters.classes, gauges)
+        return figures.text_of(self.config.settings.classes, self.counters.by_class, gauges)
 
     def load_extensions(self) -> None:
         """What the operators' file asks for; without one nothing of it is imported. Raises `ConfigError`, and
@@ -390,7 +401,7 @@
             self.watching.cancel()
         settings = self.config.settings
         backoff = Backoff(settings.instances if settings.ask_discovery else 0, self.chance)
-        discovery = Discovery(agent, self.told, self.counters, backoff, self.revision)
+        discovery = EndpointWatcher(agent, self.told, self.counters, backoff, self.revision)
         self.watching = asyncio.get_running_loop().create_task(discovery.run())
         self.watching.add_done_callback(self._watch_ended)
 
@@ -403,7 +414,7 @@
 
     def _watch_again(self, ended: asyncio.Task[None]) -> None:
         if ended is self.watching:
-            self.watch(self.config.discovery)
+            self.watch(self.config.discovery_address)
 
     def reload(self) -> None:
         """SIGHUP: go by the addresses that the configuration names now; what is being served goes on.
@@ -413,7 +424,7 @@
         """
         try:
             config = reload()
-        except ConfigUnreadable as error:
+        except ConfigUnreadableError as error:
             log.log_event("reload_retried", why=error)
             asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY, self.reload)
             return
@@ -422,11 +433,15 @@
             log.log_event("reload_failed", why=error)
             return
         self.counters.add("reloads")
-        log.log_event("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
-        if config.discovery != self.config.discovery:
+        log.log_event(
+            "reloaded",
+            discovery=format_address(config.discovery_address),
+            counter=format_address(config.counter_address),
+        )
+        if config.discovery_address != self.config.discovery_address:
             self.revision = None  # another agent may count otherwise
         self.config = config
-        self.watch(config.discovery)
+        self.watch(config.discovery_address)
         if self.extensions is not None:
             self.extensions.reload()
 
@@ -449,7 +464,7 @@
             sweep.start()
         if self.extensions is not None:
             self.extensions.start()
-        self.watch(self.config.discovery)
+        self.watch(self.config.discovery_address)
         # Only now: what comes in while a start uses up the processor stands unread in the kernel's queue for
         # as long, and its patience would be counted from when it was read.
         await asyncio.sleep(FIRST_WAIT)
@@ -524,7 +539,7 @@
     while True:
         try:
             return load()
-        except ConfigUnreadable:
+        except ConfigUnreadableError:
             if time.monotonic() > deadline:
                 raise
             time.sleep(RELOAD_RETRY_DELAY)
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -38,10 +38,10 @@
 
 
 def _addresses(section: Any) -> dict[str, tuple[str, int]]:
-    from ..net.config import ConfigError, address
+    from ..net.config import ConfigError, parse_address
 
     try:
-        return {one.name: address(one.address, f"peer {one.name}") for one in section.peer}
+        return {one.name: parse_address(one.address, f"peer {one.name}") for one in section.peer}
     except ConfigError as error:
         raise Trouble(str(error)) from None
 
--- a/mapleshunt/net/admin/endpoint.py
+++ b/mapleshunt/net/admin/endpoint.py
@@ -18,7 +18,7 @@
 from ..config import Address
 from ..counters import Counters
 from ..protocol import http
-from ..protocol.read_buffer import ReadBuffer, TooLong
+from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
 
 MAX_CONNECTIONS = 16  # connections held at once
 DESCRIPTORS = MAX_CONNECTIONS + 1  # that it may hold in all
@@ -53,7 +53,7 @@
         if len(self.callers) >= MAX_CONNECTIONS:
             waiting = (one for one in self.callers if not one.answered)
             next(waiting, next(iter(self.callers))).end("made_room")
-        caller = AdminConnection(IOStream(connection, max_buffer_size=2 * http.MAX_HEAD), self)
+        caller = AdminConnection(IOStream(connection, max_buffer_size=2 * http.MAX_HEAD_BYTES), self)
         self.callers[caller] = None
         caller.task = asyncio.get_running_loop().create_task(caller.run())
 
@@ -78,7 +78,7 @@
             async with asyncio.timeout(PATIENCE):
                 reply = await self._reply()
                 self.answered = True
-                await self.stream.write(http.response(reply.status, reply.body.encode()))
+                await self.stream.write(http.encode_response(reply.status, reply.body.encode()))
             if self.stream.closed():
                 return self.end("answered")
             self.stream.socket.shutdown(socket.SHUT_WR)
@@ -96,11 +96,11 @@
         self.end(reason)
 
     async def _reply(self) -> AdminResponse:
-        buffer = ReadBuffer(http.MAX_HEAD)
+        buffer = ReadBuffer(http.MAX_HEAD_BYTES)
         try:
             while not (found := http.parse_request(buffer.data, buffer.start, buffer.end)):
                 await buffer.fill(self.stream)
-        except (http.ProtocolError, TooLong) as error:
+        except (http.ProtocolError, MessageTooLongError) as error:
             self.door.counters.add("door_malformed")
             return AdminResponse(400, f"{error}\n")
         self.said = f"{found.method} {found.path}"
--- a/mapleshunt/net/backoff.py
+++ b/mapleshunt/net/backoff.py
@@ -8,19 +8,21 @@
 import random
 
 # ms, by the protocol: what discovery has and could be asked for counts as told by then, whatever call failed
-TOLD = 6000.0
-WAIT = 1000.0  # ms that a watch waits for something new: one that falls silent is found soon after
-DIAL = 500.0  # ms for a connection to come up: the agent is on this machine
-SILENCE = 500.0  # ms past a call's own wait after which the agent counts as gone
-TURN = 1500.0  # ms that a call that begins a watch may stand in line besides: one service answers the fleet
-FIRST = 100.0  # ms, the widest first pause at least
-LAST = 2000.0  # ms, the widest pause at least
+NOTIFICATION_BUDGET_MS = 6000.0
+WATCH_WAIT_MS = 1000.0  # ms that a watch waits for something new: one that falls silent is found soon after
+DIAL_TIMEOUT_MS = 500.0  # ms for a connection to come up: the agent is on this machine
+SILENCE_TIMEOUT_MS = 500.0  # ms past a call's own wait after which the agent counts as gone
+QUEUE_ALLOWANCE_MS = (
+    1500.0  # ms that a call that begins a watch may stand in line besides: one service answers the fleet
+)
+MIN_FIRST_WINDOW_MS = 100.0  # ms, the widest first pause at least
+MIN_MAX_WINDOW_MS = 2000.0  # ms, the widest pause at least
 # ms, the widest pause of a caller whose agent answers by itself: nobody is spared by waiting, and what the
 # agent gets when discovery is back counts at once. It is half of the grace for a drain.
-ALONE = 250.0
-EACH = 25.0  # ms that one service needs for a call: all gateways of the fleet may call at once
-FAIL = 2.0  # widest first pause after a failure, in the time that it takes to serve the fleet
-MOST = 10.0  # widest pause, in the same
+LOCAL_MAX_WINDOW_MS = 250.0
+SERVICE_TIME_MS = 25.0  # ms that one service needs for a call: all gateways of the fleet may call at once
+FIRST_WINDOW_FACTOR = 2.0  # widest first pause after a failure, in the time that it takes to serve the fleet
+MAX_WINDOW_FACTOR = 10.0  # widest pause, in the same
 
 
 class Backoff:
@@ -37,30 +39,36 @@
         0 is for a list that is pushed: the agent on this machine answers from what it has been sent, at
         no cost to anyone. A call that waits there is only news missed, which counts as told all the same.
         """
-        self.spread, self.chance = EACH * callers, chance
-        self.first = max(FIRST, FAIL * self.spread)
-        self.most = max(LAST if callers else ALONE, MOST * self.spread)
+        self.fleet_service_ms, self.random = SERVICE_TIME_MS * callers, chance
+        self.first_window_ms = max(MIN_FIRST_WINDOW_MS, FIRST_WINDOW_FACTOR * self.fleet_service_ms)
+        self.max_window_ms = max(
+            MIN_MAX_WINDOW_MS if callers else LOCAL_MAX_WINDOW_MS, MAX_WINDOW_FACTOR * self.fleet_service_ms
+        )
         self.failures = 0
-        self.dial = DIAL  # ms for a connection
-        self.answer = SILENCE + TURN  # ms for an answer to a call that does not wait for news
+        self.dial_timeout_ms = DIAL_TIMEOUT_MS  # ms for a connection
+        self.answer_timeout_ms = (
+            SILENCE_TIMEOUT_MS + QUEUE_ALLOWANCE_MS
+        )  # ms for an answer to a call that does not wait for news
         # ms for a pause whatever went before. What discovery has is learned by a call that began before
         # it, and so in vain, the pause, and the answer to the call after it.
-        self.rest = TOLD - (self.dial + self.answer) - self.answer
+        self.max_rest_ms = (
+            NOTIFICATION_BUDGET_MS - (self.dial_timeout_ms + self.answer_timeout_ms) - self.answer_timeout_ms
+        )
 
-    def start(self) -> float:
+    def initial_delay_ms(self) -> float:
         """ms to wait before the first call, which all that were started or moved together make."""
-        return self.chance.uniform(0.0, min(self.spread, self.rest))
+        return self.random.uniform(0.0, min(self.fleet_service_ms, self.max_rest_ms))
 
-    def answered(self) -> None:
+    def reset(self) -> None:
         """A call was answered: the next failure is a first one."""
         self.failures = 0
 
-    def pause(self, since: float = TOLD) -> float:
+    def next_delay_ms(self, since: float = NOTIFICATION_BUDGET_MS) -> float:
         """ms to wait after one more failure, `since` ms after the last answer.
 
         After a first failure most of the budget is left, and the fleet may spread over all of it.
         """
-        window = min(self.most, self.first * 2.0 ** min(self.failures, 30))
+        window = min(self.max_window_ms, self.first_window_ms * 2.0 ** min(self.failures, 30))
         self.failures += 1
-        left = TOLD - since - self.dial - self.answer
-        return self.chance.uniform(0.0, min(window, max(self.rest, left)))
+        left = NOTIFICATION_BUDGET_MS - since - self.dial_timeout_ms - self.answer_timeout_ms
+        return self.random.uniform(0.0, min(window, max(self.max_rest_ms, left)))
--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -22,14 +22,14 @@
 from ..policy_driver import PolicyDriver
 from ..protocol import command_protocol as svc
 from ..protocol import resp
-from ..protocol.read_buffer import CHUNK, ReadBuffer, TooLong
+from ..protocol.read_buffer import CHUNK_BYTES, MessageTooLongError, ReadBuffer
 from ..request.admit import admit
 from ..request.context import RequestContext
 from ..request.parse import UnacceptableRequestError, parse
 
 MAX_PIPELINED_COMMANDS = 32  # commands of a connection that wait for their answer before reading pauses
 MAX_REFUSED_COMMANDS = 4096  # of such a connection that wait to be told that they are refused
-MAX_UNWRITTEN_BYTES = MAX_PIPELINED_COMMANDS * (resp.MAX_VALUE + 64)  # bytes
+MAX_UNWRITTEN_BYTES = MAX_PIPELINED_COMMANDS * (resp.MAX_VALUE_BYTES + 64)  # bytes
 LINGER_TIMEOUT_S = 1.0  # s for which a client that got its last line may still end the connection itself
 IDLE_TIMEOUT_S = (
     2.0  # s that a connection may stand with nothing owed on it, or with a command that does not go on
@@ -51,7 +51,7 @@
 TCP_INFO_BYTES = 104  # of Linux's struct tcp_info that are asked for
 TCP_LAST_DATA_RECEIVED = 52  # where in it the ms are since data last came
 DISCARD_BUFFER = bytearray(
-    16 * CHUNK
+    16 * CHUNK_BYTES
 )  # where bytes go that nobody will read; shared, for they are never looked at
 
 
@@ -147,13 +147,13 @@
         self.connection.flush()
 
     def serve(self, value: memoryview) -> None:
-        self.put(resp.bulk(value))
+        self.put(resp.encode_bulk(value))
 
     def reject(self, wait: float) -> None:
-        self.put(svc.rejection(wait))
+        self.put(svc.encode_rejection(wait))
 
     def fail(self) -> None:
-        self.put(svc.FAILURE)
+        self.put(svc.FAILURE_REPLY)
 
 
 class ClientConnection:
@@ -167,7 +167,7 @@
             waited  # s that its first bytes may have stood in the kernel before it was accepted
         )
         self.loop = asyncio.get_running_loop()
-        self.buffer = ReadBuffer(resp.MAX_MESSAGE)
+        self.buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         self.consumed_bytes = 0  # bytes, of all that were read
         self.arrivals: deque[tuple[int, float]] = deque()  # how many bytes had been read, and when
         self.slots: deque[ResponseSlot] = deque()
@@ -189,7 +189,10 @@
             try:
                 if self.closing:
                     await self._discard_input()
-                elif self.pause_reason and self.buffer.end - self.buffer.start >= self.buffer.limit - CHUNK:
+                elif (
+                    self.pause_reason
+                    and self.buffer.end - self.buffer.start >= self.buffer.max_bytes - CHUNK_BYTES
+                ):
                     if self._has_hung_up():  # its end stands behind what is not read
                         return self.close("client_closed")
                     before = self.consumed_bytes
@@ -204,13 +207,13 @@
                 return self.close(
                     self.close_reason or ("client_reset" if closed.real_error else "client_closed")
                 )
-            except TooLong as error:
+            except MessageTooLongError as error:
                 self._reject_malformed(error)
             except Exception:
                 self._log_exception()
                 if self.closing:
                     return self.close("exception")
-                self._reply_and_close(svc.FAILURE, "exception")
+                self._reply_and_close(svc.FAILURE_REPLY, "exception")
 
     async def _read(self) -> None:
         empty = self.buffer.start == self.buffer.end
@@ -247,14 +250,14 @@
         """
         if len(self.slots) >= MAX_REFUSED_COMMANDS:
             self.registry.counters.add("floods_ended")
-            return self._reply_and_close(resp.error("ERR too many commands at once"), "flood")
+            return self._reply_and_close(resp.encode_error("ERR too many commands at once"), "flood")
         try:
             while found := resp.parse_command(self.buffer.data, self.buffer.start, self.buffer.end):
                 self.consumed_bytes += found[1] - self.buffer.start
                 self.buffer.consume(found[1])
                 self.command_count += 1
                 self.registry.counters.add("rejected_flood")
-                self._new_slot().put(svc.rejection(IMMEDIATE_RETRY_AFTER_MS))
+                self._new_slot().put(svc.encode_rejection(IMMEDIATE_RETRY_AFTER_MS))
         except resp.ProtocolError as error:
             self._reject_malformed(error)
 
@@ -276,7 +279,7 @@
 
     def _reject_malformed(self, error: Exception) -> None:
         self.registry.counters.add("malformed_commands")
-        self._reply_and_close(resp.error(f"ERR {error}"), "malformed_command")
+        self._reply_and_close(resp.encode_error(f"ERR {error}"), "malformed_command")
 
     def _reply_and_close(self, data: bytes, reason: str) -> None:
         """Take no more; end once what is owed and this last line are written."""
@@ -309,7 +312,7 @@
             self._reject_malformed(error)
         except Exception:
             self._log_exception()
-            self._reply_and_close(svc.FAILURE, "exception")
+            self._reply_and_close(svc.FAILURE_REPLY, "exception")
         if not self.pause_reason:
             self.arrivals.clear()  # what is left is part of a command: its last byte is still to come
 
@@ -345,10 +348,10 @@
         """False if the command asks for what is not to be had."""
         slot, driver = self._new_slot(), self.registry.driver
         if bytes(words[0]).upper() == b"PING":
-            slot.put(b"+PONG\r\n" if self.registry.is_ready() else resp.error("ERR not ready"))
+            slot.put(b"+PONG\r\n" if self.registry.is_ready() else resp.encode_error("ERR not ready"))
             return True
         try:
-            intake = svc.intake(words)
+            intake = svc.parse_request(words)
             # Behind others its time runs already, and it ends with the process.
             now = self.loop.time()
             left = min(
@@ -358,13 +361,13 @@
                 intake = replace(intake, timeout_ms=max(1.0, left))
             ref, ids = next(self.registry.request_ids), self.registry.open_client_ids
             context = parse(intake, slot, driver.settings, ref, driver.now(), ids)
-        except (svc.BadCommand, UnacceptableRequestError) as error:
+        except (svc.InvalidCommandError, UnacceptableRequestError) as error:
             self.registry.counters.add("commands_unacceptable")
-            slot.put(resp.error(f"ERR {error}"))
+            slot.put(resp.encode_error(f"ERR {error}"))
             return False
         except Exception:
             self._log_exception()  # a defect met by one command: the others on this connection go on
-            slot.put(svc.FAILURE)
+            slot.put(svc.FAILURE_REPLY)
             return True
         slot.context = context
         last_call = (
@@ -399,14 +402,14 @@
 
     def _check_close(self, reason: str) -> None:
         trace = self.registry.counters.trace
-        trace.closed("client_connections", reason)
+        trace.count_close("client_connections", reason)
         open_contexts = [
             slot.context for slot in self.slots if slot.context and slot.context.awaiting_response
         ]
         # Where no answer was written the reset can take none along: the request crossed the close unread.
         unread = bool(self.last_write_at) and self.linger_timer is None and self.has_unread_bytes()
         subject = open_contexts[0].client_request_id if open_contexts else "connection"
-        trace.check(Guard.CLOSE, broken_by_closing(reason, len(open_contexts), unread), subject)
+        trace.report_violations(Guard.CLOSE, broken_by_closing(reason, len(open_contexts), unread), subject)
 
     def is_writing(self) -> bool:
         return self.pending_write is not None and not self.pending_write.done()
@@ -454,7 +457,9 @@
         ):
             return
         elif part:
-            self._reply_and_close(resp.error("ERR a command was begun and not ended"), "half_a_command")
+            self._reply_and_close(
+                resp.encode_error("ERR a command was begun and not ended"), "half_a_command"
+            )
         else:
             self.start_close("idle")
 
--- a/mapleshunt/net/client/listener.py
+++ b/mapleshunt/net/client/listener.py
@@ -12,7 +12,7 @@
 from tornado.ioloop import IOLoop
 
 from .. import log
-from ..config import Address, family_of
+from ..config import Address, address_family
 from ..counters import Counters
 
 # Errors of accept that stand for a lack of resources: the connection stays in the backlog.
@@ -37,7 +37,7 @@
 
 def bind_socket(listen: Address) -> socket.socket:
     """A bound socket that does not listen yet. Raises OSError if the address cannot be had."""
-    listener = socket.socket(family_of(listen))
+    listener = socket.socket(address_family(listen))
     try:
         listener.setblocking(False)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -25,36 +25,36 @@
 @dataclass(slots=True, frozen=True)
 class Config:
     name: str
-    listen: Address
-    discovery: Address
+    listen_address: Address
+    discovery_address: Address
     seed: int  # of this gateway's random numbers alone
-    sockets: int
-    memory: int  # bytes
+    max_descriptors: int
+    memory_bytes: int  # bytes
     accept_fd: int | None  # a socket that listens for clients, inherited
-    management: Address | None  # the operators' door
-    peer_listen: Address | None
-    peers: tuple[Address, ...]
-    peers_all: Address | None
-    counter: Address | None
-    known: Mapping[str, Any] | None
+    admin_address: Address | None  # the operators' door
+    gossip_address: Address | None
+    gossip_peers: tuple[Address, ...]
+    gossip_broadcast_address: Address | None
+    counter_address: Address | None
+    initial_endpoints: Mapping[str, Any] | None
     settings: i.Settings
-    dial_timeout: float  # ms
-    conn_idle: float  # ms
-    max_open: int  # requests held at once
+    dial_timeout_ms: float  # ms
+    idle_timeout_ms: float  # ms
+    max_open_requests: int  # requests held at once
 
 
-def address(text: object, what: str) -> Address:
+def parse_address(text: object, what: str) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
         raise ConfigError(f"{what} must be HOST:PORT, not {text!r}")
     return host.strip("[]"), int(port)
 
 
-def text_of(where: Address | None) -> str:
+def format_address(where: Address | None) -> str:
     return f"{where[0]}:{where[1]}" if where else "none"
 
 
-def family_of(where: Address) -> socket.AddressFamily:
+def address_family(where: Address) -> socket.AddressFamily:
     return socket.AF_INET6 if ":" in where[0] else socket.AF_INET
 
 
@@ -69,7 +69,7 @@
     return random.Random(f"{shared:x}/{name}").getrandbits(SEED_BITS)
 
 
-class ConfigUnreadable(ConfigError):
+class ConfigUnreadableError(ConfigError):
     """The file cannot be read now, and may be in a moment."""
 
 
@@ -90,7 +90,7 @@
     try:
         settings = settings_of(raw["settings"])
         limits = raw["settings"]["PolicyLimits"]
-        peers = tuple(address(peer, "peers") for peer in raw.get("peers") or ())
+        peers = tuple(parse_address(peer, "peers") for peer in raw.get("peers") or ())
         if settings.peers and len(peers) != settings.instances:
             raise ConfigError(f"peers must name {settings.instances} gateways, not {len(peers)}")
         allowed = raw.get("limits") or {}
@@ -99,22 +99,22 @@
         name = env.get("PROXY_NAME") or str(raw["name"])
         return Config(
             name=name,
-            listen=address(env.get("PROXY_LISTEN") or raw["listen"], "listen"),
-            discovery=address(env.get("PROXY_DISCOVERY") or raw["discovery"], "discovery"),
+            listen_address=parse_address(env.get("PROXY_LISTEN") or raw["listen"], "listen"),
+            discovery_address=parse_address(env.get("PROXY_DISCOVERY") or raw["discovery"], "discovery"),
             seed=_seed(raw.get("seed") or "0", name),
-            sockets=int(allowed.get("sockets") or 1024),
-            memory=int(float(allowed.get("memory_mb") or 192) * (1 << 20)),
+            max_descriptors=int(allowed.get("sockets") or 1024),
+            memory_bytes=int(float(allowed.get("memory_mb") or 192) * (1 << 20)),
             accept_fd=_descriptor(env.get("PROXY_ACCEPT_FD")),
-            management=address(door, "management") if door else None,
-            peer_listen=address(raw["peer_listen"], "peer_listen") if together else None,
-            peers=peers,
-            peers_all=address(raw["peers_all"], "peers_all") if together else None,
-            counter=address(raw["counter"], "counter") if raw.get("counter") else None,
-            known=raw.get("known"),
+            admin_address=parse_address(door, "management") if door else None,
+            gossip_address=parse_address(raw["peer_listen"], "peer_listen") if together else None,
+            gossip_peers=peers,
+            gossip_broadcast_address=parse_address(raw["peers_all"], "peers_all") if together else None,
+            counter_address=parse_address(raw["counter"], "counter") if raw.get("counter") else None,
+            initial_endpoints=raw.get("known"),
             settings=settings,
-            dial_timeout=float(limits.get("DialTimeout") or 250.0),
-            conn_idle=float(limits.get("ConnIdle") or 30000.0),
-            max_open=int(limits.get("MaxOpen") or 10000),
+            dial_timeout_ms=float(limits.get("DialTimeout") or 250.0),
+            idle_timeout_ms=float(limits.get("ConnIdle") or 30000.0),
+            max_open_requests=int(limits.get("MaxOpen") or 10000),
         )
     except KeyError as error:
         raise ConfigError(f"the configuration lacks {error}, or does not know it") from None
@@ -134,7 +134,7 @@
             text = file.read()
     except (OSError, UnicodeDecodeError) as error:
         passes = isinstance(error, OSError) and is_transient(error)
-        kind = ConfigUnreadable if passes else ConfigError
+        kind = ConfigUnreadableError if passes else ConfigError
         raise kind(f"the configuration cannot be read: {error}") from None
     return parse(text, env)
 
--- a/mapleshunt/net/counters.py
+++ b/mapleshunt/net/counters.py
@@ -13,15 +13,15 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.classes: Counter[tuple[str, str]] = Counter()  # by figure and class of requests
+        self.by_class: Counter[tuple[str, str]] = Counter()  # by figure and class of requests
         self.trace = Trace(self.add)
 
     def add(self, name: str, amount: int = 1) -> None:
         self.counts[name] += amount
 
-    def add_class(self, name: str, cls: str) -> None:
-        self.classes[name, cls] += 1
+    def add_for_class(self, name: str, cls: str) -> None:
+        self.by_class[name, cls] += 1
 
-    def print(self, **gauges: object) -> None:
+    def log_totals(self, **gauges: object) -> None:
         fields: dict[str, object] = {**dict(sorted(self.counts.items())), **gauges}
         log.log_event("counters", **fields)
--- a/mapleshunt/net/gossip_transport.py
+++ b/mapleshunt/net/gossip_transport.py
@@ -7,14 +7,14 @@
 
 from tornado.ioloop import IOLoop
 
-from .config import Address, family_of
+from .config import Address, address_family
 from .counters import Counters
 
-MOST = 256  # bytes of a datagram
-AT_ONCE = 64  # datagrams read before others get their turn
+MAX_DATAGRAM_BYTES = 256  # bytes of a datagram
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read before others get their turn
 
 
-class Peers:
+class GossipTransport:
     """Calls `heard` with a peer's number and its text. A sender is known by its address alone."""
 
     def __init__(
@@ -30,9 +30,9 @@
         with SO_REUSEPORT, the option not taken, the kernel would deal the senders out among both.
         Raises OSError if the address cannot be had.
         """
-        self.peers, self.everyone, self.heard, self.counters = peers, everyone, heard, counters
-        self.numbers = {peer: number for number, peer in enumerate(peers)}
-        self.socket = socket.socket(family_of(listen), socket.SOCK_DGRAM)
+        self.peers, self.broadcast_address, self.on_message, self.counters = peers, everyone, heard, counters
+        self.peer_numbers = {peer: number for number, peer in enumerate(peers)}
+        self.socket = socket.socket(address_family(listen), socket.SOCK_DGRAM)
         self.socket.setblocking(False)
         if shared:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -43,31 +43,31 @@
             raise
         IOLoop.current().add_handler(self.socket, self._read, IOLoop.READ)
 
-    def tell(self, peer: int, text: str) -> None:
+    def send(self, peer: int, text: str) -> None:
         data = text.encode()
-        if len(data) > MOST or not -1 <= peer < len(self.peers):
+        if len(data) > MAX_DATAGRAM_BYTES or not -1 <= peer < len(self.peers):
             self.counters.add("peer_messages_unsendable")
             return
         try:
-            self.socket.sendto(data, self.everyone if peer < 0 else self.peers[peer])
+            self.socket.sendto(data, self.broadcast_address if peer < 0 else self.peers[peer])
             self.counters.add("peer_messages_sent")
         except OSError:  # a message may be lost anywhere
             self.counters.add("peer_messages_lost")
 
     def _read(self, _fd: object, _events: int) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data, sender = self.socket.recvfrom(MOST + 1)
+                data, sender = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:  # an earlier datagram could not be delivered
                 continue
-            number = self.numbers.get(sender[:2])
-            if number is None or len(data) > MOST or not data.isascii():
+            number = self.peer_numbers.get(sender[:2])
+            if number is None or len(data) > MAX_DATAGRAM_BYTES or not data.isascii():
                 self.counters.add("peer_messages_strange")
             else:
                 self.counters.add("peer_messages_heard")
-                self.heard(number, data.decode("ascii"))
+                self.on_message(number, data.decode("ascii"))
 
     def close(self) -> None:
         IOLoop.current().remove_handler(self.socket)
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -260,7 +260,7 @@
         if server is not None:
             cold = slow_start.capacity(server, self.settings, self.now()) < 1
             broken = invariants.broken_by_slow_start(cold, server.allowance.level)
-            self.trace.check(Guard.START, broken, context.client_request_id)
+            self.trace.report_violations(Guard.START, broken, context.client_request_id)
 
     def _check_send(
         self, context: RequestContext, attempt: Attempt, connection: UpstreamConnection, passed_on: float
@@ -276,7 +276,9 @@
             None if context.awaiting_response else 1000 * (time.monotonic() - context.response_claimed_at)
         )
         facts = invariants.SendFacts(since_end, ready, passed_on, context.deadline - now)
-        self.trace.check(Guard.SEND, invariants.broken_by_sending(facts), context.client_request_id)
+        self.trace.report_violations(
+            Guard.SEND, invariants.broken_by_sending(facts), context.client_request_id
+        )
         if attempt.number:
             earlier = [
                 invariants.EarlierAttempt(one.sent_at, one.status, one.zone, one.cell)
@@ -285,4 +287,4 @@
             repeat = invariants.RepeatFacts(now, member.zone, member.cell, earlier)
             cls = self.settings.classes[context.request.cls]
             broken = invariants.broken_by_repeating(repeat, cls, self.settings)
-            self.trace.check(Guard.REPEAT, broken, context.client_request_id)
+            self.trace.report_violations(Guard.REPEAT, broken, context.client_request_id)
--- a/mapleshunt/net/protocol/http.py
+++ b/mapleshunt/net/protocol/http.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-MAX_HEAD = 8192
+MAX_HEAD_BYTES = 8192
 # bytes: the largest list is of 3,200 servers and as many that drain, at some 600 bytes of indented JSON each
-MAX_BODY = 4 << 20
-MAX_MESSAGE = MAX_HEAD + MAX_BODY
-END = b"\r\n\r\n"
+MAX_BODY_BYTES = 4 << 20
+MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES
+HEAD_END = b"\r\n\r\n"
 
 
 class ProtocolError(Exception):
@@ -19,7 +19,7 @@
 class Response:
     status: int
     body: bytes | memoryview
-    keep: bool  # the connection may carry a further request
+    keep_alive: bool  # the connection may carry a further request
 
 
 def _headers(head: bytes) -> tuple[int, dict[str, str]]:
@@ -50,7 +50,7 @@
         if not digits or len(digits) > 8 or digits.strip(b"0123456789abcdefABCDEF"):
             raise ProtocolError("a chunk's size is malformed")
         size, at = int(digits, 16), eol + 2
-        if (total := total + size) > MAX_BODY:
+        if (total := total + size) > MAX_BODY_BYTES:
             raise ProtocolError("a body is too long")
         if at + size + 2 > end:
             return None
@@ -64,8 +64,8 @@
 
 def _head_end(data: bytearray, start: int, end: int) -> int | None:
     """Where a head's last line ends, or None until it is whole."""
-    at = data.find(END, start, min(end, start + MAX_HEAD))
-    if at < 0 and end - start >= MAX_HEAD:
+    at = data.find(HEAD_END, start, min(end, start + MAX_HEAD_BYTES))
+    if at < 0 and end - start >= MAX_HEAD_BYTES:
         raise ProtocolError("a head is too long")
     return at if at >= 0 else None
 
@@ -75,19 +75,19 @@
     if (at := _head_end(data, start, end)) is None:
         return None
     status, fields = _headers(bytes(data[start:at]))
-    keep, at = fields.get("connection", "").lower() != "close", at + len(END)
+    keep, at = fields.get("connection", "").lower() != "close", at + len(HEAD_END)
     if fields.get("transfer-encoding", "").lower() == "chunked":
         found = _chunked(data, at, end)
         return found and (Response(status, found[0], keep), found[1])
     size = fields.get("content-length", "")
-    if not (size.isascii() and size.isdigit()) or int(size) > MAX_BODY:
+    if not (size.isascii() and size.isdigit()) or int(size) > MAX_BODY_BYTES:
         raise ProtocolError("a body's length is missing or too large")
     if at + int(size) > end:
         return None
     return Response(status, memoryview(data)[at : at + int(size)], keep), at + int(size)
 
 
-def get(path: str, host: str) -> bytes:
+def encode_get(path: str, host: str) -> bytes:
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
 
 
@@ -108,14 +108,14 @@
     return Request(words[0], words[1])
 
 
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 500: "Internal Server Error",
+REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 500: "Internal Server Error",
            503: "Service Unavailable"}  # fmt: skip
 
 
-def response(status: int, body: bytes) -> bytes:
+def encode_response(status: int, body: bytes) -> bytes:
     """An answer in plain text, the last on its connection."""
     head = (
-        f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
+        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     )
     return head.encode("ascii") + body
--- a/mapleshunt/net/protocol/read_buffer.py
+++ b/mapleshunt/net/protocol/read_buffer.py
@@ -6,10 +6,10 @@
 
 from tornado.iostream import IOStream
 
-CHUNK = 4096
+CHUNK_BYTES = 4096
 
 
-class TooLong(Exception):
+class MessageTooLongError(Exception):
     """A message does not fit in what a connection may hold."""
 
 
@@ -21,17 +21,17 @@
     """
 
     def __init__(self, limit: int) -> None:
-        self.limit = limit
-        self.data = bytearray(CHUNK)
+        self.max_bytes = limit
+        self.data = bytearray(CHUNK_BYTES)
         self.start = self.end = 0
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Where the next bytes go."""
-        if len(self.data) - self.end < CHUNK // 4:
+        if len(self.data) - self.end < CHUNK_BYTES // 4:
             left = self.end - self.start
-            if left >= self.limit:
-                raise TooLong(f"a message of more than {self.limit} bytes")
-            data = bytearray(min(self.limit, max(CHUNK, 2 * left)))
+            if left >= self.max_bytes:
+                raise MessageTooLongError(f"a message of more than {self.max_bytes} bytes")
+            data = bytearray(min(self.max_bytes, max(CHUNK_BYTES, 2 * left)))
             data[:left] = memoryview(self.data)[self.start : self.end]
             self.data, self.start, self.end = data, 0, left
         return memoryview(self.data)[self.end :]
@@ -40,7 +40,7 @@
         """Read what has come, at least a byte. Raises StreamClosedError at the end."""
         # IOStream reads into any writable buffer; its annotation names only bytearray.
         # Only now add to `end`: `self.end += await ...` would read it before `room` has replaced the buffer.
-        count = await stream.read_into(cast(bytearray, self.room()), partial=True)
+        count = await stream.read_into(cast(bytearray, self.free_space()), partial=True)
         self.end += count
 
     def consume(self, end: int) -> None:
--- a/mapleshunt/net/protocol/resp.py
+++ b/mapleshunt/net/protocol/resp.py
@@ -9,10 +9,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MAX_VALUE = 65536  # bytes of a bulk string
+MAX_VALUE_BYTES = 65536  # bytes of a bulk string
 MAX_ITEMS = 16  # of an array
-MAX_LINE = 1024  # bytes of a line
-MAX_MESSAGE = MAX_VALUE + 8192  # bytes that a connection needs to hold for one message
+MAX_LINE_BYTES = 1024  # bytes of a line
+MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 8192  # bytes that a connection needs to hold for one message
 CRLF = b"\r\n"
 
 
@@ -21,22 +21,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ErrorLine:
+class ErrorReply:
     text: str
 
 
 @dataclass(slots=True, frozen=True)
-class SimpleLine:
+class SimpleReply:
     text: str
 
 
-Reply = ErrorLine | SimpleLine | int | memoryview | None | list["Reply"]
+Reply = ErrorReply | SimpleReply | int | memoryview | None | list["Reply"]
 
 
 def _line(data: bytearray, start: int, end: int) -> int:
     """Where the line that begins at `start` ends, -1 if it is not whole."""
-    at = data.find(CRLF, start, min(end, start + MAX_LINE))
-    if at < 0 and end - start >= MAX_LINE:
+    at = data.find(CRLF, start, min(end, start + MAX_LINE_BYTES))
+    if at < 0 and end - start >= MAX_LINE_BYTES:
         raise ProtocolError("a line is too long")
     return at
 
@@ -50,8 +50,8 @@
 
 
 def _bulk(data: bytearray, start: int, end: int, size: int) -> tuple[memoryview, int] | None:
-    if size > MAX_VALUE:
-        raise ProtocolError(f"a value is longer than {MAX_VALUE} bytes")
+    if size > MAX_VALUE_BYTES:
+        raise ProtocolError(f"a value is longer than {MAX_VALUE_BYTES} bytes")
     if end < start + size + 2:
         return None
     if data[start + size : start + size + 2] != CRLF:
@@ -98,7 +98,7 @@
         return None
     if kind == b"-" or kind == b"+":
         text = bytes(data[start + 1 : eol]).decode("latin-1")
-        return (ErrorLine(text) if kind == b"-" else SimpleLine(text)), eol + 2
+        return (ErrorReply(text) if kind == b"-" else SimpleReply(text)), eol + 2
     number, at = _number(data, start + 1, eol), eol + 2
     if kind == b":":
         return number, at
@@ -119,17 +119,17 @@
     return items, at
 
 
-def command(words: Sequence[bytes | memoryview]) -> bytes:
+def encode_command(words: Sequence[bytes | memoryview]) -> bytes:
     parts: list[bytes | memoryview] = [b"*%d\r\n" % len(words)]
     for word in words:
         parts += (b"$%d\r\n" % len(word), word, CRLF)
     return b"".join(parts)
 
 
-def bulk(value: bytes | memoryview) -> bytes:
+def encode_bulk(value: bytes | memoryview) -> bytes:
     return b"".join((b"$%d\r\n" % len(value), value, CRLF))
 
 
-def error(text: str) -> bytes:
-    clean = text.replace("\r", " ").replace("\n", " ")[: MAX_LINE - 8]
+def encode_error(text: str) -> bytes:
+    clean = text.replace("\r", " ").replace("\n", " ")[: MAX_LINE_BYTES - 8]
     return b"-" + clean.encode("latin-1", "replace") + CRLF
--- a/mapleshunt/net/replication/connections.py
+++ b/mapleshunt/net/replication/connections.py
@@ -16,9 +16,9 @@
 from ...replication.messages import Message
 from .. import log
 from ..client.listener import Acceptor, bind_socket
-from ..config import Address, family_of
+from ..config import Address, address_family
 from ..counters import Counters
-from ..protocol.read_buffer import ReadBuffer, TooLong
+from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
 
 BACKLOG = 64
 MOST_UNSENT = 4 << 20  # bytes that a link holds before it drops
@@ -57,7 +57,7 @@
                 await buffer.fill(self.stream)
         except StreamClosedError:
             return "closed"
-        except (wire.Strange, TooLong) as strange:
+        except (wire.Strange, MessageTooLongError) as strange:
             self.links.counters.add("copies_strange")
             return str(strange)
         except Exception:
@@ -173,7 +173,7 @@
         while True:
             begun, stream = asyncio.get_running_loop().time(), None
             try:  # the socket too: without a descriptor left the next dial follows all the same
-                family = family_of(self.peers[peer])
+                family = address_family(self.peers[peer])
                 stream = IOStream(socket.socket(family), max_write_buffer_size=MOST_UNSENT)
                 async with asyncio.timeout(GREETING):
                     await stream.connect(self.peers[peer])
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -25,7 +25,7 @@
 from ...storage.writer import Writer
 from ...transient_errors import is_transient
 from .. import log
-from ..config import Address, ConfigError, address
+from ..config import Address, ConfigError, parse_address
 from ..counters import Counters
 from .connections import PeerConnection, PeerConnections
 from .group_host import GroupHost, LocalConnection
@@ -57,7 +57,7 @@
     @staticmethod
     def check(section: Section, name: str) -> dict[str, Address]:
         """The addresses of all gateways. Raises `ConfigError`."""
-        addresses = {one.name: address(one.address, f"peer {one.name}") for one in section.peer}
+        addresses = {one.name: parse_address(one.address, f"peer {one.name}") for one in section.peer}
         if name not in addresses:
             raise ConfigError(f"copies: no peer is named {name!r}, as this gateway is")
         return addresses
--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -54,7 +54,7 @@
         check(context, attempt, connection, left)
         reply = await connection.exchange(
             context.message.encode(int(left)),
-            lambda: group.counters.add_class("upstream_requests", context.request.cls),
+            lambda: group.counters.add_for_class("upstream_requests", context.request.cls),
             left / 2000,
         )
     except NoConnectionAvailableError:
--- a/mapleshunt/net/request/respond.py
+++ b/mapleshunt/net/request/respond.py
@@ -10,7 +10,7 @@
     if context.claim_response():
         context.final_result = "served"
         counters.add("answers_served")
-        counters.add_class("completed", context.request.cls)
+        counters.add_for_class("completed", context.request.cls)
         context.response_sink.serve(value)
 
 
@@ -18,7 +18,7 @@
     if context.claim_response():
         context.final_result = "refused"
         counters.add("answers_rejected")
-        counters.add_class("rejected", context.request.cls)
+        counters.add_for_class("rejected", context.request.cls)
         context.response_sink.reject(wait)
 
 
@@ -26,5 +26,5 @@
     if context.claim_response():
         context.final_result = "failed"
         counters.add("answers_failed")
-        counters.add_class("failed", context.request.cls)
+        counters.add_for_class("failed", context.request.cls)
         context.response_sink.fail()
--- a/mapleshunt/net/request/trace.py
+++ b/mapleshunt/net/request/trace.py
@@ -38,11 +38,11 @@
     def add(self, subject: str, event: str, detail: str = "") -> None:
         self.steps.append(Step(time.monotonic(), subject, event, detail))
 
-    def closed(self, kind: str, reason: str) -> None:
+    def count_close(self, kind: str, reason: str) -> None:
         """Count the end of a connection of that kind by its reason."""
         self.count(f"{kind}_closed_{reason}")
 
-    def check(self, guard: Guard, broken: Iterable[str], subject: str) -> None:
+    def report_violations(self, guard: Guard, broken: Iterable[str], subject: str) -> None:
         """Count and log each rule that a guard found broken, with the steps that led to it."""
         for rule in broken:
             self.count("invariant_violations")
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -18,11 +18,11 @@
 
 from ...policy import interface as i
 from .. import log
-from ..config import Address, family_of
+from ..config import Address, address_family
 from ..counters import Counters
 from ..protocol import command_protocol as svc
 from ..protocol import resp
-from ..protocol.read_buffer import ReadBuffer, TooLong
+from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..request.context import AttemptResult
 
 REPLY_STALL_TIMEOUT_S = 0.1  # s that a reply that has begun may stand still
@@ -95,8 +95,10 @@
 
     def __init__(self, server: EndpointPool, group: EndpointGroup) -> None:
         self.pool, self.endpoint, self.group = server, server.endpoint, group
-        self.stream = IOStream(socket.socket(family_of(server.address)), max_buffer_size=4 * resp.MAX_MESSAGE)
-        self.buffer = ReadBuffer(resp.MAX_MESSAGE)
+        self.stream = IOStream(
+            socket.socket(address_family(server.address)), max_buffer_size=4 * resp.MAX_MESSAGE_BYTES
+        )
+        self.buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         self.pending_result: asyncio.Future[AttemptResult] | None = None
         self.attempts, self.close_reason = 0, ""
         self.idle_since = 0.0
@@ -173,7 +175,7 @@
                 self._take_reply()
         except StreamClosedError as closed:
             reason = "server_reset" if closed.real_error else reason
-        except (resp.ProtocolError, TooLong) as error:
+        except (resp.ProtocolError, MessageTooLongError) as error:
             return self._reply_malformed(error)
         except Exception:
             reason = "exception"
@@ -196,7 +198,7 @@
             return
         self.buffer.consume(found[1])
         self._stop_stall()
-        self.pending_result.set_result(svc.ending(found[0]))
+        self.pending_result.set_result(svc.parse_attempt_result(found[0]))
         if self.buffer.start != self.buffer.end:  # the answer is good; what follows would spoil the next one
             raise resp.ProtocolError("bytes behind a reply")
 
@@ -227,7 +229,7 @@
         self.stream.close()
         if self.pending_result is not None and not self.pending_result.done():
             self.pending_result.set_exception(StreamClosedError())
-        self.group.counters.trace.closed("server_connections", reason)
+        self.group.counters.trace.count_close("server_connections", reason)
         log.log_event(
             "server_connection_ended", server=self.pool.endpoint.id, reason=reason, tries=self.attempts
         )
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -13,7 +13,7 @@
 
 from ..fleet.backend import Backend, BackendRequest
 from ..net.protocol import resp
-from ..net.protocol.read_buffer import ReadBuffer, TooLong
+from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..simulation.records import ClientAttempt, UpstreamAttempt
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
         machine.connections = len(self.streams)
         machine.extra(clock.now(), self.fleet.handshake)
         self._plan()
-        buffer, current = ReadBuffer(resp.MAX_MESSAGE), list[InFlightAttempt]()
+        buffer, current = ReadBuffer(resp.MAX_MESSAGE_BYTES), list[InFlightAttempt]()
         stream.set_close_callback(lambda: self._closed(stream, current))
         try:
             while True:
@@ -111,7 +111,7 @@
                     buffer.consume(found[1])
                     await self._command(stream, found[0], current)
                 await buffer.fill(stream)
-        except (StreamClosedError, resp.ProtocolError, TooLong):
+        except (StreamClosedError, resp.ProtocolError, MessageTooLongError):
             stream.close()
 
     def _closed(self, stream: IOStream, current: list[InFlightAttempt]) -> None:
@@ -135,14 +135,14 @@
     ) -> None:
         if bytes(words[0]) not in (b"SVC.QUERY", b"SVC.SUBMIT") or len(words) < 4:
             await stream.write(
-                b"+PONG\r\n" if bytes(words[0]) == b"PING" else resp.error("ERR unknown command")
+                b"+PONG\r\n" if bytes(words[0]) == b"PING" else resp.encode_error("ERR unknown command")
             )
             return
         fleet, clock = self.fleet, self.fleet.clock
         found = fleet.by_id.get(bytes(words[2]).decode("latin-1"))
         if found is None:
             fleet.unknown_requests += 1
-            await stream.write(resp.error("SYNTAX no client sent this"))
+            await stream.write(resp.encode_error("SYNTAX no client sent this"))
             return
         one, now = found[0], clock.now()
         for earlier in fleet.in_flight.get(one.ref, ()):
@@ -177,9 +177,9 @@
         fleet.ended(out)
         current.clear()
         if word == "full":
-            await stream.write(resp.error("BUSY"))
+            await stream.write(resp.encode_error("BUSY"))
         elif word == "error":
-            await stream.write(resp.error("ERR failed"))
+            await stream.write(resp.encode_error("ERR failed"))
         else:
             fleet.books.settled(one, clock.now())
             await self._answer(stream, out, self._good_answer(one, bytes(words[2])))
@@ -189,7 +189,7 @@
         load = f"qps={report.qps:.0f},latency_ms={report.latency:.0f},inflight={report.inflight:.0f}"
         value = b"%s by %d" % (name, self.machine.number)
         cost = f"cost={one.ask.units:.0f}".encode()
-        return b"*3\r\n" + resp.bulk(value) + resp.bulk(cost) + resp.bulk(load.encode())
+        return b"*3\r\n" + resp.encode_bulk(value) + resp.encode_bulk(cost) + resp.encode_bulk(load.encode())
 
     async def _answer(self, stream: IOStream, out: InFlightAttempt, data: bytes) -> None:
         """Write a good answer."""
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -9,7 +9,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from ..net.protocol import resp
-from ..net.protocol.read_buffer import ReadBuffer, TooLong
+from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..simulation.day import RuleLimits
 from ..simulation.records import ClientAttempt, ClientResult, RequestRecord
 from .backends import HOST
@@ -25,7 +25,7 @@
 
     def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
         self.stream = IOStream(socket.socket())
-        self.buffer = ReadBuffer(resp.MAX_MESSAGE)
+        self.buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         self.fleet, self.gateway = fleet, gateway
         self.used, self.at = False, 0.0
 
@@ -142,7 +142,7 @@
                     return "failed", 0.0
                 fleet.watchman.lost(one)
                 return "failed", 0.0
-            except (resp.ProtocolError, TooLong):
+            except (resp.ProtocolError, MessageTooLongError):
                 link.stream.close()
                 self.strange += 1
                 fleet.watchman.lost(one)
@@ -161,13 +161,13 @@
             if not bytes(reply).startswith(name.encode()) or not any(a.status == "ok" for a in one.attempts):
                 self.wrong_values += 1
                 fleet.watchman.lost(one)
-        elif isinstance(reply, resp.ErrorLine) and reply.text.split(" ")[0] == "BUSY":
+        elif isinstance(reply, resp.ErrorReply) and reply.text.split(" ")[0] == "BUSY":
             one.answer = "refused"
         else:
             one.answer = "failed"
         fleet.watchman.answered(one, one.answer, now)
         wait = 0.0
-        if one.answer == "refused" and isinstance(reply, resp.ErrorLine):
+        if one.answer == "refused" and isinstance(reply, resp.ErrorReply):
             words = reply.text.split(" ")
             wait = float(words[1]) if len(words) > 1 and words[1].isdigit() else 0.0
         return one.answer, wait
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -16,7 +16,7 @@
 
 from ..fleet.discovery import EndpointEntry
 from ..net.protocol import resp
-from ..net.protocol.read_buffer import ReadBuffer, TooLong
+from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..platform_terms import STATES
 from .backends import HOST
 
@@ -124,7 +124,7 @@
             stream.close()
             return
         self.streams.add(stream)
-        buffer = ReadBuffer(resp.MAX_MESSAGE)
+        buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         try:
             while True:
                 await buffer.fill(stream)
@@ -138,11 +138,15 @@
                         self.fleet.counts += 1
                         word, at, total = counter.call(clock.now(), hash(name), amount, life, self.gateway)
                         await asyncio.sleep(max(0.0, min(at - clock.now(), 1e6)) / 1000)
-                        answer = resp.bulk(f"{total:.7g}".encode()) if word == "ok" else resp.error("BUSY")
+                        answer = (
+                            resp.encode_bulk(f"{total:.7g}".encode())
+                            if word == "ok"
+                            else resp.encode_error("BUSY")
+                        )
                         await stream.write(answer)
                     else:
-                        await stream.write(resp.error("ERR unknown command"))
-        except (StreamClosedError, resp.ProtocolError, TooLong, ValueError):
+                        await stream.write(resp.encode_error("ERR unknown command"))
+        except (StreamClosedError, resp.ProtocolError, MessageTooLongError, ValueError):
             stream.close()
         finally:
             self.streams.discard(stream)
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -188,7 +188,7 @@
         if not safe:
             pairs += f",k={abs(hash((ask.customer, ask.at, ask.work))) & (2**64 - 1):016x}"
         words = [b"SVC.QUERY" if safe else b"SVC.SUBMIT", who.name.encode(), name.encode(), pairs.encode()]
-        return resp.command(words)
+        return resp.encode_command(words)
 
     def ended(self, out: InFlightAttempt) -> None:
         there = self.in_flight.get(out.one.ref, [])
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -90,7 +90,12 @@
         await stream.write(data)
         self.used[stream] = asyncio.get_running_loop().time()
         if chance < self.misbehaviour.truncated + self.misbehaviour.second:
-            late = b"*3\r\n" + resp.bulk(b"an answer nobody asked for") + resp.bulk(b"") + resp.bulk(b"")
+            late = (
+                b"*3\r\n"
+                + resp.encode_bulk(b"an answer nobody asked for")
+                + resp.encode_bulk(b"")
+                + resp.encode_bulk(b"")
+            )
             asyncio.get_running_loop().call_later(LATE_ANSWER_S, write_if_open, stream, late)
 
     def close_idle(self) -> None:
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -14,7 +14,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from ...net.protocol import resp
-from ...net.protocol.read_buffer import TooLong
+from ...net.protocol.read_buffer import MessageTooLongError
 from ...simulation.records import ClientAttempt, ClientResult
 from ..backends import HOST
 from ..clients import ClientConnection, SocketClients
@@ -34,7 +34,7 @@
 TO_LEAVING = 0.3  # chance that a request goes to a gateway that was told to end, where a connection is open
 BAD_CLIENT_S = 3.0  # within which a bad client is owed its error or its close
 BAD_CLIENT_SLACK_S = 0.5
-PING = resp.command([b"PING"])
+PING = resp.encode_command([b"PING"])
 
 
 class SoakClients(SocketClients):
@@ -103,7 +103,7 @@
                     return "failed", 0.0
                 self.soak.unanswered(one, f"closed on a {'used' if used else 'new'} connection")
                 return "failed", 0.0
-            except (resp.ProtocolError, TooLong) as error:
+            except (resp.ProtocolError, MessageTooLongError) as error:
                 link.stream.close()
                 self.strange += 1
                 self.soak.break_rule("strange_answer", f"request {one.ref}: {error}")
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -16,8 +16,8 @@
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "examples" / "config.json"
-PING = resp.command([b"PING"])
-PONG, NOT_READY = resp.SimpleLine("PONG"), resp.ErrorLine("ERR not ready")
+PING = resp.encode_command([b"PING"])
+PONG, NOT_READY = resp.SimpleReply("PONG"), resp.ErrorReply("ERR not ready")
 LONG = 60.0  # s that a test waits at most for what must come
 
 
@@ -50,7 +50,7 @@
 
 
 def query(number: int, pairs: bytes = ONE, customer: bytes = b"00000000b4d65521") -> bytes:
-    return resp.command([b"SVC.QUERY", customer, b"%016x" % number, pairs])
+    return resp.encode_command([b"SVC.QUERY", customer, b"%016x" % number, pairs])
 
 
 @contextlib.contextmanager
@@ -91,7 +91,7 @@
             while got := one.recv(65536):
                 data += got
         found = http.parse_response(data, 0, len(data))
-        assert found is not None and not found[0].keep
+        assert found is not None and not found[0].keep_alive
         return found[0].status, bytes(found[0].body).decode()
 
     def until(self, status: int) -> None:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -55,7 +55,7 @@
 
 
 def query(extra: bytes = b"c=look,t=wide,d=480") -> bytes:
-    return resp.command([b"SVC.QUERY", WHO, b"%016x" % next(IDS), extra])
+    return resp.encode_command([b"SVC.QUERY", WHO, b"%016x" % next(IDS), extra])
 
 
 def play(steps: Callable[[client.ClientConnection, socket.socket], Awaitable[None]]) -> Decisions:
@@ -93,7 +93,7 @@
             await rest()
             for context in list(decisions.open_requests.values()):
                 decisions.open_requests.pop(context.request_id).response_sink.serve(
-                    memoryview(bytes(resp.MAX_VALUE))
+                    memoryview(bytes(resp.MAX_VALUE_BYTES))
                 )
         await rest()
         held = connection.command_count
@@ -183,7 +183,7 @@
     # Hundreds connect and say nothing: the oldest went first, and it was the usual clients that lost theirs.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         monkeypatch.setattr(client, "EVICT_SILENT_AFTER_S", -1.0)
-        theirs.send(resp.command([b"PING"]))
+        theirs.send(resp.encode_command([b"PING"]))
         await rest()
         pairs = [socket.socketpair() for _ in range(3)]
         for ours, _ in pairs:
@@ -203,7 +203,7 @@
         pairs = [socket.socketpair() for _ in range(4)]
         for ours, other in pairs:
             connection.registry.add(IOStream(ours))
-            other.send(resp.command([b"PING"]))
+            other.send(resp.encode_command([b"PING"]))
         theirs.send(query())
         await rest()
         connection.registry.reap_overdue(2, 3600.0)
@@ -284,7 +284,7 @@
 def test_hundreds_of_commands_at_once_take_turns_with_other_work() -> None:
     # They were taken in one go, and all other connections waited for a quarter of a second.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        theirs.send(50 * resp.command([b"PING"]))
+        theirs.send(50 * resp.encode_command([b"PING"]))
         while not connection.command_count:
             await asyncio.sleep(0)
         assert connection.command_count < 5
@@ -369,14 +369,14 @@
         service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.add(IOStream(ours))
         (connection,) = service.connections
-        flood = b"".join(query() for _ in range(3 * resp.MAX_MESSAGE // len(query())))
+        flood = b"".join(query() for _ in range(3 * resp.MAX_MESSAGE_BYTES // len(query())))
         await asyncio.get_running_loop().sock_sendall(theirs, flood)
         buffer = connection.buffer
         await until(lambda: connection.consumed_bytes + buffer.end - buffer.start == len(flood))
         assert not decisions.left and len(decisions.open_requests) == client.MAX_PIPELINED_COMMANDS < len(
             connection.slots
         )
-        assert connection.buffer.limit >= buffer.end - buffer.start
+        assert connection.buffer.max_bytes >= buffer.end - buffer.start
         theirs.close()
         await until(lambda: connection not in connection.registry.connections)
         assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS
@@ -388,11 +388,11 @@
     # What is not ASCII was refused, and with it every request of such a class or plan.
     named = "c=kasse-öffnen,t=größe,d=480".encode()
     words = [memoryview(word) for word in (b"SVC.QUERY", WHO, b"0" * 16, named)]
-    read = svc.intake(words)
+    read = svc.parse_request(words)
     assert (read.cls, read.plan) == ("kasse-öffnen", "größe")
     assert named.replace(b"480", b"300") in read.message.encode(300)
-    with pytest.raises(svc.BadCommand):
-        svc.intake([*words[:3], memoryview(named.replace(b"\xc3", b""))])
+    with pytest.raises(svc.InvalidCommandError):
+        svc.parse_request([*words[:3], memoryview(named.replace(b"\xc3", b""))])
 
 
 def test_client_that_sends_without_end_and_goes_is_seen_to_go(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -446,7 +446,7 @@
 def test_each_command_that_was_read_before_the_last_call_has_its_answer() -> None:
     # A whole command that had been read was dropped, and others behind it, with the connection's end.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions, ping = cast(Decisions, connection.registry.driver), resp.command([b"PING"])
+        decisions, ping = cast(Decisions, connection.registry.driver), resp.encode_command([b"PING"])
         connection.registry.is_ready = lambda: False
         theirs.send(query())
         await until(lambda: decisions.open_requests)
@@ -457,7 +457,7 @@
         context.response_sink.serve(memoryview(b"v"))
         await rest()
         no = b"-ERR not ready\r\n"
-        assert received(theirs) == resp.bulk(b"v") + b"-BUSY 1\r\n" + no + b"-BUSY 1\r\n"
+        assert received(theirs) == resp.encode_bulk(b"v") + b"-BUSY 1\r\n" + no + b"-BUSY 1\r\n"
         assert connection.linger_timer is not None
 
     play(steps)
@@ -478,10 +478,10 @@
         service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.add(IOStream(ours))
         (connection,) = service.connections
-        long = resp.bulk(memoryview(bytes(resp.MAX_VALUE)))
+        long = resp.encode_bulk(memoryview(bytes(resp.MAX_VALUE_BYTES)))
         theirs.send(query())
         await until(lambda: decisions.open_requests)
-        decisions.open_requests.popitem()[1].response_sink.serve(memoryview(bytes(resp.MAX_VALUE)))
+        decisions.open_requests.popitem()[1].response_sink.serve(memoryview(bytes(resp.MAX_VALUE_BYTES)))
         await until(lambda: not connection.is_busy())
         crossing = iter([b"", query()])
 
@@ -636,7 +636,7 @@
     @open_now
     @rule()
     def pings(self) -> None:
-        self.sends(resp.command([b"PING"]), b"+PONG\r\n")
+        self.sends(resp.encode_command([b"PING"]), b"+PONG\r\n")
         self.model()
 
     @open_now
@@ -679,7 +679,7 @@
             step, data = {
                 "serve": (
                     lambda: context.response_sink.serve(memoryview(b"v%d" % ref)),
-                    resp.bulk(b"v%d" % ref),
+                    resp.encode_bulk(b"v%d" % ref),
                 ),
                 "reject": (lambda: context.response_sink.reject(12.4), b"-BUSY 12\r\n"),
                 "fail": (lambda: context.response_sink.fail(), b"-ERR failed\r\n"),
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,9 +14,9 @@
 
 from mapleshunt.__main__ import Program
 from mapleshunt.net import config
-from mapleshunt.net.backoff import SILENCE, TOLD, WAIT, Backoff
+from mapleshunt.net.backoff import NOTIFICATION_BUDGET_MS, SILENCE_TIMEOUT_MS, WATCH_WAIT_MS, Backoff
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.discovery.watcher import Discovery, MemberList
+from mapleshunt.net.discovery.watcher import EndpointList, EndpointWatcher
 from mapleshunt.net.protocol.read_buffer import ReadBuffer
 
 from .processes import EXAMPLE
@@ -25,8 +25,8 @@
 class Prompt(Backoff):
     """Calls again at once: what is asked is looked at, not when."""
 
-    def pause(self, since: float = TOLD) -> float:
-        return super().pause(since) / 1000
+    def next_delay_ms(self, since: float = NOTIFICATION_BUDGET_MS) -> float:
+        return super().next_delay_ms(since) / 1000
 
 
 def answer(revision: int, complete: bool, status: bytes = b"200 OK") -> bytes:
@@ -52,13 +52,15 @@
         answer(50, True),
     ]
     asked: list[str] = []
-    told: list[MemberList] = []
+    told: list[EndpointList] = []
 
-    def tell(found: MemberList) -> None:
+    def tell(found: EndpointList) -> None:
         told.append(found)
-        discovery.watch_limit = 0.05 if answers[:1] == [None] else 60.0  # short only where silence follows
+        discovery.watch_timeout_s = (
+            0.05 if answers[:1] == [None] else 60.0
+        )  # short only where silence follows
 
-    discovery = Discovery(("", 0), tell, Counters(), Prompt(1, random.Random(1)))
+    discovery = EndpointWatcher(("", 0), tell, Counters(), Prompt(1, random.Random(1)))
 
     async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -66,7 +68,7 @@
                 asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
                 data = answers.pop(0)
                 if data is None:
-                    discovery.watch_limit = 60.0
+                    discovery.watch_timeout_s = 60.0
                     await reader.read()
                 if not data:
                     break
@@ -96,7 +98,7 @@
     ]
     # Whatever ended it, the watch goes on from the revision held, unless discovery does not know that. The
     # first call on a connection waits for no news: what came while there was no watch is told at once.
-    first, on = "/catalog/members?index={}&wait=0", f"/catalog/members?index={{}}&wait={WAIT:.0f}"
+    first, on = "/catalog/members?index={}&wait=0", f"/catalog/members?index={{}}&wait={WATCH_WAIT_MS:.0f}"
     assert asked == [
         "/catalog/members",
         first.format(41),
@@ -115,9 +117,9 @@
 
 def test_watch_that_falls_silent_is_found_before_what_it_had_to_tell_counts_as_told() -> None:
     # It was found after 21 s; for all that time draining servers were asked, and new ones were not.
-    assert WAIT + SILENCE <= 2000
-    discovery = Discovery(("", 0), lambda found: None, Counters(), Backoff(1, random.Random(1)))
-    assert discovery.watch_limit == (WAIT + SILENCE) / 1000
+    assert WATCH_WAIT_MS + SILENCE_TIMEOUT_MS <= 2000
+    discovery = EndpointWatcher(("", 0), lambda found: None, Counters(), Backoff(1, random.Random(1)))
+    assert discovery.watch_timeout_s == (WATCH_WAIT_MS + SILENCE_TIMEOUT_MS) / 1000
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -127,7 +129,7 @@
     With a fixed pause of 100 ms the line stayed full, and hardly any gateway had a list all day.
     """
     clients = [Backoff(40, random.Random(seed * 100 + n)) for n in range(40)]
-    calls = [(client.start(), n) for n, client in enumerate(clients)]
+    calls = [(client.initial_delay_ms(), n) for n, client in enumerate(clients)]
     heapq.heapify(calls)
     free, current, made = 0.0, {}, []
     while calls:
@@ -135,7 +137,7 @@
         made.append(at)
         begun = max(free, at)
         if begun - at > 2000:
-            heapq.heappush(calls, (at + clients[n].pause(), n))
+            heapq.heappush(calls, (at + clients[n].next_delay_ms(), n))
         else:
             free = begun + 100
             current[n] = free
@@ -146,18 +148,18 @@
 
 def test_pauses_of_a_few_gateways_are_short_and_begin_anew_after_an_answer() -> None:
     backoff = Backoff(3, random.Random(1))
-    first = [backoff.pause() for _ in range(50)]
+    first = [backoff.next_delay_ms() for _ in range(50)]
     assert first[0] <= 150 and max(first) <= 2000
-    backoff.answered()
-    assert backoff.pause() <= 150
+    backoff.reset()
+    assert backoff.next_delay_ms() <= 150
 
 
 def test_a_gateway_whose_list_is_pushed_asks_its_agent_at_once_however_large_the_fleet() -> None:
     # The first call of 200 gateways waited up to 5 s for its turn at an agent that answers each at no cost:
     # 384 requests went to draining servers that the answer would have named.
     backoff = Backoff(0, random.Random(1))
-    assert backoff.start() == 0.0
-    assert max(backoff.pause() for _ in range(50)) <= 500
+    assert backoff.initial_delay_ms() == 0.0
+    assert max(backoff.next_delay_ms() for _ in range(50)) <= 500
 
 
 class Agent:
@@ -180,13 +182,13 @@
 
 def test_watch_comes_back_when_no_descriptor_was_left_for_its_call() -> None:
     # The socket was made outside of the `try`: its OSError ended the task, and no list came ever again.
-    told: list[MemberList] = []
+    told: list[EndpointList] = []
 
     async def run() -> Counters:
         agent, counters = Agent(), Counters()
         server = await agent.start()
         address = server.sockets[0].getsockname()
-        discovery = Discovery(address, told.append, counters, Prompt(0, random.Random(1)))
+        discovery = EndpointWatcher(address, told.append, counters, Prompt(0, random.Random(1)))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))  # those that are open stay; there is no new
         try:
@@ -213,8 +215,8 @@
     async def run() -> list[str]:
         agent = Agent()
         server = await agent.start()
-        told: list[MemberList] = []
-        discovery = Discovery(
+        told: list[EndpointList] = []
+        discovery = EndpointWatcher(
             server.sockets[0].getsockname(), told.append, Counters(), Prompt(0, random.Random(1)), 41
         )
         task = asyncio.create_task(discovery.run())
@@ -255,7 +257,9 @@
             program.watch(third)
 
         async def fill(buffer: ReadBuffer, stream: IOStream) -> None:
-            reading = asyncio.ensure_future(stream.read_into(cast(bytearray, buffer.room()), partial=True))
+            reading = asyncio.ensure_future(
+                stream.read_into(cast(bytearray, buffer.free_space()), partial=True)
+            )
             if not crossed:  # before the task, which waits for it only now
                 crossed.append(True)
                 reading.add_done_callback(move)
@@ -287,11 +291,16 @@
 def told_after(backoff: Backoff, lost: str, now: float) -> float:
     """ms from the loss of a watch to the answer of the first call that can be answered, in its turn."""
     if lost == "moved":
-        return backoff.start() + backoff.dial + backoff.answer
+        return backoff.initial_delay_ms() + backoff.dial_timeout_ms + backoff.answer_timeout_ms
     if lost == "refused":  # a call that began before, in vain, took all it may, long after the last answer
-        return backoff.dial + backoff.answer + backoff.pause() + backoff.answer
-    noticed = WAIT + SILENCE if lost == "silent" else now
-    return noticed + backoff.pause(noticed) + backoff.dial + backoff.answer
+        return (
+            backoff.dial_timeout_ms
+            + backoff.answer_timeout_ms
+            + backoff.next_delay_ms()
+            + backoff.answer_timeout_ms
+        )
+    noticed = WATCH_WAIT_MS + SILENCE_TIMEOUT_MS if lost == "silent" else now
+    return noticed + backoff.next_delay_ms(noticed) + backoff.dial_timeout_ms + backoff.answer_timeout_ms
 
 
 @pytest.mark.parametrize("callers", [0, 2, 40, 200])
@@ -302,6 +311,6 @@
         chance = random.Random(seed)
         backoff = Backoff(callers, chance)
         for _ in range(seed % 8 if lost == "refused" else 0):
-            backoff.pause()
-        took = told_after(backoff, lost, chance.uniform(0.0, WAIT))
-        assert took <= (4000.0 if lost == "moved" else TOLD)
+            backoff.next_delay_ms()
+        took = told_after(backoff, lost, chance.uniform(0.0, WATCH_WAIT_MS))
+        assert took <= (4000.0 if lost == "moved" else NOTIFICATION_BUDGET_MS)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -27,7 +27,7 @@
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.periodic import PeriodicTask
 from mapleshunt.net.policy_driver import RESPONSE_GUARD_MS, PolicyDriver
-from mapleshunt.net.protocol.command_protocol import SvcMessage
+from mapleshunt.net.protocol.command_protocol import CommandMessage
 from mapleshunt.net.request import respond
 from mapleshunt.net.request.admit import admit
 from mapleshunt.net.request.context import RequestContext
@@ -83,7 +83,7 @@
 ) -> tuple[RequestContext, Told]:
     told = Told()
     request = Request(ref, "look", "wide", "c", patience)
-    context = RequestContext(ref, request, SvcMessage([], {}), told, driver.now())
+    context = RequestContext(ref, request, CommandMessage([], {}), told, driver.now())
     admit(context, driver, most)
     return context, told
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.discovery.watcher import member_list
+from mapleshunt.net.discovery.watcher import parse_endpoint_list
 from mapleshunt.net.protocol import http
 from mapleshunt.net.upstream.endpoint_group import EndpointGroup
 
@@ -26,7 +26,7 @@
     room = bytearray(data + b"HTTP")
     found = http.parse_response(room, 0, len(room))
     assert found is not None and found[1] == len(data)
-    assert (found[0].status, bytes(found[0].body), found[0].keep) == (status, body, keep)
+    assert (found[0].status, bytes(found[0].body), found[0].keep_alive) == (status, body, keep)
     assert all(http.parse_response(room, 0, end) is None for end in range(len(data)))
 
 
@@ -39,7 +39,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nbody",
         b"HTTP/1.1 200 OK\r\n name: x\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
-        b"x" * http.MAX_HEAD,
+        b"x" * http.MAX_HEAD_BYTES,
     ],
 )
 def test_bytes_that_are_no_response_are_told(data: bytes) -> None:
@@ -70,19 +70,19 @@
 
 
 def test_list_becomes_the_members_event_with_numbers_from_ids() -> None:
-    found = member_list(
+    found = parse_endpoint_list(
         {
             "revision": 4,
             "complete": False,
             "members": [row("s-1"), row("s-2", phase="Terminating", up_since_ms=1764000000000)],
         }
     )
-    event = EndpointGroup(Counters(), 250, 1000, 10).apply_endpoint_list("partial", found.members)
+    event = EndpointGroup(Counters(), 250, 1000, 10).apply_endpoint_list("partial", found.endpoints)
     assert [(e.cell, e.zone, e.state, e.started) for e in event.entries] == [
         (3, "a", "ready", 0.0),
         (3, "a", "draining", 1764000000000.0),
     ]
-    again = EndpointGroup(Counters(), 250, 1000, 10).apply_endpoint_list("complete", found.members[::-1])
+    again = EndpointGroup(Counters(), 250, 1000, 10).apply_endpoint_list("complete", found.endpoints[::-1])
     # Peers tell each other of servers by number, so it must not rest on order or on the process.
     assert [e.server for e in again.entries] == [e.server for e in event.entries][::-1]
     assert event.entries[0].server == 3624031694
@@ -104,8 +104,10 @@
         body = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
     data = bytearray(head + body)
     found = http.parse_response(data, 0, len(data))
-    assert found is not None and len(member_list(json.loads(bytes(found[0].body))).members) == len(rows)
-    assert len(data) <= http.MAX_MESSAGE
+    assert found is not None and len(parse_endpoint_list(json.loads(bytes(found[0].body))).endpoints) == len(
+        rows
+    )
+    assert len(data) <= http.MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -119,4 +121,4 @@
 )
 def test_malformed_list_is_a_value_error(bad: dict[str, object]) -> None:
     with pytest.raises(ValueError, match="malformed"):
-        member_list(bad)
+        parse_endpoint_list(bad)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -95,8 +95,8 @@
     counters = Counters()
     counters.trace.add("aa", "taken", "look")
     counters.trace.add("bb", "taken", "look")
-    counters.trace.check(Guard.CLOSE, ["closed_over_unread_bytes"], "aa")
-    counters.trace.check(Guard.CLOSE, [], "bb")
+    counters.trace.report_violations(Guard.CLOSE, ["closed_over_unread_bytes"], "aa")
+    counters.trace.report_violations(Guard.CLOSE, [], "bb")
     assert counters.counts["invariant_violations"] == 1
     assert counters.counts["violated_close_closed_over_unread_bytes"] == 1
     said = capsys.readouterr().out
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,7 +6,7 @@
 import socket
 
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.gossip_transport import MOST, Peers
+from mapleshunt.net.gossip_transport import MAX_DATAGRAM_BYTES, GossipTransport
 
 
 def test_peers_are_known_by_address_and_messages_are_bounded() -> None:
@@ -20,14 +20,21 @@
         everyones = everyone.getsockname()
         counters = Counters()
         addresses = [("127.0.0.1", 1), peer.getsockname()]
-        peers = Peers(("127.0.0.1", 0), addresses, everyones, lambda *m: heard.append(m), counters)
-        peers.tell(1, "x" * MOST)
-        peers.tell(-1, "all")
-        peers.tell(1, "x" * (MOST + 1))  # a longer datagram breaks the protocol: it is never sent
-        peers.tell(2, "nobody")
-        assert peer.recv(1000) == b"x" * MOST and everyone.recv(1000) == b"all"
+        peers = GossipTransport(("127.0.0.1", 0), addresses, everyones, lambda *m: heard.append(m), counters)
+        peers.send(1, "x" * MAX_DATAGRAM_BYTES)
+        peers.send(-1, "all")
+        peers.send(
+            1, "x" * (MAX_DATAGRAM_BYTES + 1)
+        )  # a longer datagram breaks the protocol: it is never sent
+        peers.send(2, "nobody")
+        assert peer.recv(1000) == b"x" * MAX_DATAGRAM_BYTES and everyone.recv(1000) == b"all"
         here = peers.socket.getsockname()
-        for sender, data in (stranger, b"odd"), (peer, b"\xff"), (peer, b"y" * (MOST + 1)), (peer, b"hi"):
+        for sender, data in (
+            (stranger, b"odd"),
+            (peer, b"\xff"),
+            (peer, b"y" * (MAX_DATAGRAM_BYTES + 1)),
+            (peer, b"hi"),
+        ):
             sender.sendto(data, here)
         while not heard:
             await asyncio.sleep(0)
@@ -51,10 +58,10 @@
             peer.bind(("127.0.0.1", 0))
             heard: list[str] = []
 
-            def process(name: str, listen: tuple[str, int]) -> Peers:
+            def process(name: str, listen: tuple[str, int]) -> GossipTransport:
                 addresses = [peer.getsockname()]
                 say = lambda *_: heard.append(name)  # noqa: E731
-                return Peers(listen, addresses, addresses[0], say, Counters(), shared=True)
+                return GossipTransport(listen, addresses, addresses[0], say, Counters(), shared=True)
 
             async def told() -> str:
                 peer.sendto(b"hi", here)
@@ -67,7 +74,7 @@
             assert await told() == "first"
             second = process("second", here)
             assert [await told() for _ in range(9)] == ["second"] * 9
-            first.tell(0, "still")  # it may go on telling by the same address
+            first.send(0, "still")  # it may go on telling by the same address
             assert peer.recvfrom(99) == (b"still", here)
             second.close()
             assert [await told() for _ in range(9)] == ["first"] * 9
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 
 from mapleshunt.__main__ import Program
 from mapleshunt.net import config
-from mapleshunt.net.discovery.watcher import Discovery, MemberList
+from mapleshunt.net.discovery.watcher import EndpointList, EndpointWatcher
 from mapleshunt.net.protocol import resp
 
 from .processes import EXAMPLE, free_port, query, replies, run
@@ -52,14 +52,16 @@
     gateway: tuple[subprocess.Popen[str], socket.socket],
 ) -> None:
     process, client = gateway
-    client.sendall(resp.command([b"PING"]) + b"".join(query(n) for n in range(9)) + query(9, b"c=odd,d=1"))
+    client.sendall(
+        resp.encode_command([b"PING"]) + b"".join(query(n) for n in range(9)) + query(9, b"c=odd,d=1")
+    )
     pong, *rest, odd = replies(client, 11)
-    assert pong == resp.SimpleLine("PONG") and odd == resp.ErrorLine("ERR unknown class")
+    assert pong == resp.SimpleReply("PONG") and odd == resp.ErrorReply("ERR unknown class")
     served = [bytes(one) for one in rest if isinstance(one, memoryview)]
     # The plan's store holds 5 units and fills by one a second; each answer has its own request's id.
     assert len(served) >= 5 and all(b"did %016x" % n in one for n, one in enumerate(served))
     assert all(
-        isinstance(one, resp.ErrorLine) and one.text.startswith("BUSY ") for one in rest[len(served) :]
+        isinstance(one, resp.ErrorReply) and one.text.startswith("BUSY ") for one in rest[len(served) :]
     )
     process.send_signal(signal.SIGUSR1)
     process.send_signal(signal.SIGTERM)
@@ -174,7 +176,7 @@
         return Program(config.parse(json.dumps(text), {}))
 
     program = asyncio.run(run())
-    assert 4 * resp.MAX_VALUE <= program.most_unwritten <= memory_mb * (1 << 20) // 32
+    assert 4 * resp.MAX_VALUE_BYTES <= program.most_unwritten <= memory_mb * (1 << 20) // 32
     assert sockets // 3 < program.most_clients < 0.6 * sockets and program.many_clients < sockets // 3
 
 
@@ -248,7 +250,7 @@
             patched.setattr(time, "time", lambda: now / 1000 + 3600)
             program = Program(config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:1"}))
             assert program.age(now) > 3_500_000.0  # of a first list nothing else is known
-            program.told(MemberList(1, True, ()))
+            program.told(EndpointList(1, True, ()))
             assert program.age(now) <= 7_000.0
             assert program.age(now + 3_600_000.0) <= 1_000.0
 
@@ -260,7 +262,10 @@
 ) -> None:
     # SIGHUP came while no descriptor was left: the new address of discovery was never heeded.
     env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-    answers: list[Any] = [config.ConfigUnreadable("no descriptor"), config.ConfigUnreadable("no descriptor")]
+    answers: list[Any] = [
+        config.ConfigUnreadableError("no descriptor"),
+        config.ConfigUnreadableError("no descriptor"),
+    ]
 
     def read() -> config.Config:
         if answers:
@@ -272,7 +277,7 @@
         monkeypatch.setattr("mapleshunt.__main__.reload", read)
         program.reload()
         async with asyncio.timeout(30):
-            while program.config.discovery != ("127.0.0.1", 2):
+            while program.config.discovery_address != ("127.0.0.1", 2):
                 await asyncio.sleep(0.01)
         assert program.counters.counts["reloads"] == 1 and not program.counters.counts["reloads_failed"]
         assert program.watching is not None
@@ -286,7 +291,7 @@
     began = asyncio.Event()
     calls = iter([ZeroDivisionError, None])
 
-    async def watch(_: Discovery) -> None:
+    async def watch(_: EndpointWatcher) -> None:
         if error := next(calls):
             raise error
         began.set()
@@ -302,5 +307,5 @@
         await asyncio.sleep(0)
         return program
 
-    monkeypatch.setattr(Discovery, "run", watch)
+    monkeypatch.setattr(EndpointWatcher, "run", watch)
     assert asyncio.run(run()).counters.counts["exceptions"] == 1
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -11,7 +11,7 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net.protocol import resp
-from mapleshunt.net.protocol.read_buffer import CHUNK, ReadBuffer, TooLong
+from mapleshunt.net.protocol.read_buffer import CHUNK_BYTES, MessageTooLongError, ReadBuffer
 
 settings.register_profile("steady", derandomize=True, deadline=None, database=None)
 settings.load_profile("steady")
@@ -21,7 +21,7 @@
 
 @given(WORDS, st.binary(max_size=20), st.integers(0, 7))
 def test_command_is_read_once_whole_and_not_before(words: list[bytes], after: bytes, before: int) -> None:
-    data = resp.command(words)
+    data = resp.encode_command(words)
     room = bytearray(b"x" * before + data + after)
     found = resp.parse_command(room, before, len(room))
     assert found is not None and found[1] == before + len(data)
@@ -31,8 +31,8 @@
 
 
 REPLIES: list[tuple[bytes, resp.Reply]] = [
-    (b"+OK\r\n", resp.SimpleLine("OK")),
-    (b"-ERR failed\r\n", resp.ErrorLine("ERR failed")),
+    (b"+OK\r\n", resp.SimpleReply("OK")),
+    (b"-ERR failed\r\n", resp.ErrorReply("ERR failed")),
     (b":-12\r\n", -12),
     (b"$-1\r\n", None),
     (b"*-1\r\n", None),
@@ -59,7 +59,7 @@
         b"*1\r\n$1_0\r\n",
         b"*1\r\n$65537\r\n",
         b"*1\r\n$1\r\nabc",
-        b"*" + b"1" * resp.MAX_LINE,
+        b"*" + b"1" * resp.MAX_LINE_BYTES,
     ],
 )
 def test_bytes_that_are_no_command_are_told_at_once(data: bytes) -> None:
@@ -78,7 +78,7 @@
 
 
 def test_error_line_stays_one_line() -> None:
-    assert resp.error("ERR a\r\nb") == b"-ERR a  b\r\n"
+    assert resp.encode_error("ERR a\r\nb") == b"-ERR a  b\r\n"
 
 
 # The buffer
@@ -88,10 +88,10 @@
     # `self.end += await read(self.room())` took the old buffer's end: zero bytes were read as a command.
     async def play() -> list[bytes]:
         ours, theirs = socket.socketpair()
-        stream, buffer, got = IOStream(ours), ReadBuffer(resp.MAX_MESSAGE), []
+        stream, buffer, got = IOStream(ours), ReadBuffer(resp.MAX_MESSAGE_BYTES), []
         words = [[b"PING", b"%d" % n * 40] for n in range(100)]
         for sent in words:
-            theirs.send(resp.command(sent))
+            theirs.send(resp.encode_command(sent))
             await buffer.fill(stream)
             found = resp.parse_command(buffer.data, buffer.start, buffer.end)
             assert found is not None
@@ -104,13 +104,13 @@
     assert asyncio.run(play()) == [b"%d" % n * 40 for n in range(100)]
 
 
-@given(st.lists(st.integers(1, CHUNK), min_size=1, max_size=12))
+@given(st.lists(st.integers(1, CHUNK_BYTES), min_size=1, max_size=12))
 def test_slices_outlive_the_buffer_they_were_read_into(sizes: list[int]) -> None:
-    buffer, held = ReadBuffer(3 * CHUNK), []
+    buffer, held = ReadBuffer(3 * CHUNK_BYTES), []
     for number, size in enumerate(sizes):
         data = bytes([number]) * size
         while data:
-            room = buffer.room()
+            room = buffer.free_space()
             count = min(len(room), len(data))
             room[:count] = data[:count]
             buffer.end += count
@@ -121,7 +121,7 @@
 
 
 def test_buffer_is_bounded() -> None:
-    buffer = ReadBuffer(2 * CHUNK)
-    with pytest.raises(TooLong):
+    buffer = ReadBuffer(2 * CHUNK_BYTES)
+    with pytest.raises(MessageTooLongError):
         while True:
-            buffer.end += len(buffer.room())
+            buffer.end += len(buffer.free_space())
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -165,12 +165,12 @@
 """
 BAD = {
     "two_out": [("policy/gateway.py", APPENDED, APPENDED + TWICE)],
-    "lost": [("net/request/respond.py", "        context.answer.serve(value)\n",
-              "        context.answer.serve(memoryview(b'nonsense'))\n")],
+    "lost": [("net/request/respond.py", "        context.response_sink.serve(value)\n",
+              "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
     "drain": [("policy/gateway.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
-              ("net/upstream/endpoint_group.py", 'server.member.state == "ready"',
-               'server.member.state != "gone"')],
+              ("net/upstream/endpoint_group.py", 'server.endpoint.state == "ready"',
+               'server.endpoint.state != "gone"')],
 }  # fmt: skip
 
 
@@ -206,8 +206,9 @@
         tmp_path / "b",
         (
             "net/policy_driver.py",
-            "        self._carry_out(actions)\n",
-            "        self._carry_out(actions)\n        if len(self.open) > 2:\n            import os\n\n"
+            "        self._execute(actions)\n",
+            "        self._execute(actions)\n        if len(self.open_requests) > 2:\n"
+            "            import os\n\n"
             "            os._exit(4)\n",
         ),
     )
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,7 +17,7 @@
 from mapleshunt import Request
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.protocol import resp
-from mapleshunt.net.protocol.command_protocol import SvcMessage
+from mapleshunt.net.protocol.command_protocol import CommandMessage
 from mapleshunt.net.request.context import Attempt, AttemptResult, RequestContext, ResponseSink
 from mapleshunt.net.request.dispatch import dispatch
 from mapleshunt.net.upstream import endpoint_group as upstream
@@ -54,7 +54,7 @@
 
 def request_at(number: int) -> tuple[RequestContext, Attempt]:
     answer: ResponseSink = Silent()
-    message = SvcMessage(WORDS, {"c": "look", "d": "480", "r": "1"})
+    message = CommandMessage(WORDS, {"c": "look", "d": "480", "r": "1"})
     context = RequestContext(1, Request(1, "look", "wide", "c", 480), message, answer, 0.0)
     return context, Attempt(0, number, 0.0, 480.0)
 
