--- a/mapleshunt/net/counters.py
+++ b/mapleshunt/net/counters.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from . import log
-from .request.trace import Trace
+from .trace import Trace
 
 
 class Counters:
--- a/mapleshunt/net/request/trace.py
+++ b/mapleshunt/net/trace.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from ...invariants import Guard
-from .. import log
+from ..invariants import Guard
+from . import log
 
 CAPACITY = 2048  # steps: some 0.5 MB, for memory is limited and its growth is priced
 MAX_LOGGED_STEPS = 64  # of the request that violates an invariant
