--- a/mapleshunt/cli/__init__.py
+++ b/mapleshunt/cli/__init__.py
@@ -22,9 +22,9 @@
 @root.command()
 def serve() -> None:
     """Run the gateway; PROXY_CONFIG names its configuration."""
-    from ..__main__ import daemon
+    from ..server.bootstrap import run_gateway
 
-    raise SystemExit(daemon())
+    raise SystemExit(run_gateway())
 
 
 def _commands() -> None:
--- /dev/null
+++ b/mapleshunt/server/bootstrap.py
@@ -0,0 +1,51 @@
+"""The start of the gateway's process: log, first signals, configuration, event loop, exit status."""
+
+from __future__ import annotations
+
+import signal
+import sys
+import time
+
+import uvloop
+
+from ..net import log
+from ..net.config import Config, ConfigError, ConfigUnreadable, load
+from .gateway_server import GatewayServer
+
+CONFIG_TIMEOUT_S = 3.0  # for which a start waits for a configuration that cannot be read for the moment
+CONFIG_RETRY_DELAY_S = 0.05
+
+
+def run_gateway() -> int:
+    """Run the gateway until a signal ends it, and return its exit status."""
+    log.configure()
+    early_reloads: list[int] = []
+    # Until the loop handles it, SIGHUP would end the program. Up to here `run` in the deploy file ignores it.
+    signal.signal(signal.SIGHUP, lambda number, _frame: early_reloads.append(number))
+    try:
+        config = load_config()
+        uvloop.run(_serve(config, early_reloads))
+    except ConfigError as error:
+        print(f"mapleshunt: {error}", file=sys.stderr)
+        return 2
+    return 0
+
+
+async def _serve(config: Config, early_reloads: list[int]) -> None:
+    await GatewayServer(config).run(early_reloads)
+
+
+def load_config() -> Config:
+    """Return the configuration, read again for a while if the file cannot be read for the moment.
+
+    Raises:
+        ConfigError: the file is wrong, or could not be read in time.
+    """
+    deadline = time.monotonic() + CONFIG_TIMEOUT_S
+    while True:
+        try:
+            return load()
+        except ConfigUnreadable:
+            if time.monotonic() > deadline:
+                raise
+            time.sleep(CONFIG_RETRY_DELAY_S)
--- /dev/null
+++ b/mapleshunt/server/config_reload.py
@@ -0,0 +1,43 @@
+"""The configuration in force, and its reload on SIGHUP."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..net import log
+from ..net.config import Config, ConfigError, ConfigUnreadable, reload, text_of
+from ..net.counters import Counters
+
+RETRY_DELAY_S = 0.05  # until a configuration that could not be read now is read again
+
+
+class ConfigReloader:
+    """Owns the configuration in force; requests that are being served go on through a reload."""
+
+    def __init__(self, config: Config, counters: Counters, on_reload: Callable[[Config], None]) -> None:
+        """`on_reload` gets each new configuration, once it is in force."""
+        self.config = config
+        self._counters = counters
+        self._on_reload = on_reload
+
+    def reload(self) -> None:
+        """Put the addresses that the configuration file names now into force. SIGHUP calls it.
+
+        A file that cannot be read for the moment is read again later. A bad one changes nothing: the
+        addresses before may still do, and ending would lose the requests that are being served.
+        """
+        try:
+            config = reload()
+        except ConfigUnreadable as error:
+            log.log_event("reload_retried", why=error)
+            asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload)
+            return
+        except ConfigError as error:
+            self._counters.add("reloads_failed")
+            log.log_event("reload_failed", why=error)
+            return
+        self._counters.add("reloads")
+        log.log_event("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
+        self.config = config
+        self._on_reload(config)
--- /dev/null
+++ b/mapleshunt/server/gateway_server.py
@@ -0,0 +1,314 @@
+"""One gateway as a server: its parts, its start, its signals and its shutdown.
+
+Parts that the configuration leaves off (admin endpoint, hot restart, extensions) are not imported.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import socket
+import tempfile
+import time
+from collections.abc import Sequence
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ..invariants import Guard, broken_by_starting
+from ..lifecycle.lifecycle import DrainRequester, Lifecycle
+from ..net import log
+from ..net.client.connection import MAX_UNWRITTEN_BYTES, ClientConnections
+from ..net.client.listener import bind_socket
+from ..net.config import Config, ConfigError, text_of
+from ..net.counters import Counters
+from ..net.periodic import PeriodicTask
+from ..net.policy_driver import PolicyDriver
+from ..net.protocol import resp
+from ..net.startup import StartupSteps
+from ..net.upstream.endpoint_group import EndpointGroup
+from .client_admission import ClientAdmission
+from .config_reload import ConfigReloader
+from .descriptor_budget import RESERVED_DESCRIPTORS, DescriptorBudget
+from .endpoint_watch import EndpointWatch
+from .gossip_port import GossipPort
+from .lifecycle_controller import LifecycleController
+from .monitoring import Monitoring
+
+if TYPE_CHECKING:
+    from ..extensions import Extensions
+    from ..net.admin.endpoint import AdminEndpoint
+    from ..net.hot_restart.takeover import Takeover
+
+PROCESS_STARTED_AT = time.monotonic()  # s: when this module was imported
+# For which the loop runs, with everything ready, before the gateway listens. What comes in while a start uses
+# up the processor stands unread in the kernel's queue for as long, and its patience would be counted from the
+# time at which it was read.
+LISTEN_DELAY_S = 0.002
+SHUTDOWN_MARGIN_S = 0.5  # past the longest deadline, in which pending responses may still be written
+SHUTDOWN_POLL_INTERVAL_S = 0.01
+UPSTREAM_SWEEP_INTERVAL_S = 1.0
+CLIENT_SWEEP_INTERVAL_S = 0.1
+COUNTERS_INTERVAL_S = 10.0  # a process that is killed logs none at its end
+# A client that does not read its responses holds no more than this part of the process's memory.
+UNWRITTEN_MEMORY_DIVISOR = 64
+
+
+class GatewayServer:
+    """Wires the parts of one gateway and runs them from start to exit."""
+
+    def __init__(self, config: Config) -> None:
+        """Wire all that does no I/O before `prepare`. Needs a running event loop."""
+        self.counters = Counters()
+        self.stop_requested = asyncio.Event()
+        self.upstreams = EndpointGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
+        budget = DescriptorBudget(config.sockets, _reserved_descriptors(config), self.upstreams)
+        self.driver = PolicyDriver(config.settings, config.seed, self.upstreams, self.counters)
+        self.connections = ClientConnections(self.driver, self.counters, config.seed, config.max_open)
+        self.connections.is_ready = self._is_ready
+        self.lifecycle = Lifecycle()
+        memory_share = max(4 * resp.MAX_VALUE, config.memory // UNWRITTEN_MEMORY_DIVISOR)
+        self.clients = ClientAdmission(
+            self.connections, budget, self.lifecycle, self.counters, min(MAX_UNWRITTEN_BYTES, memory_share)
+        )
+        self.endpoint_watch = EndpointWatch(config, self.driver, self.upstreams, self.counters)
+        self.reloader = ConfigReloader(config, self.counters, self._config_reloaded)
+        self.controller = LifecycleController(self.lifecycle, self.connections, self.driver, self.counters)
+        self.gossip = GossipPort(self.driver, self.counters, shared=config.accept_fd is not None)
+        self._monitoring = Monitoring(self.counters, self.connections, self.upstreams, self.driver)
+        self.admin: AdminEndpoint | None = None
+        self.takeover: Takeover | None = None
+        self.extensions: Extensions | None = None
+
+    def _is_ready(self) -> bool:
+        return self.lifecycle.is_ready() and bool(self.upstreams.pools)
+
+    # Start
+
+    async def run(self, early_reloads: Sequence[int] = ()) -> None:
+        """Run the gateway from its start until it has shut down.
+
+        Args:
+            early_reloads: SIGHUPs since before the configuration was read, which may be another by now. It
+                is looked at only once the handler of SIGHUP is in place.
+
+        Raises:
+            ConfigError: the gateway cannot start.
+        """
+        await self.prepare()
+        self._handle_signals(early_reloads)
+        sweeps = [
+            PeriodicTask(self.upstreams.close_stale_idle, UPSTREAM_SWEEP_INTERVAL_S, self.counters.add),
+            PeriodicTask(
+                self.clients.reap_overdue,
+                CLIENT_SWEEP_INTERVAL_S,
+                self.counters.add,
+                self._monitoring.report_loop_delay,
+            ),
+            PeriodicTask(self._monitoring.log_counters, COUNTERS_INTERVAL_S, self.counters.add),
+        ]
+        for sweep in sweeps:
+            sweep.start()
+        if self.extensions is not None:
+            self.extensions.start()
+        self.endpoint_watch.follow(self.reloader.config)
+        await asyncio.sleep(LISTEN_DELAY_S)
+        if self.takeover is not None:
+            await self.takeover.receive()
+            self.gossip.retry_open(self.reloader.config)
+        self.start_serving()
+        await self.stop_requested.wait()
+        await self.shut_down()
+        await self._close(sweeps)
+
+    async def prepare(self) -> None:
+        """Apply the persisted endpoint list and open the sockets.
+
+        Raises:
+            ConfigError: the gateway cannot start with this configuration.
+        """
+        config = self.reloader.config
+        try:
+            if config.known is not None:
+                self.endpoint_watch.apply_persisted_list(config.known)
+            steps = StartupSteps(self.counters)
+            await self._open_sockets(steps, config)
+            await steps.run("operators", self.load_extensions)
+        except (ValueError, OSError) as error:
+            raise ConfigError(f"cannot start: {error}") from None
+
+    async def _open_sockets(self, steps: StartupSteps, config: Config) -> None:
+        if config.accept_fd is not None:
+            await steps.run("handover", self._join_hot_restart)
+        else:
+            await steps.run("peers", lambda: self.gossip.open(config))
+        if config.management is not None:
+            await steps.run("door", self._open_admin_endpoint)
+        listener = await steps.run("listener", lambda: _client_listener(config))
+        self.clients.add_listener(listener, inherited=config.accept_fd is not None)
+
+    def _join_hot_restart(self) -> None:
+        from ..net.hot_restart.takeover import Takeover
+
+        folder = Path(tempfile.gettempdir())
+        self.takeover = Takeover(folder, self.reloader.config.name, self.driver, self.counters)
+        self.controller.hot_restart_tick = self._hot_restart_tick
+
+    def _hot_restart_tick(self) -> None:
+        assert self.takeover is not None
+        self.takeover.tend(self.lifecycle.is_serving())
+        self.gossip.retry_open(self.reloader.config)
+        processes = 1 + self.takeover.together
+        if processes != self.clients.budget.processes:
+            self.clients.budget.divide(processes)
+
+    def _open_admin_endpoint(self) -> None:
+        from ..net.admin.endpoint import AdminEndpoint
+        from .admin_calls import AdminCalls
+
+        address = self.reloader.config.management
+        assert address is not None
+        calls = AdminCalls(
+            lambda: self.reloader.config, self.controller, self.upstreams, self.driver, self.counters
+        )
+        self.admin = AdminEndpoint(address, calls.respond, self.counters)
+
+    def load_extensions(self) -> None:
+        """Load what the operators' file asks for; without one nothing of it is imported.
+
+        Raises:
+            ConfigError: the file is wrong, or libraries are missing.
+            OSError: another attempt may succeed.
+        """
+        if not os.environ.get("PROXY_OPERATORS"):
+            return
+        try:
+            from ..extensions import Extensions
+            from ..net.maintenance import GatewayControls
+
+            controls = GatewayControls(
+                lambda: self.controller.drain(DrainRequester.MAINTENANCE),
+                lambda: self.controller.resume(DrainRequester.MAINTENANCE),
+                self._occupancy,
+                self._load,
+            )
+            self.extensions = Extensions(self.reloader.config, self.driver, self.counters, controls)
+        except ModuleNotFoundError as error:
+            raise ConfigError(f"the operators' settings need the extra 'tools' ({error})") from None
+
+    def _occupancy(self) -> tuple[int, int, bool]:
+        """Return the open requests, the client connections, and whether clients are sent elsewhere."""
+        open_requests = len(self.driver.open_requests)
+        return open_requests, len(self.connections.connections), not self.lifecycle.is_serving()
+
+    def _load(self) -> float:
+        """Return the fraction of this gateway's concurrency limit that attempts in flight use."""
+        now = self.driver.gateway.figures(self.driver.now())
+        return now["tries_out"] / max(1.0, now["bound"] * now["servers_ready"])
+
+    def _handle_signals(self, early_reloads: Sequence[int]) -> None:
+        loop = asyncio.get_running_loop()
+        loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
+        if early_reloads:
+            self.reloader.reload()
+        loop.add_signal_handler(signal.SIGTERM, self.stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self.stop_requested.set)
+        loop.add_signal_handler(signal.SIGUSR1, self._monitoring.log_counters)
+        loop.add_signal_handler(signal.SIGQUIT, self.counters.trace.log_all)
+
+    def _config_reloaded(self, config: Config) -> None:
+        self.endpoint_watch.follow(config)
+        if self.extensions is not None:
+            self.extensions.reload()
+
+    def start_serving(self) -> None:
+        """Accept client connections, which are refused until now."""
+        config = self.reloader.config
+        if config.accept_fd is None:
+            self.clients.start_listening()
+        start_ms = 1000 * (time.monotonic() - PROCESS_STARTED_AT)
+        broken = broken_by_starting(start_ms, bool(self.connections.connections))
+        self.counters.trace.check(Guard.START, broken, "process")
+        self.clients.start_accepting()
+        self.lifecycle.start_serving()
+        self.counters.trace.add("process", "listening")
+        if self.takeover is not None:
+            self.takeover.ready()
+        self.controller.update_timer()
+        if self.admin is not None:
+            self.admin.open()
+        log.log_event(
+            "started", name=config.name, listen=text_of(config.listen), servers=len(self.upstreams.pools)
+        )
+
+    # Shutdown
+
+    async def shut_down(self) -> None:
+        """Accept connections for a little longer, then answer what is pending and end.
+
+        Load balancers learn late that the gateway stops. Cancelling it leaves connections open.
+        """
+        has_successor = self.takeover is not None and self.takeover.succeeded()
+        classes = self.reloader.config.settings.classes.values()
+        longest_deadline_s = max((cls.deadline for cls in classes), default=0.0) / 1000
+        self.lifecycle.stop(_now(), has_successor)
+        self.connections.final_deadline = self.lifecycle.last_response_at(longest_deadline_s)
+        self.counters.trace.add("process", "stopping")
+        log.log_event("stopping", open=len(self.driver.open_requests), succeeded=has_successor)
+        while self.lifecycle.accepts_connections(_now()):
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+        self.controller.tick_contained()
+        # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
+        # it to a process that comes late. The places of those that rested are free now. Where another process
+        # accepts from the same socket, that takes the rest.
+        if self.takeover is None or not self.takeover.together:
+            await self.clients.accept_backlog()
+        self.clients.close_listeners()
+        self.controller.update_timer()
+        await self._finish_requests(longest_deadline_s + SHUTDOWN_MARGIN_S)
+
+    async def _finish_requests(self, timeout_s: float) -> None:
+        try:
+            async with asyncio.timeout(timeout_s):
+                # Both change on the hot path, where setting an event would cost every request.
+                while self.connections.connections or self.driver.open_requests:
+                    await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+        except TimeoutError:  # a client that does not read must not hold up the restart
+            left = len(self.connections.connections)
+            log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
+            for connection in list(self.connections.connections):
+                connection.close("stopped")
+
+    async def _close(self, sweeps: list[PeriodicTask]) -> None:
+        await self.endpoint_watch.close()
+        for sweep in sweeps:
+            sweep.stop()
+        self.controller.stop_timer()
+        self.upstreams.close()
+        for part in (self.gossip, self.extensions, self.admin, self.takeover):
+            if part is not None:
+                part.close()
+        self._monitoring.log_counters()
+
+
+def _reserved_descriptors(config: Config) -> int:
+    if config.management is None:
+        return RESERVED_DESCRIPTORS
+    from ..net.admin.endpoint import DESCRIPTORS
+
+    return RESERVED_DESCRIPTORS + DESCRIPTORS
+
+
+def _client_listener(config: Config) -> socket.socket:
+    """Return the socket for clients: a new one that does not listen yet, or the inherited one."""
+    if config.accept_fd is None:
+        return bind_socket(config.listen)
+    listener = socket.socket(fileno=config.accept_fd)
+    listener.setblocking(False)
+    if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        raise ValueError(f"descriptor {config.accept_fd} does not listen")
+    return listener
+
+
+def _now() -> float:
+    return asyncio.get_running_loop().time()
--- /dev/null
+++ b/mapleshunt/server/gossip_port.py
@@ -0,0 +1,64 @@
+"""The socket of gossip between gateways: when it is opened, and what it connects."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+
+from ..net import log
+from ..net.config import Config
+from ..net.counters import Counters
+from ..net.gossip_transport import Peers
+from ..net.policy_driver import PolicyDriver
+from ..policy import interface as i
+
+RETRY_INTERVAL_S = 0.1  # between two attempts to bind the address
+
+
+class GossipPort:
+    """Opens the socket of gossip, if the configuration asks for it, and hands messages to the decisions."""
+
+    def __init__(self, driver: PolicyDriver, counters: Counters, shared: bool) -> None:
+        """`shared`: an older or newer process of this gateway may have the address too."""
+        self._driver = driver
+        self._counters = counters
+        self._shared = shared
+        self._transport: Peers | None = None
+        self._last_attempt_at = -math.inf  # s, on the loop's clock
+
+    def open(self, config: Config) -> None:
+        """Exchange messages with other gateways from now on, if the configuration asks for it.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
+        if config.peer_listen is None or config.peers_all is None:
+            return
+        self._transport = Peers(
+            config.peer_listen, config.peers, config.peers_all, self._receive, self._counters, self._shared
+        )
+        self._driver.send_gossip = self._transport.tell
+
+    def retry_open(self, config: Config) -> None:
+        """Open the socket if it is not open, unless the last attempt has just failed.
+
+        An older process of a version that does not share the address may have it until it ends.
+        """
+        if self._transport is not None or config.peer_listen is None:
+            return
+        now = asyncio.get_running_loop().time()
+        if now - self._last_attempt_at < RETRY_INTERVAL_S:
+            return
+        self._last_attempt_at = now
+        try:
+            self.open(config)
+        except OSError as error:
+            log.log_event("peers_not_heard", why=error)
+
+    def _receive(self, peer: int, text: str) -> None:
+        self._driver.apply_event(i.PeerMessage(peer, text))
+
+    def close(self) -> None:
+        """Close the socket, if it is open."""
+        if self._transport is not None:
+            self._transport.close()
--- /dev/null
+++ b/mapleshunt/server/lifecycle_controller.py
@@ -0,0 +1,82 @@
+"""Carries out what the life cycle's state asks of the client connections."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..lifecycle.lifecycle import DrainRequester, Lifecycle
+from ..net import log
+from ..net.client.connection import ClientConnections
+from ..net.counters import Counters
+from ..net.periodic import PeriodicTask
+from ..net.policy_driver import PolicyDriver
+
+TICK_INTERVAL_S = 0.05
+
+
+class LifecycleController:
+    """Drains and resumes the gateway, and closes connections as its state asks for."""
+
+    def __init__(
+        self, lifecycle: Lifecycle, connections: ClientConnections, driver: PolicyDriver, counters: Counters
+    ) -> None:
+        """Wire it. Nothing is done periodically until `update_timer` finds that there is work."""
+        self.lifecycle = lifecycle
+        # What a hot restart needs done at each tick; None where there is no inherited listener.
+        self.hot_restart_tick: Callable[[], None] | None = None
+        self._connections = connections
+        self._driver = driver
+        self._counters = counters
+        self._timer = PeriodicTask(self.tick, TICK_INTERVAL_S, counters.add)
+
+    def drain(self, requester: DrainRequester) -> None:
+        """Send clients to other gateways, because `requester` asks for it."""
+        self._state_requested("drained", self.lifecycle.drain(_now(), requester))
+
+    def resume(self, requester: DrainRequester) -> None:
+        """Serve clients again, unless another requester wants the gateway drained."""
+        self._state_requested("back_to_work", self.lifecycle.resume(requester))
+
+    def _state_requested(self, event: str, changed: bool) -> None:
+        if changed:
+            self._counters.trace.add("process", event)
+            log.log_event(
+                event,
+                open=len(self._driver.open_requests),
+                client_connections=len(self._connections.connections),
+            )
+        self.tick()
+        self.update_timer()
+
+    def update_timer(self) -> None:
+        """Tick periodically for as long as there is something to do."""
+        if self.hot_restart_tick is None and self.lifecycle.is_serving():
+            self._timer.stop()
+        elif not self._timer.is_running():
+            self._timer.start()
+
+    def stop_timer(self) -> None:
+        """Tick no more."""
+        self._timer.stop()
+
+    def tick(self) -> None:
+        """Do what the state asks for now."""
+        now = _now()
+        if self.hot_restart_tick is not None:
+            self.hot_restart_tick()
+        self._connections.close_idle(
+            self.lifecycle.closes_idle_connections(now), not self.lifecycle.reads_while_responding(now)
+        )
+
+    def tick_contained(self) -> None:
+        """Tick; a defect must not end the process while requests await their responses."""
+        try:
+            self.tick()
+        except Exception:
+            self._counters.add("exceptions")
+            log.log_exception("tend_exception")
+
+
+def _now() -> float:
+    return asyncio.get_running_loop().time()
--- /dev/null
+++ b/mapleshunt/server/monitoring.py
@@ -0,0 +1,44 @@
+"""What the process reports of itself in its log: its counters, and when its event loop was held up."""
+
+from __future__ import annotations
+
+from ..net import log
+from ..net.client.connection import ClientConnections
+from ..net.counters import Counters
+from ..net.policy_driver import PolicyDriver
+from ..net.upstream.endpoint_group import EndpointGroup
+
+LOOP_DELAY_THRESHOLD_S = 0.1  # by which the event loop may turn late before that is counted and logged
+
+
+class Monitoring:
+    """Logs counters and delays of the event loop."""
+
+    def __init__(
+        self,
+        counters: Counters,
+        connections: ClientConnections,
+        upstreams: EndpointGroup,
+        driver: PolicyDriver,
+    ) -> None:
+        """Wire it; it is called periodically and by signals."""
+        self._counters = counters
+        self._connections = connections
+        self._upstreams = upstreams
+        self._driver = driver
+
+    def log_counters(self) -> None:
+        """Log all counters, with gauges of now."""
+        self._counters.print(
+            open=len(self._driver.open_requests),
+            client_connections_now=len(self._connections.connections),
+            server_connections_now=len(self._upstreams.connections),
+            **self._driver.gateway.figures(self._driver.now()),
+        )
+
+    def report_loop_delay(self, seconds: float) -> None:
+        """Log that the event loop turned so late: the process was held up, or a callback took long."""
+        if seconds > LOOP_DELAY_THRESHOLD_S:
+            self._counters.add("loop_held_up")
+            self._counters.trace.add("process", "loop_held_up", f"{1000 * seconds:.0f} ms")
+            log.log_event("loop_held_up", ms=1000 * seconds)
--- a/mapleshunt/testbed/faults/faulty_gateway.py
+++ b/mapleshunt/testbed/faults/faulty_gateway.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from ... import __main__ as program
 from ...net.replication.group_host import GroupHost
 from ...replication import messages as m
+from ...server.bootstrap import run_gateway
 from ...storage.durable_store import Disk
 
 VARIABLE = "MAPLESHUNT_FAULTS"
@@ -83,7 +83,7 @@
     faulty = Faulty(Path(os.environ[VARIABLE]))
     faulty.wrap()
     signal.signal(signal.SIGUSR2, faulty.read)
-    return program.daemon()
+    return run_gateway()
 
 
 if __name__ == "__main__":
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,17 +7,18 @@
 import json
 import random
 import resource
+from dataclasses import replace
 from typing import cast
 
 import pytest
 from tornado.iostream import IOStream
 
-from mapleshunt.__main__ import Program
 from mapleshunt.net import config
 from mapleshunt.net.backoff import SILENCE, TOLD, WAIT, Backoff
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.discovery.watcher import Discovery, MemberList
 from mapleshunt.net.protocol.read_buffer import ReadBuffer
+from mapleshunt.server.gateway_server import GatewayServer
 
 from .processes import EXAMPLE
 
@@ -247,12 +248,13 @@
         agents = [Agent() for _ in range(3)]
         servers = [await agent.start() for agent in agents]
         first, second, third = (server.sockets[0].getsockname() for server in servers)
-        program = Program(config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"}))
-        monkeypatch.setattr(program, "told", lambda found: told.append(found.revision))
+        base = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
+        watch = GatewayServer(base).endpoint_watch
+        monkeypatch.setattr(watch, "apply_list", lambda found: told.append(found.revision))
 
         def move(*_: object) -> None:
-            program.watch(second)
-            program.watch(third)
+            watch.follow(replace(base, discovery=second))
+            watch.follow(replace(base, discovery=third))
 
         async def fill(buffer: ReadBuffer, stream: IOStream) -> None:
             reading = asyncio.ensure_future(stream.read_into(cast(bytearray, buffer.room()), partial=True))
@@ -263,7 +265,7 @@
 
         crossed = [] if read else [True]
         monkeypatch.setattr(ReadBuffer, "fill", fill)
-        program.watch(first)
+        watch.follow(replace(base, discovery=first))
         _, writer = await agents[0].calls.get()
         writer.write(answer(1, True))
         await writer.drain()
@@ -272,8 +274,8 @@
         (await agents[2].calls.get())[1].write(answer(3, True))
         while not told:
             await asyncio.sleep(0)
-        assert program.watching is not None
-        program.watching.cancel()
+        assert watch.task is not None
+        watch.task.cancel()
         for server in servers:
             server.close()
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -94,13 +94,14 @@
 def test_without_an_address_for_it_nothing_of_the_door_is_loaded() -> None:
     code = """
 import asyncio, sys
-from mapleshunt.__main__ import Program
+from mapleshunt.server.gateway_server import GatewayServer
 from mapleshunt.net import config
 
 async def start():
     text = open(sys.argv[1]).read()
-    await Program(config.parse(text, {"PROXY_LISTEN": "127.0.0.1:0"})).prepare()
-    print([one for one in sys.modules if one.endswith((".door", ".figures"))])
+    await GatewayServer(config.parse(text, {"PROXY_LISTEN": "127.0.0.1:0"})).prepare()
+    names = (".admin", ".admin.endpoint", ".admin_calls", ".statistics")
+    print([one for one in sys.modules if one.endswith(names)])
 
 asyncio.run(start())
 """
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -18,9 +18,9 @@
 import apsw
 import pytest
 
-from mapleshunt.__main__ import Program
 from mapleshunt.net import config
 from mapleshunt.replication import messages as m
+from mapleshunt.server.gateway_server import GatewayServer
 from mapleshunt.storage.durable_store import Damaged, Disk
 from mapleshunt.storage.writer import Writer
 from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
@@ -275,12 +275,14 @@
     monkeypatch.setattr(os, "open", open_file)
 
     async def run() -> None:
-        program = Program(config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": f"127.0.0.1:{free_port()}"}))
-        await program.prepare()
-        assert program.extensions is not None
-        assert (program.extensions.recorder is None) == (what == "recording")
-        program.extensions.close()
-        for listener in program.listeners:
+        server = GatewayServer(
+            config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": f"127.0.0.1:{free_port()}"})
+        )
+        await server.prepare()
+        assert server.extensions is not None
+        assert (server.extensions.recorder is None) == (what == "recording")
+        server.extensions.close()
+        for listener in server.clients.listeners:
             listener.close()
 
     asyncio.run(run())
--- a/tests/test_program.py
+++ b/tests/test_gateway_server.py
@@ -14,10 +14,9 @@
 
 import pytest
 
-from mapleshunt.__main__ import Program
 from mapleshunt.net import config
-from mapleshunt.net.discovery.watcher import Discovery, MemberList
 from mapleshunt.net.protocol import resp
+from mapleshunt.server.gateway_server import GatewayServer
 
 from .processes import EXAMPLE, free_port, query, replies, run
 
@@ -139,27 +138,27 @@
     # One that was accepted and closed at once may have carried a request, which was then lost.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-        program = Program(config.parse(EXAMPLE.read_text(), env))
-        program.most_clients = 2
-        task = asyncio.create_task(program.run())
-        while not program.accepting:
+        server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
+        server.clients.budget.max_clients = 2
+        task = asyncio.create_task(server.run())
+        while not server.clients.accepting:
             await asyncio.sleep(0)
         clients = []
         for number in range(3):
-            reader, writer = await asyncio.open_connection(*program.listeners[0].getsockname())
+            reader, writer = await asyncio.open_connection(*server.clients.listeners[0].getsockname())
             writer.write(query(1)[:20])  # part of a command: none of them is idle
             clients.append((reader, writer))
-            while number < 2 and sum(one.is_busy() for one in program.service.connections) <= number:
+            while number < 2 and sum(one.is_busy() for one in server.connections.connections) <= number:
                 await asyncio.sleep(0)
-        while program.accepting:
+        while server.clients.accepting:
             await asyncio.sleep(0)
-        assert len(program.service.connections) == 2
+        assert len(server.connections.connections) == 2
         clients[0][1].close()
-        while program.counters.counts["client_connections"] != 3:
+        while server.counters.counts["client_connections"] != 3:
             await asyncio.sleep(0)
         for _, writer in clients[1:]:
             writer.close()
-        program.stopped.set()
+        server.stop_requested.set()
         await task
 
     asyncio.run(run())
@@ -170,12 +169,13 @@
     # A constant of 2 MB for each client that does not read passed 32 MB with sixteen of them.
     text = {**json.loads(EXAMPLE.read_text()), "limits": {"memory_mb": memory_mb, "sockets": sockets}}
 
-    async def run() -> Program:
-        return Program(config.parse(json.dumps(text), {}))
+    async def run() -> GatewayServer:
+        return GatewayServer(config.parse(json.dumps(text), {}))
 
-    program = asyncio.run(run())
-    assert 4 * resp.MAX_VALUE <= program.most_unwritten <= memory_mb * (1 << 20) // 32
-    assert sockets // 3 < program.most_clients < 0.6 * sockets and program.many_clients < sockets // 3
+    server = asyncio.run(run())
+    assert 4 * resp.MAX_VALUE <= server.clients.max_unwritten_bytes <= memory_mb * (1 << 20) // 32
+    budget = server.clients.budget
+    assert sockets // 3 < budget.max_clients < 0.6 * sockets and budget.many_clients < sockets // 3
 
 
 def test_no_configuration_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -194,19 +194,19 @@
     monkeypatch.setenv("PROXY_CONFIG", str(EXAMPLE))
 
     async def start() -> None:
-        program = Program(config.load())
+        server = GatewayServer(config.load())
         loop = asyncio.get_running_loop()
-        monkeypatch.setattr(program, "load_extensions", lambda: loop.call_later(0.0005, waited.append, True))
+        monkeypatch.setattr(server, "load_extensions", lambda: loop.call_later(0.0005, waited.append, True))
 
         def listen() -> None:
             assert waited, "it listens before anything else has had its turn"
             with pytest.raises(ConnectionRefusedError):
-                socket.create_connection(program.listeners[0].getsockname())
-            program.stopped.set()
+                socket.create_connection(server.clients.listeners[0].getsockname())
+            server.stop_requested.set()
 
-        monkeypatch.setattr(program, "listen", listen)
-        monkeypatch.setattr(program, "leave", lambda: asyncio.sleep(0))
-        await program.run()
+        monkeypatch.setattr(server, "start_serving", listen)
+        monkeypatch.setattr(server, "shut_down", lambda: asyncio.sleep(0))
+        await server.run()
 
     asyncio.run(start())
     assert waited
@@ -220,87 +220,19 @@
     # connection was ended, no idle server connection closed and no lease renewed for an hour.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-        program = Program(config.parse(EXAMPLE.read_text(), env))
-        task = asyncio.create_task(program.run())
-        while not program.accepting:
+        server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
+        task = asyncio.create_task(server.run())
+        while not server.clients.accepting:
             await asyncio.sleep(0)
         wall, sweeps = time.time, list[int]()
         monkeypatch.setattr(time, "time", lambda: wall() + step)
-        monkeypatch.setattr(program.service, "reap_overdue", lambda many, rested: sweeps.append(many))
+        monkeypatch.setattr(server.connections, "reap_overdue", lambda many, rested: sweeps.append(many))
         try:
             async with asyncio.timeout(20):
                 while len(sweeps) < 5:
                     await asyncio.sleep(0.01)
         finally:
-            program.stopped.set()
+            server.stop_requested.set()
             await task
 
     asyncio.run(run())
-
-
-def test_server_that_appears_is_young_though_the_wall_clock_was_stepped_before_the_start(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    # The gateway's clock is an hour ahead: a server that has just started seemed to have been up for as long.
-    async def run() -> None:
-        now = time.time() * 1000
-        with monkeypatch.context() as patched:
-            patched.setattr(time, "time", lambda: now / 1000 + 3600)
-            program = Program(config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:1"}))
-            assert program.age(now) > 3_500_000.0  # of a first list nothing else is known
-            program.told(MemberList(1, True, ()))
-            assert program.age(now) <= 7_000.0
-            assert program.age(now + 3_600_000.0) <= 1_000.0
-
-    asyncio.run(run())
-
-
-def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_again(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    # SIGHUP came while no descriptor was left: the new address of discovery was never heeded.
-    env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-    answers: list[Any] = [config.ConfigUnreadable("no descriptor"), config.ConfigUnreadable("no descriptor")]
-
-    def read() -> config.Config:
-        if answers:
-            raise answers.pop()
-        return config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:2"})
-
-    async def run() -> None:
-        program = Program(config.parse(EXAMPLE.read_text(), env))
-        monkeypatch.setattr("mapleshunt.__main__.reload", read)
-        program.reload()
-        async with asyncio.timeout(30):
-            while program.config.discovery != ("127.0.0.1", 2):
-                await asyncio.sleep(0.01)
-        assert program.counters.counts["reloads"] == 1 and not program.counters.counts["reloads_failed"]
-        assert program.watching is not None
-        program.watching.cancel()
-
-    asyncio.run(run())
-
-
-def test_a_watch_that_a_defect_ends_begins_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nobody noticed its end, and no list came ever again.
-    began = asyncio.Event()
-    calls = iter([ZeroDivisionError, None])
-
-    async def watch(_: Discovery) -> None:
-        if error := next(calls):
-            raise error
-        began.set()
-        await asyncio.Event().wait()
-
-    async def run() -> Program:
-        program = Program(config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"}))
-        program.watch(("127.0.0.1", 1))
-        async with asyncio.timeout(30):
-            await began.wait()
-        assert program.watching is not None
-        program.watching.cancel()  # a cancelled one does not
-        await asyncio.sleep(0)
-        return program
-
-    monkeypatch.setattr(Discovery, "run", watch)
-    assert asyncio.run(run()).counters.counts["exceptions"] == 1
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from mapleshunt.__main__ import Program
 from mapleshunt.net import config
 from mapleshunt.net.client import listener as listening
 from mapleshunt.net.counters import Counters
+from mapleshunt.server.gateway_server import GatewayServer
 
 from .processes import EXAMPLE, PING, query
 
@@ -140,10 +140,10 @@
     assert 0.05 < delays[11] < 0.2, delays
 
 
-def program(**limits: int) -> Program:
+def gateway_server(**limits: int) -> GatewayServer:
     text = {**json.loads(EXAMPLE.read_text()), "limits": limits}
     env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-    return Program(config.parse(json.dumps(text), env))
+    return GatewayServer(config.parse(json.dumps(text), env))
 
 
 def test_time_that_a_request_stood_in_the_backlog_is_taken_off_its_patience(
@@ -152,19 +152,19 @@
     # While no descriptor was left requests waited to be accepted, and their patience was counted from then:
     # servers were told deadlines up to 0.4 s too long, and answers came after their clients had left.
     async def run() -> float:
-        one = program()
+        one = gateway_server()
         task = asyncio.create_task(one.run())
-        await until(lambda: one.accepting)
-        (acceptor,) = one.acceptors
+        await until(lambda: one.clients.accepting)
+        (acceptor,) = one.clients.acceptors
         acceptor.stop()
-        with socket.create_connection(one.listeners[0].getsockname()) as late:
+        with socket.create_connection(one.clients.listeners[0].getsockname()) as late:
             late.sendall(query(7, b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"))
             await asyncio.sleep(0.5)
             taken: list[float] = []
             monkeypatch.setattr(one.driver, "submit", lambda context: taken.append(context.request.patience))
             acceptor.start()
             await until(lambda: taken)
-        one.stopped.set()
+        one.stop_requested.set()
         await task
         return taken[0]
 
@@ -178,23 +178,23 @@
     # It stood in the kernel's queue, and the listener's close reset it; also where one that rests had its
     # place.
     async def run() -> bytes:
-        one = program()
+        one = gateway_server()
         task = asyncio.create_task(one.run())
-        await until(lambda: one.accepting)
+        await until(lambda: one.clients.accepting)
         if full:
-            one.most_clients = 1
-            resting = socket.create_connection(one.listeners[0].getsockname())
+            one.clients.budget.max_clients = 1
+            resting = socket.create_connection(one.clients.listeners[0].getsockname())
             resting.sendall(PING)
-            await until(lambda: any(c.last_write_at for c in one.service.connections))
-            one.stop_accepting()
-        late = socket.create_connection(one.listeners[0].getsockname())
+            await until(lambda: any(c.last_write_at for c in one.connections.connections))
+            one.clients.stop_accepting()
+        late = socket.create_connection(one.clients.listeners[0].getsockname())
         late.setblocking(False)
         late.send(PING)
-        for acceptor in one.acceptors:  # the loop does not get to it
+        for acceptor in one.clients.acceptors:  # the loop does not get to it
             acceptor.stop()
         monkeypatch.setattr(one.lifecycle, "accepts_connections", lambda now: False)
         monkeypatch.setattr(one.lifecycle, "closes_idle_connections", lambda now: True)
-        one.stopped.set()
+        one.stop_requested.set()
         data = await asyncio.get_running_loop().sock_recv(late, 100)
         late.close()
         if full:
@@ -214,19 +214,19 @@
     # The last calls of accept before the listener closes stopped at the first error that stands for lack of
     # resources: the close reset the connections that were still in the backlog, requests and all.
     async def run() -> bytes:
-        one = program()
+        one = gateway_server()
         task = asyncio.create_task(one.run())
-        await until(lambda: one.accepting)
-        with socket.create_connection(one.listeners[0].getsockname()) as late:
+        await until(lambda: one.clients.accepting)
+        with socket.create_connection(one.clients.listeners[0].getsockname()) as late:
             late.setblocking(False)
             late.send(PING)
-            (acceptor,) = one.acceptors
+            (acceptor,) = one.clients.acceptors
             acceptor.stop()  # the loop does not get to it before shutdown
             failing = FailingListener(acceptor.listener, list(errors))
             acceptor.listener = cast(socket.socket, failing)
             one.lifecycle.accepts_connections = lambda now: False  # type: ignore[method-assign]
             one.lifecycle.closes_idle_connections = lambda now: True  # type: ignore[method-assign]
-            one.stopped.set()
+            one.stop_requested.set()
             data = await asyncio.get_running_loop().sock_recv(late, 100)
         await task
         assert not failing.errors
@@ -240,10 +240,10 @@
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (200, hard))
         try:
-            one = program(sockets=4096)
+            one = gateway_server(sockets=4096)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        return one.most_clients, one.group.max_connections
+        return one.clients.budget.max_clients, one.upstreams.max_connections
 
     clients, servers = asyncio.run(run())
     assert clients + servers <= 200 - 32
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -198,7 +198,11 @@
     day = draw_day(scenario(seconds=2.0), 9)
     broken = checkout(
         tmp_path / "a",
-        ("__main__.py", "def daemon() -> int:\n", "def daemon() -> int:\n    raise SystemExit(3)\n"),
+        (
+            "bootstrap.py",
+            "def run_gateway() -> int:\n",
+            "def run_gateway() -> int:\n    raise SystemExit(3)\n",
+        ),
     )
     with pytest.raises(GatewayError, match="ended at its start"):
         fleet.play_day(day, tmp_path / "logs", broken)
