--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -38,10 +38,10 @@
 
 
 def _addresses(section: Any) -> dict[str, tuple[str, int]]:
-    from ..net.config import ConfigError, address
+    from ..net.config import ConfigError, parse_address
 
     try:
-        return {one.name: address(one.address, f"peer {one.name}") for one in section.peer}
+        return {one.name: parse_address(one.address, f"peer {one.name}") for one in section.peer}
     except ConfigError as error:
         raise Trouble(str(error)) from None
 
@@ -230,6 +230,7 @@
 async def _mark(section: Any, groups: list[int], key: str, value: str) -> list[dict[str, Any]]:
     """Set a record of each group, unless it is so already."""
     from ..replicated_state import commands as words
+    from ..replicated_state.results import Applied
     from ..testbed.replica_client import ReplicaClient
 
     async def one(group: int) -> dict[str, Any]:
@@ -242,10 +243,10 @@
                 known: Any = await caller.read("record", key)
                 if value == (known.value if known is not None else ""):
                     return {"group": group, "said": "told"}
-                await caller.do(words.Open())
-                put = words.Put(key, value, known.version if known is not None else 0)
+                await caller.do(words.OpenSession())
+                put = words.SetRecord(key, value, known.version if known is not None else 0)
                 done = await caller.do(put)
-                return {"group": group, "said": "told" if isinstance(done, words.Done) else "told otherwise"}
+                return {"group": group, "said": "told" if isinstance(done, Applied) else "told otherwise"}
         except TimeoutError:
             return {"group": group, "said": "nobody leads"}
         finally:
--- a/mapleshunt/server/admin_calls.py
+++ b/mapleshunt/server/admin_calls.py
@@ -64,7 +64,7 @@
             "members_unavailable": unavailable,
         }
         classes = self._current_config().settings.classes
-        return statistics.render(classes, self._counters.classes, gauges)
+        return statistics.render(classes, self._counters.by_class, gauges)
 
 
 def _confirm(text: str, confirmed: bool) -> AdminResponse:
--- a/mapleshunt/server/bootstrap.py
+++ b/mapleshunt/server/bootstrap.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from ..net import log
-from ..net.config import Config, ConfigError, ConfigUnreadable, load
+from ..net.config import Config, ConfigError, ConfigUnreadableError, load
 from .gateway_server import GatewayServer
 
 CONFIG_TIMEOUT_S = 3.0  # for which a start waits for a configuration that cannot be read for the moment
@@ -45,7 +45,7 @@
     while True:
         try:
             return load()
-        except ConfigUnreadable:
+        except ConfigUnreadableError:
             if time.monotonic() > deadline:
                 raise
             time.sleep(CONFIG_RETRY_DELAY_S)
--- a/mapleshunt/server/config_reload.py
+++ b/mapleshunt/server/config_reload.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..net import log
-from ..net.config import Config, ConfigError, ConfigUnreadable, reload, text_of
+from ..net.config import Config, ConfigError, ConfigUnreadableError, format_address, reload
 from ..net.counters import Counters
 
 RETRY_DELAY_S = 0.05  # until a configuration that could not be read now is read again
@@ -29,7 +29,7 @@
         """
         try:
             config = reload()
-        except ConfigUnreadable as error:
+        except ConfigUnreadableError as error:
             log.log_event("reload_retried", why=error)
             asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.reload)
             return
@@ -38,6 +38,10 @@
             log.log_event("reload_failed", why=error)
             return
         self._counters.add("reloads")
-        log.log_event("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
+        log.log_event(
+            "reloaded",
+            discovery=format_address(config.discovery_address),
+            counter=format_address(config.counter_address),
+        )
         self.config = config
         self._on_reload(config)
--- a/mapleshunt/server/endpoint_watch.py
+++ b/mapleshunt/server/endpoint_watch.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from ..net import log
-from ..net.backoff import TOLD, Backoff
+from ..net.backoff import NOTIFICATION_BUDGET_MS, Backoff
 from ..net.config import Config
 from ..net.counters import Counters
-from ..net.discovery.watcher import Discovery, MemberList, member_list
+from ..net.discovery.watcher import EndpointList, EndpointWatcher, parse_endpoint_list
 from ..net.policy_driver import PolicyDriver
 from ..net.upstream.endpoint_group import EndpointGroup
 from ..policy import interface as i
@@ -43,42 +43,45 @@
         Raises:
             ValueError: the list is malformed.
         """
-        known = member_list(raw)
+        known = parse_endpoint_list(raw)
         self._driver.apply_event(
-            self._upstreams.apply_endpoint_list("persisted", known.members, self._driver.now.age)
+            self._upstreams.apply_endpoint_list("persisted", known.endpoints, self._driver.now.age)
         )
-        self._revision = known.revision if known.members else None
+        self._revision = known.revision if known.endpoints else None
 
-    def apply_list(self, found: MemberList) -> None:
+    def apply_list(self, found: EndpointList) -> None:
         """Apply a list or a change that discovery sent."""
         kind: i.ListKind = "complete" if found.complete else "partial"
         self._driver.apply_event(
-            self._upstreams.apply_endpoint_list(kind, found.members, self.max_endpoint_age)
+            self._upstreams.apply_endpoint_list(kind, found.endpoints, self.max_endpoint_age)
         )
         self._revision = found.revision
         self._last_update_at = asyncio.get_running_loop().time()
-        if found.complete or found.members:
-            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.members))
+        if found.complete or found.endpoints:
+            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.endpoints))
 
     def max_endpoint_age(self, started_at_ms: float) -> float:
         """Return for how many ms an endpoint that the list newly names has been up at most.
 
         The wall clock may have been stepped before this process began, and no list shows that. But what
-        started long before the last update would have been in that one: discovery sends all within `TOLD`.
+        started long before the last update would have been in that one: discovery sends all within
+        `NOTIFICATION_BUDGET_MS`.
         """
         since_update = 1000 * (asyncio.get_running_loop().time() - self._last_update_at)
-        return min(self._driver.now.age(started_at_ms), since_update + TOLD)
+        return min(self._driver.now.age(started_at_ms), since_update + NOTIFICATION_BUDGET_MS)
 
     def follow(self, config: Config) -> None:
         """Watch the discovery agent of this configuration from now on, and no longer the one before."""
-        if config.discovery != self._config.discovery:
+        if config.discovery_address != self._config.discovery_address:
             self._revision = None  # another agent may count revisions otherwise
         self._config = config
         if self.task is not None:
             self.task.cancel()
         settings = config.settings
         backoff = Backoff(settings.instances if settings.ask_discovery else 0, self._random)
-        discovery = Discovery(config.discovery, self.apply_list, self._counters, backoff, self._revision)
+        discovery = EndpointWatcher(
+            config.discovery_address, self.apply_list, self._counters, backoff, self._revision
+        )
         self.task = asyncio.get_running_loop().create_task(discovery.run())
         self.task.add_done_callback(self._watch_ended)
 
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -20,7 +20,7 @@
 from ..net import log
 from ..net.client.connection import MAX_UNWRITTEN_BYTES, ClientConnections
 from ..net.client.listener import bind_socket
-from ..net.config import Config, ConfigError, text_of
+from ..net.config import Config, ConfigError, format_address
 from ..net.counters import Counters
 from ..net.periodic import PeriodicTask
 from ..net.policy_driver import PolicyDriver
@@ -61,13 +61,15 @@
         """Wire all that does no I/O before `prepare`. Needs a running event loop."""
         self.counters = Counters()
         self.stop_requested = asyncio.Event()
-        self.upstreams = EndpointGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
-        budget = DescriptorBudget(config.sockets, _reserved_descriptors(config), self.upstreams)
+        self.upstreams = EndpointGroup(self.counters, config.dial_timeout_ms, config.idle_timeout_ms / 3, 0)
+        budget = DescriptorBudget(config.max_descriptors, _reserved_descriptors(config), self.upstreams)
         self.driver = PolicyDriver(config.settings, config.seed, self.upstreams, self.counters)
-        self.connections = ClientConnections(self.driver, self.counters, config.seed, config.max_open)
+        self.connections = ClientConnections(
+            self.driver, self.counters, config.seed, config.max_open_requests
+        )
         self.connections.is_ready = self._is_ready
         self.lifecycle = Lifecycle()
-        memory_share = max(4 * resp.MAX_VALUE, config.memory // UNWRITTEN_MEMORY_DIVISOR)
+        memory_share = max(4 * resp.MAX_VALUE_BYTES, config.memory_bytes // UNWRITTEN_MEMORY_DIVISOR)
         self.clients = ClientAdmission(
             self.connections, budget, self.lifecycle, self.counters, min(MAX_UNWRITTEN_BYTES, memory_share)
         )
@@ -129,8 +131,8 @@
         """
         config = self.reloader.config
         try:
-            if config.known is not None:
-                self.endpoint_watch.apply_persisted_list(config.known)
+            if config.initial_endpoints is not None:
+                self.endpoint_watch.apply_persisted_list(config.initial_endpoints)
             steps = StartupSteps(self.counters)
             await self._open_sockets(steps, config)
             await steps.run("operators", self.load_extensions)
@@ -142,7 +144,7 @@
             await steps.run("handover", self._join_hot_restart)
         else:
             await steps.run("peers", lambda: self.gossip.open(config))
-        if config.management is not None:
+        if config.admin_address is not None:
             await steps.run("door", self._open_admin_endpoint)
         listener = await steps.run("listener", lambda: _client_listener(config))
         self.clients.add_listener(listener, inherited=config.accept_fd is not None)
@@ -166,7 +168,7 @@
         from ..net.admin.endpoint import AdminEndpoint
         from .admin_calls import AdminCalls
 
-        address = self.reloader.config.management
+        address = self.reloader.config.admin_address
         assert address is not None
         calls = AdminCalls(
             lambda: self.reloader.config, self.controller, self.upstreams, self.driver, self.counters
@@ -228,7 +230,7 @@
             self.clients.start_listening()
         start_ms = 1000 * (time.monotonic() - PROCESS_STARTED_AT)
         broken = broken_by_starting(start_ms, bool(self.connections.connections))
-        self.counters.trace.check(Guard.START, broken, "process")
+        self.counters.trace.report_violations(Guard.START, broken, "process")
         self.clients.start_accepting()
         self.lifecycle.start_serving()
         self.counters.trace.add("process", "listening")
@@ -238,7 +240,10 @@
         if self.admin is not None:
             self.admin.open()
         log.log_event(
-            "started", name=config.name, listen=text_of(config.listen), servers=len(self.upstreams.pools)
+            "started",
+            name=config.name,
+            listen=format_address(config.listen_address),
+            servers=len(self.upstreams.pools),
         )
 
     # Shutdown
@@ -292,7 +297,7 @@
 
 
 def _reserved_descriptors(config: Config) -> int:
-    if config.management is None:
+    if config.admin_address is None:
         return RESERVED_DESCRIPTORS
     from ..net.admin.endpoint import DESCRIPTORS
 
@@ -302,7 +307,7 @@
 def _client_listener(config: Config) -> socket.socket:
     """Return the socket for clients: a new one that does not listen yet, or the inherited one."""
     if config.accept_fd is None:
-        return bind_socket(config.listen)
+        return bind_socket(config.listen_address)
     listener = socket.socket(fileno=config.accept_fd)
     listener.setblocking(False)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
--- a/mapleshunt/server/gossip_port.py
+++ b/mapleshunt/server/gossip_port.py
@@ -8,7 +8,7 @@
 from ..net import log
 from ..net.config import Config
 from ..net.counters import Counters
-from ..net.gossip_transport import Peers
+from ..net.gossip_transport import GossipTransport
 from ..net.policy_driver import PolicyDriver
 from ..policy import interface as i
 
@@ -23,7 +23,7 @@
         self._driver = driver
         self._counters = counters
         self._shared = shared
-        self._transport: Peers | None = None
+        self._transport: GossipTransport | None = None
         self._last_attempt_at = -math.inf  # s, on the loop's clock
 
     def open(self, config: Config) -> None:
@@ -32,19 +32,24 @@
         Raises:
             OSError: the address cannot be bound.
         """
-        if config.peer_listen is None or config.peers_all is None:
+        if config.gossip_address is None or config.gossip_broadcast_address is None:
             return
-        self._transport = Peers(
-            config.peer_listen, config.peers, config.peers_all, self._receive, self._counters, self._shared
+        self._transport = GossipTransport(
+            config.gossip_address,
+            config.gossip_peers,
+            config.gossip_broadcast_address,
+            self._receive,
+            self._counters,
+            self._shared,
         )
-        self._driver.send_gossip = self._transport.tell
+        self._driver.send_gossip = self._transport.send
 
     def retry_open(self, config: Config) -> None:
         """Open the socket if it is not open, unless the last attempt has just failed.
 
         An older process of a version that does not share the address may have it until it ends.
         """
-        if self._transport is not None or config.peer_listen is None:
+        if self._transport is not None or config.gossip_address is None:
             return
         now = asyncio.get_running_loop().time()
         if now - self._last_attempt_at < RETRY_INTERVAL_S:
--- a/mapleshunt/server/monitoring.py
+++ b/mapleshunt/server/monitoring.py
@@ -29,7 +29,7 @@
 
     def log_counters(self) -> None:
         """Log all counters, with gauges of now."""
-        self._counters.print(
+        self._counters.log_totals(
             open=len(self._driver.open_requests),
             client_connections_now=len(self._connections.connections),
             server_connections_now=len(self._upstreams.connections),
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -18,7 +18,10 @@
 ) -> None:
     # SIGHUP came while no descriptor was left: the new address of discovery was never heeded.
     env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-    answers: list[Any] = [config.ConfigUnreadable("no descriptor"), config.ConfigUnreadable("no descriptor")]
+    answers: list[Any] = [
+        config.ConfigUnreadableError("no descriptor"),
+        config.ConfigUnreadableError("no descriptor"),
+    ]
 
     def read() -> config.Config:
         if answers:
@@ -30,7 +33,7 @@
         monkeypatch.setattr("mapleshunt.server.config_reload.reload", read)
         server.reloader.reload()
         async with asyncio.timeout(30):
-            while server.reloader.config.discovery != ("127.0.0.1", 2):
+            while server.reloader.config.discovery_address != ("127.0.0.1", 2):
                 await asyncio.sleep(0.01)
         assert server.counters.counts["reloads"] == 1 and not server.counters.counts["reloads_failed"]
         assert server.endpoint_watch.task is not None
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -9,7 +9,7 @@
 import pytest
 
 from mapleshunt.net import config
-from mapleshunt.net.discovery.watcher import Discovery, MemberList
+from mapleshunt.net.discovery.watcher import EndpointList, EndpointWatcher
 from mapleshunt.server.gateway_server import GatewayServer
 
 from .processes import EXAMPLE
@@ -20,7 +20,7 @@
     began = asyncio.Event()
     calls = iter([ZeroDivisionError, None])
 
-    async def watch(_: Discovery) -> None:
+    async def watch(_: EndpointWatcher) -> None:
         if error := next(calls):
             raise error
         began.set()
@@ -29,7 +29,7 @@
     async def run() -> GatewayServer:
         base = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
         server = GatewayServer(base)
-        server.endpoint_watch.follow(replace(base, discovery=("127.0.0.1", 1)))
+        server.endpoint_watch.follow(replace(base, discovery_address=("127.0.0.1", 1)))
         async with asyncio.timeout(30):
             await began.wait()
         assert server.endpoint_watch.task is not None
@@ -37,7 +37,7 @@
         await asyncio.sleep(0)
         return server
 
-    monkeypatch.setattr(Discovery, "run", watch)
+    monkeypatch.setattr(EndpointWatcher, "run", watch)
     assert asyncio.run(run()).counters.counts["exceptions"] == 1
 
 
@@ -52,7 +52,7 @@
             server = GatewayServer(config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:1"}))
             watch = server.endpoint_watch
             assert watch.max_endpoint_age(now) > 3_500_000.0  # of a first list nothing else is known
-            watch.apply_list(MemberList(1, True, ()))
+            watch.apply_list(EndpointList(1, True, ()))
             assert watch.max_endpoint_age(now) <= 7_000.0
             assert watch.max_endpoint_age(now + 3_600_000.0) <= 1_000.0
 
--- a/tests/test_gateway_server.py
+++ b/tests/test_gateway_server.py
@@ -51,14 +51,16 @@
     gateway: tuple[subprocess.Popen[str], socket.socket],
 ) -> None:
     process, client = gateway
-    client.sendall(resp.command([b"PING"]) + b"".join(query(n) for n in range(9)) + query(9, b"c=odd,d=1"))
+    client.sendall(
+        resp.encode_command([b"PING"]) + b"".join(query(n) for n in range(9)) + query(9, b"c=odd,d=1")
+    )
     pong, *rest, odd = replies(client, 11)
-    assert pong == resp.SimpleLine("PONG") and odd == resp.ErrorLine("ERR unknown class")
+    assert pong == resp.SimpleReply("PONG") and odd == resp.ErrorReply("ERR unknown class")
     served = [bytes(one) for one in rest if isinstance(one, memoryview)]
     # The plan's store holds 5 units and fills by one a second; each answer has its own request's id.
     assert len(served) >= 5 and all(b"did %016x" % n in one for n, one in enumerate(served))
     assert all(
-        isinstance(one, resp.ErrorLine) and one.text.startswith("BUSY ") for one in rest[len(served) :]
+        isinstance(one, resp.ErrorReply) and one.text.startswith("BUSY ") for one in rest[len(served) :]
     )
     process.send_signal(signal.SIGUSR1)
     process.send_signal(signal.SIGTERM)
@@ -173,7 +175,7 @@
         return GatewayServer(config.parse(json.dumps(text), {}))
 
     server = asyncio.run(run())
-    assert 4 * resp.MAX_VALUE <= server.clients.max_unwritten_bytes <= memory_mb * (1 << 20) // 32
+    assert 4 * resp.MAX_VALUE_BYTES <= server.clients.max_unwritten_bytes <= memory_mb * (1 << 20) // 32
     budget = server.clients.budget
     assert sockets // 3 < budget.max_clients < 0.6 * sockets and budget.many_clients < sockets // 3
 
