--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -18,6 +18,7 @@
 from ...replication import messages as m
 from ...replication import wire
 from ...replication.node import RaftNode
+from ...replication.roles import Role
 from .. import log
 from .connections import PeerConnection
 
@@ -61,7 +62,7 @@
         self.step(m.Tick())
 
     def leads(self) -> bool:
-        return self.begun and self.node.role == "leader"
+        return self.begun and self.node.role is Role.LEADER
 
     def away(self) -> set[str]:
         """Gateways that operators want it to leave."""
@@ -78,7 +79,7 @@
             for output in self.node.step(self.copies.now(), event):
                 self._carry_out(output)
         finally:  # whatever went wrong, its next timeout comes
-            wake = self.node.wake()
+            wake = self.node.wake_time()
             if self.timer is None or wake < self.due - 0.001:
                 self._wake(wake)
 
@@ -98,8 +99,8 @@
 
     def _tick(self) -> None:
         self.timer = None
-        if self.node.wake() > self.copies.now() + 0.001:  # it was put off meanwhile
-            self._wake(self.node.wake())
+        if self.node.wake_time() > self.copies.now() + 0.001:  # it was put off meanwhile
+            self._wake(self.node.wake_time())
         else:
             self.step(m.Tick())
 
@@ -148,7 +149,7 @@
 
     def _read(self, what: str) -> bytes:
         kind, _, name = what.partition(" ")
-        holdings, stamp = self.holdings, self.node.last_stamp()
+        holdings, stamp = self.holdings, self.node.log.last_stamp()
         if kind == "store":
             return msgspec.msgpack.encode(holdings.store(stamp, name))
         if kind == "place":
@@ -180,16 +181,16 @@
 
     def state(self) -> str:
         """What a copy of a group holds, in a word that an operator confirms."""
-        return f"{self.copies.name}.{self.node.last_term()}.{self.node.last_index()}"
+        return f"{self.copies.name}.{self.node.log.last_term()}.{self.node.log.last_index()}"
 
     def status(self) -> dict[str, Any]:
         node, members = self.node, self.node.members()
         return {
             "group": self.group, "role": node.role, "term": node.term, "leader": m.gateway_of(node.leader),
-            "voters": list(members.voters), "learners": list(members.learners), "commit": node.commit,
-            "last": node.last_index(), "snapshot": node.snapshot.index, "stores": len(self.holdings.stores),
-            "quorum": self.copies.quorum(self), "last_term": node.last_term(), "stamp": node.last_stamp(),
-            "state": self.state(),
+            "voters": list(members.voters), "learners": list(members.learners), "commit": node.commit_index,
+            "last": node.log.last_index(), "snapshot": node.log.snapshot.index,
+            "stores": len(self.holdings.stores), "quorum": self.copies.quorum(self),
+            "last_term": node.log.last_term(), "stamp": node.log.last_stamp(), "state": self.state(),
         }  # fmt: skip
 
     def end(self) -> None:
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -16,10 +16,11 @@
 
 from ...replication import messages as m
 from ...replication import wire
+from ...replication.config import RaftConfig
 from ...replication.membership import GatewayPresence, ReplacementDelays, next_membership_step
-from ...replication.node import RaftConfig
 from ...replication.pace import SnapshotPacer
 from ...replication.placement import place_replicas
+from ...replication.roles import Role
 from ...settings.operators import Copies as Section
 from ...storage.durable_store import DurableStore, StoreError, StoreInUseError, StoreUnavailableError
 from ...storage.writer import StoreWriter
@@ -74,7 +75,7 @@
         self.zones = {one.name: one.zone for one in section.peer}
         addresses = self.check(section, name)
         election = section.election_ms / 1000
-        self.timing = RaftConfig(election=election, heartbeat=election / 5)
+        self.timing = RaftConfig(election_timeout_s=election, heartbeat_interval_s=election / 5)
         self.disk = disk
         if self.disk.set_aside:
             log.log_event(
@@ -190,7 +191,7 @@
         if (host := self.hosts.pop(group, None)) is not None:
             host.end()
             log.log_event(
-                "copies_superseded", group=group, last=host.node.last_index(), generation=generation
+                "copies_superseded", group=group, last=host.node.log.last_index(), generation=generation
             )
         self.writer.call(lambda: self.disk.forget(group, generation))
 
@@ -200,7 +201,8 @@
         if host is None or not host.begun or host.leads() or told != host.state() or self.quorum(host):
             return "refused", "", b""
         generation = wire.next_generation(self.generations.get(group, 0), self.chance.getrandbits(16))
-        log.log_event("copies_recovered", group=group, last=host.node.last_index(), commit=host.node.commit,
+        log.log_event("copies_recovered", group=group, last=host.node.log.last_index(),
+                commit=host.node.commit_index,
                 without=",".join(host.node.members().all()), generation=generation)  # fmt: skip
         host.end()
         del self.hosts[group]
@@ -221,7 +223,7 @@
         """Are most of a group's voters there, or has it heard of a leader of late?"""
         members = host.node.members()
         here = sum(one == self.me or self._copy_of(m.gateway_of(one)) == one for one in members.voters)
-        heard = host.node.heard_leader > self.now() - 2 * self.timing.election
+        heard = host.node.election.leader_heard_at > self.now() - 2 * self.timing.election_timeout_s
         return host.leads() or heard or here >= members.majority()
 
     def _keep_known(self) -> None:
@@ -376,7 +378,7 @@
         if ask.what == "recover":
             return self._recover(ask.group, ask.copy)
         host = self.hosts.get(ask.group)
-        if host is None or host.node.role != "leader":
+        if host is None or host.node.role is not Role.LEADER:
             hint = m.gateway_of(host.node.leader) if host is not None else ""
             return "refused", hint, b""
         if ask.what == "transfer":
@@ -424,12 +426,12 @@
         except Exception:
             self.counters.add("exceptions")
             log.log_exception("copies_exception")
-        asyncio.get_running_loop().call_later(TEND * self.timing.election, self._tend)
+        asyncio.get_running_loop().call_later(TEND * self.timing.election_timeout_s, self._tend)
 
     def _may_begin(self, host: GroupHost) -> None:
         """A copy takes part once every other voter's gateway has greeted, or has had the time to."""
         others = {m.gateway_of(one) for one in host.node.members().voters} - {self.name}
-        waited = self.now() - self.begun > GRACE * self.timing.election
+        waited = self.now() - self.begun > GRACE * self.timing.election_timeout_s
         if waited or all(self.links.here(one) for one in others):
             host.begin()
 
@@ -455,10 +457,10 @@
             host.group, self.section.size, self.me, host.node.members(), fleet, host.away(), self.patience,
             begun < MOST_MOVES,
         )  # fmt: skip
-        if step is not None and step.how == "transfer":
-            host.step(m.TransferLeadership(step.copy))
+        if step is not None and step.action is m.MembershipAction.TRANSFER_LEADERSHIP:
+            host.step(m.TransferLeadership(step.replica))
         elif step is not None:
-            host.step(m.ChangeMembership(self.local_calls.number(), step.how, step.copy))
+            host.step(m.ChangeMembership(self.local_calls.number(), step.action, step.replica))
 
     def _copy_of(self, gateway: str) -> m.Replica | None:
         hello = self.links.here(gateway)
--- /dev/null
+++ b/mapleshunt/replication/leader.py
@@ -0,0 +1,190 @@
+"""A leader's part: proposals, commits, changes of members, and handing over (thesis, 3.5, 3.6, 3.10, 4)."""
+
+from __future__ import annotations
+
+from .applier import Applier
+from .config import RaftConfig
+from .election import Election
+from .membership_change import changed_members, is_possible
+from .messages import (
+    AppendEntriesResponse,
+    ChangeMembership,
+    Entry,
+    Propose,
+    Replica,
+    Send,
+    SnapshotChunkAck,
+    TimeoutNow,
+)
+from .outbox import Outbox
+from .progress import ReplicationProgress
+from .raft_log import RaftLog
+from .reads import ReadQueue
+from .roles import Role, RoleChangeReason
+
+
+class Leader:
+    """What a replica holds and does while it leads, in one term."""
+
+    progress_type: type[ReplicationProgress] = ReplicationProgress
+    read_queue_type: type[ReadQueue] = ReadQueue
+
+    def __init__(
+        self,
+        election: Election,
+        log: RaftLog,
+        outbox: Outbox,
+        applier: Applier,
+        config: RaftConfig,
+        round_: int,
+        now: float,
+    ) -> None:
+        """Take over, with `round_` as the number of the first round of heartbeats."""
+        self.election = election
+        self.me = election.me
+        self.log = log
+        self.outbox = outbox
+        self.applier = applier
+        self.config = config
+        self._base_stamp = log.last_stamp()
+        self._base_now = now
+        self._transfer_to: Replica = ""
+        self._transfer_deadline = 0.0
+        self.progress = self.progress_type(self.me, election.term, round_, log, outbox, config, now)
+        self.reads = self.read_queue_type(self.progress, log, outbox, config)
+        # An entry of the own term: once it is committed, so is all before it.
+        self._append(now, Entry(log.last_index() + 1, election.term, self.stamp(now)))
+
+    def is_leading(self) -> bool:
+        """Whether this is still the leader: a commit may have removed it."""
+        return self.election.role is Role.LEADER
+
+    def stamp(self, now: float) -> float:
+        """The log's time, ms: that of the entry it began with, and what passed here since.
+
+        A clock that is ahead or was set cannot hurry it, and while nobody leads it does not advance:
+        nothing expires too early.
+        """
+        return max(self.log.last_stamp(), self._base_stamp + 1000 * (now - self._base_now))
+
+    def _append(self, now: float, entry: Entry) -> None:
+        election = self.election
+        self.log.append(entry)
+        self.outbox.write(self.log.last_index(), election.term, election.voted_for, (entry,))
+        if entry.members is not None:
+            self.progress.track_members(now)
+        for replica in self.progress.followers:
+            self.progress.send_entries(now, replica)
+
+    # Requests
+
+    def propose(self, now: float, request: Propose) -> None:
+        """Append an entry, unless leadership is being handed over or too many wait."""
+        if self._transfer_to or self.applier.is_full():
+            self.outbox.reject(request.request_id)
+            return
+        self._append_request(
+            now,
+            request.request_id,
+            Entry(self.log.last_index() + 1, self.election.term, self.stamp(now), request.data),
+        )
+
+    def _append_request(self, now: float, request_id: int, entry: Entry) -> None:
+        self.applier.add_proposal(entry, request_id)
+        self._append(now, entry)
+
+    def change_members(self, now: float, change: ChangeMembership) -> None:
+        """Begin a change: each once the one before is committed, and none before an entry of this term is."""
+        members = self.log.members
+        caught_up = self.progress.is_caught_up(change.replica)
+        allowed = not self._transfer_to and not self.must_wait_for_change()
+        if not allowed or not is_possible(members, change, self.me, caught_up):
+            self.outbox.reject(change.request_id)
+            return
+        changed = changed_members(members, change)
+        active = sum(self.progress.is_active(now, replica) for replica in changed.voters)
+        if active < changed.majority():
+            self.outbox.reject(change.request_id)  # it could not commit what follows, nor be taken back
+            return
+        entry = Entry(self.log.last_index() + 1, self.election.term, self.stamp(now), members=changed)
+        self._append_request(now, change.request_id, entry)
+
+    def must_wait_for_change(self) -> bool:
+        """Whether a change is not committed yet, or no entry of this term is."""
+        return self.log.has_uncommitted_change() or not self.log.is_commit_of_term(self.election.term)
+
+    # Commits
+
+    def advance_commit(self, now: float) -> None:
+        """Commit what a majority has durable, if the last of it is of this term (thesis, 3.6.2)."""
+        index = self.progress.quorum_index()
+        if index <= self.log.commit_index or not self.is_committable(index):
+            return
+        self.applier.commit_to(index)
+        if self.me not in self.log.members.voters and not self.log.has_uncommitted_change():
+            self.election.follow(now, self.election.term, "", RoleChangeReason.REMOVED)
+            return
+        self.reads.on_commit(now)
+
+    def is_committable(self, index: int) -> bool:
+        """Whether a majority's durability alone commits the entry: only if it is of this term."""
+        return self.log.term_at(index) == self.election.term
+
+    # Answers of followers
+
+    def on_append_response(self, now: float, sender: Replica, response: AppendEntriesResponse) -> None:
+        """A follower took entries, or disagreed."""
+        follower = self.progress.record_contact(now, sender, response.round)
+        if follower is None:
+            return
+        self.reads.confirm(now)
+        if response.success:
+            self.progress.accept(now, follower, response)
+            self.advance_commit(now)
+        else:
+            self.progress.probe(follower, response)
+        if self.is_leading() and sender in self.progress.followers:
+            self.progress.send_entries(now, sender)
+            self._finish_transfer()
+
+    def on_chunk_ack(self, now: float, sender: Replica, ack: SnapshotChunkAck) -> None:
+        """A follower took a chunk of a snapshot."""
+        if self.progress.record_contact(now, sender, ack.round) is not None:
+            self.reads.confirm(now)
+            self.progress.on_chunk_ack(now, sender, ack)
+
+    # Handing over
+
+    def transfer(self, now: float, to: Replica) -> None:
+        """Hand leadership to a voter, or to the one that is furthest; requests are rejected meanwhile."""
+        followers = self.progress.followers
+        voters = [one for one in self.log.members.voters if one != self.me and one in followers]
+        target = to or max(voters, key=lambda one: followers[one].match_index, default="")
+        if target in voters and not self._transfer_to:
+            self._transfer_to = target
+            self._transfer_deadline = now + self.config.election_timeout_s
+            self.progress.send_entries(now, target, heartbeat=True)
+            self._finish_transfer()
+
+    def _finish_transfer(self) -> None:
+        follower = self.progress.followers.get(self._transfer_to)
+        if follower is not None and follower.match_index == self.log.last_index():
+            # It rests on no write: a leader whose disk is full hands over just because none completes.
+            self.outbox.emit(Send(self._transfer_to, TimeoutNow(self.election.term)))
+
+    # Time
+
+    def wake_time(self) -> float:
+        """When the leader has to be ticked next, s."""
+        return min(self.progress.next_heartbeat, self.progress.quorum_deadline())
+
+    def tick(self, now: float) -> None:
+        """Step down without a quorum; else send heartbeats in time."""
+        if now >= self.progress.quorum_deadline():
+            self.election.follow(now, self.election.term, "", RoleChangeReason.QUORUM_LOST)
+            self.election.reset_timeout(now)
+            return
+        if self._transfer_to and now >= self._transfer_deadline:
+            self._transfer_to = ""  # the target did not take over: go on
+        if now >= self.progress.next_heartbeat:
+            self.progress.heartbeat(now)
--- a/mapleshunt/replication/messages.py
+++ b/mapleshunt/replication/messages.py
@@ -1,36 +1,44 @@
-"""What copies of a group tell each other and keep: records only.
+"""Records that replicas of a group store and send, and the events and outputs of a replica's step.
 
-A copy is named by its gateway and its incarnation, `NAME/INCARNATION`. The incarnation is made with the
-store: a gateway that lost its disk comes back as another copy, and nothing that the lost one said counts for
-it.
+What is stored or sent holds positions and tags only (`array_like`, `tag`): names may change, tags, the order
+of fields and their defaults may not. A replica is named by its gateway and its incarnation,
+`NAME/INCARNATION`. The incarnation is made with the store: a gateway that lost its disk comes back as another
+replica, and no promise of the lost one counts for it.
 """
 
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
+from .roles import Role, RoleChangeReason
+
 Replica = str  # NAME/INCARNATION
 
 
-def gateway_of(copy: Replica) -> str:
-    return copy.rpartition("/")[0]
+def gateway_of(replica: Replica) -> str:
+    """The name of a replica's gateway."""
+    return replica.rpartition("/")[0]
 
 
 class Members(msgspec.Struct, array_like=True, frozen=True):
-    """Who decides (voters) and who only listens (learners)."""
+    """Voters, which elect and commit, and learners, which only receive entries."""
 
     voters: tuple[Replica, ...]
     learners: tuple[Replica, ...] = ()
 
     def all(self) -> tuple[Replica, ...]:
+        """Voters and learners."""
         return self.voters + self.learners
 
     def majority(self) -> int:
+        """How many voters a quorum needs."""
         return len(self.voters) // 2 + 1
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """A place in the log. `stamp` is the log's own time in ms: it never goes back, and never runs ahead."""
+    """An entry of the log. `stamp` is the log's own time in ms: it never goes back, and never runs ahead."""
 
     index: int
     term: int
@@ -40,7 +48,7 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All that the log up to `index` came to."""
+    """The state machine's state after the log's entries up to `index`."""
 
     index: int
     term: int
@@ -50,7 +58,7 @@
 
 
 class PersistentState(msgspec.Struct, frozen=True):
-    """What a copy's disk holds."""
+    """What a replica's disk holds."""
 
     snapshot: Snapshot
     term: int = 0
@@ -58,65 +66,70 @@
     entries: tuple[Entry, ...] = ()
 
 
-# Messages. All but the first two and the last carry their sender's term.
+# Messages. Each carries its sender's term.
 
 
 class VoteRequest(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A candidate asks for a vote; `pre`: would it get one in that term?"""
+    """A candidate's request for a vote; with `pre_vote`, whether it would get one in that term."""
 
     term: int
     last_index: int
     last_term: int
-    pre: bool
-    told: bool  # the leader told it to: others that hear the leader vote too
+    pre_vote: bool
+    leadership_transfer: bool  # the leader asked it to campaign: replicas that hear the leader vote too
 
 
 class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
+    """A vote that is granted or denied."""
+
     term: int
     granted: bool
-    pre: bool
+    pre_vote: bool
 
 
 class AppendEntries(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """Entries after the one at `before`; empty as a heartbeat. `round` numbers what a majority confirms."""
+    """Entries after the one at `previous_index`; none in a heartbeat.
+
+    A majority's answers confirm `round`.
+    """
 
     term: int
-    before: int
-    before_term: int
+    previous_index: int
+    previous_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int
     round: int
 
 
 class AppendEntriesResponse(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """`index` up to which its durable log is the leader's, or, if not `good`, where to look for agreement."""
+    """How far the durable log agrees with the leader's; without `success`, where to look for agreement."""
 
     term: int
-    good: bool
+    success: bool
     index: int
     round: int
 
 
 class SnapshotChunk(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A part of a snapshot, from `offset` on."""
+    """A part of a snapshot, from byte `offset` on."""
 
     term: int
     index: int
-    at_term: int
+    snapshot_term: int
     stamp: float
     members: Members
     offset: int
     data: bytes
-    last: bool
+    is_last: bool
     round: int
 
 
 class SnapshotChunkAck(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """`offset` is where the next piece is to begin."""
+    """A chunk of the snapshot of `index` came; the next one is to begin at `next_offset`."""
 
     term: int
     index: int
-    offset: int
+    next_offset: int
     round: int
 
 
@@ -135,7 +148,18 @@
 # Events
 
 
+class MembershipAction(enum.StrEnum):
+    """What is done about a replica's membership. The values stand in log lines."""
+
+    ADD_LEARNER = "learner"
+    PROMOTE = "voter"
+    REMOVE = "out"
+    TRANSFER_LEADERSHIP = "transfer"  # changes no members, but comes before the leader's removal
+
+
 class MessageReceived(msgspec.Struct, frozen=True):
+    """A message of another replica."""
+
     sender: Replica
     message: Message
 
@@ -147,34 +171,38 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    pass
+    """Time has passed."""
 
 
 class Propose(msgspec.Struct, frozen=True):
-    call: int
+    """A request to append `data` to the log."""
+
+    request_id: int
     data: bytes
 
 
 class ReadRequest(msgspec.Struct, frozen=True):
-    call: int
+    """A request to read the state machine linearizably."""
+
+    request_id: int
 
 
 class ChangeMembership(msgspec.Struct, frozen=True):
-    """One copy more or less: `how` is learner (joins to listen), voter (may decide), or out."""
+    """A request for one member more or less, or for a learner to become a voter."""
 
-    call: int
-    how: str
-    copy: Replica
+    request_id: int
+    action: MembershipAction
+    replica: Replica
 
 
 class TransferLeadership(msgspec.Struct, frozen=True):
-    """Hand leadership to that copy, or to whoever is furthest."""
+    """Hand leadership to that replica, or to the one that is furthest."""
 
     to: Replica = ""
 
 
 class SnapshotCreated(msgspec.Struct, frozen=True):
-    """The state as of the entry at `index`, all applied up to there."""
+    """The state machine's state as of the entry at `index`."""
 
     index: int
     data: bytes
@@ -186,17 +214,29 @@
 )  # fmt: skip
 
 
-# What a step asks of its host, in order
+# Outputs
+
+
+class RequestOutcome(enum.StrEnum):
+    """How a request ended at the replica. `REJECTED` and `UNKNOWN` are sent to clients by their values."""
+
+    READ_READY = "read"  # answer once all up to the result's index is applied
+    REJECTED = "refused"  # nothing was or will be done
+    UNKNOWN = "unknown"  # it may come to be applied, or not
 
 
 class Send(msgspec.Struct, frozen=True):
+    """Send a message; it may be lost."""
+
     to: Replica
     message: Message
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Make durable, in the order of numbers. Entries replace what the log holds from the first's index on;
-    a snapshot replaces all up to its index, and the whole log if `reset`.
+    """Make durable, in the order of numbers.
+
+    Entries replace what the log holds from the first's index on; a snapshot replaces all up to its index, and
+    the whole log if `reset`.
     """
 
     number: int
@@ -208,10 +248,10 @@
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """A committed entry, each once and in order."""
+    """Apply a committed entry, each once and in order."""
 
     entry: Entry
-    call: int | None = None  # of the one who proposed it here
+    request_id: int | None = None  # of the proposal that was made here
 
 
 class RestoreSnapshot(msgspec.Struct, frozen=True):
@@ -221,14 +261,12 @@
 
 
 class RequestResult(msgspec.Struct, frozen=True):
-    """To a call: "read" (answer once all up to `index` is applied), "refused" (nothing was or will be done),
-    or "unknown" (it may come to be applied, or not). `hint` is who leads, if known.
-    """
+    """Answer a request that led to no entry; `leader_hint` is the leader, if known."""
 
-    call: int
-    how: str
+    request_id: int
+    outcome: RequestOutcome
     index: int = 0
-    hint: Replica = ""
+    leader_hint: Replica = ""
 
 
 class CreateSnapshot(msgspec.Struct, frozen=True):
@@ -238,12 +276,12 @@
 
 
 class RoleChanged(msgspec.Struct, frozen=True):
-    """The role has changed: leader, follower, candidate; `leader` is who leads, if known."""
+    """The role or the leader has changed; `leader` is empty if none is known."""
 
-    role: str
+    role: Role
     term: int
     leader: Replica
-    why: str
+    reason: RoleChangeReason
 
 
 Output = Send | Write | Apply | RestoreSnapshot | RequestResult | CreateSnapshot | RoleChanged
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -24,8 +24,10 @@
 from ..replicated_state.results import Applied, Result
 from ..replicated_state.state_machine import ReplicatedState
 from ..replication import messages as m
-from ..replication.node import RaftConfig, RaftNode
+from ..replication.config import RaftConfig
+from ..replication.node import RaftNode
 from ..replication.placement import group_of_customer, place_replicas
+from ..replication.roles import Role
 from .day import Day, Scenario
 from .engine import Engine
 from .replication_plays import VirtualDisk
@@ -248,7 +250,7 @@
             return
         for output in one.node.step(self._s(), event):
             self._out(one, output)
-        wake = max(1000 * one.node.wake(), self.agenda.now + 1)
+        wake = max(1000 * one.node.wake_time(), self.agenda.now + 1)
         if wake < one.due - 1:
             one.due = wake
             self.agenda.at(wake, self._tick, one, one.life, wake)
@@ -257,7 +259,7 @@
         if one.life != life or one.node is None or one.due != due:
             return
         one.due = float("inf")
-        wake = 1000 * one.node.wake()
+        wake = 1000 * one.node.wake_time()
         if wake > self.agenda.now + 1:
             one.due = wake
             self.agenda.at(wake, self._tick, one, life, wake)
@@ -281,7 +283,7 @@
             case m.CreateSnapshot(index):
                 data = msgspec.msgpack.encode(one.holdings.freeze())
                 self.agenda.at(self.agenda.now, self._snapped, one, one.life, index, data)
-            case m.RoleChanged(role, _, _, _) if role == "leader":
+            case m.RoleChanged(role, _, _, _) if role is Role.LEADER:
                 self.elections += 1
 
     def _snapped(self, one: SimulatedReplica, life: int, index: int, data: bytes) -> None:
--- a/mapleshunt/simulation/replication_planted_faults.py
+++ b/mapleshunt/simulation/replication_planted_faults.py
@@ -3,93 +3,143 @@
 from __future__ import annotations
 
 from ..replication import messages as m
+from ..replication.election import Election
+from ..replication.follower import Follower
+from ..replication.leader import Leader
 from ..replication.node import RaftNode
+from ..replication.outbox import Outbox
+from ..replication.progress import ReplicationProgress
+from ..replication.reads import ReadQueue
+from ..replication.roles import Role
 from .replication_plays import ReplicaGroupPlay, VirtualDisk, VirtualReplica, run_play
 
 
-class Hasty(RaftNode):
+class HastyOutbox(Outbox):
     """Some messages go out before what they rest on is on disk."""
 
     hasty: type[m.Message]  # which
 
-    def _say(self, to: m.Replica, message: m.Message) -> None:
+    def send_when_durable(self, to: m.Replica, message: m.Message) -> None:
         if isinstance(message, self.hasty):
-            self.out.append(m.Send(to, message))
+            self.emit(m.Send(to, message))
         else:
-            super()._say(to, message)
+            super().send_when_durable(to, message)
 
 
-class VoteBeforeDurable(Hasty):
+class HastyVoteOutbox(HastyOutbox):
+    hasty = m.VoteResponse
+
+
+class VoteBeforeDurable(RaftNode):
     """A vote is answered before it is on disk."""
 
-    hasty = m.VoteResponse
+    outbox_type = HastyVoteOutbox
 
 
-class AppendedBeforeDurable(Hasty):
+class HastyAppendOutbox(HastyOutbox):
+    hasty = m.AppendEntriesResponse
+
+
+class AppendedBeforeDurable(RaftNode):
     """Entries are acknowledged before they are on disk."""
 
-    hasty = m.AppendEntriesResponse
+    outbox_type = HastyAppendOutbox
+
+
+class CountingLeader(Leader):
+    def is_committable(self, index: int) -> bool:
+        return True
 
 
 class OlderTermByCount(RaftNode):
     """An entry of an older term is committed because a majority holds it."""
 
-    def _committable(self, index: int) -> bool:
-        return True
+    leader_type = CountingLeader
+
+
+class ImpatientLeader(Leader):
+    def must_wait_for_change(self) -> bool:
+        return False
 
 
 class TwoChangesAtOnce(RaftNode):
     """A change of membership does not wait for the one before."""
 
-    def _one_change_only(self) -> bool:
-        return False
+    leader_type = ImpatientLeader
+
+
+class UnconfirmedReads(ReadQueue):
+    def confirm(self, now: float) -> None:
+        self.answer_all()
+        self.begin_round(now)
+
+
+class TrustingLeader(Leader):
+    read_queue_type = UnconfirmedReads
+
+    def tick(self, now: float) -> None:
+        if now < self.progress.quorum_deadline():
+            super().tick(now)
 
 
 class ReadsUnconfirmed(RaftNode):
     """A leader answers reads by what it believes: after a stop it may lead no more."""
 
-    def _confirm(self, now: float) -> None:
-        for call, index, _ in self.reads:
-            self.out.append(m.RequestResult(call, "read", index))
-        self.reads = []
-        self._begin_round(now)
+    leader_type = TrustingLeader
+
+
+class HastyProgress(ReplicationProgress):
+    def match_index_of(self, replica: m.Replica) -> int:
+        return self.log.last_index() if replica == self.me else super().match_index_of(replica)
 
-    def _look(self, now: float) -> None:
-        if self.role != "leader" or now < self._quorum_until():
-            super()._look(now)
+
+class HastyLeader(Leader):
+    progress_type = HastyProgress
 
 
 class OwnEntriesUnwritten(RaftNode):
     """A leader counts its own entries before they are on disk."""
 
-    def _matched(self, copy: m.Replica) -> int:
-        return self.last_index() if copy == self.me else super()._matched(copy)
+    leader_type = HastyLeader
+
+
+class FickleElection(Election):
+    def on_vote_request(self, now: float, sender: m.Replica, request: m.VoteRequest) -> None:
+        if not request.pre_vote and request.term >= self.term:
+            self.voted_for = "" if self.role is not Role.LEADER else self.voted_for
+        super().on_vote_request(now, sender, request)
 
 
 class VotesTwice(RaftNode):
     """A vote that was given does not bind."""
 
-    def _asked(self, now: float, sender: m.Replica, ask: m.VoteRequest) -> None:
-        if not ask.pre and ask.term >= self.term:
-            self.vote = "" if self.role != "leader" else self.vote
-        super()._asked(now, sender, ask)
+    election_type = FickleElection
+
+
+class CarelessElection(Election):
+    def on_vote_request(self, now: float, sender: m.Replica, request: m.VoteRequest) -> None:
+        longest = m.VoteRequest(request.term, 1 << 40, 1 << 40, request.pre_vote, request.leadership_transfer)
+        super().on_vote_request(now, sender, longest)
 
 
 class ShorterLogsWin(RaftNode):
     """A candidate whose log lacks what is committed gets a vote."""
 
-    def _asked(self, now: float, sender: m.Replica, ask: m.VoteRequest) -> None:
-        longest = m.VoteRequest(ask.term, 1 << 40, 1 << 40, ask.pre, ask.told)
-        super()._asked(now, sender, longest)
+    election_type = CarelessElection
+
+
+class CredulousFollower(Follower):
+    def on_append_entries(self, now: float, sender: m.Replica, message: m.AppendEntries) -> None:
+        super().on_append_entries(now, sender, message)
+        commit = min(message.leader_commit, self.log.last_index())
+        if self.election.leader == sender and commit > self.log.commit_index:
+            self.applier.commit_to(commit)
 
 
 class CommitsUnseen(RaftNode):
     """A follower commits as far as its leader, though its own log may differ there."""
 
-    def _take_entries(self, now: float, sender: m.Replica, message: m.AppendEntries) -> None:
-        super()._take_entries(now, sender, message)
-        if self.leader == sender and min(message.commit, self.last_index()) > self.commit:
-            self._commit_to(min(message.commit, self.last_index()))
+    follower_type = CredulousFollower
 
 
 class OldIncarnation(ReplicaGroupPlay):
--- a/mapleshunt/simulation/replication_plays.py
+++ b/mapleshunt/simulation/replication_plays.py
@@ -15,9 +15,20 @@
 from typing import Any
 
 from ..replication import messages as m
-from ..replication.node import RaftConfig, RaftNode
-
-TIMING = RaftConfig(election=1.0, heartbeat=0.2, batch=400, window=4, piece=200, keep=4, compact=20, queue=64)
+from ..replication.config import RaftConfig
+from ..replication.node import RaftNode
+from ..replication.roles import Role
+
+TIMING = RaftConfig(
+    election_timeout_s=1.0,
+    heartbeat_interval_s=0.2,
+    max_batch_bytes=400,
+    max_inflight_messages=4,
+    snapshot_chunk_bytes=200,
+    retained_entries=4,
+    compaction_threshold=20,
+    max_pending_requests=64,
+)
 FAULT_MOVES = (
     "kill", "start", "cut", "one_way", "heal", "pause", "go_on", "wipe", "transfer", "slow_disk",
     "add", "promote", "remove",
@@ -90,7 +101,9 @@
         self.lossy = self.random.choice([0.0, 0.02, 0.1])
         self.incarnations = 1
         self.mood = self.random.choice(list(FAULT_MIXES))
-        self.timing = replace(TIMING, batch=1) if self.mood in ("elections", "takeovers") else TIMING
+        self.timing = (
+            replace(TIMING, max_batch_bytes=1) if self.mood in ("elections", "takeovers") else TIMING
+        )
 
     # The world
 
@@ -125,7 +138,7 @@
             self.at(one.paused, lambda: self.tick(copy, life))
             return
         self.step(copy, m.Tick())
-        self.at(max(one.node.wake(), self.now + 0.01), lambda: self.tick(copy, life))
+        self.at(max(one.node.wake_time(), self.now + 0.01), lambda: self.tick(copy, life))
 
     def later(self, one: VirtualReplica, event: m.Event) -> None:
         life = one.life
@@ -167,7 +180,7 @@
                 self.answered(one, output)
             case m.CreateSnapshot(index):
                 self.later(one, m.SnapshotCreated(index, self.freeze(one.state)))
-            case m.RoleChanged(role, term, _, _) if role == "leader":
+            case m.RoleChanged(role, term, _, _) if role is Role.LEADER:
                 self.elections += 1
                 if self.leaders.setdefault(term, one.copy) != one.copy:
                     raise InvariantViolationError(
@@ -227,8 +240,8 @@
             one.state.append(entry.data)
 
     def answered(self, one: VirtualReplica, answer: m.RequestResult) -> None:
-        call = self.calls.pop(answer.call, None)
-        if call is None or answer.how != "read":
+        call = self.calls.pop(answer.request_id, None)
+        if call is None or answer.outcome is not m.RequestOutcome.READ_READY:
             return
         assert one.node is not None
         self.reads += 1
@@ -243,10 +256,10 @@
         """
         assert one.node is not None
         for index, (term, _) in self.committed.items():
-            known = one.node.term_at(index)
+            known = one.node.log.term_at(index)
             if self.committed_in[index] >= one.node.term:
                 continue
-            if index > one.node.snapshot.index and known != term:
+            if index > one.node.log.snapshot.index and known != term:
                 raise InvariantViolationError(
                     f"leader {one.copy} of term {one.node.term} lacks the committed entry {index}"
                 )
@@ -266,7 +279,7 @@
         alive = [one for one in self.machines.values() if one.node is not None]
         if not alive:
             return
-        leaders = [one for one in alive if one.node is not None and one.node.role == "leader"]
+        leaders = [one for one in alive if one.node is not None and one.node.role is Role.LEADER]
         one = self.random.choice(leaders or alive)
         self.next_call += 1
         number = self.next_call
@@ -280,7 +293,7 @@
 
     def change(self, how: str) -> None:
         nodes = [one for one in self.machines.values() if one.node is not None]
-        leaders = [one for one in nodes if one.node is not None and one.node.role == "leader"]
+        leaders = [one for one in nodes if one.node is not None and one.node.role is Role.LEADER]
         if not leaders:
             return
         self.next_call += 1
@@ -292,12 +305,12 @@
                 "out": set(members.voters)}  # fmt: skip
         if fits[how]:
             copy = self.random.choice(sorted(fits[how]))
-            self.step(leader.copy, m.ChangeMembership(self.next_call, how, copy))
+            self.step(leader.copy, m.ChangeMembership(self.next_call, m.MembershipAction(how), copy))
 
     def move(self, what: str) -> None:
         names = list(self.machines)
         one = self.machines[self.random.choice(names)]
-        leaders = [each for each in self.machines.values() if each.node and each.node.role == "leader"]
+        leaders = [each for each in self.machines.values() if each.node and each.node.role is Role.LEADER]
         match what:
             case "kill":
                 self.kill(one.copy)
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -13,8 +13,10 @@
 from ..replicated_state.results import Applied, Denied, LeaseGranted, Result
 from ..replicated_state.state_machine import ReplicatedState, StateSnapshot
 from ..replication import messages as m
+from ..replication.leader import Leader
 from ..replication.messages import gateway_of
 from ..replication.node import RaftNode
+from ..replication.roles import Role
 from .history_checker import HistoryEvent, find_violations
 from .replication_plays import (
     InvariantViolationError,
@@ -90,7 +92,7 @@
         if event.ended:
             return
         alive = [one for one in self.machines.values() if one.node is not None]
-        leaders = [one for one in alive if one.node is not None and one.node.role == "leader"]
+        leaders = [one for one in alive if one.node is not None and one.node.role is Role.LEADER]
         if alive:
             self.next_call += 1
             self.by_call[self.next_call] = event
@@ -128,13 +130,19 @@
     holdings = Forgetful
 
 
-class JumpedClock(RaftNode):
-    """Entries are stamped by a wall clock, which jumps ahead at one copy in two now and then."""
+class JumpedClockLeader(Leader):
+    """A leader that stamps entries by a wall clock, which jumps ahead at one replica in two now and then."""
 
-    def _stamp(self, now: float) -> float:
+    def stamp(self, now: float) -> float:
         odd = int(gateway_of(self.me)[1:]) % 2
         ahead = 5000.0 if odd and now % 8 > 4 else 0.0
-        return max(self.last_stamp(), 1000 * now + ahead)
+        return max(self.log.last_stamp(), 1000 * now + ahead)
+
+
+class JumpedClock(RaftNode):
+    """Entries are stamped by a wall clock."""
+
+    leader_type = JumpedClockLeader
 
 
 class NoSessions(ReplicatedState):
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -5,7 +5,9 @@
 import pytest
 
 from mapleshunt.replication import messages as m
-from mapleshunt.replication.node import RaftConfig, RaftNode
+from mapleshunt.replication.config import RaftConfig
+from mapleshunt.replication.node import RaftNode
+from mapleshunt.replication.roles import Role
 from mapleshunt.simulation.replication_planted_faults import NODES, play
 from mapleshunt.simulation.replication_plays import ReplicaGroupPlay
 
@@ -54,13 +56,13 @@
     names = tuple(f"{name}/1" for name in "abcde")
     first = m.Snapshot(0, 0, 0.0, m.Members(names), b"")
     mine = m.Entry(1, 2, 0.0, b"of term 2")
-    leader = make("a/1", m.PersistentState(first, 3, "", (mine,)), RaftConfig(batch=1), 1, 0.0)
+    leader = make("a/1", m.PersistentState(first, 3, "", (mine,)), RaftConfig(max_batch_bytes=1), 1, 0.0)
     done = finish(leader, 5.0, leader.step(5.0, m.Tick()))
     for name in names[1:3]:
         done += finish(leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, True))))
     for name in names[1:3]:
         done += finish(leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, False))))
-    assert leader.role == "leader" and leader.term == 4
+    assert leader.role is Role.LEADER and leader.term == 4
     for name in names[1:3]:  # they have the older entry, and not yet that of this term
         done += leader.step(5.1, m.MessageReceived(name, m.AppendEntriesResponse(4, True, 1, 1)))
     return [one.entry.data for one in done if isinstance(one, m.Apply)]
@@ -88,12 +90,14 @@
 def test_one_copy_alone_leads_and_answers_once_it_has_written() -> None:
     node = alone()
     finish(node, 5.0, node.step(5.0, m.Tick()))
-    assert node.role == "leader"
+    assert node.role is Role.LEADER
     asked = node.step(5.1, m.Propose(7, b"x"))
     assert not [one for one in asked if isinstance(one, m.Apply)]  # not before it is durable
     applied = [one for one in finish(node, 5.2, asked) if isinstance(one, m.Apply)]
-    assert [(one.entry.data, one.call) for one in applied] == [(b"x", 7)]
-    assert m.RequestResult(8, "read", node.commit) in node.step(5.3, m.ReadRequest(8))
+    assert [(one.entry.data, one.request_id) for one in applied] == [(b"x", 7)]
+    assert m.RequestResult(8, m.RequestOutcome.READ_READY, node.commit_index) in node.step(
+        5.3, m.ReadRequest(8)
+    )
 
 
 def test_the_logs_time_neither_goes_back_nor_runs_ahead_of_what_passed() -> None:
@@ -102,14 +106,18 @@
     stamps = []
     for now in (6.0, 6.5, 9.0):
         finish(node, now, node.step(now, m.Propose(1, b"x")))
-        stamps.append(node.last_stamp())
+        stamps.append(node.log.last_stamp())
     assert stamps == pytest.approx([1000.0, 1500.0, 4000.0])
     again = RaftNode(
-        "a/1", m.PersistentState(node.snapshot, node.term, node.vote, tuple(node.log)), RaftConfig(), 1, 500.0
+        "a/1",
+        m.PersistentState(node.log.snapshot, node.term, node.election.voted_for, tuple(node.log.entries)),
+        RaftConfig(),
+        1,
+        500.0,
     )
     finish(again, 505.0, again.step(505.0, m.Tick()))
     finish(again, 505.5, again.step(505.5, m.Propose(1, b"x")))
-    assert again.last_stamp() == pytest.approx(4500.0)  # while nobody led, it stood
+    assert again.log.last_stamp() == pytest.approx(4500.0)  # while nobody led, it stood
 
 
 def test_a_leader_whose_disk_takes_no_more_hands_over() -> None:
@@ -121,7 +129,7 @@
     finish(node, 5.0, node.step(5.0, m.Tick()))
     finish(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, True))))
     finish(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, False))))
-    assert node.role == "leader"
+    assert node.role is Role.LEADER
     node.step(5.1, m.Propose(1, b"x"))  # not written
     node.step(5.2, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 2, 1)))
     assert m.Send("b/1", m.TimeoutNow(1)) in node.step(5.3, m.TransferLeadership())
@@ -139,9 +147,9 @@
     for pre in True, False:
         for name in names[1:4]:
             node.step(5.0, m.MessageReceived(name, m.VoteResponse(1, True, pre)))
-    assert node.role == "candidate" and node.term == 1
-    node.step(5.1, m.WriteCompleted(node.numbered))
-    assert node.role == "leader"
+    assert (node.role, node.term) == (Role.CANDIDATE, 1)
+    node.step(5.1, m.WriteCompleted(node.outbox.last_write))
+    assert node.role is Role.LEADER
 
 
 def test_one_that_never_was_a_member_does_not_campaign() -> None:
@@ -158,9 +166,10 @@
     rounds = 18_000
     for number in range(rounds):
         node.step(0.2 * number, m.MessageReceived("b/1", m.AppendEntries(1, 1, 1, (), 0, number)))
-    assert len(node.held) < 10
-    sent = [one.message for one in finish(node, 4000.0, node.step(4000.0, m.WriteCompleted(node.numbered)))
-            if isinstance(one, m.Send)]  # fmt: skip
+    assert len(node.outbox.held) < 10
+    completed = m.WriteCompleted(node.outbox.last_write)
+    outputs = finish(node, 4000.0, node.step(4000.0, completed))
+    sent = [one.message for one in outputs if isinstance(one, m.Send)]
     assert m.AppendEntriesResponse(1, True, 1, rounds - 1) in sent
 
 
@@ -173,5 +182,5 @@
             one.message for one in sent if isinstance(one, m.Send) and isinstance(one.message, m.VoteRequest)
         ]
         for ask in asked:  # the others hear no leader either
-            node.step(2.0 * number, m.MessageReceived("b/1", m.VoteResponse(ask.term, True, ask.pre)))
-    assert len(node.held) < 10
+            node.step(2.0 * number, m.MessageReceived("b/1", m.VoteResponse(ask.term, True, ask.pre_vote)))
+    assert len(node.outbox.held) < 10
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -10,6 +10,7 @@
 from mapleshunt.net.replication.group_host import GroupHost
 from mapleshunt.net.replication.host import ReplicationHost
 from mapleshunt.replication import messages as m
+from mapleshunt.replication.roles import Role
 
 from .test_replica_stores import NAMES, copies_in
 
@@ -24,7 +25,10 @@
         voters = (*(one.me for one in copies), missing)
         stored = m.PersistentState(m.Snapshot(1, 1, 0.0, m.Members(voters), b""), term=1)
         self.nodes = {one.me: GroupHost(one, 0, stored).node for one in copies}
-        self.start = max(one.deadline for one in self.nodes.values()) - 2 * copies[0].timing.election
+        self.start = (
+            max(one.election.deadline for one in self.nodes.values())
+            - 2 * copies[0].timing.election_timeout_s
+        )
         self.events: list[tuple[float, int, str, m.Event]] = []
         self.order = itertools.count()
 
@@ -34,7 +38,7 @@
     def leader(self, until: float) -> str:
         """The first leader; an empty string if there is none by then."""
         for name, node in self.nodes.items():
-            self.put(node.wake(), name, m.Tick())
+            self.put(node.wake_time(), name, m.Tick())
         while self.events and self.events[0][0] < until:
             now, _, name, event = heapq.heappop(self.events)
             node = self.nodes[name]
@@ -44,10 +48,10 @@
                         self.put(now + MESSAGE_DELAY_S, to, m.MessageReceived(name, message))
                     case m.Write():
                         self.put(now + MESSAGE_DELAY_S, name, m.WriteCompleted(output.number))
-            if node.role == "leader":
+            if node.role is Role.LEADER:
                 return name
             if isinstance(event, m.Tick):
-                self.put(max(now + MESSAGE_DELAY_S, node.wake()), name, m.Tick())
+                self.put(max(now + MESSAGE_DELAY_S, node.wake_time()), name, m.Tick())
         return ""
 
 
@@ -57,7 +61,7 @@
     async def run() -> str:
         copies = [copies_in(tmp_path / name, name) for name in NAMES[:2]]
         play = Play(copies, missing=f"{NAMES[2]}/gone")
-        leader = play.leader(play.start + ELECTIONS * 2 * copies[0].timing.election)
+        leader = play.leader(play.start + ELECTIONS * 2 * copies[0].timing.election_timeout_s)
         for one in copies:
             one.links.close()
             one.disk.close()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,15 +6,17 @@
 from hypothesis import strategies as st
 
 from mapleshunt.replication import messages as m
+from mapleshunt.replication.config import RaftConfig
 from mapleshunt.replication.membership import (
     GatewayPresence,
     MembershipStep,
     ReplacementDelays,
     next_membership_step,
 )
-from mapleshunt.replication.node import RaftConfig, RaftNode
+from mapleshunt.replication.node import RaftNode
 from mapleshunt.replication.pace import SnapshotPacer
 from mapleshunt.replication.placement import place_replicas
+from mapleshunt.replication.roles import Role
 
 SIZE, PATIENCE = 3, ReplacementDelays(60.0, 30.0)
 NAMES = [f"g{n}" for n in range(6)]
@@ -25,25 +27,25 @@
     members: m.Members, fleet: dict[str, GatewayPresence], away: set[str], group: int
 ) -> list[m.Members]:
     """Carry out what the leader does until it does nothing more, whoever that is then."""
-    alive = {one.copy for one in fleet.values()}
+    alive = {one.replica for one in fleet.values()}
     me = next(one for one in members.voters if one in alive)
     went = [members]
     for _ in range(40):
         step = next_membership_step(group, SIZE, me, members, fleet, away, PATIENCE, True)
         if step is None:
             return went
-        voters = [one for one in members.voters if one != step.copy]
-        learners = [one for one in members.learners if one != step.copy]
-        match step.how:
-            case "transfer":
-                assert step.copy in members.voters and step.copy in alive and step.copy != me
-                me = step.copy
+        voters = [one for one in members.voters if one != step.replica]
+        learners = [one for one in members.learners if one != step.replica]
+        match step.action:
+            case m.MembershipAction.TRANSFER_LEADERSHIP:
+                assert step.replica in members.voters and step.replica in alive and step.replica != me
+                me = step.replica
                 continue
-            case "learner":
-                learners.append(step.copy)
-            case "voter":
-                voters.append(step.copy)
-        assert step.copy != me
+            case m.MembershipAction.ADD_LEARNER:
+                learners.append(step.replica)
+            case m.MembershipAction.PROMOTE:
+                voters.append(step.replica)
+        assert step.replica != me
         members = m.Members(tuple(voters), tuple(learners))
         went.append(members)
     raise AssertionError("it does not come to rest")
@@ -62,7 +64,7 @@
     fleet: dict[str, GatewayPresence], away: set[str], group: int
 ) -> None:
     first = m.Members(tuple(f"{name}/1" for name in place_replicas(group, ZONES, SIZE)))
-    alive = {one.copy for one in fleet.values()}
+    alive = {one.replica for one in fleet.values()}
     if sum(one in alive for one in first.voters) < 2:
         return  # nobody leads
     went = settle(first, fleet, away, group)
@@ -70,15 +72,17 @@
         assert SIZE <= len(one.voters) <= SIZE + 1 and len(one.learners) <= 1
     last = went[-1]
     assert len(last.voters) == SIZE and not last.learners
-    able = [name for name, one in fleet.items() if one.copy is not None and name not in away]
+    able = [name for name, one in fleet.items() if one.replica is not None and name not in away]
     kept = {m.gateway_of(one) for one in last.voters}
     for voter in last.voters:
         name = m.gateway_of(voter)
         seen = fleet[name]
         if len(able) >= SIZE:
-            assert name not in away and not (seen.copy is None and seen.since > PATIENCE.replace)
-        assert seen.copy in (voter, None) or len(able) < SIZE
-    if not away and all(one.copy is not None and one.since > PATIENCE.settle for one in fleet.values()):
+            assert name not in away and not (seen.replica is None and seen.unchanged_s > PATIENCE.replace_s)
+        assert seen.replica in (voter, None) or len(able) < SIZE
+    if not away and all(
+        one.replica is not None and one.unchanged_s > PATIENCE.settle_s for one in fleet.values()
+    ):
         assert kept == set(place_replicas(group, ZONES, SIZE))  # all is well: each is in its place
 
 
@@ -90,7 +94,7 @@
     me = members.voters[0]
     assert next_membership_step(0, SIZE, me, members, fleet, set(), PATIENCE, False) is None
     assert next_membership_step(0, SIZE, me, members, fleet, set(), PATIENCE, True) == MembershipStep(
-        "learner", f"{lost}/2"
+        m.MembershipAction.ADD_LEARNER, f"{lost}/2"
     )
     gone = fleet | {lost: GatewayPresence(ZONES[lost], None, 1.0)}
     assert next_membership_step(0, SIZE, me, members, gone, set(), PATIENCE, True) is None  # it may be back
@@ -116,11 +120,11 @@
     node = RaftNode("a/1", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), timing, 1, 0.0)
     node.step(5.0, m.Tick())
     node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, True)))
-    node.step(5.0, m.WriteCompleted(node.numbered))
+    node.step(5.0, m.WriteCompleted(node.outbox.last_write))
     node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, False)))
-    node.step(5.0, m.WriteCompleted(node.numbered))
+    node.step(5.0, m.WriteCompleted(node.outbox.last_write))
     node.step(5.0, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 1, node.round)))
-    assert node.role == "leader" and node.commit == 1
+    assert node.role is Role.LEADER and node.commit_index == 1
     return node
 
 
@@ -134,21 +138,23 @@
     assert [len(one) for one in beats] == [2] + [0] * 9  # to both others, once
     first = node.round
     out = node.step(5.02, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 1, first)))
-    assert [one.call for one in out if isinstance(one, m.RequestResult)] == [0]
+    assert [one.request_id for one in out if isinstance(one, m.RequestResult)] == [0]
     assert len(sent(out, m.AppendEntries)) == 2 and node.round == first + 1
     # Of the round before: not enough.
     out = node.step(5.03, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 1, first)))
     assert not [one for one in out if isinstance(one, m.RequestResult)]
     out = node.step(5.04, m.MessageReceived("c/1", m.AppendEntriesResponse(1, True, 1, first + 1)))
-    assert [one.call for one in out if isinstance(one, m.RequestResult)] == list(range(1, 10))
+    assert [one.request_id for one in out if isinstance(one, m.RequestResult)] == list(range(1, 10))
 
 
 def test_one_that_is_sent_a_snapshot_hears_heartbeats_while_its_pieces_are_held_back() -> None:
-    node = leader(RaftConfig(keep=0, compact=4, piece=10))
+    node = leader(RaftConfig(retained_entries=0, compaction_threshold=4, snapshot_chunk_bytes=10))
     for call in range(6):
         node.step(5.1, m.Propose(call, b"x"))
-        node.step(5.1, m.WriteCompleted(node.numbered))
-        out = node.step(5.1, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, node.last_index(), 0)))
+        node.step(5.1, m.WriteCompleted(node.outbox.last_write))
+        out = node.step(
+            5.1, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, node.log.last_index(), 0))
+        )
         for wanted in (one for one in out if isinstance(one, m.CreateSnapshot)):
             node.step(5.1, m.SnapshotCreated(wanted.index, b"s" * 100))
     out = node.step(5.2, m.MessageReceived("c/1", m.AppendEntriesResponse(1, False, 0, 0)))
@@ -160,7 +166,8 @@
     beat = next(one.message for one in sent(out, m.AppendEntries) if one.to == "c/1")
     told = sent(other.step(5.5, m.MessageReceived("a/1", beat)), m.AppendEntriesResponse)
     assert other.leader == "a/1" and not told  # held until its term is written
-    (reply,) = sent(other.step(5.5, m.WriteCompleted(other.numbered)), m.AppendEntriesResponse)
+    (reply,) = sent(other.step(5.5, m.WriteCompleted(other.outbox.last_write)), m.AppendEntriesResponse)
     assert reply.message == m.AppendEntriesResponse(1, False, 0, node.round)
     out = node.step(5.5, m.MessageReceived("c/1", m.AppendEntriesResponse(1, False, 0, 0)))
-    assert node.progress["c/1"].snapshot is not None  # it goes on
+    assert node.leadership is not None
+    assert node.leadership.progress.followers["c/1"].snapshot is not None  # it goes on
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -135,10 +135,10 @@
 
 async def lead(host: GroupHost, follower: str) -> None:
     """Let the replica lead its group, with the votes and the word of one follower."""
-    host.begun, host.node.deadline = True, 0.0
+    host.begun, host.node.election.deadline = True, 0.0
     host.step(m.Tick())
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term + 1, True, True)))
-    await until(lambda: host.node.written == host.node.numbered)
+    await until(lambda: host.node.outbox.durable_write == host.node.outbox.last_write)
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term, True, False)))
     assert host.leads()
     await follow(host, follower)
@@ -147,9 +147,11 @@
 async def follow(host: GroupHost, follower: str) -> None:
     """The follower has all that the leader has, and says so."""
     node = host.node
-    await until(lambda: node.written == node.numbered)
+    await until(lambda: node.outbox.durable_write == node.outbox.last_write)
     host.step(
-        m.MessageReceived(follower, m.AppendEntriesResponse(node.term, True, node.last_index(), node.round))
+        m.MessageReceived(
+            follower, m.AppendEntriesResponse(node.term, True, node.log.last_index(), node.round)
+        )
     )
 
 
