--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -24,7 +24,7 @@
 from ..counters import Counters
 from ..protocol import http
 from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
-from ..upstream.endpoint_group import Endpoint
+from ..upstream.endpoint import Endpoint
 
 ENDPOINTS_PATH = "/catalog/members"
 UNKNOWN_REVISION_STATUSES = (
--- a/mapleshunt/net/protocol/command_protocol.py
+++ b/mapleshunt/net/protocol/command_protocol.py
@@ -5,7 +5,8 @@
 import re
 from collections.abc import Sequence
 
-from ..request.context import AttemptResult, ParsedRequest
+from ..messages import AttemptResult, ParsedRequest
+from ..reasons import AttemptStatus
 from . import resp
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
@@ -103,9 +104,11 @@
     """How a try ended that a till server replied to. Raises `resp.ProtocolError`."""
     match reply:
         case [memoryview() as value, *more]:  # whatever the rest is like, the value is good
-            return AttemptResult("ok", value, _cost(more[0] if more else None))
+            return AttemptResult(AttemptStatus.OK, value, _cost(more[0] if more else None))
         case resp.ErrorReply(text):
-            return AttemptResult("full" if text.split(" ", 1)[0] == "BUSY" else "error")
+            return AttemptResult(
+                AttemptStatus.FULL if text.split(" ", 1)[0] == "BUSY" else AttemptStatus.ERROR
+            )
     raise resp.ProtocolError("a till server's reply has none of the known forms")
 
 
--- a/mapleshunt/net/request/__init__.py
+++ b/mapleshunt/net/request/__init__.py
@@ -1,1 +1,1 @@
-"""The stages that a request passes: take in, admit, route, send, relay, book."""
+"""The stages that a request passes: parse, admit, route, dispatch, record, respond."""
--- a/mapleshunt/net/request/admit.py
+++ b/mapleshunt/net/request/admit.py
@@ -1,23 +1,27 @@
-"""Admit: put a request before the decisions, unless more are held than the settings allow."""
+"""Admit: hand a request to the policy, unless more are open than the settings allow."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from ..policy_driver import PolicyDriver
 from . import respond
 from .context import RequestContext
 
-if TYPE_CHECKING:
-    from ..policy_driver import PolicyDriver
 
+def admit(
+    context: RequestContext, driver: PolicyDriver, max_open_requests: int, retry_after_ms: float = 0.0
+) -> None:
+    """Submit the request, or reject it at once.
 
-def admit(context: RequestContext, driver: PolicyDriver, most: int, elsewhere: float = 0.0) -> None:
-    """`elsewhere`: ms after which it may ask on another connection, where this one takes no more; else 0."""
+    Args:
+        context: the request.
+        driver: the driver of the policy that decides on it.
+        max_open_requests: bound on the requests that await a response, and so on memory.
+        retry_after_ms: when it may be sent on another connection, if its own takes no more requests; else 0.
+    """
     driver.counters.add("requests_taken")
-    if (
-        elsewhere or len(driver.open_requests) >= most
-    ):  # memory is bounded; nothing was sent: asking again is harmless
-        respond.reject(context, elsewhere or driver.settings.max_retry_after, driver.counters)
+    # Nothing of it was sent, so that a retry does no harm.
+    if retry_after_ms or len(driver.open_requests) >= max_open_requests:
+        respond.reject(context, retry_after_ms or driver.settings.max_retry_after, driver.counters)
         driver.release(context)
     else:
         driver.submit(context)
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -1,4 +1,4 @@
-"""What the gateway holds of one request, whatever protocol it came in."""
+"""The state of one request and of its attempts, whatever protocol it came in."""
 
 from __future__ import annotations
 
@@ -9,109 +9,77 @@
 from typing import Protocol
 
 from ...policy import interface as i
-
-
-class RequestMessage(Protocol):
-    """The request as its client worded it, to be passed on."""
-
-    def encode(self, wait: int) -> bytes:
-        """What goes to a till server, told that the gateway waits `wait` ms."""
-
-
-class ResponseSink(Protocol):
-    """Where the one final answer goes. Each protocol words the three answers in its own way."""
-
-    def serve(self, value: memoryview) -> None: ...
-
-    def reject(self, wait: float) -> None: ...
-
-    def fail(self) -> None: ...
+from ..messages import RequestMessage, ResponseSink
+from ..reasons import AttemptStatus, RequestResult, UpstreamCloseReason
 
 
 class AttemptConnection(Protocol):
-    """What a try is out on."""
-
-    def close(self, reason: str) -> None: ...
-
-
-@dataclass(slots=True, frozen=True)
-class ParsedRequest:
-    """What a request says of itself, read but not yet checked against the settings."""
-
-    request_id: str  # as its client named it
-    cls: str
-    plan: str
-    customer: str
-    timeout_ms: float
-    units: float
-    spread: int
-    first: int
-    is_retry: bool
-    has_idempotency_key: bool  # it carries an idempotency key
-    is_query: bool  # it says that it may be repeated
-    message: RequestMessage
-
-
-@dataclass(slots=True, frozen=True)
-class AttemptResult:
-    """How a try ended; `value` only with "ok"."""
+    """The connection that carries an attempt."""
 
-    status: i.Status
-    value: memoryview | None = None
-    cost: float = 0.0
+    def close(self, reason: UpstreamCloseReason) -> None:
+        """Close the connection, which ends the attempt on it."""
 
 
 @dataclass(slots=True)
 class Attempt:
+    """One attempt of a request at one endpoint. Times are ms on the driver's clock."""
+
     number: int
     server: int
-    sent_at: float  # on the driver's clock
+    sent_at: float
     deadline: float  # when the gateway stops waiting
     send_before: float = math.inf  # from then on none of its bytes may go out
     connection: AttemptConnection | None = None
-    cancel_status: i.Status | None = None
+    cancel_status: AttemptStatus | None = None
     task: asyncio.Task[None] | None = None
-    status: i.Status | None = None  # how it ended; None while it is out
-    zone: str = ""  # of its server, known once its bytes go out
+    status: AttemptStatus | None = None  # None while it is in flight
+    zone: str = ""  # of its endpoint, known once its bytes go out
     cell: int = 0
-    latency_ms: float = 0.0  # ms
-    cost: float = 0.0  # true units, as told
+    latency_ms: float = 0.0
+    cost: float = 0.0  # true units as the endpoint reported them
+
+    def cancel(self, status: AttemptStatus) -> None:
+        """Stop waiting, with `CANCELLED`, `TIMEOUT` or `RESET` as the status.
 
-    def cancel(self, status: i.Status) -> None:
-        """Stop waiting. The connection ends too: an answer still to come on it would be the next try's."""
+        The connection is closed: a reply still to come on it would be taken for that of the next attempt.
+        """
         if self.cancel_status is None:
             self.cancel_status = status
             if self.connection is not None:
-                self.connection.close(status)
+                self.connection.close(UpstreamCloseReason(status))
 
 
 @dataclass(slots=True)
 class RequestContext:
-    request_id: int
+    """One request from its admission until its response is sent and its attempts have ended."""
+
+    request_id: int  # unique in this process; the policy knows the request by it
     request: i.Request
     message: RequestMessage
     response_sink: ResponseSink
-    received_at: float  # on the driver's clock
+    received_at: float  # ms on the driver's clock
     client_request_id: str = ""
-    open_client_ids: set[str] = field(default_factory=set)  # of all requests that are open
+    open_client_ids: set[str] = field(default_factory=set)  # of all requests that await a response
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
-    awaiting_response: bool = True  # the final answer is still owed
-    final_result: str = "gone"  # served, refused or failed once it was given
-    released_at: float = 0.0  # on the driver's clock; known where requests are recorded
-    response_claimed_at: float = math.inf  # s, monotonic: when its final answer was given or its client left
+    awaiting_response: bool = True
+    final_result: RequestResult = RequestResult.GONE
+    released_at: float = 0.0  # ms on the driver's clock; known where requests are recorded
+    response_claimed_at: float = math.inf  # s, monotonic: its response or its client's leaving
 
     @property
     def deadline(self) -> float:
+        """Return when its client stops waiting, in ms on the driver's clock."""
         return self.received_at + self.request.patience
 
     def claim_response(self) -> bool:
-        """Claim the right to give the final answer; False if that has been done."""
-        was, self.awaiting_response = self.awaiting_response, False
-        if was:
+        """Claim the right to send the final response; False if that has been done."""
+        was_awaiting = self.awaiting_response
+        self.awaiting_response = False
+        if was_awaiting:
             self.open_client_ids.discard(self.client_request_id)
             self.response_claimed_at = time.monotonic()
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
             self.deadline_timer = None
-        return was
+        return was_awaiting
--- a/mapleshunt/net/request/parse.py
+++ b/mapleshunt/net/request/parse.py
@@ -1,48 +1,71 @@
-"""Take in: check what a request says against the settings, and make its context."""
+"""Parse: check what a request says of itself against the settings, and make its context."""
 
 from __future__ import annotations
 
 from ...policy import interface as i
-from .context import ParsedRequest, RequestContext, ResponseSink
+from ..messages import ParsedRequest, ResponseSink
+from .context import RequestContext
 
 
 class UnacceptableRequestError(Exception):
-    """The request is not one the settings know; nothing of it is sent on."""
+    """The request contradicts the settings; nothing of it is forwarded. The text goes to the client."""
 
 
 def parse(
-    intake: ParsedRequest, answer: ResponseSink, settings: i.Settings, ref: int, now: float, ids: set[str]
+    parsed: ParsedRequest,
+    response_sink: ResponseSink,
+    settings: i.Settings,
+    request_id: int,
+    now: float,
+    open_client_ids: set[str],
 ) -> RequestContext:
-    """`ids` are those of the open requests; the new one's is added to them.
+    """Make the context of a request.
 
-    A till server would refuse what is out of range, or close on it; a second request under an open one's
-    id would be a second attempt of that, out beside the first.
+    Args:
+        parsed: what the request says of itself.
+        response_sink: where its response goes.
+        settings: the classes, plans and bounds that it is checked against.
+        request_id: the number by which the policy is to know it.
+        now: ms on the driver's clock.
+        open_client_ids: the clients' ids of the open requests; this one's is added to them.
+
+    Raises:
+        UnacceptableRequestError: the settings do not know such a request, or its client's id is that of an
+        open
+            one, of which it would be a second attempt beside the first.
     """
-    cls = settings.classes.get(intake.cls)
+    cls = settings.classes.get(parsed.cls)
     if cls is None:
         raise UnacceptableRequestError("unknown class")
-    if intake.plan not in settings.plans:
+    _check(parsed, cls, settings)
+    if parsed.request_id in open_client_ids:
+        raise UnacceptableRequestError("a request of this id is open")
+    request = i.Request(
+        ref=request_id,
+        cls=parsed.cls,
+        plan=parsed.plan,
+        customer=parsed.customer,
+        patience=parsed.timeout_ms,
+        units=parsed.units,
+        spread=parsed.spread,
+        first=parsed.first,
+        retry=parsed.is_retry,
+    )
+    open_client_ids.add(parsed.request_id)
+    return RequestContext(
+        request_id, request, parsed.message, response_sink, now, parsed.request_id, open_client_ids
+    )
+
+
+def _check(parsed: ParsedRequest, cls: i.RequestClass, settings: i.Settings) -> None:
+    """Raise UnacceptableRequestError for what an endpoint would reject, or close its connection on."""
+    if parsed.plan not in settings.plans:
         raise UnacceptableRequestError("unknown plan")
-    if intake.is_query != (cls.effect == "safe"):
+    if parsed.is_query != (cls.effect == "safe"):
         raise UnacceptableRequestError("this class goes by the other command")
-    if cls.effect == "keyed" and not intake.has_idempotency_key:
+    if cls.effect == "keyed" and not parsed.has_idempotency_key:
         raise UnacceptableRequestError("this class needs a key")
-    if not 0 < intake.units <= settings.largest:
+    if not 0 < parsed.units <= settings.largest:
         raise UnacceptableRequestError("units are out of range")
-    if not (1 <= intake.spread <= settings.instances and 0 <= intake.first < settings.instances):
+    if not (1 <= parsed.spread <= settings.instances and 0 <= parsed.first < settings.instances):
         raise UnacceptableRequestError("the customer's set is out of range")
-    if intake.request_id in ids:
-        raise UnacceptableRequestError("a request of this id is open")
-    request = i.Request(
-        ref=ref,
-        cls=intake.cls,
-        plan=intake.plan,
-        customer=intake.customer,
-        patience=intake.timeout_ms,
-        units=intake.units,
-        spread=intake.spread,
-        first=intake.first,
-        retry=intake.is_retry,
-    )
-    ids.add(intake.request_id)
-    return RequestContext(ref, request, intake.message, answer, now, intake.request_id, ids)
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -1,34 +1,35 @@
-"""Book: tell the decisions how a try ended, with what it cost; a served value is relayed first."""
+"""Record: note how an attempt ended, and word it for the policy."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import cast
 
 from ...policy import interface as i
-from . import respond
-from .context import Attempt, AttemptResult, RequestContext
+from ..messages import AttemptResult
+from .context import Attempt, RequestContext
 
-if TYPE_CHECKING:
-    from ..policy_driver import PolicyDriver
 
+def record(
+    context: RequestContext, attempt: Attempt, result: AttemptResult, now: float, max_units: float
+) -> i.Outcome:
+    """Note the result on the attempt and return the policy's event.
 
-def record(context: RequestContext, attempt: Attempt, ending: AttemptResult, driver: PolicyDriver) -> None:
-    driver.counters.add(f"tries_{ending.status}")
-    if ending.value is not None and context.awaiting_response:
-        driver.trace.add(context.client_request_id, "served", f"attempt {attempt.number}")
-        respond.serve(context, ending.value, driver.counters)
-        driver.remove(context)
-    attempt.status, attempt.latency_ms = ending.status, driver.now() - attempt.sent_at
-    # No request counts more than the settings' largest: such a figure is unreadable.
-    attempt.cost = ending.cost if ending.cost <= driver.settings.largest else 0.0
-    driver.apply_event(
-        i.Outcome(
-            ref=context.request_id,
-            status=ending.status,
-            closed=not context.awaiting_response,
-            attempt=attempt.number,
-            server=attempt.server,
-            latency=attempt.latency_ms,
-            cost=attempt.cost,
-        )
+    Args:
+        context: the attempt's request.
+        attempt: the attempt that ended.
+        result: how it ended.
+        now: ms on the driver's clock.
+        max_units: the most that one request may cost; a higher cost is no readable figure and counts as none.
+    """
+    attempt.status = result.status
+    attempt.latency_ms = now - attempt.sent_at
+    attempt.cost = result.cost if result.cost <= max_units else 0.0
+    return i.Outcome(
+        ref=context.request_id,
+        status=cast(i.Status, result.status),  # the policy's literals are the values of AttemptStatus
+        closed=not context.awaiting_response,
+        attempt=attempt.number,
+        server=attempt.server,
+        latency=attempt.latency_ms,
+        cost=attempt.cost,
     )
--- a/mapleshunt/net/request/respond.py
+++ b/mapleshunt/net/request/respond.py
@@ -1,30 +1,34 @@
-"""Relay: the one final answer to the client."""
+"""Respond: send the one final response to the client, and count it. All but the first do nothing."""
 
 from __future__ import annotations
 
 from ..counters import Counters
+from ..reasons import RequestResult
 from .context import RequestContext
 
 
 def serve(context: RequestContext, value: memoryview, counters: Counters) -> None:
+    """Send the value that an endpoint answered with."""
     if context.claim_response():
-        context.final_result = "served"
+        context.final_result = RequestResult.SERVED
         counters.add("answers_served")
         counters.add_for_class("completed", context.request.cls)
         context.response_sink.serve(value)
 
 
-def reject(context: RequestContext, wait: float, counters: Counters) -> None:
+def reject(context: RequestContext, retry_after_ms: float, counters: Counters) -> None:
+    """Decline the request, which may be retried after that time."""
     if context.claim_response():
-        context.final_result = "refused"
+        context.final_result = RequestResult.REJECTED
         counters.add("answers_rejected")
         counters.add_for_class("rejected", context.request.cls)
-        context.response_sink.reject(wait)
+        context.response_sink.reject(retry_after_ms)
 
 
 def fail(context: RequestContext, counters: Counters) -> None:
+    """Report failure, without any promise."""
     if context.claim_response():
-        context.final_result = "failed"
+        context.final_result = RequestResult.FAILED
         counters.add("answers_failed")
         counters.add_for_class("failed", context.request.cls)
         context.response_sink.fail()
--- a/mapleshunt/net/request/route.py
+++ b/mapleshunt/net/request/route.py
@@ -1,4 +1,4 @@
-"""Route: turn the decision to send into a try with a till server and a time limit."""
+"""Route: turn the policy's decision to send into an attempt at an endpoint with a deadline."""
 
 from __future__ import annotations
 
@@ -7,10 +7,14 @@
 
 
 def route(context: RequestContext, action: i.Send, now: float) -> Attempt:
-    until = min(now + action.timeout, context.deadline) if action.timeout else context.deadline
-    number = len(context.attempts)
+    """Add the attempt that the action asks for to its request. `now` is ms on the driver's clock."""
+    deadline = min(now + action.timeout, context.deadline) if action.timeout else context.deadline
     attempt = Attempt(
-        number=number, server=action.server, sent_at=now, deadline=until, send_before=action.before
+        number=len(context.attempts),
+        server=action.server,
+        sent_at=now,
+        deadline=deadline,
+        send_before=action.before,
     )
     context.attempts.append(attempt)
     return attempt
--- a/mapleshunt/net/trace.py
+++ b/mapleshunt/net/trace.py
@@ -1,7 +1,7 @@
-"""What happened last, in memory: state changes of requests and connections, and violations of invariants.
+"""The last state changes of requests and connections, kept in memory, and violations of invariants.
 
 A line in the log for each step of each request would cost more than the requests. The steps are kept in a
-ring instead; those of one request are logged when an invariant is violated by it, and all of them on SIGQUIT.
+ring instead; those of one request are logged when it violates an invariant, and all of them on SIGQUIT.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from ..invariants import Guard
 from . import log
 
-CAPACITY = 2048  # steps: some 0.5 MB, for memory is limited and its growth is priced
+MAX_KEPT_STEPS = 2048  # some 0.5 MB, for memory is limited and its growth is priced
 MAX_LOGGED_STEPS = 64  # of the request that violates an invariant
 
 
 class Step(NamedTuple):
-    """One state change. `subject` is a request's id, or names a connection or the process."""
+    """One state change. `subject` is the client's id of a request, or names a connection or the process."""
 
     at: float  # s, monotonic
     subject: str
@@ -28,14 +28,15 @@
 
 
 class Trace:
-    """The last steps, and the violations so far."""
+    """The last steps, and the counters of closed connections and violations."""
 
     def __init__(self, count: Callable[[str], None]) -> None:
-        """`count` adds one to a counter by its name."""
+        """Begin without steps. `count` adds one to a counter by its name."""
         self.count = count
-        self.steps: deque[Step] = deque(maxlen=CAPACITY)
+        self.steps: deque[Step] = deque(maxlen=MAX_KEPT_STEPS)
 
     def add(self, subject: str, event: str, detail: str = "") -> None:
+        """Keep a step; the oldest makes room for it."""
         self.steps.append(Step(time.monotonic(), subject, event, detail))
 
     def count_close(self, kind: str, reason: str) -> None:
@@ -58,7 +59,6 @@
     def _log(steps: list[Step]) -> None:
         now = time.monotonic()
         for step in steps:
-            ago = 1000 * (now - step.at)
-            log.log_event(
-                "step", ago=ago, subject=step.subject, what=step.event, detail=step.detail or "none"
-            )
+            age_ms = 1000 * (now - step.at)
+            detail = step.detail or "none"
+            log.log_event("step", ago=age_ms, subject=step.subject, what=step.event, detail=detail)
--- a/mapleshunt/net/upstream/__init__.py
+++ b/mapleshunt/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Backends and the connections to them."""
+"""Endpoints and the connections to them."""
--- /dev/null
+++ b/mapleshunt/net/upstream/endpoint.py
@@ -0,0 +1,30 @@
+"""An endpoint as discovery lists it."""
+
+from __future__ import annotations
+
+import zlib
+from dataclasses import dataclass
+
+from ...policy import interface as i
+from ..config import Address
+
+
+@dataclass(slots=True, frozen=True)
+class Endpoint:
+    """One backend server in the endpoint list."""
+
+    id: str
+    address: Address
+    zone: str
+    cell: int
+    state: i.ServerState
+    started_at_ms: float  # Unix time; 0 for long ago
+
+    @property
+    def number(self) -> int:
+        """Return the number for gossip about it: made from the id alone, it is the same at all gateways."""
+        return zlib.crc32(self.id.encode())
+
+    def is_same_process(self, other: Endpoint) -> bool:
+        """Tell whether both lead to one address and one start of the server."""
+        return self.address == other.address and self.started_at_ms == other.started_at_ms
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -8,7 +8,7 @@
 
 from benchmarks.cold_servers import Case, worst
 from mapleshunt import Members, ServerEntry
-from mapleshunt.net.policy_driver import UnixClock
+from mapleshunt.net.clock import UnixClock
 
 from .conftest import Driver
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -31,7 +31,8 @@
 from mapleshunt.net.request import respond
 from mapleshunt.net.request.admit import admit
 from mapleshunt.net.request.context import RequestContext
-from mapleshunt.net.upstream.endpoint_group import Endpoint, EndpointGroup
+from mapleshunt.net.upstream.endpoint import Endpoint
+from mapleshunt.net.upstream.endpoint_group import EndpointGroup
 
 from .conftest import CLASSES, PLANS
 
@@ -141,7 +142,7 @@
 
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         refused, _ = ask(driver, 1)
-        refused.response_sink.reject = lambda wait: driver.client_disconnected(sent)  # type: ignore[method-assign]
+        refused.response_sink.reject = lambda retry_after_ms: driver.client_disconnected(sent)  # type: ignore[method-assign]
         sent, told = ask(driver, 2)
         driver.apply_event(Timer(0))
         gone, ended = decisions.told[-2:]
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from mapleshunt import Request, Settings
+from mapleshunt.net.reasons import AttemptStatus
 from mapleshunt.net.request.context import Attempt, RequestContext
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.writer import Recorder
@@ -28,8 +29,8 @@
     one: Any = RequestContext(number, request, None, None, 1000.0 * number)  # type: ignore[arg-type]
     one.final_result, one.awaiting_response, one.released_at = "served", False, 1000.0 * number + 90
     one.attempts = [
-        Attempt(0, 7, 1000.0 * number + 2, 0.0, status="full", latency_ms=3.0),
-        Attempt(1, 8, 1000.0 * number + 6, 0.0, status="ok", latency_ms=80.0, cost=4.0),
+        Attempt(0, 7, 1000.0 * number + 2, 0.0, status=AttemptStatus.FULL, latency_ms=3.0),
+        Attempt(1, 8, 1000.0 * number + 6, 0.0, status=AttemptStatus.OK, latency_ms=80.0, cost=4.0),
     ]
     return one  # type: ignore[no-any-return]
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -169,8 +169,8 @@
               "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
     "drain": [("policy/gateway.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
-              ("net/upstream/endpoint_group.py", 'server.endpoint.state == "ready"',
-               'server.endpoint.state != "gone"')],
+              ("net/upstream/endpoint_group.py", 'pool.endpoint.state == "ready"',
+               'pool.endpoint.state != "gone"')],
 }  # fmt: skip
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -16,13 +16,17 @@
 
 from mapleshunt import Request
 from mapleshunt.net.counters import Counters
+from mapleshunt.net.messages import AttemptResult, ResponseSink
 from mapleshunt.net.protocol import resp
 from mapleshunt.net.protocol.command_protocol import CommandMessage
-from mapleshunt.net.request.context import Attempt, AttemptResult, RequestContext, ResponseSink
+from mapleshunt.net.reasons import AttemptStatus, UpstreamCloseReason
+from mapleshunt.net.request.context import Attempt, RequestContext
 from mapleshunt.net.request.dispatch import dispatch
+from mapleshunt.net.upstream import connection as upstream_connection
 from mapleshunt.net.upstream import endpoint_group as upstream
-from mapleshunt.net.upstream.endpoint_group import Endpoint, EndpointGroup
-from mapleshunt.policy.interface import Status
+from mapleshunt.net.upstream.connection import UpstreamConnection
+from mapleshunt.net.upstream.endpoint import Endpoint
+from mapleshunt.net.upstream.endpoint_group import EndpointGroup
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=4\r\n$-1\r\n"
 Steps = Callable[[EndpointGroup, int, socket.socket], Awaitable[list[AttemptResult]]]
@@ -81,23 +85,23 @@
 @pytest.mark.parametrize(
     ("data", "ending"),
     [
-        (GOOD, AttemptResult("ok", memoryview(b"value"), 4.0)),
-        (b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nqps=1\r\n", AttemptResult("ok", memoryview(b"v"))),
-        (b"-ERR failed\r\n", AttemptResult("error")),
-        (b"-BUSY\r\n", AttemptResult("full")),
-        (b"-ERR failed used=1,cost=2 inflight=7\r\n", AttemptResult("error")),
-        (b"", AttemptResult("reset")),
-        (b"*3\r\n$1\r\n", AttemptResult("reset")),
-        (b"*1\r\n$1\r\nv\r\n", AttemptResult("ok", memoryview(b"v"))),
-        (b"*3\r\n$1\r\nv\r\n$4\r\n\x00=\xff,\r\n:5\r\n", AttemptResult("ok", memoryview(b"v"))),
-        (GOOD + GOOD, AttemptResult("ok", memoryview(b"value"), 4.0)),
+        (GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
+        (b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nqps=1\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
+        (b"-ERR failed\r\n", AttemptResult(AttemptStatus.ERROR)),
+        (b"-BUSY\r\n", AttemptResult(AttemptStatus.FULL)),
+        (b"-ERR failed used=1,cost=2 inflight=7\r\n", AttemptResult(AttemptStatus.ERROR)),
+        (b"", AttemptResult(AttemptStatus.RESET)),
+        (b"*3\r\n$1\r\n", AttemptResult(AttemptStatus.RESET)),
+        (b"*1\r\n$1\r\nv\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
+        (b"*3\r\n$1\r\nv\r\n$4\r\n\x00=\xff,\r\n:5\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
+        (GOOD + GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
         # Spoilt: it may have run, and the till server lives.
-        (b"nonsense\r\n", AttemptResult("error")),
-        (b"*1\r\n$70000\r\n", AttemptResult("error")),
-        (b"*3\r\n$3000000000\r\nvvvv", AttemptResult("error")),
-        (b"+" + 2000 * b"x", AttemptResult("error")),
-        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", AttemptResult("error")),
-        (b":1\r\n", AttemptResult("error")),
+        (b"nonsense\r\n", AttemptResult(AttemptStatus.ERROR)),
+        (b"*1\r\n$70000\r\n", AttemptResult(AttemptStatus.ERROR)),
+        (b"*3\r\n$3000000000\r\nvvvv", AttemptResult(AttemptStatus.ERROR)),
+        (b"+" + 2000 * b"x", AttemptResult(AttemptStatus.ERROR)),
+        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", AttemptResult(AttemptStatus.ERROR)),
+        (b":1\r\n", AttemptResult(AttemptStatus.ERROR)),
     ],
 )
 def test_reply_or_end_after_the_last_byte(data: bytes, ending: AttemptResult) -> None:
@@ -117,7 +121,7 @@
         listener.close()
         return [await attempt_at(group, number)[1]]
 
-    assert play(steps) == [AttemptResult("unreachable")]
+    assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
 def test_connection_that_never_comes_up_is_bounded_and_never_ran() -> None:
@@ -125,7 +129,7 @@
         group.dial_timeout_ms = 0.0
         return [await attempt_at(group, number)[1]]
 
-    assert play(steps) == [AttemptResult("unreachable")]
+    assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
 def test_unknown_server_and_spent_descriptors_leave_it_unsent() -> None:
@@ -133,16 +137,16 @@
         group.max_connections = 0
         return [await attempt_at(group, number + 1)[1], await attempt_at(group, number)[1]]
 
-    assert play(steps) == [AttemptResult("unsent"), AttemptResult("unsent")]
+    assert play(steps) == [AttemptResult(AttemptStatus.UNSENT), AttemptResult(AttemptStatus.UNSENT)]
 
 
 def test_given_up_before_it_is_written_it_never_ran_after_that_it_may_have() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         early, task = attempt_at(group, number)
         await asyncio.sleep(0)  # it dials
-        early.cancel("cancelled")
+        early.cancel(AttemptStatus.CANCELLED)
         endings = [await task]
-        statuses: tuple[Status, ...] = ("cancelled", "timeout")
+        statuses = (AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT)
         for status in statuses:
             late, task = attempt_at(group, number)
             server = await accept(listener)
@@ -158,7 +162,11 @@
             server.close()
         return endings
 
-    assert play(steps) == [AttemptResult("unsent"), AttemptResult("cancelled"), AttemptResult("timeout")]
+    assert play(steps) == [
+        AttemptResult(AttemptStatus.UNSENT),
+        AttemptResult(AttemptStatus.CANCELLED),
+        AttemptResult(AttemptStatus.TIMEOUT),
+    ]
 
 
 def test_connection_is_used_again_unless_its_end_has_come() -> None:
@@ -219,7 +227,7 @@
 
 
 def test_reply_that_does_not_end_is_spoilt_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REPLY_STALL_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(upstream_connection, "REPLY_STALL_TIMEOUT_S", 0.01)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
@@ -228,14 +236,14 @@
             server.send(b"*3\r\n$50\r\nshort\r\n")
             return [await task]
 
-    assert play(steps) == [AttemptResult("error")]
+    assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
 def test_connections_that_end_without_a_word_are_trusted_for_a_shorter_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Each try on one of them ended as reset: it may have run, and its till server was held for dead.
-    monkeypatch.setattr(upstream, "STALE_RESET_WITHIN_S", 10.0)
+    monkeypatch.setattr(upstream_connection, "STALE_RESET_WITHIN_S", 10.0)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
@@ -251,7 +259,7 @@
         assert (
             upstream.REUSE_DELAY_S <= group.max_idle_s(now) < 1.0
         )  # it had stood idle for less than a second
-        assert group.max_idle_s(now + 100 * upstream.IDLE_TRUST_DOUBLING_S) == group.idle_timeout_ms / 1000
+        assert group.max_idle_s(now + 100 * upstream.MAX_IDLE_DOUBLING_S) == group.idle_timeout_ms / 1000
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
             group.release(connection)
@@ -327,7 +335,7 @@
     "restarted": lambda group, number, *_: listed_as(started_at_ms=5.0)(group, number),
     "moved": lambda group, number, *_: listed_as(address=("127.0.0.1", 1))(group, number),
     "left": lambda _group, _number, context, *_: context.claim_response(),
-    "given up": lambda _group, _number, _context, attempt, _clock: attempt.cancel("cancelled"),
+    "given up": lambda _group, _number, _context, attempt, _clock: attempt.cancel(AttemptStatus.CANCELLED),
     "window over": lambda _group, _number, _context, attempt, _clock: setattr(attempt, "send_before", 179.0),
     "patience over": lambda _group, _number, _context, _attempt, clock: clock.append(479.5),
 }
@@ -353,7 +361,7 @@
             group.release(connection)
             await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
         else:  # the next one's dial is the turn of the loop in which all changes
-            connection.close("test")
+            connection.close(UpstreamCloseReason.SHUTDOWN)
         (context, attempt), clock = request_at(number), [179.3]
         task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
         if not kept:
@@ -375,7 +383,7 @@
         server.close()
         return [ending]
 
-    assert play(steps) == [AttemptResult("unsent")]
+    assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
 
 def test_long_answer_that_comes_slowly_but_goes_on_is_not_spoilt() -> None:
@@ -385,7 +393,7 @@
         with await accept(listener) as server:
             await taken(server)
             connection, ends = attempt.connection, list[float]()
-            assert isinstance(connection, upstream.UpstreamConnection)
+            assert isinstance(connection, UpstreamConnection)
             for at in range(0, len(GOOD) - 1, 4):
                 server.send(GOOD[at : min(at + 4, len(GOOD) - 1)])
                 while connection.buffer.end < min(at + 4, len(GOOD) - 1):
@@ -404,12 +412,12 @@
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
-            task = asyncio.create_task(connection.exchange(b"x", longest=0.0))
+            task = asyncio.create_task(connection.exchange(b"x", max_reply_s=0.0))
             await asyncio.to_thread(server.recv, 1)
             server.send(GOOD[:1])
             return [await task]
 
-    assert play(steps) == [AttemptResult("error")]
+    assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
 @pytest.mark.parametrize("crossing", ["drained", "gone", "left", "given up", "window over", "patience over"])
@@ -423,7 +431,7 @@
         assert not group.counters.counts["dials"]
         return [ending]
 
-    assert play(steps) == [AttemptResult("unsent")]
+    assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
 
 @pytest.mark.parametrize(
@@ -464,13 +472,13 @@
         with await accept(listener) as server:
             await taken(server)
             connection = attempt.connection
-            assert isinstance(connection, upstream.UpstreamConnection)
+            assert isinstance(connection, UpstreamConnection)
             ended = "_take_reply" if data else "close"
             reads = getattr(connection, ended)
 
             def read_and_given_up(*args: str) -> None:
                 reads(*args)
-                attempt.cancel("timeout")  # before the task that waits for the end has its turn
+                attempt.cancel(AttemptStatus.TIMEOUT)  # before the task that waits for the end has its turn
 
             monkeypatch.setattr(connection, ended, read_and_given_up)
             server.send(data)
