--- a/benchmarks/cold_servers.py
+++ b/benchmarks/cold_servers.py
@@ -18,18 +18,18 @@
 
 from mapleshunt import (
     Action,
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
     Event,
     Gateway,
-    Members,
-    Outcome,
     Plan,
-    Request,
     RequestClass,
-    Send,
-    ServerEntry,
+    RequestReceived,
     SetTimer,
     Settings,
-    Timer,
+    StartAttempt,
+    TimerFired,
 )
 
 WORK = 120.0  # ms of mean work on one of two cores
@@ -62,11 +62,16 @@
     """ms after its start at which each request was sent to the cold server, while it was cold."""
     chance = random.Random(seed)
     settings = Settings(
-        me=0, instances=case.instances, classes={"look": RequestClass("look", aim=1200, deadline=5000)},
-        plans={"open": Plan("open")}, cold_from=COLD_FROM, cold=COLD, tip_after=case.window,
-        tip_over=case.multiple,
-    )  # fmt: skip
-    entries = tuple(ServerEntry(n + 1, cell=n) for n in range(SERVERS - 1))
+        gateway_index=0,
+        gateway_count=case.instances,
+        classes={"look": RequestClass("look", latency_objective=1200, deadline=5000)},
+        plans={"open": Plan("open")},
+        slow_start_min_capacity=COLD_FROM,
+        slow_start_duration=COLD,
+        overload_crash_after=case.window,
+        overload_crash_multiple=case.multiple,
+    )
+    entries = tuple(Endpoint(n + 1, cell=n) for n in range(SERVERS - 1))
     gateways = [Gateway(settings, chance.getrandbits(32), 0.0) for _ in range(case.instances)]
     order, refs, sent = itertools.count(), itertools.count(), list[float]()
     agenda: list[tuple[float, int, int, Event]] = []
@@ -77,31 +82,35 @@
     def take(now: float, number: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
-                put(action.at, number, Timer(action.token))
-            elif isinstance(action, Send):
-                if action.server == 0:
+                put(action.at, number, TimerFired(action.token))
+            elif isinstance(action, StartAttempt):
+                if action.endpoint == 0:
                     sent.append(now - WARM_UP)
                 took = chance.expovariate(1 / WORK)
-                put(now + took, number, Outcome(action.ref, "ok", True, 0, action.server, took))
+                put(now + took, number, AttemptEnded(action.request_id, "ok", True, 0, action.endpoint, took))
 
     rate = case.load * (SERVERS - 1) * CORES / WORK / case.instances  # requests a ms at each
     for number in range(case.instances):
-        put(0.0, number, Members("complete", entries))
-        put(chance.expovariate(rate), number, Request(next(refs), "look", "open", f"{number:016x}", 5000))
+        put(0.0, number, EndpointUpdate("complete", entries))
+        put(
+            chance.expovariate(rate),
+            number,
+            RequestReceived(next(refs), "look", "open", f"{number:016x}", 5000),
+        )
     born = 0
     while agenda and agenda[0][0] < WARM_UP + COLD:
         now, _, number, event = heapq.heappop(agenda)
         if not born and now >= WARM_UP:
-            born, cold = 1, ServerEntry(0, cell=99, started=WARM_UP)
+            born, cold = 1, Endpoint(0, cell=99, started=WARM_UP)
             for n in range(case.instances):
                 if case.restarted:
                     gateways[n] = Gateway(settings, chance.getrandbits(32), now)
-                    take(now, n, gateways[n].handle(now, Members("complete", entries)))
-                take(now, n, gateways[n].handle(now, Members("partial", (cold,))))
-        if isinstance(event, Request):
-            again = Request(next(refs), "look", "open", event.customer, 5000)
+                    take(now, n, gateways[n].handle(now, EndpointUpdate("complete", entries)))
+                take(now, n, gateways[n].handle(now, EndpointUpdate("partial", (cold,))))
+        if isinstance(event, RequestReceived):
+            again = RequestReceived(next(refs), "look", "open", event.customer, 5000)
             put(now + chance.expovariate(rate), number, again)
-        if not isinstance(event, Outcome) or (event.ref in gateways[number].jobs):
+        if not isinstance(event, AttemptEnded) or (event.request_id in gateways[number].jobs):
             take(now, number, gateways[number].handle(now, event))
     return sent
 
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -39,22 +39,22 @@
     """Stands in for the decisions: sends to the next server, and costs next to nothing."""
 
     def __init__(self, settings, seed, now):  # type: ignore[no-untyped-def]
-        from mapleshunt.policy import interface
+        from mapleshunt import policy
 
-        self.i, self.servers, self.next = interface, [0], seed
+        self.policy, self.servers, self.next = policy, [0], seed
 
     def start(self):  # type: ignore[no-untyped-def]
         return ()
 
     def handle(self, now, event):  # type: ignore[no-untyped-def]
-        i = self.i
-        if type(event) is i.Request:
+        policy = self.policy
+        if type(event) is policy.RequestReceived:
             self.next += 1
-            return (i.Send(event.ref, self.servers[self.next % len(self.servers)]),)
-        if type(event) is i.Outcome:
-            return () if event.closed else (i.Fail(event.ref),)
-        if type(event) is i.Members and event.kind != "partial":
-            self.servers = [entry.server for entry in event.entries]
+            return (policy.StartAttempt(event.request_id, self.servers[self.next % len(self.servers)]),)
+        if type(event) is policy.AttemptEnded:
+            return () if event.request_completed else (policy.FailRequest(event.request_id),)
+        if type(event) is policy.EndpointUpdate and event.kind != "partial":
+            self.servers = [entry.endpoint for entry in event.endpoints]
         return ()
 
 
--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -34,7 +34,7 @@
 from .net.protocol import resp
 from .net.startup import StartSteps
 from .net.upstream.endpoint_group import UpstreamGroup
-from .policy import interface as i
+from .policy import GossipReceived, UpdateKind
 
 if TYPE_CHECKING:
     from .extensions import Extensions
@@ -110,7 +110,7 @@
         return self.life.wanted() and bool(self.group.servers)
 
     def told(self, found: MemberList) -> None:
-        kind: i.ListKind = "complete" if found.complete else "partial"
+        kind: UpdateKind = "complete" if found.complete else "partial"
         self.driver.feed(self.group.update(kind, found.members, self.age))
         self.revision = found.revision
         self.last_told = self.time()
@@ -377,7 +377,7 @@
         if self.watching is not None:
             self.watching.cancel()
         settings = self.config.settings
-        backoff = Backoff(settings.instances if settings.ask_discovery else 0, self.chance)
+        backoff = Backoff(settings.gateway_count if settings.poll_discovery else 0, self.chance)
         discovery = Discovery(agent, self.told, self.counters, backoff, self.revision)
         self.watching = asyncio.get_running_loop().create_task(discovery.run())
         self.watching.add_done_callback(self._watch_ended)
@@ -491,7 +491,7 @@
                 connection.end("stopped")
 
     def heard(self, peer: int, text: str) -> None:
-        self.driver.feed(i.PeerMessage(peer, text))
+        self.driver.feed(GossipReceived(peer, text))
 
 
 def descriptors() -> int:
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -240,7 +240,8 @@
     for one in over:
         key, _, rest = one.partition("=")
         try:
-            values[key] = [pair(f"{key}={value}")[1] for value in rest.split(",")]
+            pairs = [pair(f"{key}={value}") for value in rest.split(",")]
+            values[pairs[0][0]] = [value for _, value in pairs]
         except ValueError as error:
             raise Trouble(str(error)) from None
     day = scenario_named(scenario, gateways, servers, rate, seconds)
--- a/mapleshunt/invariants.py
+++ b/mapleshunt/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from .policy.interface import PROVEN, RequestClass, Settings, Status
+from .policy import NEVER_RAN, AttemptStatus, RequestClass, Settings
 
 # ms after its client has left, or has its answer, for which an attempt of a request may still begin.
 MAX_SEND_AFTER_END_MS = 100.0
@@ -49,7 +49,7 @@
     """An attempt of the same request before the one to be sent; `status` is None while it is out."""
 
     sent: float
-    status: Status | None
+    status: AttemptStatus | None
     zone: str
     cell: int
 
@@ -81,9 +81,9 @@
     broken = []
     if len(facts.earlier) >= settings.max_attempts:
         broken.append("too_many_attempts")
-    if not settings.second_copies and any(one.status is None for one in facts.earlier):
+    if not settings.allow_hedging and any(one.status is None for one in facts.earlier):
         broken.append("two_attempts_out")
-    may_have_run = [one for one in facts.earlier if one.status not in PROVEN]
+    may_have_run = [one for one in facts.earlier if one.status not in NEVER_RAN]
     if may_have_run and cls.effect == "unsafe":
         broken.append("unsafe_request_repeated")
     if may_have_run and cls.effect == "keyed":
@@ -95,11 +95,11 @@
     facts: RepeatFacts, may_have_run: Sequence[EarlierAttempt], cls: RequestClass
 ) -> list[str]:
     broken = []
-    if facts.now > may_have_run[0].sent + cls.window:
+    if facts.now > may_have_run[0].sent + cls.idempotency_window:
         broken.append("repeated_after_window")
-    if cls.group == "cell" and any(one.cell != facts.cell for one in may_have_run):
+    if cls.retry_scope == "cell" and any(one.cell != facts.cell for one in may_have_run):
         broken.append("repeated_outside_cell")
-    if cls.group == "zone" and any(one.zone != facts.zone for one in may_have_run):
+    if cls.retry_scope == "zone" and any(one.zone != facts.zone for one in may_have_run):
         broken.append("repeated_outside_zone")
     return broken
 
--- a/mapleshunt/lifecycle/warm_state.py
+++ b/mapleshunt/lifecycle/warm_state.py
@@ -79,7 +79,7 @@
             for c in spent[:MOST_CUSTOMERS]
         ),
         servers=tuple(
-            ServerNote(s.entry.server, s.started, s.pace, max(0.0, s.barred - now), s.fails,
+            ServerNote(s.entry.endpoint, s.started, s.pace, max(0.0, s.barred - now), s.fails,
                        max(0.0, now - s.answered), s.allowance.level)
             for s in gateway.servers.values()
         ),
@@ -142,5 +142,5 @@
     """
     if (c := gateway.customers.get(tag)) is not None:
         c.store.level = c.store.fill(now) - units
-        if not c.keepers or c.keepers[0] == gateway.set.me:
+        if not c.keepers or c.keepers[0] == gateway.set.gateway_index:
             c.use.add(now, units)
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..platform_terms import settings_of
-from ..policy import interface as i
+from ..policy import Settings
 from ..transient_errors import may_pass
 
 Address = tuple[str, int]
@@ -37,7 +37,7 @@
     peers_all: Address | None
     counter: Address | None
     known: Mapping[str, Any] | None
-    settings: i.Settings
+    settings: Settings
     dial_timeout: float  # ms
     conn_idle: float  # ms
     max_open: int  # requests held at once
@@ -91,11 +91,11 @@
         settings = settings_of(raw["settings"])
         limits = raw["settings"]["PolicyLimits"]
         peers = tuple(address(peer, "peers") for peer in raw.get("peers") or ())
-        if settings.peers and len(peers) != settings.instances:
-            raise ConfigError(f"peers must name {settings.instances} gateways, not {len(peers)}")
+        if settings.gossip_enabled and len(peers) != settings.gateway_count:
+            raise ConfigError(f"peers must name {settings.gateway_count} gateways, not {len(peers)}")
         allowed = raw.get("limits") or {}
         door = env.get("PROXY_MANAGEMENT") or raw.get("management")
-        together = settings.peers and settings.instances > 1
+        together = settings.gossip_enabled and settings.gateway_count > 1
         name = env.get("PROXY_NAME") or str(raw["name"])
         return Config(
             name=name,
--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -17,7 +17,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from ...platform_terms import STATES
-from ...policy import interface as i
+from ...policy import EndpointState
 from .. import log
 from ..backoff import SILENCE, WAIT, Backoff
 from ..config import Address, ConfigError, address, family_of
@@ -46,7 +46,7 @@
                 address=address(row["host_port"], "host_port"),
                 zone=str(row.get("locality") or ""),
                 cell=int(row.get("cell") or 0),
-                state=cast(i.ServerState, STATES[row["phase"]]),
+                state=cast(EndpointState, STATES[row["phase"]]),
                 started=float(row.get("up_since_ms") or 0.0),
             )
             for row in raw["members"]
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from ...lifecycle import warm_state as knowledge
-from ...policy import interface as i
+from ...policy import RequestReceived
 from ...policy.gossip_codec import tag_of
 from .. import log
 from ..counters import Counters
@@ -110,7 +110,7 @@
             self._failed(error)
             return False
 
-    def _sent(self, request: i.Request) -> None:
+    def _sent(self, request: RequestReceived) -> None:
         tag = tag_of(request.customer)
         if tag in self.units or len(self.units) < knowledge.MOST_CUSTOMERS:
             self.units[tag] = self.units.get(tag, 0.0) + request.units
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -11,8 +11,23 @@
 
 from .. import invariants
 from ..invariants import Guard
-from ..policy import interface as i
-from ..policy import slow_start
+from ..policy import (
+    Action,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
+    Event,
+    FailRequest,
+    RejectRequest,
+    RequestReceived,
+    SendGossip,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+    WatchEndpoints,
+    slow_start,
+)
 from ..policy.gateway import Gateway
 from . import log
 from .counters import Counters
@@ -47,7 +62,7 @@
 
 
 class Driver:
-    def __init__(self, settings: i.Settings, seed: int, group: UpstreamGroup, counters: Counters) -> None:
+    def __init__(self, settings: Settings, seed: int, group: UpstreamGroup, counters: Counters) -> None:
         self.settings, self.group, self.counters = settings, group, counters
         self.trace = counters.trace
         self.now = Clock()
@@ -56,19 +71,19 @@
         self.loop = asyncio.get_running_loop()
         self.open: dict[int, RequestContext] = {}  # requests that are owed an answer
         self.out: dict[tuple[int, int], Try] = {}  # tries that have not ended
-        self.events: deque[i.Event] = deque()
+        self.events: deque[Event] = deque()
         self.busy = False
         self.seen: Callable[[RequestContext], None] | None = None  # told of requests that are over, if any is
-        self.sent: Callable[[i.Request], None] | None = None  # told of requests' first tries, if any is
+        self.sent: Callable[[RequestReceived], None] | None = None  # told of requests' first tries, if any is
         # Told of requests before the decisions are: does one wait until `resume`?
-        self.asked: Callable[[i.Request], bool] | None = None
+        self.asked: Callable[[RequestReceived], bool] | None = None
         self._carry_out(self.gateway.start())
 
     # Events
 
     def take(self, context: RequestContext) -> None:
         self.open[context.ref] = context
-        self.trace.add(context.id, "taken", context.request.cls)
+        self.trace.add(context.id, "taken", context.request.request_class)
         left = context.due - GUARD - self.now()
         context.guard = self.loop.call_later(left / 1000, self._guard, context)
         if self.asked is None or not self.asked(context.request):
@@ -77,7 +92,7 @@
     def resume(self, ref: int) -> None:
         """What it waited for has come, or is not waited for any longer."""
         if (context := self.open.get(ref)) is not None:
-            self.feed(replace(context.request, patience=max(0.0, context.due - self.now())))
+            self.feed(replace(context.request, remaining_time=max(0.0, context.due - self.now())))
 
     def gone(self, context: RequestContext) -> None:
         """The client has left: nothing is owed to it any more."""
@@ -85,7 +100,9 @@
             self.counters.add("clients_gone")
             self.trace.add(context.id, "client_gone")
             self._story("client_gone", context)
-            self.feed(i.ClientGone(context.ref))  # forgotten as it is handled: what was decided comes first
+            self.feed(
+                ClientDisconnected(context.ref)
+            )  # forgotten as it is handled: what was decided comes first
             self.over(context)
 
     def _story(self, event: str, context: RequestContext) -> None:
@@ -93,7 +110,7 @@
         now = self.now()
         tries = " ".join(f"{one.server}:{one.status or 'out'}:{now - one.sent:.0f}" for one in context.tries)
         log.say(
-            event, id=context.id, cls=context.request.cls, patience=context.request.patience,
+            event, id=context.id, cls=context.request.request_class, patience=context.request.remaining_time,
             after=now - context.taken, tries=tries,
         )  # fmt: skip
 
@@ -112,7 +129,7 @@
                 self.counters.add("exceptions")
                 log.trouble("record_exception", ref=context.ref)
 
-    def feed(self, event: i.Event) -> None:
+    def feed(self, event: Event) -> None:
         """Handle an event and what it leads to. Events that come up meanwhile follow in their order."""
         self.events.append(event)
         if self.busy:
@@ -124,16 +141,18 @@
         finally:
             self.busy = False
 
-    def _handle(self, event: i.Event) -> None:
-        if isinstance(event, i.ClientGone):
-            self.open.pop(event.ref, None)
+    def _handle(self, event: Event) -> None:
+        if isinstance(event, ClientDisconnected):
+            self.open.pop(event.request_id, None)
         try:
             actions = self.gateway.handle(self.now(), event)
         except Exception:
             # One bad event must not end the program: its request is answered, the others go on.
             self.counters.add("exceptions")
             log.trouble("decision_exception", kind=type(event).__name__)
-            if isinstance(event, i.Request | i.Outcome) and (context := self.open.pop(event.ref, None)):
+            if isinstance(event, RequestReceived | AttemptEnded) and (
+                context := self.open.pop(event.request_id, None)
+            ):
                 relay.fail(context, self.counters)
                 self.over(context)
             return
@@ -147,12 +166,12 @@
             self._story("guard_answer", context)
             self.forget(context)
             relay.fail(context, self.counters)
-            self.feed(i.ClientGone(context.ref))
+            self.feed(ClientDisconnected(context.ref))
             self.over(context)
 
     # Actions
 
-    def _carry_out(self, actions: list[i.Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             try:
                 self._do(action)
@@ -160,30 +179,30 @@
                 self.counters.add("exceptions")
                 log.trouble("action_exception", kind=type(action).__name__)
 
-    def _do(self, action: i.Action) -> None:
+    def _do(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self._send(action)
-            case i.Refuse(ref, wait):
+            case RejectRequest(ref, wait):
                 if context := self.open.pop(ref, None):
-                    self.counters.add(f"rejected_{action.why}")
-                    self.trace.add(context.id, "refused", action.why)
+                    self.counters.add(f"rejected_{action.reason}")
+                    self.trace.add(context.id, "refused", action.reason)
                     relay.reject(context, wait, self.counters)
                     self.over(context)
-            case i.Fail(ref):
+            case FailRequest(ref):
                 if context := self.open.pop(ref, None):
                     self.trace.add(context.id, "failed")
                     self._story("request_failed", context)
                     relay.fail(context, self.counters)
                     self.over(context)
-            case i.Cancel(ref, number):
+            case CancelAttempt(ref, number):
                 if attempt := self.out.get((ref, number)):
                     attempt.give_up("cancelled")
-            case i.SetTimer(at, token):
+            case SetTimer(at, token):
                 self._set_timer(at, token)
-            case i.Tell(peer, data):
+            case SendGossip(peer, data):
                 self.tell(peer, data)
-            case i.Watch():
+            case WatchEndpoints():
                 pass  # discovery is always watched
 
     def _set_timer(self, at: float, token: int) -> None:
@@ -196,10 +215,10 @@
         if self.now() < at:
             self._set_timer(at, token)
         else:
-            self.feed(i.Timer(token))
+            self.feed(TimerFired(token))
 
-    def _send(self, action: i.Send) -> None:
-        if (context := self.open.get(action.ref)) is None:
+    def _send(self, action: StartAttempt) -> None:
+        if (context := self.open.get(action.request_id)) is None:
             self.counters.add("sends_too_late")
             return
         attempt = route(context, action, self.now())
@@ -269,6 +288,6 @@
                 for one in context.tries[: attempt.number]
             ]
             repeat = invariants.RepeatFacts(now, member.zone, member.cell, earlier)
-            cls = self.settings.classes[context.request.cls]
+            cls = self.settings.classes[context.request.request_class]
             broken = invariants.broken_by_repeating(repeat, cls, self.settings)
             self.trace.check(Guard.REPEAT, broken, context.id)
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -6,7 +6,7 @@
 import math
 from dataclasses import dataclass
 
-from ...policy import interface as i
+from ...policy import LeaseGranted, RequestReceived
 from ...policy.gossip_codec import tag_of
 from ...policy.state import Customer
 from ...replicated_state import commands as w
@@ -165,20 +165,20 @@
 
     # Requests, answers, time
 
-    def _asked(self, request: i.Request) -> bool:
+    def _asked(self, request: RequestReceived) -> bool:
         """Draw what it needs; it waits while the copies answer and its answer is on the way."""
         plan = self.driver.settings.plans[request.plan]
         if plan.rate and (len(self.plans) < 100_000 or request.customer in self.plans):
             self.plans[request.customer] = request.plan
             now, burst = self.driver.now(), plan.burst
             actions = self.leaser.demand(
-                now, request.customer, plan.rate, burst, request.spread, request.units
+                now, request.customer, plan.rate, burst, request.gateway_set_size, request.units
             )
             self._do(actions)
-            if self.sound and request.patience > 2 * HOLD:
+            if self.sound and request.remaining_time > 2 * HOLD:
                 waiting = self.waiting.get(request.customer)
                 if waiting is not None or self.leaser.waits(now, request.customer, request.units):
-                    one = (now + HOLD, request.ref, request.units)
+                    one = (now + HOLD, request.request_id, request.units)
                     self.waiting.setdefault(request.customer, []).append(one)
                     return True
         return False
@@ -216,7 +216,7 @@
                 if plan is not None:
                     self.counters.add("leases_had", int(action.lease > 0))
                     self.driver.feed(
-                        i.Leased(action.customer, plan, action.lease, action.units, action.until)
+                        LeaseGranted(action.customer, plan, action.lease, action.units, action.until)
                     )
             else:
                 group = group_of(action.customer, self.copies.section.groups)
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ...policy import interface as i
+from ...policy import AttemptStatus, RequestReceived
 
 
 class Message(Protocol):
@@ -56,7 +56,7 @@
 class Ending:
     """How a try ended; `value` only with "ok"."""
 
-    status: i.Status
+    status: AttemptStatus
     value: memoryview | None = None
     cost: float = 0.0
 
@@ -69,15 +69,15 @@
     until: float  # when the gateway stops waiting
     before: float = math.inf  # from then on none of its bytes may go out
     connection: Connection | None = None
-    given_up: i.Status | None = None
+    given_up: AttemptStatus | None = None
     task: asyncio.Task[None] | None = None
-    status: i.Status | None = None  # how it ended; None while it is out
+    status: AttemptStatus | None = None  # how it ended; None while it is out
     zone: str = ""  # of its server, known once its bytes go out
     cell: int = 0
     took: float = 0.0  # ms
     cost: float = 0.0  # true units, as told
 
-    def give_up(self, status: i.Status) -> None:
+    def give_up(self, status: AttemptStatus) -> None:
         """Stop waiting. The connection ends too: an answer still to come on it would be the next try's."""
         if self.given_up is None:
             self.given_up = status
@@ -88,7 +88,7 @@
 @dataclass(slots=True)
 class RequestContext:
     ref: int
-    request: i.Request
+    request: RequestReceived
     message: Message
     answer: Answer
     taken: float  # on the driver's clock
@@ -103,7 +103,7 @@
 
     @property
     def due(self) -> float:
-        return self.taken + self.request.patience
+        return self.taken + self.request.remaining_time
 
     def end(self) -> bool:
         """Claim the right to give the final answer; False if that has been done."""
--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -48,7 +48,7 @@
         check(context, attempt, connection, left)
         reply = await connection.exchange(
             context.message.encode(int(left)),
-            lambda: group.counters.add_class("upstream_requests", context.request.cls),
+            lambda: group.counters.add_class("upstream_requests", context.request.request_class),
             left / 2000,
         )
     except NoRoom:
--- a/mapleshunt/net/request/parse.py
+++ b/mapleshunt/net/request/parse.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...policy import interface as i
+from ...policy import RequestReceived, Settings
 from .context import Answer, Intake, RequestContext
 
 
@@ -11,7 +11,7 @@
 
 
 def take_in(
-    intake: Intake, answer: Answer, settings: i.Settings, ref: int, now: float, ids: set[str]
+    intake: Intake, answer: Answer, settings: Settings, ref: int, now: float, ids: set[str]
 ) -> RequestContext:
     """`ids` are those of the open requests; the new one's is added to them.
 
@@ -27,22 +27,22 @@
         raise Unacceptable("this class goes by the other command")
     if cls.effect == "keyed" and not intake.key:
         raise Unacceptable("this class needs a key")
-    if not 0 < intake.units <= settings.largest:
+    if not 0 < intake.units <= settings.max_request_units:
         raise Unacceptable("units are out of range")
-    if not (1 <= intake.spread <= settings.instances and 0 <= intake.first < settings.instances):
+    if not (1 <= intake.spread <= settings.gateway_count and 0 <= intake.first < settings.gateway_count):
         raise Unacceptable("the customer's set is out of range")
     if intake.id in ids:
         raise Unacceptable("a request of this id is open")
-    request = i.Request(
-        ref=ref,
-        cls=intake.cls,
+    request = RequestReceived(
+        request_id=ref,
+        request_class=intake.cls,
         plan=intake.plan,
         customer=intake.customer,
-        patience=intake.patience,
+        remaining_time=intake.patience,
         units=intake.units,
-        spread=intake.spread,
-        first=intake.first,
-        retry=intake.retry,
+        gateway_set_size=intake.spread,
+        gateway_set_offset=intake.first,
+        is_retry=intake.retry,
     )
     ids.add(intake.id)
     return RequestContext(ref, request, intake.message, answer, now, intake.id, ids)
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ...policy import interface as i
+from ...policy import AttemptEnded
 from . import respond as relay
 from .context import Ending, RequestContext, Try
 
@@ -20,14 +20,14 @@
         driver.forget(context)
     attempt.status, attempt.took = ending.status, driver.now() - attempt.sent
     # No request counts more than the settings' largest: such a figure is unreadable.
-    attempt.cost = ending.cost if ending.cost <= driver.settings.largest else 0.0
+    attempt.cost = ending.cost if ending.cost <= driver.settings.max_request_units else 0.0
     driver.feed(
-        i.Outcome(
-            ref=context.ref,
+        AttemptEnded(
+            request_id=context.ref,
             status=ending.status,
-            closed=not context.open,
+            request_completed=not context.open,
             attempt=attempt.number,
-            server=attempt.server,
+            endpoint=attempt.server,
             latency=attempt.took,
             cost=attempt.cost,
         )
--- a/mapleshunt/net/request/respond.py
+++ b/mapleshunt/net/request/respond.py
@@ -10,7 +10,7 @@
     if context.end():
         context.final = "served"
         counters.add("answers_served")
-        counters.add_class("completed", context.request.cls)
+        counters.add_class("completed", context.request.request_class)
         context.answer.serve(value)
 
 
@@ -18,7 +18,7 @@
     if context.end():
         context.final = "refused"
         counters.add("answers_rejected")
-        counters.add_class("rejected", context.request.cls)
+        counters.add_class("rejected", context.request.request_class)
         context.answer.reject(wait)
 
 
@@ -26,5 +26,5 @@
     if context.end():
         context.final = "failed"
         counters.add("answers_failed")
-        counters.add_class("failed", context.request.cls)
+        counters.add_class("failed", context.request.request_class)
         context.answer.fail()
--- a/mapleshunt/net/request/route.py
+++ b/mapleshunt/net/request/route.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from ...policy import interface as i
+from ...policy import StartAttempt
 from .context import RequestContext, Try
 
 
-def route(context: RequestContext, action: i.Send, now: float) -> Try:
+def route(context: RequestContext, action: StartAttempt, now: float) -> Try:
     until = min(now + action.timeout, context.due) if action.timeout else context.due
     number = len(context.tries)
-    attempt = Try(number=number, server=action.server, sent=now, until=until, before=action.before)
+    attempt = Try(number=number, server=action.endpoint, sent=now, until=until, before=action.send_before)
     context.tries.append(attempt)
     return attempt
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -16,7 +16,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ...policy import interface as i
+from ...policy import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from .. import log
 from ..config import Address, family_of
 from ..counters import Counters
@@ -81,7 +81,7 @@
     address: Address
     zone: str
     cell: int
-    state: i.ServerState
+    state: EndpointState
     started: float  # ms, Unix time; 0 for long ago
 
     @property
@@ -247,10 +247,10 @@
 
     def update(
         self,
-        kind: i.ListKind,
+        kind: UpdateKind,
         members: Sequence[Member],
         age: Callable[[float], float | None] = lambda started: None,
-    ) -> i.Members:
+    ) -> EndpointUpdate:
         """Take over a list or a change of it, and word it for the decisions. `age` tells for how many ms a
         server that started then, in Unix ms, has been up.
         """
@@ -266,9 +266,9 @@
                 self._drop_idle(server, "server_gone")
                 del self.servers[number]  # new ones come under new ids all day
         entries = tuple(
-            i.ServerEntry(m.number, m.zone, m.cell, m.state, m.started, age(m.started)) for m in members
+            Endpoint(m.number, m.zone, m.cell, m.state, m.started, age(m.started)) for m in members
         )
-        return i.Members(kind, entries)
+        return EndpointUpdate(kind, entries)
 
     # Connections
 
--- a/mapleshunt/policy/__init__.py
+++ b/mapleshunt/policy/__init__.py
@@ -1,1 +1,63 @@
 """The decisions of the gateway: settings and events in, actions out; no I/O and no clock."""
+
+from .actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectReason,
+    RejectRequest,
+    SendGossip,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from .events import (
+    NEVER_RAN,
+    AttemptEnded,
+    AttemptStatus,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    GossipReceived,
+    LeaseGranted,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+    UpdateKind,
+)
+from .gateway import Gateway
+from .settings import Effect, Plan, RequestClass, RetryScope, Settings
+
+__all__ = [
+    "NEVER_RAN",
+    "Action",
+    "AttemptEnded",
+    "AttemptStatus",
+    "CancelAttempt",
+    "ClientDisconnected",
+    "Effect",
+    "Endpoint",
+    "EndpointState",
+    "EndpointUpdate",
+    "Event",
+    "FailRequest",
+    "Gateway",
+    "GossipReceived",
+    "LeaseGranted",
+    "Plan",
+    "RejectReason",
+    "RejectRequest",
+    "RequestClass",
+    "RequestReceived",
+    "ResponseStarted",
+    "RetryScope",
+    "SendGossip",
+    "SetTimer",
+    "Settings",
+    "StartAttempt",
+    "TimerFired",
+    "UpdateKind",
+    "WatchEndpoints",
+]
--- a/mapleshunt/policy/gateway.py
+++ b/mapleshunt/policy/gateway.py
@@ -6,9 +6,31 @@
 import math
 import random
 
-from . import interface as i
 from . import slow_start
+from .actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectReason,
+    RejectRequest,
+    SendGossip,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from .events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointUpdate,
+    Event,
+    GossipReceived,
+    LeaseGranted,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
 from .gossip_codec import NUMBERS, SILENT, Line, code_of, decode, encode, room, server_tag, share_of, tag_of
+from .settings import Plan, RequestClass, Settings
 from .state import Attempt, Bucket, Customer, Decayed, Job, Memory, Server
 
 ALPHA = 0.9  # weight of the newest measured cost in a customer's k (paper, Figure 8)
@@ -43,50 +65,54 @@
 class Gateway(Memory):
     """One gateway. `handle` takes an event and returns the actions to carry out, in order."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__()
         self.set, self.now, self.random = settings, now, random.Random(seed)
         self.plans, self.margin = sorted(settings.plans), MARGIN * max(settings.tick, 1.0)
         self.classes = tuple(settings.classes.values())
-        self.mean = {name: cls.aim / 8 for name, cls in settings.classes.items()}
+        self.mean = {name: cls.latency_objective / 8 for name, cls in settings.classes.items()}
         self.answer = sum(self.mean.values()) / len(self.mean)  # mean answer time over all classes
         self.pace = self.best = TARGET / STRETCH  # mean answer time over aim, and its lowest of late
-        self.bound = self.ample = AMPLE / settings.instances**CHANCE
-        span = max(settings.cold / 4, 1000.0)  # of answers: a warm server's, those heard of a ready one
+        self.bound = self.ample = AMPLE / settings.gateway_count**CHANCE
+        span = max(
+            settings.slow_start_duration / 4, 1000.0
+        )  # of answers: a warm server's, those heard of a ready one
         self.warm, self.alive = Decayed(span, 0.0, now), Decayed(span, 0.0, now)
         self.shares = [0.5] * len(self.plans)  # part of a plan's asks that keepers granted of late
-        pace = MAIL_PART * settings.mail_per_s / 1000  # messages a ms: all send no more than all take in
-        self.gap = min(settings.instances - 1, WRITERS) / pace
+        pace = (
+            MAIL_PART * settings.gossip_intake_per_s / 1000
+        )  # messages a ms: all send no more than all take in
+        self.gap = min(settings.gateway_count - 1, WRITERS) / pace
         self.post = Bucket(pace, 250 * pace, 250 * pace, now)
         self.word_ms = min(self.mean.values()) / 3  # mean time until a keeper's word is here
 
-    def start(self) -> list[i.Action]:
-        return [i.Watch()] if self.set.ask_discovery else []
+    def start(self) -> list[Action]:
+        return [WatchEndpoints()] if self.set.poll_discovery else []
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         self.now, self.actions = now, []
         match event:
-            case i.Request():
+            case RequestReceived():
                 self.arrive(event)
-            case i.Outcome():
+            case AttemptEnded():
                 self.outcome(event)
-            case i.Timer() if now > self.wake - 0.01:  # the host's clock may round
+            case TimerFired() if now > self.wake - 0.01:  # the host's clock may round
                 self.wake = math.inf
-            case i.PeerMessage():
+            case GossipReceived():
                 self.listen(event)
-            case i.Members():
+            case EndpointUpdate():
                 self.discover(event)
-            case i.ClientGone(ref) if ref in self.jobs:
+            case ClientDisconnected(ref) if ref in self.jobs:
                 self.close(self.jobs[ref])
-            case i.Leased(name, plan, number, units, until):
+            case LeaseGranted(name, plan, number, units, until):
                 self.record(tag_of(name), self.plans.index(plan)).lease(number, units, until, now)
-            case i.Begun(ref) if ref in self.jobs:
+            case ResponseStarted(ref) if ref in self.jobs:
                 self.jobs[ref].streaming = True
         self.look()
         self.pump()
         if self.alarms and self.alarms[0][0] < self.wake:  # an idle gateway sleeps
             self.wake = self.alarms[0][0]
-            self.actions.append(i.SetTimer(self.wake, 0))
+            self.actions.append(SetTimer(self.wake, 0))
         return self.actions
 
     def look(self) -> None:
@@ -98,73 +124,108 @@
             elif job and ((what == "due" and not job.streaming) or (what == "sent" and not job.attempts)):
                 self.finish(job)
             elif what == "mail":
-                lines, most, self.spoke[key] = self.mail.pop(key), room(self.set.message_bytes), self.now
+                lines, most, self.spoke[key] = (
+                    self.mail.pop(key),
+                    room(self.set.gossip_message_bytes),
+                    self.now,
+                )
                 self.post.level -= 1
                 fresh = self.answers if self.now - self.measured < self.answer else ()
-                self.actions.append(i.Tell(key, encode(self.pace, lines[:most], fresh)))
+                self.actions.append(SendGossip(key, encode(self.pace, lines[:most], fresh)))
                 self.tell(key, *lines[most:])
             elif what == "server" and key in self.servers:
                 self.watch(self.servers[key], again=True)
             elif what == "discovery":
-                self.actions.append(i.Watch())
+                self.actions.append(WatchEndpoints())
 
     # Arrival
 
-    def arrive(self, event: i.Request) -> None:
-        customer, cls = self.customer(event), self.set.classes[event.cls]
-        aim_at = self.now + min(cls.aim * (RETRY_LEFT if event.retry else 1.0), event.patience)
-        job = Job(event.ref, cls, customer, event.units, aim_at, self.now + event.patience - self.margin)
-        hopeless = event.patience < max(2 * self.margin, self.expect(cls) / 2)
-        dear = cls.worth / self.mean[cls.name] / max(c.worth / self.mean[c.name] for c in self.classes)
+    def arrive(self, event: RequestReceived) -> None:
+        customer, cls = self.customer(event), self.set.classes[event.request_class]
+        aim_at = self.now + min(
+            cls.latency_objective * (RETRY_LEFT if event.is_retry else 1.0), event.remaining_time
+        )
+        job = Job(
+            event.request_id,
+            cls,
+            customer,
+            event.units,
+            aim_at,
+            self.now + event.remaining_time - self.margin,
+        )
+        hopeless = event.remaining_time < max(2 * self.margin, self.expect(cls) / 2)
+        dear = (
+            cls.priority_weight
+            / self.mean[cls.name]
+            / max(c.priority_weight / self.mean[c.name] for c in self.classes)
+        )
         if hopeless or self.delay(customer) > PATIENT * dear * (aim_at - self.now):  # the cheapest wait least
-            self.refuse(event.ref, cls.aim / 4, "patience" if hopeless else "queue")
+            self.refuse(
+                event.request_id,
+                cls.latency_objective / 4,
+                RejectReason.TIME_TOO_SHORT if hopeless else RejectReason.QUEUE_TOO_LONG,
+            )
         else:
-            self.jobs[event.ref], customer.open = job, customer.open + 1
+            self.jobs[event.request_id], customer.open = job, customer.open + 1
             # Unsent after half its patience, it would cost more than one refused before.
-            job.send_by = min(aim_at - 1.5 * self.expect(cls), self.now + event.patience / 2 - self.margin)
-            self.remind(job.send_by, "sent", event.ref)
-            self.remind(job.due, "due", event.ref)
+            job.send_by = min(
+                aim_at - 1.5 * self.expect(cls), self.now + event.remaining_time / 2 - self.margin
+            )
+            self.remind(job.send_by, "sent", event.request_id)
+            self.remind(job.due, "due", event.request_id)
             self.admit(job)
 
-    def expect(self, cls: i.RequestClass) -> float:
-        return min(self.mean[cls.name], cls.aim / 2)  # else a jam would shut the door on its own cure
+    def expect(self, cls: RequestClass) -> float:
+        return min(
+            self.mean[cls.name], cls.latency_objective / 2
+        )  # else a jam would shut the door on its own cure
 
     def delay(self, customer: Customer) -> float:
         """Time until a slot for one more request of this customer, with rounds fair among those that wait."""
         ahead = min(self.queued, (len(customer.queue) + 1) * max(1, len(self.ring)))
         return ahead * self.answer / self.slots()[1] if ahead else 0.0
 
-    def refuse(self, ref: int, wait: float, why: str) -> None:
-        advice = min(self.set.max_retry_after, max(wait, self.margin)) if self.set.retry_after else 0.0
-        self.actions.append(i.Refuse(ref, advice, why))
+    def refuse(self, ref: int, wait: float, why: RejectReason) -> None:
+        advice = min(self.set.max_retry_after, max(wait, self.margin)) if self.set.allow_retry_after else 0.0
+        self.actions.append(RejectRequest(ref, advice, why))
         if ref in self.jobs:
             self.close(self.jobs[ref])
 
     # Quota and its keepers
 
-    def customer(self, event: i.Request) -> Customer:
+    def customer(self, event: RequestReceived) -> Customer:
         """Its record. Home and deputy, of its set, keep its store for this one; or a slice alone."""
         c = self.record(tag_of(event.customer), self.plans.index(event.plan))
         if not c.keepers:
-            n = c.spread = min(max(event.spread, 1), self.set.instances)
-            ring = [(event.first + (c.tag + k) % n) % self.set.instances for k in range(n)]
+            n = c.spread = min(max(event.gateway_set_size, 1), self.set.gateway_count)
+            ring = [(event.gateway_set_offset + (c.tag + k) % n) % self.set.gateway_count for k in range(n)]
             parts = self.homes(c.plan)
             homes = [ring[k * n // parts] for k in range(parts)]
-            part = homes.index(self.set.me) if self.set.me in homes else (self.set.me + c.tag) % parts
+            part = (
+                homes.index(self.set.gateway_index)
+                if self.set.gateway_index in homes
+                else (self.set.gateway_index + c.tag) % parts
+            )
             deputy = ring[(part * n // parts + (n // 2 | 1)) % n]  # of a ceiling none: two might pass it
             c.keepers = (homes[part], homes[part], homes[part] if c.plan.ceiling_rate else deputy)
-            most = max(c.plan.burst / n, self.set.largest)  # a slice covers one request at least
-            full = self.random.random() * most < max(c.plan.burst / n, (not self.set.peers) * ALONE * most)
+            most = max(c.plan.burst / n, self.set.max_request_units)  # a slice covers one request at least
+            full = self.random.random() * most < max(
+                c.plan.burst / n, (not self.set.gossip_enabled) * ALONE * most
+            )
             c.slice = Bucket(c.store.rate * parts / n, most, most * full, self.now)
-            if c.keepers[0] != self.set.me:
+            if c.keepers[0] != self.set.gateway_index:
                 c.ceiling = c.ceiling.part((1 / HOME_PART - 1) / n, 1 / n)
         return c
 
-    def homes(self, plan: i.Plan) -> int:
+    def homes(self, plan: Plan) -> int:
         """Gateways that keep a part each of a store: it takes two words a quarter of a largest request."""
-        words = 8 * plan.rate / self.set.largest / (HOME_MAIL * self.set.mail_per_s)
-        few = min(plan.burst / (2 * self.set.largest), (self.set.instances - 1) / WRITERS)
-        return max(1, min(math.ceil(words), int(few))) if self.set.peers and not plan.ceiling_rate else 1
+        words = 8 * plan.rate / self.set.max_request_units / (HOME_MAIL * self.set.gossip_intake_per_s)
+        few = min(plan.burst / (2 * self.set.max_request_units), (self.set.gateway_count - 1) / WRITERS)
+        return (
+            max(1, min(math.ceil(words), int(few)))
+            if self.set.gossip_enabled and not plan.ceiling_rate
+            else 1
+        )
 
     def record(self, tag: int, code: int) -> Customer:
         if tag not in self.customers:
@@ -181,12 +242,17 @@
         while job.asks < len(c.keepers) and self.silent(c.keepers[job.asks]):
             job.asks += 1
         asks, leased = job.asks, c.leased(self.now)
-        keeper = c.keepers[asks] if asks < len(c.keepers) else self.set.me
-        alone = leased is not None or not self.set.peers or keeper == self.set.me
+        keeper = c.keepers[asks] if asks < len(c.keepers) else self.set.gateway_index
+        alone = leased is not None or not self.set.gossip_enabled or keeper == self.set.gateway_index
         mute = not alone and keeper not in self.mail and self.post.fill(self.now) < 1  # its words are spent
         view, ceiling = c.store.fill(self.now), c.ceiling.fill(self.now) if plan.ceiling_rate else math.inf
         view, alone = leased if leased is not None else view, alone or mute
-        if alone and leased is None and c.keepers[0] != self.set.me and (mute or not self.likely(c)):
+        if (
+            alone
+            and leased is None
+            and c.keepers[0] != self.set.gateway_index
+            and (mute or not self.likely(c))
+        ):
             view = min(view, c.slice.fill(self.now))  # the store never holds more than a view: a lack is sure
         lack = max(units - view if plan.rate else 0.0, units - ceiling if alone else 0.0)
         thin = self.thinned(c)
@@ -195,8 +261,8 @@
         use = STALE * c.use.value / c.use.span + STIR * c.store.rate  # by the others since the last word
         age, alike = self.now - c.told_at + self.gap, max(1.0, ALIKE * c.spread)  # as if all let in one each
         sure = alone or units <= min((view - use * age) / alike, ceiling)
-        if lack > 0 or 0 < plan.open_limit < c.open * max(1, min(c.spread, plan.open_limit)):
-            self.refuse(job.ref, lack / c.store.rate if plan.rate else c.k, "quota")
+        if lack > 0 or 0 < plan.max_open_requests < c.open * max(1, min(c.spread, plan.max_open_requests)):
+            self.refuse(job.ref, lack / c.store.rate if plan.rate else c.k, RejectReason.OVER_QUOTA)
         elif sure or not plan.rate:
             self.charge(c, units)
             c.slice.level, c.ceiling.level = c.slice.level - units * alone, c.ceiling.level - units
@@ -219,7 +285,7 @@
     def likely(self, c: Customer) -> bool:
         """No keeper answers: would one have granted it? By that, many let in as much as before."""
         share = 0.5**thin if (thin := self.thinned(c)) else self.shares[c.code]
-        return self.set.peers and self.random.random() < share
+        return self.set.gossip_enabled and self.random.random() < share
 
     def overdue(self, job: Job) -> None:
         """A keeper's word has not come: ask the next one, or decide alone if no time is left for it."""
@@ -245,17 +311,17 @@
         if c.spend(self.now, units):
             return
         c.store.level = c.store.fill(self.now) - units
-        if not c.keepers or c.keepers[0] == self.set.me:
+        if not c.keepers or c.keepers[0] == self.set.gateway_index:
             c.use.add(self.now, units)
-        elif self.set.peers and c.plan.rate and units:
+        elif self.set.gossip_enabled and c.plan.rate and units:
             kind = "note" if c.spread <= WRITERS + 1 else "used"  # where each word comes alone: no answer,
-            if kind == "used" and abs(units) < (coarse := self.set.largest / 4):  # sums by chance
+            if kind == "used" and abs(units) < (coarse := self.set.max_request_units / 4):  # sums by chance
                 units = math.copysign(coarse * (self.random.random() * coarse < abs(units)), units)
             if units:
                 self.tell(c.keepers[0], Line(kind, c.tag, 0, units, c.store.level / c.store.burst, c.code))
 
-    def listen(self, event: i.PeerMessage) -> None:
-        if (report := decode(event.data)) is None or not 0 <= event.sender < self.set.instances:
+    def listen(self, event: GossipReceived) -> None:
+        if (report := decode(event.data)) is None or not 0 <= event.sender < self.set.gateway_count:
             return
         self.owing.pop(event.sender, None)
         for tag, pace in report.words:
@@ -269,7 +335,7 @@
         for line in report.lines:
             if line.kind in ("ask", "note", "used"):
                 self.keep(event.sender, line)
-            elif (c := self.customers.get(line.tag)) and c.keepers and c.keepers[0] != self.set.me:
+            elif (c := self.customers.get(line.tag)) and c.keepers and c.keepers[0] != self.set.gateway_index:
                 self.told(c, line, event.sender == c.keepers[0])
 
     def keep(self, peer: int, line: Line) -> None:  # as keeper: take use, grant what the store holds, tell it
@@ -298,7 +364,7 @@
         if home:
             c.store.level, c.store.at, c.told_at = line.left * c.store.burst, self.now, self.now
             c.use.value = share_of(line.code) * c.store.burst
-            spent = c.store.level < self.set.largest and c.store.rate
+            spent = c.store.level < self.set.max_request_units and c.store.rate
             c.crowd = c.use.value / c.use.span / c.store.rate if spent else 0.0
         job = self.asking.pop(line.number, None) if line.kind != "level" else None
         asked = self.asked.pop(line.number, 0.0) if home and line.kind != "level" else 0.0
@@ -310,7 +376,9 @@
                     self.charge(c, job.units)
                 self.grant(job)
             else:
-                self.refuse(job.ref, max(0.0, job.units - c.store.level) / c.store.rate, "quota")
+                self.refuse(
+                    job.ref, max(0.0, job.units - c.store.level) / c.store.rate, RejectReason.OVER_QUOTA
+                )
         elif asked and line.kind == "granted":  # too late: decided without it, so the home has it back
             self.charge(c, -asked)
 
@@ -354,7 +422,9 @@
         if used >= slots or (server := self.choose(job)) is None:
             return False
         server.out[job.ref, len(job.attempts)] = self.now
-        self.actions.append(i.Send(job.ref, server.entry.server, before=job.window_end() - self.margin))
+        self.actions.append(
+            StartAttempt(job.ref, server.entry.endpoint, send_before=job.window_end() - self.margin)
+        )
         job.attempts, job.again = [*job.attempts, Attempt(server, self.now)], False
         if self.ramp(server) < 1:
             server.allowance.level -= 1
@@ -386,7 +456,7 @@
         sound = [s for s in fresh if s.barred <= self.now and not (s.fails and s.out)]
         last = sound or fresh or pool  # never ejecting everything
         last = [s for s in last if self.ramp(s) < 1] or last  # a cold one's allowance is for use at once
-        most = max(2, DRAW * len(last) // self.set.instances)
+        most = max(2, DRAW * len(last) // self.set.gateway_count)
         return min(self.random.sample(last, min(most, len(last))), key=self.load, default=None)
 
     # Outcome
@@ -395,38 +465,38 @@
         """The one place for rule 2: where this may be sent now (None: nowhere), and may it be refused."""
         risky = job.risky()
         sendable = len(job.attempts) < self.set.max_attempts and not job.streaming
-        sendable = sendable and (self.set.second_copies or all(a.status is not None for a in job.attempts))
+        sendable = sendable and (self.set.allow_hedging or all(a.status is not None for a in job.attempts))
         if not risky or job.cls.effect == "safe":
             return (() if sendable else None), True
         if job.cls.effect == "unsafe":
             return None, False
-        name = job.cls.group
+        name = job.cls.retry_scope
         sendable = sendable and self.now < job.window_end() - self.margin
         group = () if name == "all" else tuple((name, getattr(a.server.entry, name)) for a in risky)
         return (group if sendable else None), name == "all"
 
-    def outcome(self, event: i.Outcome) -> None:
-        server, job = self.servers[event.server], self.jobs.get(event.ref)
-        server.out.pop((event.ref, event.attempt), None)
+    def outcome(self, event: AttemptEnded) -> None:
+        server, job = self.servers[event.endpoint], self.jobs.get(event.request_id)
+        server.out.pop((event.request_id, event.attempt), None)
         self.judge(server, event)
         if job is None:
             return
         job.attempts[event.attempt].status = event.status
         if event.status == "ok":
             self.measure(job, event, server)
-            if event.cost and self.set.settles:
+            if event.cost and self.set.cost_known_after:
                 self.charge(job.customer, event.cost - job.units)
-        if event.closed:
+        if event.request_completed:
             self.close(job)
         elif not job.again and all(a.status is not None for a in job.attempts):
-            useful = job.due if job.cls.late_worth else job.aim_at
+            useful = job.due if job.cls.late_priority_weight else job.aim_at
             if self.permits(job)[0] is not None and self.now + self.expect(job.cls) < useful:
                 self.resend(job)
             else:
                 self.finish(job)
 
-    def measure(self, job: Job, event: i.Outcome, server: Server) -> None:
-        pace, customer, self.measured = event.latency / job.cls.aim, job.customer, self.now
+    def measure(self, job: Job, event: AttemptEnded, server: Server) -> None:
+        pace, customer, self.measured = event.latency / job.cls.latency_objective, job.customer, self.now
         customer.k = ALPHA * event.latency + (1 - ALPHA) * customer.k
         self.mean[job.cls.name] += SMOOTH * (event.latency - self.mean[job.cls.name])
         self.answer += SMOOTH * (event.latency - self.answer)
@@ -435,7 +505,7 @@
         server.pace += SMOOTH * (pace - server.pace)
         if self.ramp(server) >= 1:
             self.warm.add(self.now, 1 / max(1, sum(self.ramp(s) >= 1 for s in self.ready)))
-        self.answers = [*self.answers[-1:], (server_tag(event.server), pace)]
+        self.answers = [*self.answers[-1:], (server_tag(event.endpoint), pace)]
         if server.pace > max(TARGET, REST * self.best) and self.may_bar(server):
             # Driven too hard, a server may stay slow until it has drained: it rests for one answer time.
             server.barred, server.pace = self.now + event.latency, self.best
@@ -452,19 +522,27 @@
     def shrink(self) -> None:  # from the slots in use: an ample bound binds at the first slow answers
         if self.now - self.shrunk > self.answer:
             (used, slots), self.shrunk = self.slots(), self.now
-            self.bound = max(FEW / self.set.instances, min(1.0, (used + 1) / slots) * self.bound * SHRINK)
+            self.bound = max(FEW / self.set.gateway_count, min(1.0, (used + 1) / slots) * self.bound * SHRINK)
 
     def finish(self, job: Job) -> None:  # the final answer to a request that will not be served
         if self.permits(job)[1]:
-            why = "tries" if job.attempts else "slot" if job.granted else "word"
-            self.refuse(job.ref, job.cls.aim / 4, why)
+            why = (
+                RejectReason.ATTEMPTS_FAILED
+                if job.attempts
+                else RejectReason.NO_SLOT
+                if job.granted
+                else RejectReason.NO_QUOTA_REPLY
+            )
+            self.refuse(job.ref, job.cls.latency_objective / 4, why)
         else:
-            self.actions.append(i.Fail(job.ref))
+            self.actions.append(FailRequest(job.ref))
             self.close(job)
 
     def close(self, job: Job) -> None:
         if self.set.can_cancel:
-            self.actions.extend(i.Cancel(job.ref, n) for n, a in enumerate(job.attempts) if a.status is None)
+            self.actions.extend(
+                CancelAttempt(job.ref, n) for n, a in enumerate(job.attempts) if a.status is None
+            )
         if job.granted and not job.attempts:  # never sent on: it used nothing
             self.charge(job.customer, -job.units)
         job.customer.open -= 1
@@ -484,9 +562,9 @@
         quiet = self.now - server.answered
         server.doubts.add(teller)
         sure = len(server.doubts) + quiet * self.alive.rate(self.now)  # + answers owed
-        return quiet > SUSPECT / 2 * self.answer and sure >= min(CERTAIN, self.set.instances - 1)
+        return quiet > SUSPECT / 2 * self.answer and sure >= min(CERTAIN, self.set.gateway_count - 1)
 
-    def judge(self, server: Server, event: i.Outcome) -> None:
+    def judge(self, server: Server, event: AttemptEnded) -> None:
         if event.status in ("ok", "error", "full"):
             server.broken = 0
             if server.fails:
@@ -510,15 +588,15 @@
             self.eject(server)
         elif server.out and not server.watched:
             server.watched = True
-            self.remind(self.now + left / len(server.out) + 1, "server", server.entry.server)
+            self.remind(self.now + left / len(server.out) + 1, "server", server.entry.endpoint)
 
     def eject(self, server: Server, own: bool = True) -> None:
         """Leave it alone, and tell every peer, or each would pay to find out; all try again as few would."""
         if server.barred <= self.now:
             # Where one meets it seldom anyway, the others' tries are spread already.
-            spread = self.set.instances * self.random.random() / 4 * self.set.tip_after
+            spread = self.set.gateway_count * self.random.random() / 4 * self.set.overload_crash_after
             spread -= 1 / max(self.warm.rate(self.now), 1e-9)
-            rest = max(2.0 ** min(server.fails, 4) * self.set.tip_after / 2, spread)
+            rest = max(2.0 ** min(server.fails, 4) * self.set.overload_crash_after / 2, spread)
             server.barred, server.fails = self.now + rest, server.fails + 1
             self.move(server)
             if own:
@@ -529,24 +607,26 @@
             job = self.jobs.get(ref)
             if job is None or job.again or job.cls.effect == "unsafe" or self.now > job.aim_at:
                 continue
-            if self.set.second_copies and not job.hedged:
+            if self.set.allow_hedging and not job.hedged:
                 job.hedged = self.resend(job)
-            elif not self.set.second_copies and self.set.can_cancel and len(job.attempts) < 3:
-                self.actions.append(i.Cancel(ref, number))
+            elif not self.set.allow_hedging and self.set.can_cancel and len(job.attempts) < 3:
+                self.actions.append(CancelAttempt(ref, number))
 
     def say(self, server: Server, pace: float) -> None:
-        if self.set.peers and self.now - self.said >= self.gap * (self.set.instances - 1):
+        if self.set.gossip_enabled and self.now - self.said >= self.gap * (self.set.gateway_count - 1):
             self.said = self.now
-            self.actions.append(i.Tell(-1, encode(self.pace, (), [(server_tag(server.entry.server), pace)])))
+            self.actions.append(
+                SendGossip(-1, encode(self.pace, (), [(server_tag(server.entry.endpoint), pace)]))
+            )
 
     # Discovery
 
-    def discover(self, event: i.Members) -> None:
+    def discover(self, event: EndpointUpdate) -> None:
         if event.kind == "error":
-            return self.remind(self.now + self.set.ask_within / 4, "discovery", 0)
+            return self.remind(self.now + self.set.discovery_poll_within / 4, "discovery", 0)
         for entry in self.merge(event):  # those that are new or have started anew
             first = Bucket(0.0, 1.0, self.random.random(), self.now)
-            since = entry.since(self.now)
+            since = entry.up_since(self.now)
             self.put(Server(entry, since, self.now, self.best, first, started=entry.started))
         self.ready = [s for s in self.servers.values() if s.entry.state == "ready"]
         for gone in [s for s in self.servers.values() if s.entry.state == "gone" and s.out]:
--- a/mapleshunt/policy/slow_start.py
+++ b/mapleshunt/policy/slow_start.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from .interface import Settings
+from .settings import Settings
 from .state import Server
 
 # Times the server's part of full capacity that it is sent, or what it bears by the settings over this: most
@@ -17,8 +17,8 @@
     """The part of its full capacity that the server is sure to have now: 1 once it is warm."""
     if not server.since:
         return 1.0
-    age = max(0.0, now - server.since) / max(settings.cold, 1.0)
-    return min(1.0, settings.cold_from + (1 - settings.cold_from) * age)
+    age = max(0.0, now - server.since) / max(settings.slow_start_duration, 1.0)
+    return min(1.0, settings.slow_start_min_capacity + (1 - settings.slow_start_min_capacity) * age)
 
 
 def may_send(server: Server, settings: Settings, now: float, warm_rate: float) -> bool:
@@ -26,5 +26,5 @@
     answers. First allowances are drawn at random, because what counts is the sum over all gateways.
     """
     part = capacity(server, settings, now)
-    server.allowance.rate = min(OVERSEND, settings.tip_over / OVERSEND) * part * warm_rate
+    server.allowance.rate = min(OVERSEND, settings.overload_crash_multiple / OVERSEND) * part * warm_rate
     return part >= 1 or server.allowance.fill(now) >= 1
--- a/mapleshunt/policy/state.py
+++ b/mapleshunt/policy/state.py
@@ -9,8 +9,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from . import interface as i
+from .actions import Action
+from .events import NEVER_RAN, AttemptStatus, Endpoint, EndpointUpdate
 from .gossip_codec import Line, server_tag
+from .settings import Plan, RequestClass
 
 
 @dataclass(slots=True)
@@ -53,7 +55,7 @@
 @dataclass(slots=True)
 class Customer:
     tag: int
-    plan: i.Plan
+    plan: Plan
     code: int  # the plan's number in messages
     keepers: tuple[int, ...]  # whom to ask: its home, and if that is silent
     store: Bucket  # exact at its home, at most this elsewhere
@@ -96,7 +98,7 @@
         return bool(live)
 
     @classmethod
-    def new(cls, tag: int, plan: i.Plan, code: int, now: float, k: float, homes: int = 1) -> Customer:
+    def new(cls, tag: int, plan: Plan, code: int, now: float, k: float, homes: int = 1) -> Customer:
         """Its store is the part of one of its homes."""
         rate, burst = plan.rate / 1000 / homes, plan.burst / homes
         store, share = (Bucket(rate, burst, burst, now) for _ in range(2))
@@ -108,7 +110,7 @@
 class Attempt:
     server: Server
     sent: float
-    status: i.Status | None = None
+    status: AttemptStatus | None = None
 
 
 @dataclass(slots=True)
@@ -116,7 +118,7 @@
     """A request that is owed a final answer."""
 
     ref: int
-    cls: i.RequestClass
+    cls: RequestClass
     customer: Customer
     units: float
     aim_at: float
@@ -132,17 +134,17 @@
 
     def risky(self) -> list[Attempt]:
         """Attempts that may have run, or may yet."""
-        return [a for a in self.attempts if a.status not in i.PROVEN]
+        return [a for a in self.attempts if a.status not in NEVER_RAN]
 
     def window_end(self) -> float:
         """Until when a repeat may arrive: counted from the first attempt that may have run."""
         risky = self.risky() if self.cls.effect == "keyed" else ()
-        return risky[0].sent + self.cls.window if risky else math.inf
+        return risky[0].sent + self.cls.idempotency_window if risky else math.inf
 
 
 @dataclass(slots=True)
 class Server:
-    entry: i.ServerEntry
+    entry: Endpoint
     since: float  # its start on this host's clock, 0 for long ago
     answered: float  # its last answer
     pace: float  # smoothed answer time over the class's aim
@@ -164,7 +166,7 @@
     """What a gateway holds, empty at its start."""
 
     def __init__(self) -> None:
-        self.actions: list[i.Action] = []
+        self.actions: list[Action] = []
         self.now = self.gap = 0.0
         self.customers: dict[int, Customer] = {}  # by tag
         self.swept = 0  # customers left when idle ones were last forgotten
@@ -207,14 +209,14 @@
                     del self.customers[tag]
             self.swept = len(self.customers)
 
-    def merge(self, event: i.Members) -> list[i.ServerEntry]:
+    def merge(self, event: EndpointUpdate) -> list[Endpoint]:
         """Bring the servers' entries up to a list; those that are new or have started anew are returned."""
-        listed, new = {entry.server for entry in event.entries}, []
+        listed, new = {entry.endpoint for entry in event.endpoints}, []
         for number, server in self.servers.items():
             if event.kind != "partial" and number not in listed:
-                server.entry = i.ServerEntry(number, server.entry.zone, server.entry.cell, "gone")
-        for entry in event.entries:
-            known = self.servers.get(entry.server)
+                server.entry = Endpoint(number, server.entry.zone, server.entry.cell, "gone")
+        for entry in event.endpoints:
+            known = self.servers.get(entry.endpoint)
             if known is None or entry.started > known.started:
                 new.append(entry)
             else:
@@ -223,7 +225,7 @@
 
     def put(self, server: Server) -> None:
         """Take in a server that is new or has started anew; attempts at the one before stay open."""
-        number = server.entry.server
+        number = server.entry.endpoint
         if number in self.servers:
             server.out = self.servers[number].out
         self.servers[number] = self.by_tag[server_tag(number)] = server
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -9,7 +9,7 @@
 
 from ..net import log
 from ..net.periodic import Periodic
-from ..policy import interface as i
+from ..policy import Settings
 from .file_format import (
     BLOCK,
     BLOCK_MAGIC,
@@ -35,7 +35,7 @@
 class Recorder:
     """Writes what `seen` is told. What goes wrong ends the recording and never the program."""
 
-    def __init__(self, path: Path, size: int, salt: bytes, settings: i.Settings, now: float) -> None:
+    def __init__(self, path: Path, size: int, salt: bytes, settings: Settings, now: float) -> None:
         """`size` in bytes, `now` in Unix ms. Raises OSError if the file cannot be had."""
         self.path, self.salt = path, salt or os.urandom(16)
         self.slots = max(2, (size - HEADER.size) // SLOT)
@@ -45,11 +45,11 @@
         self.number = self._open(settings, now)
         self.flushing = Periodic(self.flush, FLUSH)
 
-    def _open(self, settings: i.Settings, now: float) -> int:
+    def _open(self, settings: Settings, now: float) -> int:
         """Go on in a recording of the same shape, or begin one. The number of the next block."""
         self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         head = os.pread(self.file, HEADER.size, 0)
-        shape = (SLOT, self.slots, settings.me, settings.instances)
+        shape = (SLOT, self.slots, settings.gateway_index, settings.gateway_count)
         if len(head) == HEADER.size and head[:8] == MAGIC and HEADER.unpack(head)[1:5] == shape:
             last = -1
             for place in range(self.slots):
@@ -77,14 +77,31 @@
         if self.file < 0:
             return
         request, tries = context.request, context.tries[:MOST_ATTEMPTS]
-        row = ENCODER.encode(Row(
-            round(context.taken, 2), request.cls, request.plan, self.customer(request.customer),
-            request.units,
-            max((one.cost for one in tries), default=0.0), round(request.patience, 1), request.spread,
-            request.first, request.retry, context.final, round(context.ended - context.taken, 2),
-            tuple(Attempt(one.server, one.status or "out", round(one.sent - context.taken, 2),
-                          round(one.took, 2)) for one in tries),
-        ))  # fmt: skip
+        row = ENCODER.encode(
+            Row(
+                round(context.taken, 2),
+                request.request_class,
+                request.plan,
+                self.customer(request.customer),
+                request.units,
+                max((one.cost for one in tries), default=0.0),
+                round(request.remaining_time, 1),
+                request.gateway_set_size,
+                request.gateway_set_offset,
+                request.is_retry,
+                context.final,
+                round(context.ended - context.taken, 2),
+                tuple(
+                    Attempt(
+                        one.server,
+                        one.status or "out",
+                        round(one.sent - context.taken, 2),
+                        round(one.took, 2),
+                    )
+                    for one in tries
+                ),
+            )
+        )
         if self.held + len(row) > RAW:
             self.flush(done=True)
         if not self.rows:
--- a/mapleshunt/simulation/copies_fleet.py
+++ b/mapleshunt/simulation/copies_fleet.py
@@ -15,7 +15,7 @@
 
 from ..fleet.faults import Fault, some
 from ..fleet.random_streams import Rng
-from ..policy import interface as i
+from ..policy import LeaseGranted, Plan, RequestReceived
 from ..policy.gateway import Gateway
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
@@ -72,7 +72,9 @@
     def __init__(self, engine: CopiesEngine, number: int) -> None:
         self.engine, self.number, self.epoch = engine, number, engine.epochs[number]
         self.leaser = Leaser(LEASE_TERM, LONGEST, self._rest, self._left, self._level, self._owed)
-        self.waiting: dict[str, list[tuple[float, i.Request, float]]] = {}  # until when, what, since when
+        self.waiting: dict[
+            str, list[tuple[float, RequestReceived, float]]
+        ] = {}  # until when, what, since when
         self.sound = True
         self.plans: dict[str, str] = {}
         self.sessions: dict[int, int] = {}  # by group: how many operations it has numbered
@@ -105,15 +107,17 @@
     def alive(self) -> bool:
         return self.engine.gateways[self.number] is not None and self.engine.epochs[self.number] == self.epoch
 
-    def asked(self, plan: i.Plan, request: i.Request) -> bool:
+    def asked(self, plan: Plan, request: RequestReceived) -> bool:
         """Does it wait for its customer's lease?"""
         customer, now = request.customer, self.engine.now()
         if not plan.rate:
             return False
         self.plans[customer] = plan.name
-        self.do(self.leaser.demand(now, customer, plan.rate, plan.burst, request.spread, request.units))
+        self.do(
+            self.leaser.demand(now, customer, plan.rate, plan.burst, request.gateway_set_size, request.units)
+        )
         there = customer in self.waiting or self.leaser.waits(now, customer, request.units)
-        if there and self.sound and request.patience > 2 * HOLD:
+        if there and self.sound and request.remaining_time > 2 * HOLD:
             self.waiting.setdefault(customer, []).append((now + HOLD, request, now))
             return True
         return False
@@ -128,8 +132,10 @@
                     self.waiting[customer] = waiting + self.waiting.pop(customer, [])
                     return
             del waiting[0]
-            if request.ref in self.engine.open[self.number]:
-                self.engine.let_in(self.number, replace(request, patience=request.patience - now + since))
+            if request.request_id in self.engine.open[self.number]:
+                self.engine.let_in(
+                    self.number, replace(request, remaining_time=request.remaining_time - now + since)
+                )
 
     def tick(self) -> None:
         if self.alive():
@@ -143,7 +149,7 @@
         for action in actions:
             if isinstance(action, Use):
                 if (plan := self.plans.get(action.customer)) is not None:
-                    leased = i.Leased(action.customer, plan, action.lease, action.units, action.until)
+                    leased = LeaseGranted(action.customer, plan, action.lease, action.units, action.until)
                     self.engine._feed(self.number, leased)
             else:
                 self.propose(action)
@@ -377,13 +383,13 @@
             self.leasing[call.gateway].come(call, result)
 
     def _feed(self, number: int, event: Any) -> None:
-        if isinstance(event, i.Request) and number in self.leasing:
+        if isinstance(event, RequestReceived) and number in self.leasing:
             plan = self.settings[number].plans[event.plan]
             if self.leasing[number].asked(plan, event):
                 return
         super()._feed(number, event)
 
-    def let_in(self, number: int, request: i.Request) -> None:
+    def let_in(self, number: int, request: RequestReceived) -> None:
         """A request that has waited for its customer's lease."""
         super()._feed(number, request)
 
--- a/mapleshunt/simulation/day.py
+++ b/mapleshunt/simulation/day.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
+from .. import policy
 from ..fleet import clients, faults
 from ..fleet import parameters as figures
 from ..fleet.clients import Traffic
 from ..fleet.faults import Fault
 from ..fleet.parameters import Figures
 from ..fleet.random_streams import Rng, Streams
-from ..policy import interface as i
 
 Troubles = Callable[[Rng, "Scenario"], list[Fault]]
 
@@ -50,14 +50,21 @@
 
 
 CLASSES: dict[str, dict[str, Any]] = {
-    "price-lookup": {"aim": 1000.0, "deadline": 3000.0},
-    "basket-total": {"aim": 1000.0, "deadline": 3000.0},
-    "sale-close": {"aim": 1500.0, "deadline": 4000.0, "effect": "keyed", "group": "cell", "window": 4000.0},
+    "price-lookup": {"latency_objective": 1000.0, "deadline": 3000.0},
+    "basket-total": {"latency_objective": 1000.0, "deadline": 3000.0},
+    "sale-close": {
+        "latency_objective": 1500.0,
+        "deadline": 4000.0,
+        "effect": "keyed",
+        "retry_scope": "cell",
+        "idempotency_window": 4000.0,
+    },
 }
 PLATFORM: dict[str, Any] = {
-    "zone": "jkt-dc1", "tick": 2.0, "max_attempts": 6, "max_retry_after": 500.0, "retry_after": True,
-    "second_copies": False, "can_cancel": True, "peers": True, "mail_per_s": 40.0, "settles": True,
-    "largest": 8.0, "cold_from": 0.25, "cold": 15000.0, "tip_after": 1000.0,
+    "zone": "jkt-dc1", "tick": 2.0, "max_attempts": 6, "max_retry_after": 500.0, "allow_retry_after": True,
+    "allow_hedging": False, "can_cancel": True, "gossip_enabled": True, "gossip_intake_per_s": 40.0,
+    "cost_known_after": True, "max_request_units": 8.0, "slow_start_min_capacity": 0.25,
+    "slow_start_duration": 15000.0, "overload_crash_after": 1000.0,
 }  # fmt: skip
 
 
@@ -77,8 +84,8 @@
     def length(self) -> float:
         return 1000 * self.scenario.seconds
 
-    def settings(self, words: Any = i) -> list[Any]:
-        """The settings of each gateway, in the types of `words` (a version's own `interface`)."""
+    def settings(self, words: Any = policy) -> list[Any]:
+        """The settings of each gateway, in the types of `words` (a version's own package `policy`)."""
         chosen = {**PLATFORM, **self.scenario.settings}
         plan_changes = {name: chosen.pop(name) for name in list(chosen) if name.startswith("plan.")}
         known = {name for name in words.Settings.__dataclass_fields__}
@@ -93,8 +100,14 @@
             plans[shape.name] = words.Plan(shape.name, **held)
         chosen = {name: value for name, value in chosen.items() if name in known}
         return [
-            words.Settings(me=me, instances=self.scenario.gateways, classes=classes, plans=plans, **chosen)
-            for me in range(self.scenario.gateways)
+            words.Settings(
+                gateway_index=index,
+                gateway_count=self.scenario.gateways,
+                classes=classes,
+                plans=plans,
+                **chosen,
+            )
+            for index in range(self.scenario.gateways)
         ]
 
 
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+from .. import policy
 from ..fleet.backend import TillServer, Work
 from ..fleet.discovery import Entry
 from ..fleet.faults import Fault
-from ..policy import interface
 from .day import Day
 from .event_queue import Agenda
 from .host import Host
@@ -40,7 +40,7 @@
 class Engine(Host):
     """Plays one day with one kind of gateway. `words` holds the types that the gateways speak."""
 
-    def __init__(self, day: Day, factory: Factory, words: Any = interface) -> None:
+    def __init__(self, day: Day, factory: Factory, words: Any = policy) -> None:
         self.factory, self.words = factory, words
         self.agenda = Agenda()
         self.wakes: dict[int, float] = {}
@@ -59,9 +59,9 @@
         self.event_ms, self.dial_ms, self.rtts = f["event_ms"], f["dial_ms"], f["handshake_rtts"]
         self.idle_ms = f["conn_idle_ms"] / 3  # the program gives idle ones up well before till servers do
         self.acts: dict[Any, Callable[[int, Any, float], None]] = {
-            words.Send: self._send, words.Refuse: self._refuse, words.Fail: self._fail,
-            words.Cancel: self._cancel, words.SetTimer: self._timer, words.Tell: self._tell,
-            words.Watch: lambda gateway, action, at: None, Count: self._count,
+            words.StartAttempt: self._send, words.RejectRequest: self._refuse, words.FailRequest: self._fail,
+            words.CancelAttempt: self._cancel, words.SetTimer: self._timer, words.SendGossip: self._tell,
+            words.WatchEndpoints: lambda gateway, action, at: None, Count: self._count,
         }  # fmt: skip
         for fault in day.faults:
             self.agenda.at(fault.at, self._strike, fault)
@@ -107,10 +107,10 @@
         self._carry_out(number, gateway.start())
         rows = tuple(self._row(entry) for entry in self.lists[number].values())
         self.watchman.told_list(number, self.lists[number].values(), now)
-        self._feed(number, self.words.Members("persisted", rows))
+        self._feed(number, self.words.EndpointUpdate("persisted", rows))
 
     def _row(self, entry: Entry) -> Any:
-        return self.words.ServerEntry(
+        return self.words.Endpoint(
             entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started
         )
 
@@ -140,7 +140,7 @@
 
     def _fire(self, gateway: int, epoch: int, token: int) -> None:
         if self.epochs[gateway] == epoch:
-            self._feed(gateway, self.words.Timer(token))
+            self._feed(gateway, self.words.TimerFired(token))
 
     # Messages and the counter
 
@@ -153,7 +153,7 @@
     def _hear(self, sender: int, peer: int, data: str) -> None:
         if self.gateways[peer] is not None and self.intakes[peer].take(self.agenda.now):
             self.message_bytes += len(data)
-            self._feed(peer, self.words.PeerMessage(sender, data))
+            self._feed(peer, self.words.GossipReceived(sender, data))
 
     def _count(self, gateway: int, action: Any, at: float) -> None:
         self.counts += 1
@@ -200,16 +200,16 @@
         self.records[one.ref] = record
         self._feed(
             one.gateway,
-            self.words.Request(
-                ref=one.ref,
-                cls=self.classes[ask.cls],
+            self.words.RequestReceived(
+                request_id=one.ref,
+                request_class=self.classes[ask.cls],
                 plan=self.day.figures.plans[who.plan].name,
                 customer=who.name,
-                patience=one.sent + one.patience - now,
+                remaining_time=one.sent + one.patience - now,
                 units=ask.guess,
-                spread=who.spread,
-                first=who.first,
-                retry=one.number > 1,
+                gateway_set_size=who.spread,
+                gateway_set_offset=who.first,
+                is_retry=one.number > 1,
             ),
         )
 
@@ -228,7 +228,7 @@
     def _overdue(self, one: TryRecord) -> None:
         if one.answer is None and self.open[one.gateway].pop(one.ref, None) is not None:
             self.watchman.lost(one)
-            self._feed(one.gateway, self.words.ClientGone(one.ref))
+            self._feed(one.gateway, self.words.ClientDisconnected(one.ref))
 
     def _client_told(self, record: AskRecord, one: TryRecord, told: Final, wait: float) -> None:
         if one.known:
@@ -250,19 +250,19 @@
         self.agenda.at(at + self.network.client.next(), self._client_told, record, one, final, wait)
 
     def _refuse(self, gateway: int, action: Any, at: float) -> None:
-        self._answer(gateway, action.ref, "refused", action.wait, at)
+        self._answer(gateway, action.request_id, "refused", action.retry_after, at)
 
     def _fail(self, gateway: int, action: Any, at: float) -> None:
-        self._answer(gateway, action.ref, "failed", 0.0, at)
+        self._answer(gateway, action.request_id, "failed", 0.0, at)
 
     # Attempts
 
     def _send(self, gateway: int, action: Any, at: float) -> None:
-        one = self.open[gateway].get(action.ref)
+        one = self.open[gateway].get(action.request_id)
         if one is None:
-            self.watchman.sent_after_end(action.ref)
+            self.watchman.sent_after_end(action.request_id)
             return
-        server = action.server
+        server = action.endpoint
         number = len(one.attempts)
         till = self.tills[server]
         until = one.sent + one.patience
@@ -382,19 +382,19 @@
                 self._answer(gateway, one.ref, "served", 0.0, at)
         self._feed(
             gateway,
-            self.words.Outcome(
-                ref=one.ref,
+            self.words.AttemptEnded(
+                request_id=one.ref,
                 status=status,
-                closed=one.answer is not None or one.ref not in self.open[gateway],
+                request_completed=one.answer is not None or one.ref not in self.open[gateway],
                 attempt=number,
-                server=server,
+                endpoint=server,
                 latency=now - attempt.sent,
                 cost=cost,
             ),
         )
 
     def _cancel(self, gateway: int, action: Any, at: float) -> None:
-        found = self.attempts[gateway].get((action.ref, action.attempt))
+        found = self.attempts[gateway].get((action.request_id, action.attempt))
         if found is not None and found[1].status is None:
             one, attempt = found
             attempt.work.cancelled = True
@@ -414,7 +414,7 @@
     def _told(self, gateway: int, entry: Entry) -> None:
         if self.gateways[gateway] is not None:
             self.watchman.told(gateway, entry, self.agenda.now)
-            self._feed(gateway, self.words.Members("partial", (self._row(entry),)))
+            self._feed(gateway, self.words.EndpointUpdate("partial", (self._row(entry),)))
 
     def _lose(self, till: TillServer, held: Iterable[Work]) -> None:
         """All connections to a till server break; attempts at it end as resets."""
--- a/mapleshunt/simulation/host.py
+++ b/mapleshunt/simulation/host.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from .. import policy
 from ..fleet.backend import Cell, TillServer, Work
 from ..fleet.clients import Habits
 from ..fleet.counter import Counter
@@ -16,7 +17,6 @@
 from ..fleet.faults import Fault
 from ..fleet.network import Intake, Network
 from ..fleet.random_streams import Draws, Rng, lognormal
-from ..policy import interface
 from .day import CLASSES, Day
 from .record import AskRecord, Books, Final, TryRecord
 from .rules import Watchman
@@ -28,7 +28,7 @@
 class Host:
     """A day's world, drawn. Times in ms since the day began; a subclass has the clock and the wire."""
 
-    def __init__(self, day: Day, words: Any = interface) -> None:
+    def __init__(self, day: Day, words: Any = policy) -> None:
         f, streams = day.figures, day.streams
         self.day = day
         self.network, self.counter = Network(f, streams), Counter(f)
@@ -48,7 +48,7 @@
         self.refs = 0
         self.seen_down: set[int] = set()  # gateways that the front sends nothing to
         count = day.scenario.gateways
-        self.intakes = [Intake(self.settings[0].mail_per_s) for _ in range(count)]
+        self.intakes = [Intake(self.settings[0].gossip_intake_per_s) for _ in range(count)]
         # What the score asks for, besides the records.
         self.message_bytes = self.probes = self.counts = self.events = 0
         self.cpu_ns = self.gateway_ns = 0
--- a/mapleshunt/simulation/policies.py
+++ b/mapleshunt/simulation/policies.py
@@ -13,7 +13,19 @@
 from typing import Any
 
 from ..fleet.quota import Store
-from ..policy import interface as i
+from ..policy import (
+    AttemptEnded,
+    ClientDisconnected,
+    Endpoint,
+    EndpointUpdate,
+    FailRequest,
+    RejectRequest,
+    RequestReceived,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+)
 from .engine import Count, Counted
 from .rules import PROVEN
 
@@ -23,7 +35,7 @@
 
 @dataclass(slots=True, eq=False)
 class Held:
-    request: i.Request
+    request: RequestReceived
     due: float
     tried: list[int] = field(default_factory=list)
     risky: bool = False  # an attempt may have run
@@ -32,9 +44,9 @@
 class LetAll:
     """Every request is sent on, to a till server drawn at random."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.set, self.random, self.now = settings, random.Random(seed), now
-        self.ready: dict[int, i.ServerEntry] = {}
+        self.ready: dict[int, Endpoint] = {}
         self.held: dict[int, Held] = {}
         self.actions: list[Any] = []
 
@@ -44,30 +56,30 @@
     def handle(self, now: float, event: Any) -> list[Any]:
         self.now, self.actions = now, []
         match event:
-            case i.Members():
+            case EndpointUpdate():
                 if event.kind != "partial":
                     self.ready = {}
-                for entry in event.entries:
+                for entry in event.endpoints:
                     if entry.state == "ready":
-                        self.ready[entry.server] = entry
+                        self.ready[entry.endpoint] = entry
                     else:
-                        self.ready.pop(entry.server, None)
-            case i.Request():
-                self.held[event.ref] = Held(event, now + event.patience - MARGIN)
-                self.actions.append(i.SetTimer(now + event.patience - MARGIN, event.ref))
+                        self.ready.pop(entry.endpoint, None)
+            case RequestReceived():
+                self.held[event.request_id] = Held(event, now + event.remaining_time - MARGIN)
+                self.actions.append(SetTimer(now + event.remaining_time - MARGIN, event.request_id))
                 self.admit(event)
-            case i.Outcome():
+            case AttemptEnded():
                 self.outcome(event)
-            case i.Timer(ref) if ref in self.held:
+            case TimerFired(ref) if ref in self.held:
                 self.finish(ref)
-            case i.ClientGone(ref):
+            case ClientDisconnected(ref):
                 self.held.pop(ref, None)
             case Counted():
                 self.counted(event)
         return self.actions
 
-    def admit(self, request: i.Request) -> None:
-        self.send(request.ref)
+    def admit(self, request: RequestReceived) -> None:
+        self.send(request.request_id)
 
     def counted(self, event: Counted) -> None:
         """Only those that call the counter hear of it."""
@@ -80,29 +92,29 @@
             return
         server = self.random.choice(pool)
         held.tried.append(server)
-        self.actions.append(i.Send(ref, server))
+        self.actions.append(StartAttempt(ref, server))
 
-    def outcome(self, event: i.Outcome) -> None:
-        held = self.held.get(event.ref)
+    def outcome(self, event: AttemptEnded) -> None:
+        held = self.held.get(event.request_id)
         if held is None:
             return
-        if event.closed:
-            del self.held[event.ref]
+        if event.request_completed:
+            del self.held[event.request_id]
             return
         held.risky = held.risky or event.status not in PROVEN
-        safe = self.set.classes[held.request.cls].effect == "safe"
+        safe = self.set.classes[held.request.request_class].effect == "safe"
         if len(held.tried) < MOST_TRIES and (safe or not held.risky) and self.now < held.due:
-            self.send(event.ref)
+            self.send(event.request_id)
         else:
-            self.finish(event.ref)
+            self.finish(event.request_id)
 
     def finish(self, ref: int) -> None:
         held = self.held.pop(ref)
-        refusable = self.set.classes[held.request.cls].effect == "safe" or not held.tried
+        refusable = self.set.classes[held.request.request_class].effect == "safe" or not held.tried
         if refusable:
-            self.actions.append(i.Refuse(ref, self.set.max_retry_after))
+            self.actions.append(RejectRequest(ref, self.set.max_retry_after))
         else:
-            self.actions.append(i.Fail(ref))
+            self.actions.append(FailRequest(ref))
 
 
 class EvenSplit(LetAll):
@@ -110,20 +122,20 @@
 
     part = True
 
-    def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
         self.stores: dict[str, Store] = {}
 
-    def admit(self, request: i.Request) -> None:
+    def admit(self, request: RequestReceived) -> None:
         store = self.stores.get(request.customer)
         if store is None:
-            plan, parts = self.set.plans[request.plan], request.spread if self.part else 1
-            store = Store(plan.rate / parts, max(plan.burst / parts, self.set.largest))
+            plan, parts = self.set.plans[request.plan], request.gateway_set_size if self.part else 1
+            store = Store(plan.rate / parts, max(plan.burst / parts, self.set.max_request_units))
             store.at, self.stores[request.customer] = self.now, store
         if store.take(self.now, request.units):
-            self.send(request.ref)
+            self.send(request.request_id)
         else:
-            self.finish(request.ref)
+            self.finish(request.request_id)
 
 
 class WholeQuota(EvenSplit):
@@ -135,15 +147,15 @@
 class CountEach(LetAll):
     """A call to the shared counter for each request; let in when there is no answer."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
         self.calls: dict[int, list[int]] = {}  # by name: those that wait for its answers, in their order
 
-    def admit(self, request: i.Request) -> None:
+    def admit(self, request: RequestReceived) -> None:
         plan = self.set.plans[request.plan]
         window = 1000 * plan.burst / plan.rate
         name = zlib.crc32(f"{request.customer} {int(self.now // window)}".encode())
-        self.calls.setdefault(name, []).append(request.ref)
+        self.calls.setdefault(name, []).append(request.request_id)
         self.actions.append(Count(name, request.units, 2 * window))
 
     def counted(self, event: Counted) -> None:
--- a/mapleshunt/simulation/rules.py
+++ b/mapleshunt/simulation/rules.py
@@ -59,7 +59,7 @@
                 f"request {one.ref} sent at {at:.0f} by gateway {gateway} to server {attempt.server}: {state}"
             )
             self._break("drain", story)
-        if not self.settings.second_copies and any(a.status is None for a in one.attempts):
+        if not self.settings.allow_hedging and any(a.status is None for a in one.attempts):
             self._break("two_out", f"request {one.ref}")
         cls = self.classes[one.ask.cls]
         effect = cls.get("effect", "safe")
@@ -67,8 +67,8 @@
         if risky and effect == "unsafe":
             self._break("doubled", f"request {one.ref} of a class that is never repeated was sent again")
         elif risky and effect == "keyed":
-            outside = any(a.cell != attempt.cell for a in risky) and cls["group"] == "cell"
-            if outside or at > risky[0].sent + cls["window"]:
+            outside = any(a.cell != attempt.cell for a in risky) and cls["retry_scope"] == "cell"
+            if outside or at > risky[0].sent + cls["idempotency_window"]:
                 self._break("doubled", f"request {one.ref} sent again outside its cell or window")
 
     def sent_after_end(self, ref: int) -> None:
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -96,7 +96,7 @@
     """Judge a day that has been played."""
     day, records, tries = engine.day, engine.asks, engine.watchman.tries
     inside, worth = offered(day), worth_of(day)
-    aims = [CLASSES[shape.name]["aim"] for shape in day.figures.classes]
+    aims = [CLASSES[shape.name]["latency_objective"] for shape in day.figures.classes]
     customers, plans = day.traffic.customers, day.figures.plans
     at = np.array([r.ask.at for r in records]) / 1000 if records else np.zeros(0)
     weight = np.array(worth)
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -8,17 +8,19 @@
 
 from __future__ import annotations
 
-import importlib.util
+import functools
 import sys
 import zlib
 from collections.abc import Mapping
 from dataclasses import dataclass, field, fields, replace
 from pathlib import Path
-from types import ModuleType
 from typing import Any
 
+import mapleshunt
+
+from .. import policy
 from ..fleet import parameters as figures
-from ..policy import interface
+from . import checkouts
 from .day import Scenario
 from .engine import Factory
 from .policies import POLICIES
@@ -59,18 +61,24 @@
     return int(number) if number.is_integer() and "." not in text else number
 
 
+@functools.cache  # each name is told once
+def _note_former_name(text: str) -> None:
+    print(text, file=sys.stderr)
+
+
 def pair(text: str) -> tuple[str, Any]:
     """`KEY=VALUE`, checked. Raises `BadVariant`."""
     key, equals, value = text.partition("=")
     if not equals or not key:
         raise BadVariant(f"{text!r} is not KEY=VALUE")
+    key = checkouts.current_name(key, _note_former_name)
     check_key(key)
     return key, _value(value)
 
 
 def check_key(key: str) -> None:
     """Raises `BadVariant` for a key that sets nothing."""
-    known = {one.name for one in fields(interface.Settings)}
+    known = {one.name for one in fields(policy.Settings)}
     if key.startswith("world."):
         if key[6:] not in figures.SPANS:
             raise BadVariant(f"{key!r} is no figure of the world")
@@ -79,11 +87,9 @@
         if len(parts) != 3 or parts[1] not in figures.PLAN_SPANS or parts[2] not in PLAN_PARTS:
             raise BadVariant(f"{key!r} is not plan.NAME.PART with PART of {', '.join(PLAN_PARTS)}")
     elif key.isupper():
-        from ..policy import gateway as control
-
-        if not isinstance(getattr(control, key, None), (int, float)):
-            raise BadVariant(f"{key!r} is no figure of the decision module")
-    elif key not in known or key in ("me", "instances", "classes", "plans"):
+        if checkouts.find_constant(checkouts.decision_modules(mapleshunt), key) is None:
+            raise BadVariant(f"{key!r} is no figure of the decisions")
+    elif key not in known or key in ("gateway_index", "gateway_count", "classes", "plans"):
         raise BadVariant(f"{key!r} is no setting")
 
 
@@ -107,7 +113,7 @@
             raise BadVariant(f"no policy {rest!r}; there are {', '.join(POLICIES)}")
         return Variant(text, "policy", rest)
     if kind == "path" and colon:
-        if not (Path(rest) / "mapleshunt" / "policy" / "gateway.py").is_file():
+        if not checkouts.is_checkout(Path(rest)):
             raise BadVariant(f"{rest!r} holds no checkout with mapleshunt/policy/gateway.py")
         return Variant(text, "path", str(Path(rest).resolve()))
     if kind == "set" and colon and rest:
@@ -115,37 +121,19 @@
     raise BadVariant(f"{text!r} is none of here, path:DIR, policy:NAME, set:KEY=VALUE,...")
 
 
-def _package(folder: Path, alias: str) -> ModuleType:
-    """A package under a name of its own: its modules name each other relatively, so copies do not mix."""
-    if alias in sys.modules:
-        return sys.modules[alias]
-    spec = importlib.util.spec_from_file_location(
-        alias, folder / "__init__.py", submodule_search_locations=[str(folder)]
-    )
-    if spec is None or spec.loader is None:
-        raise BadVariant(f"{str(folder)!r} cannot be loaded")
-    module = importlib.util.module_from_spec(spec)
-    sys.modules[alias] = module
-    try:
-        spec.loader.exec_module(module)
-    except BaseException:
-        del sys.modules[alias]
-        raise
-    return module
-
-
 def load(variant: Variant) -> tuple[Factory, Any]:
     """The factory of its gateways, and the types that they speak."""
     if variant.kind == "policy":
-        return POLICIES[variant.name], interface
+        return POLICIES[variant.name], policy
     if variant.kind == "here" or (variant.kind == "set" and not variant.constants):
-        from ..policy.gateway import Gateway
-
-        return Gateway, interface
+        return policy.Gateway, policy
     folder = Path(variant.name) / "mapleshunt" if variant.kind == "path" else HERE
     mark = zlib.crc32(f"{folder} {sorted(variant.constants.items())}".encode())
-    package = _package(folder, f"mapleshunt_variant_{mark:08x}")
-    control = importlib.import_module(f"{package.__name__}.policy.gateway")
+    package = checkouts.load_package(folder, f"mapleshunt_variant_{mark:08x}")
+    factory, types = checkouts.load_decisions(package)
     for name, value in variant.constants.items():
-        setattr(control, name, value)
-    return control.Gateway, importlib.import_module(f"{package.__name__}.policy.interface")
+        module = checkouts.find_constant(checkouts.decision_modules(package), name)
+        if module is None:
+            raise BadVariant(f"{name!r} is no figure of the decisions")
+        setattr(module, name, value)
+    return factory, types
--- a/mapleshunt/simulator_adapter.py
+++ b/mapleshunt/simulator_adapter.py
@@ -7,7 +7,29 @@
 from typing import Any, TextIO, cast
 
 from .platform_terms import LISTS, STATES, STATUSES, settings_of
-from .policy import interface as i
+from .policy import (
+    Action,
+    AttemptEnded,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    FailRequest,
+    GossipReceived,
+    RejectRequest,
+    RequestReceived,
+    ResponseStarted,
+    SendGossip,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+    UpdateKind,
+    WatchEndpoints,
+)
 from .policy.gateway import Gateway
 
 
@@ -15,37 +37,37 @@
     """A line that the wire does not allow."""
 
 
-def entry_of(row: list[Any]) -> i.ServerEntry:
+def entry_of(row: list[Any]) -> Endpoint:
     server, zone, _kind, cell, mode, _size, started = row[:7]
-    return i.ServerEntry(
-        server=int(server),
+    return Endpoint(
+        endpoint=int(server),
         zone=zone or "",
         cell=cell or 0,
-        state=cast(i.ServerState, STATES[mode]),
+        state=cast(EndpointState, STATES[mode]),
         started=started or 0.0,
     )
 
 
-def status_of(word: str) -> i.Status:
-    return cast(i.Status, STATUSES[word])
+def status_of(word: str) -> AttemptStatus:
+    return cast(AttemptStatus, STATUSES[word])
 
 
-def line_of(node: int, action: i.Action) -> list[Any]:
+def line_of(node: int, action: Action) -> list[Any]:
     """The wire's words for an action."""
     match action:
-        case i.Send(ref, server, timeout):
+        case StartAttempt(ref, server, timeout):
             return ["SubmitTo", node, ref, timeout, server]
-        case i.Refuse(ref, wait):
+        case RejectRequest(ref, wait):
             return ["Shed", node, ref, wait]
-        case i.Fail(ref):
+        case FailRequest(ref):
             return ["RespondError", node, ref]
-        case i.Cancel(ref, attempt):
+        case CancelAttempt(ref, attempt):
             return ["Withdraw", node, ref, attempt]
-        case i.SetTimer(at, token):
+        case SetTimer(at, token):
             return ["SetAlarm", node, at, token]
-        case i.Tell(peer, data):
+        case SendGossip(peer, data):
             return ["Say", node, peer, data]
-        case i.Watch():
+        case WatchEndpoints():
             return ["StreamChanges", node, True]
 
 
@@ -56,7 +78,7 @@
         self.out = out
         self.now = 0.0
         self.gateways: dict[int, Gateway] = {}
-        self.banks: dict[int, tuple[i.ServerEntry, ...]] = {}
+        self.banks: dict[int, tuple[Endpoint, ...]] = {}
         self.reply: list[list[Any]] = []
 
     def line(self, message: list[Any]) -> None:
@@ -81,7 +103,7 @@
             if event is not None and (gateway := self.gateways.get(values[0])) is not None:
                 self.act(values[0], lambda: gateway.handle(self.now, event))
 
-    def start(self, node: int, settings: i.Settings, seed: int) -> list[i.Action]:
+    def start(self, node: int, settings: Settings, seed: int) -> list[Action]:
         self.gateways[node] = Gateway(settings, seed, self.now)
         return self.gateways[node].start()
 
@@ -91,41 +113,41 @@
         except Exception as error:
             self.reply.append(["Broken", node, f"{type(error).__name__}: {error}"])
 
-    def event_of(self, name: str, v: list[Any]) -> i.Event | None:
+    def event_of(self, name: str, v: list[Any]) -> Event | None:
         match name:
             case "Topology":
-                kind = cast(i.ListKind, LISTS[v[0]])
-                return i.Members(kind, () if kind == "error" else self.banks[v[2]])
+                kind = cast(UpdateKind, LISTS[v[0]])
+                return EndpointUpdate(kind, () if kind == "error" else self.banks[v[2]])
             case "Ingress":
-                return i.Request(
-                    ref=v[0],
-                    cls=v[1],
+                return RequestReceived(
+                    request_id=v[0],
+                    request_class=v[1],
                     plan=v[2],
                     customer=v[3],
-                    patience=v[4],
+                    remaining_time=v[4],
                     units=v[5] or 1.0,
-                    spread=int(v[6] or 1),
-                    first=int(v[7] or 0),
-                    retry=bool(v[8]),
+                    gateway_set_size=int(v[6] or 1),
+                    gateway_set_offset=int(v[7] or 0),
+                    is_retry=bool(v[8]),
                 )
             case "Begun":
-                return i.Begun(v[0], v[1], v[2])
+                return ResponseStarted(v[0], v[1], v[2])
             case "Finished":
-                return i.Outcome(
-                    ref=v[0],
+                return AttemptEnded(
+                    request_id=v[0],
                     status=status_of(v[1]),
-                    closed=bool(v[2]),
+                    request_completed=bool(v[2]),
                     attempt=v[4],
                     cost=v[5] or 0.0,
                     latency=v[6] or 0.0,
-                    server=v[7],
+                    endpoint=v[7],
                 )
             case "ClientGone":
-                return i.ClientGone(v[0])
+                return ClientDisconnected(v[0])
             case "Fired":
-                return i.Timer(v[0])
+                return TimerFired(v[0])
             case "Memo":
-                return i.PeerMessage(v[0], v[1])
+                return GossipReceived(v[0], v[1])
             case "StatusBack" | "Tallied":
                 return None  # answers to what is never asked
         raise WireError(f"unknown event {name!r}")
--- a/mapleshunt/testbed/faults.py
+++ b/mapleshunt/testbed/faults.py
@@ -25,7 +25,7 @@
 import msgspec
 
 from ..platform_terms import wire_of
-from ..policy import interface as i
+from ..policy import Plan, RequestClass, Settings
 from ..simulation.promises import Event, broken
 from . import faulty
 from .backends import HOST
@@ -171,21 +171,33 @@
 
 def plain_config() -> dict[str, Any]:
     """A gateway's configuration with nobody around it: only its copies are played with."""
-    settings = i.Settings(
-        me=0, instances=1, classes={"look": i.RequestClass("look", aim=500, deadline=2000)},
-        plans={"plan": i.Plan("plan", rate=RATE, burst=BURST)},
-    )  # fmt: skip
+    settings = Settings(
+        gateway_index=0,
+        gateway_count=1,
+        classes={"look": RequestClass("look", latency_objective=500, deadline=2000)},
+        plans={"plan": Plan("plan", rate=RATE, burst=BURST)},
+    )
     return {
-        "name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": wire_of(settings),
-    }  # fmt: skip
+        "name": "g0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "1",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+        "settings": wire_of(settings),
+    }
 
 
 class Faults:
     def __init__(
-        self, folder: Path, config: dict[str, Any], gateways: int = 3, seed: int = 1, size: int = 3,
-        election_ms: float = 400.0, program: Path | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        folder: Path,
+        config: dict[str, Any],
+        gateways: int = 3,
+        seed: int = 1,
+        size: int = 3,
+        election_ms: float = 400.0,
+        program: Path | None = None,
+    ) -> None:
         self.folder, self.config, self.seed, self.size = folder, config, seed, size
         self.groups = 1
         self.election_ms, self.replace_after, self.settle_after = election_ms, 600.0, 600.0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,32 +8,46 @@
 
 from mapleshunt import (
     Action,
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
     Event,
     Gateway,
-    Members,
-    Outcome,
     Plan,
-    Request,
     RequestClass,
-    Send,
-    ServerEntry,
+    RequestReceived,
     SetTimer,
     Settings,
+    StartAttempt,
 )
 
 from . import known_failures
 
 CLASSES = {
-    "look": RequestClass("look", aim=1000, deadline=4000),
-    "note": RequestClass("note", aim=1000, deadline=4000, effect="keyed", group="zone", window=3000),
-    "mark": RequestClass("mark", aim=1000, deadline=4000, effect="keyed", group="all", window=3000),
-    "bind": RequestClass("bind", aim=1000, deadline=4000, effect="unsafe"),
+    "look": RequestClass("look", latency_objective=1000, deadline=4000),
+    "note": RequestClass(
+        "note",
+        latency_objective=1000,
+        deadline=4000,
+        effect="keyed",
+        retry_scope="zone",
+        idempotency_window=3000,
+    ),
+    "mark": RequestClass(
+        "mark",
+        latency_objective=1000,
+        deadline=4000,
+        effect="keyed",
+        retry_scope="all",
+        idempotency_window=3000,
+    ),
+    "bind": RequestClass("bind", latency_objective=1000, deadline=4000, effect="unsafe"),
 }
 PLANS = {
     "wide": Plan("wide", rate=1000, burst=1000),
     "thin": Plan("thin", rate=1, burst=4),
     "hard": Plan("hard", rate=100, burst=100, ceiling_rate=10, ceiling_burst=20),
-    "open": Plan("open", open_limit=4),
+    "open": Plan("open", max_open_requests=4),
 }
 
 
@@ -42,8 +56,8 @@
 
     def __init__(self, servers: int = 4, **changes: Any) -> None:
         base: dict[str, Any] = {
-            "me": 0,
-            "instances": 1,
+            "gateway_index": 0,
+            "gateway_count": 1,
             "classes": CLASSES,
             "plans": PLANS,
             "zone": "z0",
@@ -54,8 +68,8 @@
         self.all: list[Action] = []
         self.timers: list[float] = []
         self.take(self.gateway.start())
-        rows = tuple(ServerEntry(n, zone=f"z{n % 2}", cell=n % 2) for n in range(servers))
-        self.feed(Members("persisted", rows))
+        rows = tuple(Endpoint(n, zone=f"z{n % 2}", cell=n % 2) for n in range(servers))
+        self.feed(EndpointUpdate("persisted", rows))
 
     def take(self, actions: list[Action]) -> list[Action]:
         self.timers += [a.at for a in actions if isinstance(a, SetTimer)]
@@ -70,27 +84,29 @@
         cls: str = "look",
         plan: str = "wide",
         customer: str = "c",
-        patience: float = 4000,
+        remaining_time: float = 4000,
         units: float = 1,
         **more: Any,
     ) -> list[Action]:
         self.ref += 1
-        return self.feed(Request(self.ref, cls, plan, customer, patience, units, **more))
+        return self.feed(RequestReceived(self.ref, cls, plan, customer, remaining_time, units, **more))
 
     def answer(
-        self, send: Send, status: Any = "ok", attempt: int = 0, latency: float = 50, cost: float = 0
+        self, send: StartAttempt, status: Any = "ok", attempt: int = 0, latency: float = 50, cost: float = 0
     ) -> list[Action]:
-        return self.feed(Outcome(send.ref, status, status == "ok", attempt, send.server, latency, cost=cost))
+        return self.feed(
+            AttemptEnded(send.request_id, status, status == "ok", attempt, send.endpoint, latency, cost=cost)
+        )
 
     def wait(self, ms: float) -> list[Action]:
         """Let the clock run, firing timers as they fall due."""
-        from mapleshunt import Timer
+        from mapleshunt import TimerFired
 
         end, got = self.now + ms, []
         while self.timers and min(self.timers) <= end:
             self.now = max(self.now, min(self.timers))
             self.timers.remove(min(self.timers))
-            got += self.feed(Timer(0))
+            got += self.feed(TimerFired(0))
         self.now = end
         return got
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -23,7 +23,7 @@
 from mapleshunt.net.protocol import resp
 from mapleshunt.net.request.context import RequestContext
 from mapleshunt.net.request.parse import take_in
-from mapleshunt.policy.interface import Settings
+from mapleshunt.policy import Settings
 
 from .conftest import CLASSES, PLANS
 
@@ -38,7 +38,7 @@
     """Stands for the driver: holds what was taken until a step answers it."""
 
     def __init__(self) -> None:
-        self.settings = Settings(me=0, instances=1, classes=CLASSES, plans=PLANS)
+        self.settings = Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS)
         self.counters, self.open = Counters(), dict[int, RequestContext]()
         self.left: list[RequestContext] = []
         self.over: Callable[[RequestContext], None] = lambda context: None
@@ -429,7 +429,7 @@
         connection.arrivals = deque((end, at - 0.3) for end, at in connection.arrivals)
         connection._go_on()
         (context,) = cast(Decisions, connection.service.driver).open.values()
-        assert context.request.patience <= 180.0
+        assert context.request.remaining_time <= 180.0
 
     play(steps)
 
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks.cold_servers import Case, worst
-from mapleshunt import Members, ServerEntry
+from mapleshunt import Endpoint, EndpointUpdate
 from mapleshunt.net.policy_driver import Clock
 
 from .conftest import Driver
@@ -43,12 +43,12 @@
     # a cold server got what a warm one gets. Or for the future: it stayed cold until the hour was over.
     clock, wall = Clock(), time.time
     monkeypatch.setattr(time, "time", lambda: wall() + step / 1000)
-    driver = Driver(cold=10_000.0, cold_from=0.25)
+    driver = Driver(slow_start_duration=10_000.0, slow_start_min_capacity=0.25)
     driver.now = clock()
     for moved in (0.0, step):  # the clock of whoever told the start was stepped too, or was not
         started = clock() + moved
-        entry = ServerEntry(9, started=started, age=clock.age(started))
-        driver.feed(Members("partial", (entry,)))
+        entry = Endpoint(9, started=started, age=clock.age(started))
+        driver.feed(EndpointUpdate("partial", (entry,)))
         server = driver.gateway.servers[9]
         driver.now += 1.0
         driver.gateway.now = driver.now
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -11,18 +11,19 @@
 import pytest
 
 from mapleshunt import (
-    Cancel,
-    ClientGone,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
     Event,
-    Fail,
-    Outcome,
-    Refuse,
-    Request,
-    Send,
+    FailRequest,
+    RejectReason,
+    RejectRequest,
+    RequestReceived,
+    SendGossip,
     SetTimer,
     Settings,
-    Tell,
-    Timer,
+    StartAttempt,
+    TimerFired,
 )
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.periodic import Periodic
@@ -67,7 +68,9 @@
     async def run() -> Driver:
         counters = Counters()
         group = UpstreamGroup(counters, 250, 1000, 10)
-        driver = Driver(Settings(me=0, instances=1, classes=CLASSES, plans=PLANS), 1, group, counters)
+        driver = Driver(
+            Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS), 1, group, counters
+        )
         scripted = Scripted(does)
         driver.gateway = scripted  # type: ignore[assignment]
         await steps(driver, scripted)
@@ -78,7 +81,7 @@
 
 def ask(driver: Driver, ref: int = 1, patience: float = 5000, most: int = 10) -> tuple[RequestContext, Told]:
     told = Told()
-    request = Request(ref, "look", "wide", "c", patience)
+    request = RequestReceived(ref, "look", "wide", "c", patience)
     context = RequestContext(ref, request, SvcMessage([], {}), told, driver.now())
     admit(context, driver, most)
     return context, told
@@ -114,17 +117,17 @@
                 while driver.out:
                     await asyncio.sleep(0)
             gone, ended = decisions.told[1:]
-            assert gone == ClientGone(1) and isinstance(ended, Outcome)
-            assert (ended.status, ended.closed) == (status, True)
+            assert gone == ClientDisconnected(1) and isinstance(ended, AttemptEnded)
+            assert (ended.status, ended.request_completed) == (status, True)
             assert not (told.answers or driver.open or driver.group.connections)
             assert not driver.counters.counts["exceptions"]
 
     def does(event: Event) -> list[Any]:
         match event:
-            case Request(ref):
-                return [Send(ref, Member("s-1", ("", 0), "", 0, "ready", 0.0).number)]
-            case ClientGone(ref):
-                return [Cancel(ref, 0)]
+            case RequestReceived(ref):
+                return [StartAttempt(ref, Member("s-1", ("", 0), "", 0, "ready", 0.0).number)]
+            case ClientDisconnected(ref):
+                return [CancelAttempt(ref, 0)]
         return []
 
     play(does, steps)
@@ -139,15 +142,15 @@
         refused, _ = ask(driver, 1)
         refused.answer.reject = lambda wait: driver.gone(sent)  # type: ignore[method-assign]
         sent, told = ask(driver, 2)
-        driver.feed(Timer(0))
+        driver.feed(TimerFired(0))
         gone, ended = decisions.told[-2:]
-        assert gone == ClientGone(2) and isinstance(ended, Outcome)
-        assert (ended.ref, ended.attempt, ended.server) == (2, 0, 7)
-        assert ended.status == "unsent" and ended.closed
+        assert gone == ClientDisconnected(2) and isinstance(ended, AttemptEnded)
+        assert (ended.request_id, ended.attempt, ended.endpoint) == (2, 0, 7)
+        assert ended.status == "unsent" and ended.request_completed
         assert not driver.open and not driver.out and not told.answers
 
     def does(event: Event) -> list[Any]:
-        return [Refuse(1), Send(2, 7)] if isinstance(event, Timer) else []
+        return [RejectRequest(1), StartAttempt(2, 7)] if isinstance(event, TimerFired) else []
 
     play(does, steps)
 
@@ -156,7 +159,7 @@
     async def steps(driver: Driver, decisions: Scripted) -> None:
         context, told = ask(driver, patience=GUARD + 10)
         await answered(told)
-        assert told.answers == ["failed"] and decisions.told[-1] == ClientGone(context.ref)
+        assert told.answers == ["failed"] and decisions.told[-1] == ClientDisconnected(context.ref)
         assert driver.counters.counts["guard_answers"] == 1 and not driver.open
 
     play(lambda event: [], steps)
@@ -164,9 +167,9 @@
 
 def test_exception_in_the_decisions_fails_its_request_and_no_other() -> None:
     def does(event: Event) -> list[Any]:
-        if isinstance(event, Request) and event.ref == 1:
+        if isinstance(event, RequestReceived) and event.request_id == 1:
             raise RuntimeError("odd")
-        return [Refuse(event.ref, 20.0)] if isinstance(event, Request) else []
+        return [RejectRequest(event.request_id, 20.0)] if isinstance(event, RequestReceived) else []
 
     async def steps(driver: Driver, decisions: Scripted) -> None:
         assert [ask(driver, ref)[1].answers for ref in (1, 2)] == [["failed"], ["rejected 20"]]
@@ -179,8 +182,12 @@
         assert [ask(driver, ref)[1].answers for ref in (1, 2)] == [["rejected 5"], ["rejected 5"]]
 
     def does(event: Event) -> list[Any]:
-        reasons = ("quota", "queue")
-        return [Refuse(event.ref, 5.0, reasons[event.ref - 1])] if isinstance(event, Request) else []
+        reasons = (RejectReason.OVER_QUOTA, RejectReason.QUEUE_TOO_LONG)
+        return (
+            [RejectRequest(event.request_id, 5.0, reasons[event.request_id - 1])]
+            if isinstance(event, RequestReceived)
+            else []
+        )
 
     counts = play(does, steps).counters.counts
     assert counts["rejected_quota"] == counts["rejected_queue"] == 1 and counts["answers_rejected"] == 2
@@ -191,7 +198,10 @@
         driver.tell = lambda peer, text: 1 / 0  # type: ignore[assignment]
         assert ask(driver)[1].answers == ["failed"]
 
-    play(lambda event: [Tell(0, "x"), Fail(1)] if isinstance(event, Request) else [], steps)
+    play(
+        lambda event: [SendGossip(0, "x"), FailRequest(1)] if isinstance(event, RequestReceived) else [],
+        steps,
+    )
 
 
 def test_there_is_one_final_answer_only() -> None:
@@ -201,7 +211,7 @@
         driver.gone(context)
         assert told.answers == ["rejected 5"] and len(decisions.told) == 1
 
-    play(lambda event: [Refuse(1, 5.0), Fail(1)], steps)
+    play(lambda event: [RejectRequest(1, 5.0), FailRequest(1)], steps)
 
 
 def test_more_than_may_be_held_is_rejected_without_a_decision() -> None:
@@ -214,16 +224,20 @@
 
 def test_each_send_ends_in_one_outcome_and_events_keep_their_order() -> None:
     def does(event: Event) -> list[Any]:
-        if isinstance(event, Request):
-            return [Send(event.ref, server=77)]  # a server nobody named
-        first = isinstance(event, Outcome) and event.attempt == 0
-        return [Send(1, server=78), Fail(1)] if first else []
+        if isinstance(event, RequestReceived):
+            return [StartAttempt(event.request_id, endpoint=77)]  # a server nobody named
+        first = isinstance(event, AttemptEnded) and event.attempt == 0
+        return [StartAttempt(1, endpoint=78), FailRequest(1)] if first else []
 
     async def steps(driver: Driver, decisions: Scripted) -> None:
         _, told = ask(driver)
         while driver.out or not told.answers:
             await asyncio.sleep(0)
-        ends = [(e.status, e.attempt, e.server, e.closed) for e in decisions.told if isinstance(e, Outcome)]
+        ends = [
+            (e.status, e.attempt, e.endpoint, e.request_completed)
+            for e in decisions.told
+            if isinstance(e, AttemptEnded)
+        ]
         assert ends == [("unsent", 0, 77, False), ("unsent", 1, 78, True)] and told.answers == ["failed"]
 
     play(does, steps)
@@ -232,12 +246,12 @@
 def test_timer_fires_no_earlier_than_it_was_set_for() -> None:
     async def steps(driver: Driver, decisions: Scripted) -> None:
         context, _ = ask(driver)
-        while not isinstance(decisions.told[-1], Timer):
+        while not isinstance(decisions.told[-1], TimerFired):
             await asyncio.sleep(0.001)
-        assert driver.now() >= context.taken + 5 - 0.01 and decisions.told[-1] == Timer(3)
+        assert driver.now() >= context.taken + 5 - 0.01 and decisions.told[-1] == TimerFired(3)
         driver.gone(context)
 
-    play(lambda event: [SetTimer(event_time() + 5, 3)] if isinstance(event, Request) else [], steps)
+    play(lambda event: [SetTimer(event_time() + 5, 3)] if isinstance(event, RequestReceived) else [], steps)
 
 
 def test_timer_that_the_loop_fires_early_waits_for_its_time() -> None:
@@ -257,7 +271,7 @@
         while not decisions.told:
             await asyncio.sleep(0.001)
         monkeypatch.undo()
-        assert decisions.told == [Timer(7)] and driver.now() >= at and early < 0
+        assert decisions.told == [TimerFired(7)] and driver.now() >= at and early < 0
 
     play(lambda event: [], steps)
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -78,14 +78,14 @@
         }
     )
     event = UpstreamGroup(Counters(), 250, 1000, 10).update("partial", found.members)
-    assert [(e.cell, e.zone, e.state, e.started) for e in event.entries] == [
+    assert [(e.cell, e.zone, e.state, e.started) for e in event.endpoints] == [
         (3, "a", "ready", 0.0),
         (3, "a", "draining", 1764000000000.0),
     ]
     again = UpstreamGroup(Counters(), 250, 1000, 10).update("complete", found.members[::-1])
     # Peers tell each other of servers by number, so it must not rest on order or on the process.
-    assert [e.server for e in again.entries] == [e.server for e in event.entries][::-1]
-    assert event.entries[0].server == 3624031694
+    assert [e.endpoint for e in again.endpoints] == [e.endpoint for e in event.endpoints][::-1]
+    assert event.endpoints[0].endpoint == 3624031694
 
 
 @pytest.mark.parametrize("chunked", [False, True])
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -11,13 +11,15 @@
 from mapleshunt import invariants
 from mapleshunt.invariants import EarlierAttempt, Guard, RepeatFacts, SendFacts
 from mapleshunt.net.counters import Counters
-from mapleshunt.policy.interface import RequestClass, Settings
+from mapleshunt.policy import RequestClass, Settings
 
 from .conftest import CLASSES, PLANS
 
 SOUND = SendFacts(since_end=None, server_ready=True, passed_on=400.0, left=400.0)
-SETTINGS = Settings(me=0, instances=1, classes=CLASSES, plans=PLANS, max_attempts=3)
-CELL = RequestClass("cell", aim=1000, deadline=4000, effect="keyed", group="cell", window=3000)
+SETTINGS = Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS, max_attempts=3)
+CELL = RequestClass(
+    "cell", latency_objective=1000, deadline=4000, effect="keyed", retry_scope="cell", idempotency_window=3000
+)
 
 
 @pytest.mark.parametrize(
@@ -62,7 +64,7 @@
 
 
 def test_two_copies_may_be_out_where_the_settings_allow_them() -> None:
-    allowed = replace(SETTINGS, second_copies=True)
+    allowed = replace(SETTINGS, allow_hedging=True)
     assert invariants.broken_by_repeating(repeated(None), CLASSES["look"], allowed) == []
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+import shutil
 import subprocess
 import sys
 from dataclasses import replace
@@ -12,7 +13,16 @@
 import pytest
 
 from mapleshunt.fleet.faults import Fault
-from mapleshunt.policy import interface as i
+from mapleshunt.policy import (
+    AttemptEnded,
+    FailRequest,
+    RejectRequest,
+    RequestReceived,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+)
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.simulation import experiments, stats
 from mapleshunt.simulation.day import Scenario, day_of, sized
@@ -62,54 +72,54 @@
 
     in_time = True
 
-    def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.kept = set[int]()
 
     def start(self) -> list[Any]:
         return []
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        if isinstance(event, i.Request):
-            self.kept.add(event.ref)
-            return [*self.take(event), i.SetTimer(now + event.patience - 10, event.ref)]
-        if isinstance(event, i.Outcome):
-            if not event.closed and event.ref in self.kept:
+        if isinstance(event, RequestReceived):
+            self.kept.add(event.request_id)
+            return [*self.take(event), SetTimer(now + event.remaining_time - 10, event.request_id)]
+        if isinstance(event, AttemptEnded):
+            if not event.request_completed and event.request_id in self.kept:
                 return self.again(event)
-            self.kept.discard(event.ref)
-        if isinstance(event, i.Timer) and event.token in self.kept and self.in_time:
+            self.kept.discard(event.request_id)
+        if isinstance(event, TimerFired) and event.token in self.kept and self.in_time:
             self.kept.discard(event.token)
-            return [i.Fail(event.token)]
+            return [FailRequest(event.token)]
         return []
 
-    def take(self, event: i.Request) -> list[Any]:
-        return [i.Send(event.ref, 0)]
+    def take(self, event: RequestReceived) -> list[Any]:
+        return [StartAttempt(event.request_id, 0)]
 
-    def again(self, event: i.Outcome) -> list[Any]:
-        self.kept.discard(event.ref)
-        return [i.Fail(event.ref)]
+    def again(self, event: AttemptEnded) -> list[Any]:
+        self.kept.discard(event.request_id)
+        return [FailRequest(event.request_id)]
 
 
 class Forgets(Careless):
     in_time = False
 
-    def take(self, event: i.Request) -> list[Any]:
+    def take(self, event: RequestReceived) -> list[Any]:
         return []
 
 
 class SendsTwice(Careless):
-    def take(self, event: i.Request) -> list[Any]:
-        return [i.Send(event.ref, 0), i.Send(event.ref, 1)]
+    def take(self, event: RequestReceived) -> list[Any]:
+        return [StartAttempt(event.request_id, 0), StartAttempt(event.request_id, 1)]
 
 
 class RefusesWhatMayHaveRun(Careless):
-    def again(self, event: i.Outcome) -> list[Any]:
-        self.kept.discard(event.ref)
-        return [i.Refuse(event.ref)]
+    def again(self, event: AttemptEnded) -> list[Any]:
+        self.kept.discard(event.request_id)
+        return [RejectRequest(event.request_id)]
 
 
 class RepeatsAnywhere(Careless):
-    def again(self, event: i.Outcome) -> list[Any]:
-        return [i.Send(event.ref, 7)] if event.attempt < 1 else super().again(event)
+    def again(self, event: AttemptEnded) -> list[Any]:
+        return [StartAttempt(event.request_id, 7)] if event.attempt < 1 else super().again(event)
 
 
 @pytest.mark.parametrize(
@@ -227,13 +237,13 @@
 def test_a_checkout_whose_code_raises_is_reported_and_the_other_goes_on(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
     package.mkdir()
-    for name in ("interface", "state", "report", "slow_start", "control"):
-        text = (ROOT / "mapleshunt" / f"{name}.py").read_text()
-        if name == "control":
-            text = text.replace(
-                "    def arrive(self", "    def arrive(self, event):\n        1 / 0\n\n    def was(self"
-            )
-        (package / f"{name}.py").write_text(text)
+    shutil.copytree(ROOT / "mapleshunt" / "policy", package / "policy")
+    gateway = package / "policy" / "gateway.py"
+    text = gateway.read_text()
+    assert "    def arrive(self" in text
+    gateway.write_text(
+        text.replace("    def arrive(self", "    def arrive(self, event):\n        1 / 0\n\n    def was(self")
+    )
     (package / "__init__.py").write_text("")
     found = experiments.compare(
         short("quiet", 5.0), parse("here"), parse(f"path:{tmp_path}"), range(1, 4), jobs=2
@@ -259,7 +269,7 @@
     day = day_of(one.scenario(SCENARIOS["quiet"]), 1)
     assert day.figures["peer_loss"] == 0.2
     settings = day.settings()[0]
-    assert settings.mail_per_s == 10 and settings.plans["basic"].rate == 9
+    assert settings.gossip_intake_per_s == 10 and settings.plans["basic"].rate == 9
     factory, _ = load(one)
     assert sys.modules[factory.__module__].TARGET == 0.5
     assert sys.modules["mapleshunt.policy.gateway"].TARGET == 0.35
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -119,15 +119,18 @@
     [
         (lambda: Plan("p", rate=-1, burst=1), "rate must be 0 or more, not -1"),
         (lambda: Plan("p", rate=1), "burst must be above 0 with a rate"),
-        (lambda: RequestClass("c", aim=0, deadline=1), "aim must be above 0 ms"),
+        (lambda: RequestClass("c", latency_objective=0, deadline=1), "latency_objective must be above 0 ms"),
         (
-            lambda: RequestClass("c", aim=1, deadline=1, effect=ODD),
+            lambda: RequestClass("c", latency_objective=1, deadline=1, effect=ODD),
             "effect must be 'safe', 'keyed' or 'unsafe'",
         ),
-        (lambda: Settings(me=2, instances=2, classes={}, plans={}), "me must be from 0 to 1, not 2"),
         (
-            lambda: Settings(me=0, instances=1, classes={}, plans={}, mail_per_s=0),
-            "mail_per_s must be above 0",
+            lambda: Settings(gateway_index=2, gateway_count=2, classes={}, plans={}),
+            "gateway_index must be from 0 to 1, not 2",
+        ),
+        (
+            lambda: Settings(gateway_index=0, gateway_count=1, classes={}, plans={}, gossip_intake_per_s=0),
+            "gossip_intake_per_s must be above 0",
         ),
     ],
 )
@@ -139,7 +142,7 @@
 def test_readme_example_does_what_the_readme_says(capsys: pytest.CaptureFixture[str]) -> None:
     example = (ROOT / "README.md").read_text().split("```python\n")[1].split("```")[0]
     exec(compile(example, "README.md", "exec"), {})
-    assert capsys.readouterr().out.splitlines() == ["send 0", "send 1", "refuse 2"]
+    assert capsys.readouterr().out.splitlines() == ["start attempt 0", "start attempt 1", "reject 2"]
 
 
 def test_module_is_small_narrow_and_general() -> None:
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -11,20 +11,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mapleshunt import Request, Settings
+from mapleshunt import RequestReceived, Settings
 from mapleshunt.net.request.context import RequestContext, Try
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.writer import Recorder
 
 from .conftest import CLASSES, PLANS
 
-SETTINGS = Settings(me=1, instances=3, classes=CLASSES, plans=PLANS)
+SETTINGS = Settings(gateway_index=1, gateway_count=3, classes=CLASSES, plans=PLANS)
 SIZE = form.HEADER.size + 4 * form.SLOT
 
 
 def context(number: int, customer: str = "", noise: bool = False) -> RequestContext:
     name = os.urandom(400).hex() if noise else customer or f"{number:016x}"
-    request = Request(number, "look", "wide", name, 2000.0, 3.0, 2, 1, number % 5 == 0)
+    request = RequestReceived(number, "look", "wide", name, 2000.0, 3.0, 2, 1, number % 5 == 0)
     one: Any = RequestContext(number, request, None, None, 1000.0 * number)  # type: ignore[arg-type]
     one.final, one.open, one.ended = "served", False, 1000.0 * number + 90
     one.tries = [
--- a/tests/test_second_process.py
+++ b/tests/test_second_process.py
@@ -18,8 +18,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from mapleshunt import Endpoint, EndpointUpdate, Settings
 from mapleshunt import Gateway as Decisions
-from mapleshunt import Members, ServerEntry, Settings
 from mapleshunt.lifecycle import warm_state as knowledge
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.hot_restart import handover
@@ -281,8 +281,8 @@
 
 
 def decisions(now: float) -> Decisions:
-    gateway = Decisions(Settings(me=0, instances=1, classes=CLASSES, plans=PLANS), 1, now)
-    gateway.handle(now, Members("complete", tuple(ServerEntry(n) for n in range(4))))
+    gateway = Decisions(Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS), 1, now)
+    gateway.handle(now, EndpointUpdate("complete", tuple(Endpoint(n) for n in range(4))))
     return gateway
 
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -17,7 +17,7 @@
 from mapleshunt.net.maintenance import Line
 from mapleshunt.net.replication.leases import Leases
 from mapleshunt.net.replication.own_calls import CALL_TIMEOUT_S, OwnCalls
-from mapleshunt.policy.interface import Leased, Request, Settings
+from mapleshunt.policy import LeaseGranted, RequestReceived, Settings
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state import state_machine as state
 from mapleshunt.replicated_state.state_machine import Holdings
@@ -78,15 +78,15 @@
     """Stands for the driver of the decisions: it keeps the leases that it is told of."""
 
     def __init__(self) -> None:
-        self.settings = Settings(me=0, instances=1, classes={}, plans={PLAN.name: PLAN})
+        self.settings = Settings(gateway_index=0, gateway_count=1, classes={}, plans={PLAN.name: PLAN})
         self.gateway = SimpleNamespace(customers={})
-        self.asked: Callable[[Request], bool] = lambda _: False
-        self.leased: list[Leased] = []
+        self.asked: Callable[[RequestReceived], bool] = lambda _: False
+        self.leased: list[LeaseGranted] = []
 
     def now(self) -> float:
         return 1000 * time.monotonic()
 
-    def feed(self, event: Leased) -> None:
+    def feed(self, event: LeaseGranted) -> None:
         self.leased.append(event)
 
     def resume(self, ref: int) -> None:
@@ -95,7 +95,7 @@
 
 def want(leases: Leases, customer: str) -> None:
     """A request of that customer comes."""
-    leases._asked(Request(1, "look", PLAN.name, customer, 100.0))
+    leases._asked(RequestReceived(1, "look", PLAN.name, customer, 100.0))
 
 
 async def until(done: Callable[[], bool], step: Callable[[], object] = lambda: None) -> None:
@@ -138,7 +138,9 @@
             for customer in CUSTOMERS:
                 want(leases, customer)
 
-        await until(lambda: {one.customer for one in decisions.leased if one.lease} == set(CUSTOMERS), step)
+        await until(
+            lambda: {one.customer for one in decisions.leased if one.lease_id} == set(CUSTOMERS), step
+        )
         leases.close()
 
     asyncio.run(run())
@@ -165,7 +167,7 @@
         await until(lambda: bool(group.calls))
         group.answer_all()
         held = {
-            one.customer: group.holdings.stores.get(one.customer) for one in decisions.leased if one.lease
+            one.customer: group.holdings.stores.get(one.customer) for one in decisions.leased if one.lease_id
         }
         assert set(held) == {"c1"}
         assert all(store is not None and store.held for store in held.values()), held
@@ -215,7 +217,7 @@
             want(leases, "c0")
             group.answer_all()
 
-        await until(lambda: any(one.lease for one in decisions.leased), step)
+        await until(lambda: any(one.lease_id for one in decisions.leased), step)
         leases.close()
 
     asyncio.run(run())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,7 @@
 import pytest
 from tornado.iostream import IOStream, StreamClosedError
 
-from mapleshunt import Request
+from mapleshunt import RequestReceived
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.protocol import resp
 from mapleshunt.net.protocol.command_protocol import SvcMessage
@@ -22,7 +22,7 @@
 from mapleshunt.net.request.dispatch import send
 from mapleshunt.net.upstream import endpoint_group as upstream
 from mapleshunt.net.upstream.endpoint_group import Member, UpstreamGroup
-from mapleshunt.policy.interface import Status
+from mapleshunt.policy import AttemptStatus
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=4\r\n$-1\r\n"
 Steps = Callable[[UpstreamGroup, int, socket.socket], Awaitable[list[Ending]]]
@@ -55,7 +55,7 @@
 def request_at(number: int) -> tuple[RequestContext, Try]:
     answer: Answer = Silent()
     message = SvcMessage(WORDS, {"c": "look", "d": "480", "r": "1"})
-    context = RequestContext(1, Request(1, "look", "wide", "c", 480), message, answer, 0.0)
+    context = RequestContext(1, RequestReceived(1, "look", "wide", "c", 480), message, answer, 0.0)
     return context, Try(0, number, 0.0, 480.0)
 
 
@@ -142,7 +142,7 @@
         await asyncio.sleep(0)  # it dials
         early.give_up("cancelled")
         endings = [await task]
-        statuses: tuple[Status, ...] = ("cancelled", "timeout")
+        statuses: tuple[AttemptStatus, ...] = ("cancelled", "timeout")
         for status in statuses:
             late, task = attempt_at(group, number)
             server = await accept(listener)
