--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -20,7 +20,7 @@
 from tornado.iostream import IOStream
 
 from .invariants import Guard, broken_by_starting
-from .lifecycle.lifecycle import Drainer, Life
+from .lifecycle.lifecycle import DrainRequester, Lifecycle
 from .net import log
 from .net.backoff import TOLD, Backoff
 from .net.client import connection as client
@@ -29,17 +29,17 @@
 from .net.counters import Counters
 from .net.discovery.watcher import Discovery, MemberList, member_list
 from .net.gossip_transport import Peers
-from .net.periodic import Periodic
-from .net.policy_driver import Driver
+from .net.periodic import PeriodicTask
+from .net.policy_driver import PolicyDriver
 from .net.protocol import resp
-from .net.startup import StartSteps
+from .net.startup import StartupSteps
 from .net.upstream.endpoint_group import UpstreamGroup
 from .policy import GossipReceived, UpdateKind
 
 if TYPE_CHECKING:
     from .extensions import Extensions
-    from .net.admin.endpoint import Door, Reply
-    from .net.hot_restart.takeover import Succession
+    from .net.admin.endpoint import AdminEndpoint, AdminResponse
+    from .net.hot_restart.takeover import Takeover
 
 BEGAN = time.monotonic()  # s: when this program was imported
 FIRST_WAIT = 0.002  # s that the loop waits, with all made ready, before the gateway listens
@@ -74,26 +74,26 @@
         self.usable = max(16, self.sockets - kept)
         self.group = UpstreamGroup(self.counters, config.dial_timeout, config.conn_idle / 3, 0)
         self.share(1)
-        self.driver = Driver(config.settings, config.seed, self.group, self.counters)
+        self.driver = PolicyDriver(config.settings, config.seed, self.group, self.counters)
         self.service = client.Service(self.driver, self.counters, config.seed, config.max_open)
         self.service.ready = self.ready
         self.chance = random.Random(config.seed)
-        self.tending = Periodic(self.tend, TEND_EVERY, self.counters.add)
+        self.tending = PeriodicTask(self.tend, TEND_EVERY, self.counters.add)
         self.watching: asyncio.Task[None] | None = None
         self.revision: int | None = None  # of the list known
         self.last_told = -math.inf  # s, on the loop's clock: when discovery last answered
         self.told_early: list[int] = []  # SIGHUPs since before the configuration was read
         self.peers: Peers | None = None
         self.stopped = asyncio.Event()
-        self.life = Life()
+        self.life = Lifecycle()
         self.listeners: list[socket.socket] = []
         self.acceptors: list[Acceptor] = []
         self.accepting = False
         # A client that does not read may make the gateway hold this much: no more than a part of its memory.
         self.most_unwritten = min(client.MAX_UNWRITTEN_BYTES, max(4 * resp.MAX_VALUE, config.memory // 64))
         self.service.ended = self.resume_accepting
-        self.door: Door | None = None
-        self.succession: Succession | None = None
+        self.door: AdminEndpoint | None = None
+        self.succession: Takeover | None = None
         self.extensions: Extensions | None = None
         self.last_try_to_hear = -math.inf
 
@@ -111,11 +111,11 @@
 
     def told(self, found: MemberList) -> None:
         kind: UpdateKind = "complete" if found.complete else "partial"
-        self.driver.feed(self.group.update(kind, found.members, self.age))
+        self.driver.apply_event(self.group.update(kind, found.members, self.age))
         self.revision = found.revision
         self.last_told = self.time()
         if found.complete or found.members:
-            log.say("members", kind=kind, revision=found.revision, entries=len(found.members))
+            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.members))
 
     def age(self, started: float) -> float:
         """For how many ms a server that the list names now, and did not name before, has been up at most.
@@ -127,7 +127,7 @@
 
     def print_counters(self) -> None:
         self.counters.print(
-            open=len(self.driver.open),
+            open=len(self.driver.open_requests),
             client_connections_now=len(self.service.connections),
             server_connections_now=len(self.group.connections),
             **self.driver.gateway.figures(self.driver.now()),
@@ -140,7 +140,7 @@
         waited = max(one.longest_wait() for one in self.acceptors)
         self.service.serve(IOStream(connection, max_write_buffer_size=self.most_unwritten), waited)
         if not self.room() and not self.service.evict_idle():
-            log.say("accepting_paused", client_connections=len(self.service.connections))
+            log.log_event("accepting_paused", client_connections=len(self.service.connections))
             self.stop_accepting()
         if not self.room():
             self.service.close_lingering(LINGERERS)
@@ -163,11 +163,11 @@
         if seconds > HELD_UP_S:
             self.counters.add("loop_held_up")
             self.counters.trace.add("process", "loop_held_up", f"{1000 * seconds:.0f} ms")
-            log.say("loop_held_up", ms=1000 * seconds)
+            log.log_event("loop_held_up", ms=1000 * seconds)
 
     def resume_accepting(self) -> None:
         if not self.accepting and self.life.accepts(self.time()) and self.room():
-            log.say("accepting_resumed", client_connections=len(self.service.connections))
+            log.log_event("accepting_resumed", client_connections=len(self.service.connections))
             self.start_accepting()
 
     def start_accepting(self) -> None:
@@ -185,15 +185,15 @@
         try:
             if self.config.known is not None:
                 known = member_list(self.config.known)
-                self.driver.feed(self.group.update("persisted", known.members, self.driver.now.age))
+                self.driver.apply_event(self.group.update("persisted", known.members, self.driver.now.age))
                 self.revision = known.revision if known.members else None
-            steps = StartSteps(self.counters)
+            steps = StartupSteps(self.counters)
             await self._open_sockets(steps)
             await steps.run("operators", self.load_extensions)
         except (ValueError, OSError) as error:
             raise ConfigError(f"cannot start: {error}") from None
 
-    async def _open_sockets(self, steps: StartSteps) -> None:
+    async def _open_sockets(self, steps: StartupSteps) -> None:
         config = self.config
         if config.accept_fd is not None:
             await steps.run("handover", self._join_succession)
@@ -214,16 +214,16 @@
         ]
 
     def _join_succession(self) -> None:
-        from .net.hot_restart.takeover import Succession
+        from .net.hot_restart.takeover import Takeover
 
         folder = Path(tempfile.gettempdir())
-        self.succession = Succession(folder, self.config.name, self.driver, self.counters)
+        self.succession = Takeover(folder, self.config.name, self.driver, self.counters)
 
     def _open_door(self) -> None:
-        from .net.admin.endpoint import Door
+        from .net.admin.endpoint import AdminEndpoint
 
         assert self.config.management is not None
-        self.door = Door(self.config.management, self.called, self.counters)
+        self.door = AdminEndpoint(self.config.management, self.called, self.counters)
 
     def listener(self) -> socket.socket:
         if self.config.accept_fd is not None:  # the platform's, which other processes have too
@@ -242,7 +242,7 @@
             self.peers = Peers(
                 config.peer_listen, config.peers, config.peers_all, self.heard, self.counters, shared
             )
-            self.driver.tell = self.peers.tell
+            self.driver.send_gossip = self.peers.tell
 
     def hear_if_possible(self) -> None:
         """A process of a version that does not share the address may still have it: try again later."""
@@ -253,7 +253,7 @@
             try:
                 self.hear()
             except OSError as error:
-                log.say("peers_not_heard", why=error)
+                log.log_event("peers_not_heard", why=error)
 
     def listen(self) -> None:
         """Take connections, which are refused until now."""
@@ -270,34 +270,38 @@
         if self.door is not None:
             self.door.open()
         listen = text_of(self.config.listen)
-        log.say("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
+        log.log_event("started", name=self.config.name, listen=listen, servers=len(self.group.servers))
 
-    def called(self, method: str, path: str) -> Reply:
+    def called(self, method: str, path: str) -> AdminResponse:
         """What the operators' door answers."""
-        from .net.admin.endpoint import Reply
+        from .net.admin.endpoint import AdminResponse
 
         match method, path:
             case "GET", "/_ready":
-                return Reply(200, "yes\n") if self.life.takes() else Reply(503, "no\n")
+                return AdminResponse(200, "yes\n") if self.life.takes() else AdminResponse(503, "no\n")
             case "POST", "/_lameduck/on":
-                self.drain(Drainer.OPERATORS)
-                return Reply(200, "drained\n") if self.life.phase == "drained" else Reply(503, "no\n")
+                self.drain(DrainRequester.OPERATORS)
+                return (
+                    AdminResponse(200, "drained\n")
+                    if self.life.phase == "drained"
+                    else AdminResponse(503, "no\n")
+                )
             case "POST", "/_lameduck/off":
-                self.work_again(Drainer.OPERATORS)
-                return Reply(200, "working\n") if self.life.takes() else Reply(503, "no\n")
+                self.work_again(DrainRequester.OPERATORS)
+                return AdminResponse(200, "working\n") if self.life.takes() else AdminResponse(503, "no\n")
             case "GET", "/_vars":
-                return Reply(200, self.figures())
-        return Reply(404, "no such call\n")
+                return AdminResponse(200, self.figures())
+        return AdminResponse(404, "no such call\n")
 
-    def drain(self, drainer: Drainer) -> None:
+    def drain(self, drainer: DrainRequester) -> None:
         self._told("drained", self.life.drain(self.time(), drainer))
 
-    def work_again(self, drainer: Drainer) -> None:
+    def work_again(self, drainer: DrainRequester) -> None:
         self._told("back_to_work", self.life.resume(self.time(), drainer))
 
     def held(self) -> tuple[int, int, bool]:
         """Requests that are owed an answer, client connections, and whether it takes no clients."""
-        return len(self.driver.open), len(self.service.connections), not self.life.takes()
+        return len(self.driver.open_requests), len(self.service.connections), not self.life.takes()
 
     def load(self) -> float:
         """The part of this gateway's slots at its servers that tries hold."""
@@ -307,7 +311,9 @@
     def _told(self, event: str, changed: bool) -> None:
         if changed:
             self.counters.trace.add("process", event)
-            log.say(event, open=len(self.driver.open), client_connections=len(self.service.connections))
+            log.log_event(
+                event, open=len(self.driver.open_requests), client_connections=len(self.service.connections)
+            )
         self.tend()
         self.keep_tending()
 
@@ -324,7 +330,7 @@
             self.tend()
         except Exception:
             self.counters.add("exceptions")
-            log.trouble("tend_exception")
+            log.log_exception("tend_exception")
 
     def tend(self) -> None:
         """Do what the gateway's state asks for."""
@@ -341,7 +347,7 @@
         return asyncio.get_running_loop().time()
 
     def figures(self) -> str:
-        from .lifecycle import figures
+        from .lifecycle import statistics as figures
 
         listed, now = self.group.servers.values(), self.driver.now()
         known = self.driver.gateway.servers
@@ -349,7 +355,11 @@
             one.member.state != "ready" or (number in known and known[number].barred > now)
             for number, one in self.group.servers.items()
         )
-        gauges = {"pending": len(self.driver.open), "members": len(listed), "members_unavailable": avoided}
+        gauges = {
+            "pending": len(self.driver.open_requests),
+            "members": len(listed),
+            "members_unavailable": avoided,
+        }
         return figures.text_of(self.config.settings.classes, self.counters.classes, gauges)
 
     def load_extensions(self) -> None:
@@ -360,11 +370,11 @@
             return
         try:
             from .extensions import Extensions
-            from .net.maintenance import Hands
+            from .net.maintenance import GatewayControls
 
-            hands = Hands(
-                lambda: self.drain(Drainer.MAINTENANCE),
-                lambda: self.work_again(Drainer.MAINTENANCE),
+            hands = GatewayControls(
+                lambda: self.drain(DrainRequester.MAINTENANCE),
+                lambda: self.work_again(DrainRequester.MAINTENANCE),
                 self.held,
                 self.load,
             )
@@ -386,7 +396,7 @@
         """It goes on until it is cancelled: whatever else ended it is told, and it begins anew."""
         if not task.cancelled() and task is self.watching:
             self.counters.add("exceptions")
-            log.say("watch_ended", why=repr(task.exception()))
+            log.log_event("watch_ended", why=repr(task.exception()))
             asyncio.get_running_loop().call_later(WATCH_AGAIN, self._watch_again, task)
 
     def _watch_again(self, ended: asyncio.Task[None]) -> None:
@@ -402,15 +412,15 @@
         try:
             config = reload()
         except ConfigUnreadable as error:
-            log.say("reload_retried", why=error)
+            log.log_event("reload_retried", why=error)
             asyncio.get_running_loop().call_later(RELOAD_RETRY_DELAY, self.reload)
             return
         except ConfigError as error:
             self.counters.add("reloads_failed")
-            log.say("reload_failed", why=error)
+            log.log_event("reload_failed", why=error)
             return
         self.counters.add("reloads")
-        log.say("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
+        log.log_event("reloaded", discovery=text_of(config.discovery), counter=text_of(config.counter))
         if config.discovery != self.config.discovery:
             self.revision = None  # another agent may count otherwise
         self.config = config
@@ -429,9 +439,9 @@
         loop.add_signal_handler(signal.SIGUSR1, self.print_counters)
         loop.add_signal_handler(signal.SIGQUIT, self.counters.trace.log_all)
         sweeps = [
-            Periodic(self.group.sweep, SERVER_SWEEP_EVERY, self.counters.add),
-            Periodic(self.sweep_clients, CLIENT_SWEEP_EVERY, self.counters.add, self.loop_late),
-            Periodic(self.print_counters, COUNTERS_EVERY, self.counters.add),
+            PeriodicTask(self.group.sweep, SERVER_SWEEP_EVERY, self.counters.add),
+            PeriodicTask(self.sweep_clients, CLIENT_SWEEP_EVERY, self.counters.add, self.loop_late),
+            PeriodicTask(self.print_counters, COUNTERS_EVERY, self.counters.add),
         ]
         for sweep in sweeps:
             sweep.start()
@@ -466,7 +476,7 @@
         self.life.leave(self.time(), succeeded)
         self.service.ends = self.life.last_answer(longest)
         self.counters.trace.add("process", "stopping")
-        log.say("stopping", open=len(self.driver.open), succeeded=succeeded)
+        log.log_event("stopping", open=len(self.driver.open_requests), succeeded=succeeded)
         while self.life.accepts(self.time()):
             await asyncio.sleep(0.01)
         self._tend_contained()
@@ -482,16 +492,16 @@
         self.keep_tending()
         try:
             async with asyncio.timeout(longest + LATE):
-                while self.service.connections or self.driver.open:
+                while self.service.connections or self.driver.open_requests:
                     await asyncio.sleep(0.01)
         except TimeoutError:  # a client that does not read must not hold up the restart
             left = len(self.service.connections)
-            log.say("stopped_late", open=len(self.driver.open), client_connections=left)
+            log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
             for connection in list(self.service.connections):
                 connection.end("stopped")
 
     def heard(self, peer: int, text: str) -> None:
-        self.driver.feed(GossipReceived(peer, text))
+        self.driver.apply_event(GossipReceived(peer, text))
 
 
 def descriptors() -> int:
@@ -520,7 +530,7 @@
 
 def daemon() -> int:
     """Run the gateway until it is told to end; its exit status."""
-    log.set_up()
+    log.configure()
     told_early: list[int] = []
     # Until the loop has it, SIGHUP would end the program. Up to here it is ignored: the deploy file's `run`.
     signal.signal(signal.SIGHUP, lambda number, _frame: told_early.append(number))
--- a/mapleshunt/net/request/route.py
+++ b/mapleshunt/net/request/route.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 from ...policy import StartAttempt
-from .context import RequestContext, Try
+from .context import Attempt, RequestContext
 
 
-def route(context: RequestContext, action: StartAttempt, now: float) -> Try:
-    until = min(now + action.timeout, context.due) if action.timeout else context.due
-    number = len(context.tries)
-    attempt = Try(number=number, server=action.endpoint, sent=now, until=until, before=action.send_before)
-    context.tries.append(attempt)
+def route(context: RequestContext, action: StartAttempt, now: float) -> Attempt:
+    until = min(now + action.timeout, context.deadline) if action.timeout else context.deadline
+    number = len(context.attempts)
+    attempt = Attempt(
+        number=number, server=action.endpoint, sent_at=now, deadline=until, send_before=action.send_before
+    )
+    context.attempts.append(attempt)
     return attempt
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -10,20 +10,20 @@
 
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import ReadBuffer, TooLong
-from ..simulation.day import Rules
-from ..simulation.record import AskRecord, Final, TryRecord
+from ..simulation.day import RuleLimits
+from ..simulation.records import ClientAttempt, ClientResult, RequestRecord
 from .backends import HOST
 
 if TYPE_CHECKING:
-    from .fleet import Fleet
+    from .fleet import LoopbackFleet
 
 IDLE = 1.5  # s for which a client uses a connection again
 
 
-class Link:
+class ClientConnection:
     """A client connection, one request at a time."""
 
-    def __init__(self, fleet: Fleet, gateway: int) -> None:
+    def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
         self.stream = IOStream(socket.socket())
         self.buffer = ReadBuffer(resp.MAX_MESSAGE)
         self.fleet, self.gateway = fleet, gateway
@@ -54,16 +54,16 @@
         return False
 
 
-class Clients:
+class SocketClients:
     """All clients of a day, behind the front."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: LoopbackFleet) -> None:
         self.fleet = fleet
-        self.idle: list[list[Link]] = [[] for _ in fleet.gateways]
+        self.idle: list[list[ClientConnection]] = [[] for _ in fleet.gateways]
         self.tasks: set[asyncio.Task[None]] = set()
         self.wrong_values = self.strange = 0
 
-    def _go(self, record: AskRecord, number: int) -> None:
+    def _go(self, record: RequestRecord, number: int) -> None:
         task = asyncio.get_running_loop().create_task(self._try(record, number))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -79,26 +79,26 @@
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
-    def _link(self, gateway: int) -> Link:
+    def _link(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             link = pool.pop()
             if now - link.at < IDLE and not link.stream.closed():
                 return link
             link.stream.close()
-        return Link(self.fleet, gateway)
+        return ClientConnection(self.fleet, gateway)
 
     def drop(self, gateway: int) -> None:
         for link in self.idle[gateway]:
             link.stream.close()
         self.idle[gateway] = []
 
-    async def _try(self, record: AskRecord, number: int) -> None:
+    async def _try(self, record: RequestRecord, number: int) -> None:
         fleet, clock = self.fleet, self.fleet.clock
         one = fleet.new_try(record, number)
         if one is None:
             return
-        name = f"{fleet.mark + one.ref:016x}"
+        name = f"{fleet.request_id_base + one.ref:016x}"
         fleet.by_id[name] = (one, record)
         told, wait = await self._send(one, name)
         pause = fleet.client_told(record, one, told, wait)
@@ -108,7 +108,7 @@
             self.tasks.add(task := asyncio.get_running_loop().create_task(asyncio.sleep((pause + 5) / 1000)))
             task.add_done_callback(self.tasks.discard)
 
-    async def _send(self, one: TryRecord, name: str) -> tuple[Final, float]:
+    async def _send(self, one: ClientAttempt, name: str) -> tuple[ClientResult, float]:
         """Send a try and wait for its end as its client sees it, and the advised wait.
 
         By the protocol its patience counts from the sending: for how long the connection came up is nothing
@@ -116,7 +116,7 @@
         that stands still for some ms is no gateway that does not answer; such an answer earns nothing.
         """
         fleet = self.fleet
-        command, longer = fleet.command(one, name), fleet.day.rules.answer_slack - Rules().answer_slack
+        command, longer = fleet.command(one, name), fleet.day.rules.answer_slack - RuleLimits().answer_slack
         for last in (False, True):
             link = self._link(one.gateway)
             try:
@@ -132,7 +132,7 @@
                     reply = await link.ask(command)
             except TimeoutError:
                 link.stream.close()
-                fleet.late.append(one)
+                fleet.timed_out.append(one)
                 return "late", 0.0
             except StreamClosedError:
                 link.stream.close()
@@ -153,7 +153,7 @@
             return (told, wait) if one.answered - one.sent <= one.patience else ("late", 0.0)
         return "failed", 0.0
 
-    def _read(self, one: TryRecord, name: str, reply: resp.Reply) -> tuple[Final, float]:
+    def _read(self, one: ClientAttempt, name: str, reply: resp.Reply) -> tuple[ClientResult, float]:
         fleet, now = self.fleet, self.fleet.clock.now()
         one.answered = now
         if isinstance(reply, memoryview):
