--- a/benchmarks/cold_servers.py
+++ b/benchmarks/cold_servers.py
@@ -19,7 +19,7 @@
 from mapleshunt import (
     Action,
     AttemptEnded,
-    Endpoint,
+    EndpointInfo,
     EndpointUpdate,
     Event,
     Gateway,
@@ -71,7 +71,7 @@
         overload_crash_after=case.window,
         overload_crash_multiple=case.multiple,
     )
-    entries = tuple(Endpoint(n + 1, cell=n) for n in range(SERVERS - 1))
+    entries = tuple(EndpointInfo(n + 1, cell=n) for n in range(SERVERS - 1))
     gateways = [Gateway(settings, chance.getrandbits(32), 0.0) for _ in range(case.instances)]
     order, refs, sent = itertools.count(), itertools.count(), list[float]()
     agenda: list[tuple[float, int, int, Event]] = []
@@ -101,7 +101,7 @@
     while agenda and agenda[0][0] < WARM_UP + COLD:
         now, _, number, event = heapq.heappop(agenda)
         if not born and now >= WARM_UP:
-            born, cold = 1, Endpoint(0, cell=99, started=WARM_UP)
+            born, cold = 1, EndpointInfo(0, cell=99, started=WARM_UP)
             for n in range(case.instances):
                 if case.restarted:
                     gateways[n] = Gateway(settings, chance.getrandbits(32), now)
--- a/mapleshunt/policy/events.py
+++ b/mapleshunt/policy/events.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Endpoint:
+class EndpointInfo:
     """An endpoint as the endpoint list has it.
 
     Attributes:
@@ -50,7 +50,7 @@
     """A watch event of the endpoint list."""
 
     kind: UpdateKind
-    endpoints: tuple[Endpoint, ...] = ()
+    endpoints: tuple[EndpointInfo, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -135,7 +135,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LeaseGranted:
+class QuotaLeaseGranted:
     """Units of a customer's quota that may be used here until `expires_at`, and no others meanwhile.
 
     Lease 0 has no units; it says that the replicas answer.
@@ -156,5 +156,5 @@
     | ClientDisconnected
     | TimerFired
     | GossipReceived
-    | LeaseGranted
+    | QuotaLeaseGranted
 )
--- a/mapleshunt/policy/gateway.py
+++ b/mapleshunt/policy/gateway.py
@@ -24,7 +24,7 @@
     EndpointUpdate,
     Event,
     GossipReceived,
-    LeaseGranted,
+    QuotaLeaseGranted,
     RequestReceived,
     ResponseStarted,
     TimerFired,
@@ -104,7 +104,7 @@
                 self.discover(event)
             case ClientDisconnected(ref) if ref in self.jobs:
                 self.close(self.jobs[ref])
-            case LeaseGranted(name, plan, number, units, until):
+            case QuotaLeaseGranted(name, plan, number, units, until):
                 self.record(tag_of(name), self.plans.index(plan)).lease(number, units, until, now)
             case ResponseStarted(ref) if ref in self.jobs:
                 self.jobs[ref].streaming = True
--- a/mapleshunt/policy/state.py
+++ b/mapleshunt/policy/state.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from .actions import Action
-from .events import NEVER_RAN, AttemptStatus, Endpoint, EndpointUpdate
+from .events import NEVER_RAN, AttemptStatus, EndpointInfo, EndpointUpdate
 from .gossip_codec import Line, server_tag
 from .settings import Plan, RequestClass
 
@@ -144,7 +144,7 @@
 
 @dataclass(slots=True)
 class Server:
-    entry: Endpoint
+    entry: EndpointInfo
     since: float  # its start on this host's clock, 0 for long ago
     answered: float  # its last answer
     pace: float  # smoothed answer time over the class's aim
@@ -209,12 +209,12 @@
                     del self.customers[tag]
             self.swept = len(self.customers)
 
-    def merge(self, event: EndpointUpdate) -> list[Endpoint]:
+    def merge(self, event: EndpointUpdate) -> list[EndpointInfo]:
         """Bring the servers' entries up to a list; those that are new or have started anew are returned."""
         listed, new = {entry.endpoint for entry in event.endpoints}, []
         for number, server in self.servers.items():
             if event.kind != "partial" and number not in listed:
-                server.entry = Endpoint(number, server.entry.zone, server.entry.cell, "gone")
+                server.entry = EndpointInfo(number, server.entry.zone, server.entry.cell, "gone")
         for entry in event.endpoints:
             known = self.servers.get(entry.endpoint)
             if known is None or entry.started > known.started:
--- a/mapleshunt/simulation/checkouts.py
+++ b/mapleshunt/simulation/checkouts.py
@@ -28,14 +28,14 @@
     "ClientDisconnected": "ClientGone",
     "TimerFired": "Timer",
     "GossipReceived": "PeerMessage",
-    "LeaseGranted": "Leased",
+    "QuotaLeaseGranted": "Leased",
     "StartAttempt": "Send",
     "RejectRequest": "Refuse",
     "FailRequest": "Fail",
     "CancelAttempt": "Cancel",
     "SendGossip": "Tell",
     "WatchEndpoints": "Watch",
-    "Endpoint": "ServerEntry",
+    "EndpointInfo": "ServerEntry",
 }
 # Former names of fields, by type and by the names of now; the others kept theirs.
 SETTINGS: Mapping[str, str] = {
@@ -66,7 +66,7 @@
         "priority_weight": "worth",
     },
     "Plan": {"max_open_requests": "open_limit"},
-    "Endpoint": {"endpoint": "server"},
+    "EndpointInfo": {"endpoint": "server"},
     "EndpointUpdate": {"endpoints": "entries"},
     "RequestReceived": {
         "request_id": "ref",
@@ -79,7 +79,7 @@
     "ResponseStarted": {"request_id": "ref", "endpoint": "server"},
     "AttemptEnded": {"request_id": "ref", "request_completed": "closed", "endpoint": "server"},
     "ClientDisconnected": {"request_id": "ref"},
-    "LeaseGranted": {"lease_id": "lease", "expires_at": "until"},
+    "QuotaLeaseGranted": {"lease_id": "lease", "expires_at": "until"},
     "StartAttempt": {"request_id": "ref", "endpoint": "server", "send_before": "before"},
     "RejectRequest": {"request_id": "ref", "retry_after": "wait", "reason": "why"},
     "FailRequest": {"request_id": "ref"},
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -114,7 +114,7 @@
         self._feed(number, self.words.EndpointUpdate("persisted", rows))
 
     def _row(self, entry: EndpointEntry) -> Any:
-        return self.words.Endpoint(
+        return self.words.EndpointInfo(
             entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started
         )
 
--- a/mapleshunt/simulation/policies.py
+++ b/mapleshunt/simulation/policies.py
@@ -16,7 +16,7 @@
 from ..policy import (
     AttemptEnded,
     ClientDisconnected,
-    Endpoint,
+    EndpointInfo,
     EndpointUpdate,
     FailRequest,
     RejectRequest,
@@ -46,7 +46,7 @@
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.set, self.random, self.now = settings, random.Random(seed), now
-        self.ready: dict[int, Endpoint] = {}
+        self.ready: dict[int, EndpointInfo] = {}
         self.held: dict[int, PendingRequest] = {}
         self.actions: list[Any] = []
 
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -10,7 +10,8 @@
 import msgspec
 
 from ..replicated_state import commands as w
-from ..replicated_state.state_machine import Frozen, Holdings
+from ..replicated_state.results import Applied, Denied, LeaseGranted, Result
+from ..replicated_state.state_machine import ReplicatedState, StateSnapshot
 from ..replication import messages as m
 from ..replication.messages import gateway_of
 from ..replication.node import Node
@@ -30,7 +31,7 @@
 
 
 class StateMachinePlay(ReplicaGroupPlay):
-    holdings: type[Holdings] = Holdings
+    holdings: type[ReplicatedState] = ReplicatedState
 
     def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = Node) -> None:
         super().__init__(seed, copies, spare, make)
@@ -56,7 +57,7 @@
             return
         event.result, event.ended = result, self.now
         self.open.pop(event.session, None)
-        if isinstance(result, w.Granted) and isinstance(event.operation, w.Lease):
+        if isinstance(result, LeaseGranted) and isinstance(event.operation, w.AcquireLease):
             self.leases.append((event.operation.customer, result.lease, result.units))
 
     def operation(self) -> w.Operation:
@@ -64,10 +65,10 @@
         kind = chance.choice(["lease", "lease", "count", "return"])
         if kind == "return" and self.leases:
             whose, lease, units = self.leases.pop(0)
-            return w.Return(whose, lease, chance.uniform(0.0, units))
+            return w.ReturnLease(whose, lease, chance.uniform(0.0, units))
         if kind == "lease":
-            return w.Lease(customer, RATE, BURST, chance.choice([1.0, 5.0, 12.0]), 1.0, TERM)
-        return w.Count(customer, float(chance.randint(1, 9)))
+            return w.AcquireLease(customer, RATE, BURST, chance.choice([1.0, 5.0, 12.0]), 1.0, TERM)
+        return w.CountUsage(customer, float(chance.randint(1, 9)))
 
     def call(self) -> None:
         """One session asks, anew if it waits; through any copy that is up."""
@@ -78,7 +79,9 @@
             if self.quiet:
                 return
             number = self.numbers[session] = self.numbers[session] + 1
-            event = HistoryEvent(session, number, w.Open() if number == 1 else self.operation(), self.now)
+            event = HistoryEvent(
+                session, number, w.OpenSession() if number == 1 else self.operation(), self.now
+            )
             self.open[session] = event
             self.history.append(event)
         self.ask(event)
@@ -91,7 +94,7 @@
         if alive:
             self.next_call += 1
             self.by_call[self.next_call] = event
-            data = w.ENCODE(w.Command(event.session, event.number, event.number, event.operation))
+            data = w.encode(w.Command(event.session, event.number, event.number, event.operation))
             self.calls[self.next_call] = {"data": data, "known": 0}
             self.step(self.random.choice(leaders or alive).copy, m.Propose(self.next_call, data))
         self.at(self.now + AGAIN, lambda: self.ask(event))
@@ -112,10 +115,10 @@
 # Planted faults
 
 
-class Forgetful(Holdings):
+class Forgetful(ReplicatedState):
     """A snapshot leaves the sessions' answers out."""
 
-    def freeze(self) -> Frozen:
+    def freeze(self) -> StateSnapshot:
         whole = super().freeze()
         bare = [(name, msgspec.structs.replace(one, results=())) for name, one in whole.sessions]
         return msgspec.structs.replace(whole, sessions=bare)
@@ -134,16 +137,16 @@
         return max(self.last_stamp(), 1000 * now + ahead)
 
 
-class NoSessions(Holdings):
+class NoSessions(ReplicatedState):
     """An operation that comes again is done again."""
 
-    def apply(self, stamp: float, data: bytes) -> w.Result:
+    def apply(self, stamp: float, data: bytes) -> Result:
         try:
-            command = w.DECODE(data)
+            command = w.decode_command(data)
         except msgspec.DecodeError:
-            return w.Denied("order")
-        if isinstance(command.operation, w.Open):
-            return w.Done()
+            return Denied("order")
+        if isinstance(command.operation, w.OpenSession):
+            return Applied()
         return self._do(stamp, command.session, command.operation)
 
 
--- a/mapleshunt/simulator_adapter.py
+++ b/mapleshunt/simulator_adapter.py
@@ -13,7 +13,7 @@
     AttemptStatus,
     CancelAttempt,
     ClientDisconnected,
-    Endpoint,
+    EndpointInfo,
     EndpointState,
     EndpointUpdate,
     Event,
@@ -37,9 +37,9 @@
     """A line that the wire does not allow."""
 
 
-def entry_of(row: list[Any]) -> Endpoint:
+def entry_of(row: list[Any]) -> EndpointInfo:
     server, zone, _kind, cell, mode, _size, started = row[:7]
-    return Endpoint(
+    return EndpointInfo(
         endpoint=int(server),
         zone=zone or "",
         cell=cell or 0,
@@ -78,7 +78,7 @@
         self.out = out
         self.now = 0.0
         self.gateways: dict[int, Gateway] = {}
-        self.banks: dict[int, tuple[Endpoint, ...]] = {}
+        self.banks: dict[int, tuple[EndpointInfo, ...]] = {}
         self.reply: list[list[Any]] = []
 
     def line(self, message: list[Any]) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 from mapleshunt import (
     Action,
     AttemptEnded,
-    Endpoint,
+    EndpointInfo,
     EndpointUpdate,
     Event,
     Gateway,
@@ -68,7 +68,7 @@
         self.all: list[Action] = []
         self.timers: list[float] = []
         self.take(self.gateway.start())
-        rows = tuple(Endpoint(n, zone=f"z{n % 2}", cell=n % 2) for n in range(servers))
+        rows = tuple(EndpointInfo(n, zone=f"z{n % 2}", cell=n % 2) for n in range(servers))
         self.feed(EndpointUpdate("persisted", rows))
 
     def take(self, actions: list[Action]) -> list[Action]:
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks.cold_servers import Case, worst
-from mapleshunt import Endpoint, EndpointUpdate
+from mapleshunt import EndpointInfo, EndpointUpdate
 from mapleshunt.net.policy_driver import UnixClock
 
 from .conftest import Driver
@@ -47,7 +47,7 @@
     driver.now = clock()
     for moved in (0.0, step):  # the clock of whoever told the start was stepped too, or was not
         started = clock() + moved
-        entry = Endpoint(9, started=started, age=clock.age(started))
+        entry = EndpointInfo(9, started=started, age=clock.age(started))
         driver.feed(EndpointUpdate("partial", (entry,)))
         server = driver.gateway.servers[9]
         driver.now += 1.0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -12,7 +12,7 @@
     AttemptEnded,
     CancelAttempt,
     ClientDisconnected,
-    Endpoint,
+    EndpointInfo,
     EndpointUpdate,
     FailRequest,
     GossipReceived,
@@ -137,13 +137,13 @@
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_draining_or_gone_server_gets_nothing(driver: Driver, state: str) -> None:
-    gone = tuple(Endpoint(n, state=state) for n in (0, 1, 2))  # type: ignore[arg-type]
+    gone = tuple(EndpointInfo(n, state=state) for n in (0, 1, 2))  # type: ignore[arg-type]
     driver.feed(EndpointUpdate("partial", gone))
     assert {a.endpoint for _ in range(8) for a in sends(driver.ask())} == {3}
 
 
 def test_server_missing_from_a_complete_list_is_gone(driver: Driver) -> None:
-    driver.feed(EndpointUpdate("complete", (Endpoint(2),)))
+    driver.feed(EndpointUpdate("complete", (EndpointInfo(2),)))
     assert {a.endpoint for _ in range(5) for a in sends(driver.ask())} == {2}
 
 
@@ -152,7 +152,7 @@
 
 def test_cold_server_gets_its_part_of_warm_work() -> None:
     driver = Driver(slow_start_min_capacity=0.2, slow_start_duration=20000, overload_crash_after=1000)
-    driver.feed(EndpointUpdate("partial", (Endpoint(9, started=driver.now),)))
+    driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
     count = dict.fromkeys((0, 1, 2, 3, 9), 0)
     for _ in range(100):
         out = [send for _ in range(8) for send in sends(driver.ask())]
@@ -165,7 +165,7 @@
 
 def test_cold_server_gets_nothing_at_once_even_in_a_rush() -> None:
     driver = Driver(slow_start_min_capacity=0.2, slow_start_duration=20000)
-    driver.feed(EndpointUpdate("partial", (Endpoint(9, started=driver.now),)))
+    driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
     assert 9 not in {a.endpoint for _ in range(20) for a in sends(driver.ask())}
 
 
@@ -594,7 +594,7 @@
     for seed in range(100):
         driver = Driver(servers=3, gateway_count=300, slow_start_min_capacity=0.2, slow_start_duration=20000)
         driver.gateway.random.seed(seed)
-        driver.feed(EndpointUpdate("partial", (Endpoint(9, started=driver.now),)))
+        driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
         for _ in range(2):
             for send in sends(driver.ask()):
                 first += send.endpoint == 9
@@ -614,7 +614,7 @@
         driver.gateway.random.seed(seed)
         for tick in range(-100, 60):  # ten requests a second for ten seconds, then six with a cold server
             if tick == 0:
-                driver.feed(EndpointUpdate("partial", (Endpoint(9, started=driver.now),)))
+                driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
             for send in sends(driver.ask()):
                 if tick >= 0:
                     cold[tick // 10] += send.endpoint == 9
@@ -653,7 +653,7 @@
     driver = Driver(servers=1)
     (send,) = sends(driver.ask())
     for number in range(1, 40):
-        driver.feed(EndpointUpdate("partial", (Endpoint(number - 1, state="gone"), Endpoint(number))))
+        driver.feed(EndpointUpdate("partial", (EndpointInfo(number - 1, state="gone"), EndpointInfo(number))))
     assert set(driver.gateway.servers) == {0, 39}
     driver.answer(send)
     driver.feed(EndpointUpdate("partial", ()))
