--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -13,7 +13,7 @@
 from ...replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from ...replicated_state.results import Applied, Denied, Result, decode_result
 from ...replication import wire
-from ...replication.placement import group_of
+from ...replication.placement import group_of_customer
 from .. import log
 from ..counters import Counters
 from ..periodic import PeriodicTask
@@ -79,7 +79,7 @@
         self.hint = ""
         one.call = copies.call(self.group, one.command, to, lambda reply: self._replied(number, reply))
 
-    def _replied(self, number: int, reply: wire.Reply) -> None:
+    def _replied(self, number: int, reply: wire.ClientResponse) -> None:
         one = self.operations.get(number)
         if one is None:
             return
@@ -224,7 +224,7 @@
                         QuotaLeaseGranted(action.customer, plan, action.lease, action.units, action.until)
                     )
             else:
-                group = group_of(action.customer, self.copies.section.groups)
+                group = group_of_customer(action.customer, self.copies.section.groups)
                 if group not in self.sessions:
                     self.sessions[group] = Session(self, group)
                 self.sessions[group].do(action)
