--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -8,7 +8,22 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..policy import interface as i
+from ..policy import (
+    Action,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
+    Event,
+    FailRequest,
+    RejectRequest,
+    RequestReceived,
+    SendGossip,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+    WatchEndpoints,
+)
 from ..policy.gateway import Gateway
 from . import log
 from .clock import UnixClock
@@ -39,7 +54,7 @@
     action, is counted, logged and contained: it harms its own request at most.
     """
 
-    def __init__(self, settings: i.Settings, seed: int, group: EndpointGroup, counters: Counters) -> None:
+    def __init__(self, settings: Settings, seed: int, group: EndpointGroup, counters: Counters) -> None:
         """Start the policy. Needs a running event loop."""
         self.settings, self.group, self.counters = settings, group, counters
         self.trace = counters.trace
@@ -49,15 +64,15 @@
         self.open_requests: dict[int, RequestContext] = {}  # those that await a response, by their number
         # By the request's number and the attempt's.
         self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}
-        self.pending_events: deque[i.Event] = deque()
+        self.pending_events: deque[Event] = deque()
         self.applying = False
         # Sends a message to a gateway by its number, -1 for all.
         self.send_gossip: Callable[[int, str], None] = _drop_gossip
         # Called with a request whose response is sent and whose attempts have ended.
         self.on_request_released: Callable[[RequestContext], None] | None = None
-        self.on_first_attempt: Callable[[i.Request], None] | None = None
+        self.on_first_attempt: Callable[[RequestReceived], None] | None = None
         # Called with each request before the policy is; True keeps it from the policy until `resume`.
-        self.delay_admission: Callable[[i.Request], bool] | None = None
+        self.delay_admission: Callable[[RequestReceived], bool] | None = None
         self.guards = AttemptGuards(
             settings, group, counters, self.now, lambda number: self.gateway.servers.get(number)
         )
@@ -68,7 +83,7 @@
     def submit(self, context: RequestContext) -> None:
         """Take over a request, which gets its response before its deadline whatever goes wrong."""
         self.open_requests[context.request_id] = context
-        self.trace.add(context.client_request_id, "taken", context.request.cls)
+        self.trace.add(context.client_request_id, "taken", context.request.request_class)
         left = context.deadline - RESPONSE_GUARD_MS - self.now()
         context.deadline_timer = self.loop.call_later(left / 1000, self._fail_overdue, context)
         if self.delay_admission is None or not self.delay_admission(context.request):
@@ -79,7 +94,7 @@
         context = self.open_requests.get(request_id)
         if context is not None:
             time_left = max(0.0, context.deadline - self.now())
-            self.apply_event(replace(context.request, patience=time_left))
+            self.apply_event(replace(context.request, remaining_time=time_left))
 
     def client_disconnected(self, context: RequestContext) -> None:
         """Release a request whose client has disconnected: it gets no response."""
@@ -88,7 +103,7 @@
             self.trace.add(context.client_request_id, "client_gone")
             self._log_request("client_gone", context)
             # Removed as the event is handled: what the policy decided before comes first.
-            self.apply_event(i.ClientGone(context.request_id))
+            self.apply_event(ClientDisconnected(context.request_id))
             self.release(context)
 
     def remove(self, context: RequestContext) -> None:
@@ -108,7 +123,7 @@
             self.counters.add("exceptions")
             log.log_exception("record_exception", ref=context.request_id)
 
-    def apply_event(self, event: i.Event) -> None:
+    def apply_event(self, event: Event) -> None:
         """Hand an event to the policy and execute its actions.
 
         Events that these lead to, in calls of this method meanwhile, follow in their order.
@@ -123,17 +138,17 @@
         finally:
             self.applying = False
 
-    def _handle(self, event: i.Event) -> None:
-        if isinstance(event, i.ClientGone):
-            self.open_requests.pop(event.ref, None)
+    def _handle(self, event: Event) -> None:
+        if isinstance(event, ClientDisconnected):
+            self.open_requests.pop(event.request_id, None)
         try:
             actions = self.gateway.handle(self.now(), event)
         except Exception:
             # One bad event must not end the program: its request fails, the others go on.
             self.counters.add("exceptions")
             log.log_exception("decision_exception", kind=type(event).__name__)
-            if isinstance(event, i.Request | i.Outcome):
-                self._fail_undecided(event.ref)
+            if isinstance(event, RequestReceived | AttemptEnded):
+                self._fail_undecided(event.request_id)
             return
         self._execute(actions)
 
@@ -151,7 +166,7 @@
             self._log_request("guard_answer", context)
             self.remove(context)
             respond.fail(context, self.counters)
-            self.apply_event(i.ClientGone(context.request_id))
+            self.apply_event(ClientDisconnected(context.request_id))
             self.release(context)
 
     def _log_request(self, event: str, context: RequestContext) -> None:
@@ -163,15 +178,15 @@
         log.log_event(
             event,
             id=context.client_request_id,
-            cls=context.request.cls,
-            patience=context.request.patience,
+            cls=context.request.request_class,
+            patience=context.request.remaining_time,
             after=now - context.received_at,
             tries=attempts,
         )
 
     # Actions
 
-    def _execute(self, actions: list[i.Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             try:
                 self._execute_action(action)
@@ -179,30 +194,30 @@
                 self.counters.add("exceptions")
                 log.log_exception("action_exception", kind=type(action).__name__)
 
-    def _execute_action(self, action: i.Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self._start_attempt(action)
-            case i.Refuse():
+            case RejectRequest():
                 self._reject(action)
-            case i.Fail(request_id):
+            case FailRequest(request_id):
                 self._fail(request_id)
-            case i.Cancel(request_id, number):
+            case CancelAttempt(request_id, number):
                 if attempt := self.attempts_in_flight.get((request_id, number)):
                     attempt.cancel(AttemptStatus.CANCELLED)
-            case i.SetTimer(at, token):
+            case SetTimer(at, token):
                 self._set_timer(at, token)
-            case i.Tell(peer, data):
+            case SendGossip(peer, data):
                 self.send_gossip(peer, data)
-            case i.Watch():
+            case WatchEndpoints():
                 pass  # discovery is always watched
 
-    def _reject(self, action: i.Refuse) -> None:
-        context = self.open_requests.pop(action.ref, None)
+    def _reject(self, action: RejectRequest) -> None:
+        context = self.open_requests.pop(action.request_id, None)
         if context is not None:
-            self.counters.add(f"rejected_{action.why}")
-            self.trace.add(context.client_request_id, "refused", action.why)
-            respond.reject(context, action.wait, self.counters)
+            self.counters.add(f"rejected_{action.reason}")
+            self.trace.add(context.client_request_id, "refused", action.reason)
+            respond.reject(context, action.retry_after, self.counters)
             self.release(context)
 
     def _fail(self, request_id: int) -> None:
@@ -223,12 +238,12 @@
         if self.now() < at:
             self._set_timer(at, token)
         else:
-            self.apply_event(i.Timer(token))
+            self.apply_event(TimerFired(token))
 
     # Attempts
 
-    def _start_attempt(self, action: i.Send) -> None:
-        context = self.open_requests.get(action.ref)
+    def _start_attempt(self, action: StartAttempt) -> None:
+        context = self.open_requests.get(action.request_id)
         if context is None:
             self.counters.add("sends_too_late")
             return
@@ -268,4 +283,4 @@
             self.trace.add(context.client_request_id, "served", f"attempt {attempt.number}")
             respond.serve(context, result.value, self.counters)
             self.remove(context)
-        self.apply_event(record(context, attempt, result, self.now(), self.settings.largest))
+        self.apply_event(record(context, attempt, result, self.now(), self.settings.max_request_units))
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ...policy import interface as i
+from ...policy import RequestReceived
 from ..messages import RequestMessage, ResponseSink
 from ..reasons import AttemptStatus, RequestResult, UpstreamCloseReason
 
@@ -54,7 +54,7 @@
     """One request from its admission until its response is sent and its attempts have ended."""
 
     request_id: int  # unique in this process; the policy knows the request by it
-    request: i.Request
+    request: RequestReceived
     message: RequestMessage
     response_sink: ResponseSink
     received_at: float  # ms on the driver's clock
@@ -70,7 +70,7 @@
     @property
     def deadline(self) -> float:
         """Return when its client stops waiting, in ms on the driver's clock."""
-        return self.received_at + self.request.patience
+        return self.received_at + self.request.remaining_time
 
     def claim_response(self) -> bool:
         """Claim the right to send the final response; False if that has been done."""
--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -73,7 +73,7 @@
         before_write(context, attempt, connection, timeout_ms)
         result = await connection.exchange(
             context.message.encode(int(timeout_ms)),
-            lambda: group.counters.add_for_class("upstream_requests", context.request.cls),
+            lambda: group.counters.add_for_class("upstream_requests", context.request.request_class),
             timeout_ms * REPLY_TIME_PART / 1000,
         )
     except NoConnectionAvailableError:
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -8,8 +8,7 @@
 
 from ... import invariants
 from ...invariants import Guard
-from ...policy import interface as i
-from ...policy import slow_start
+from ...policy import Settings, events, slow_start
 from ...policy.state import Server
 from .. import log
 from ..counters import Counters
@@ -23,7 +22,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         group: EndpointGroup,
         counters: Counters,
         now: Callable[[], float],
@@ -84,10 +83,12 @@
     def _check_retry(self, context: RequestContext, attempt: Attempt, now: float) -> None:
         earlier = [
             # The literals of the invariants are the values of AttemptStatus.
-            invariants.EarlierAttempt(one.sent_at, cast(i.Status | None, one.status), one.zone, one.cell)
+            invariants.EarlierAttempt(
+                one.sent_at, cast(events.AttemptStatus | None, one.status), one.zone, one.cell
+            )
             for one in context.attempts[: attempt.number]
         ]
         facts = invariants.RepeatFacts(now, attempt.zone, attempt.cell, earlier)
-        cls = self.settings.classes[context.request.cls]
+        cls = self.settings.classes[context.request.request_class]
         broken = invariants.broken_by_repeating(facts, cls, self.settings)
         self.trace.report_violations(Guard.REPEAT, broken, context.client_request_id)
--- a/mapleshunt/net/request/parse.py
+++ b/mapleshunt/net/request/parse.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...policy import interface as i
+from ...policy import RequestClass, RequestReceived, Settings
 from ..messages import ParsedRequest, ResponseSink
 from .context import RequestContext
 
@@ -14,7 +14,7 @@
 def parse(
     parsed: ParsedRequest,
     response_sink: ResponseSink,
-    settings: i.Settings,
+    settings: Settings,
     request_id: int,
     now: float,
     open_client_ids: set[str],
@@ -40,16 +40,16 @@
     _check(parsed, cls, settings)
     if parsed.request_id in open_client_ids:
         raise UnacceptableRequestError("a request of this id is open")
-    request = i.Request(
-        ref=request_id,
-        cls=parsed.cls,
+    request = RequestReceived(
+        request_id=request_id,
+        request_class=parsed.cls,
         plan=parsed.plan,
         customer=parsed.customer,
-        patience=parsed.timeout_ms,
+        remaining_time=parsed.timeout_ms,
         units=parsed.units,
-        spread=parsed.spread,
-        first=parsed.first,
-        retry=parsed.is_retry,
+        gateway_set_size=parsed.spread,
+        gateway_set_offset=parsed.first,
+        is_retry=parsed.is_retry,
     )
     open_client_ids.add(parsed.request_id)
     return RequestContext(
@@ -57,7 +57,7 @@
     )
 
 
-def _check(parsed: ParsedRequest, cls: i.RequestClass, settings: i.Settings) -> None:
+def _check(parsed: ParsedRequest, cls: RequestClass, settings: Settings) -> None:
     """Raise UnacceptableRequestError for what an endpoint would reject, or close its connection on."""
     if parsed.plan not in settings.plans:
         raise UnacceptableRequestError("unknown plan")
@@ -65,7 +65,7 @@
         raise UnacceptableRequestError("this class goes by the other command")
     if cls.effect == "keyed" and not parsed.has_idempotency_key:
         raise UnacceptableRequestError("this class needs a key")
-    if not 0 < parsed.units <= settings.largest:
+    if not 0 < parsed.units <= settings.max_request_units:
         raise UnacceptableRequestError("units are out of range")
-    if not (1 <= parsed.spread <= settings.instances and 0 <= parsed.first < settings.instances):
+    if not (1 <= parsed.spread <= settings.gateway_count and 0 <= parsed.first < settings.gateway_count):
         raise UnacceptableRequestError("the customer's set is out of range")
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -4,14 +4,14 @@
 
 from typing import cast
 
-from ...policy import interface as i
+from ...policy import AttemptEnded, events
 from ..messages import AttemptResult
 from .context import Attempt, RequestContext
 
 
 def record(
     context: RequestContext, attempt: Attempt, result: AttemptResult, now: float, max_units: float
-) -> i.Outcome:
+) -> AttemptEnded:
     """Note the result on the attempt and return the policy's event.
 
     Args:
@@ -24,12 +24,14 @@
     attempt.status = result.status
     attempt.latency_ms = now - attempt.sent_at
     attempt.cost = result.cost if result.cost <= max_units else 0.0
-    return i.Outcome(
-        ref=context.request_id,
-        status=cast(i.Status, result.status),  # the policy's literals are the values of AttemptStatus
-        closed=not context.awaiting_response,
+    return AttemptEnded(
+        request_id=context.request_id,
+        status=cast(
+            events.AttemptStatus, result.status
+        ),  # the policy's literals are the values of AttemptStatus
+        request_completed=not context.awaiting_response,
         attempt=attempt.number,
-        server=attempt.server,
+        endpoint=attempt.server,
         latency=attempt.latency_ms,
         cost=attempt.cost,
     )
--- a/mapleshunt/net/request/respond.py
+++ b/mapleshunt/net/request/respond.py
@@ -12,7 +12,7 @@
     if context.claim_response():
         context.final_result = RequestResult.SERVED
         counters.add("answers_served")
-        counters.add_for_class("completed", context.request.cls)
+        counters.add_for_class("completed", context.request.request_class)
         context.response_sink.serve(value)
 
 
@@ -21,7 +21,7 @@
     if context.claim_response():
         context.final_result = RequestResult.REJECTED
         counters.add("answers_rejected")
-        counters.add_for_class("rejected", context.request.cls)
+        counters.add_for_class("rejected", context.request.request_class)
         context.response_sink.reject(retry_after_ms)
 
 
@@ -30,5 +30,5 @@
     if context.claim_response():
         context.final_result = RequestResult.FAILED
         counters.add("answers_failed")
-        counters.add_for_class("failed", context.request.cls)
+        counters.add_for_class("failed", context.request.request_class)
         context.response_sink.fail()
--- a/mapleshunt/net/request/route.py
+++ b/mapleshunt/net/request/route.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from ...policy import interface as i
+from ...policy import StartAttempt
 from .context import Attempt, RequestContext
 
 
-def route(context: RequestContext, action: i.Send, now: float) -> Attempt:
+def route(context: RequestContext, action: StartAttempt, now: float) -> Attempt:
     """Add the attempt that the action asks for to its request. `now` is ms on the driver's clock."""
     deadline = min(now + action.timeout, context.deadline) if action.timeout else context.deadline
     attempt = Attempt(
         number=len(context.attempts),
-        server=action.server,
+        server=action.endpoint,
         sent_at=now,
         deadline=deadline,
-        send_before=action.before,
+        send_before=action.send_before,
     )
     context.attempts.append(attempt)
     return attempt
--- a/mapleshunt/net/upstream/endpoint.py
+++ b/mapleshunt/net/upstream/endpoint.py
@@ -5,7 +5,7 @@
 import zlib
 from dataclasses import dataclass
 
-from ...policy import interface as i
+from ...policy import EndpointState
 from ..config import Address
 
 
@@ -17,7 +17,7 @@
     address: Address
     zone: str
     cell: int
-    state: i.ServerState
+    state: EndpointState
     started_at_ms: float  # Unix time; 0 for long ago
 
     @property
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from ...policy import interface as i
+from ...policy import EndpointInfo, EndpointUpdate, UpdateKind
 from ..counters import Counters
 from ..reasons import UpstreamCloseReason
 from .connection import EndpointPool, UpstreamConnection
@@ -44,10 +44,10 @@
 
     def apply_endpoint_list(
         self,
-        kind: i.ListKind,
+        kind: UpdateKind,
         endpoints: Sequence[Endpoint],
         age: Callable[[float], float | None] = _unknown_age,
-    ) -> i.Members:
+    ) -> EndpointUpdate:
         """Apply a list or a change of it, and return the policy's event.
 
         Args:
@@ -63,14 +63,12 @@
                 _close_idle(pool, UpstreamCloseReason.ENDPOINT_REPLACED)
         self._remove_gone(kind, endpoints)
         entries = tuple(
-            i.ServerEntry(
-                one.number, one.zone, one.cell, one.state, one.started_at_ms, age(one.started_at_ms)
-            )
+            EndpointInfo(one.number, one.zone, one.cell, one.state, one.started_at_ms, age(one.started_at_ms))
             for one in endpoints
         )
-        return i.Members(kind, entries)
+        return EndpointUpdate(kind, entries)
 
-    def _remove_gone(self, kind: i.ListKind, endpoints: Sequence[Endpoint]) -> None:
+    def _remove_gone(self, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """Forget endpoints that are gone: new ones come under new ids all day."""
         listed = {endpoint.number for endpoint in endpoints}
         for number, pool in list(self.pools.items()):
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -14,7 +14,7 @@
 from ..replicated_state.state_machine import ReplicatedState, StateSnapshot
 from ..replication import messages as m
 from ..replication.messages import gateway_of
-from ..replication.node import Node
+from ..replication.node import RaftNode
 from .history_checker import HistoryEvent, find_violations
 from .replication_plays import (
     InvariantViolationError,
@@ -33,7 +33,7 @@
 class StateMachinePlay(ReplicaGroupPlay):
     holdings: type[ReplicatedState] = ReplicatedState
 
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = Node) -> None:
+    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = RaftNode) -> None:
         super().__init__(seed, copies, spare, make)
         self.history: list[HistoryEvent] = []
         self.open: dict[str, HistoryEvent] = {}  # what each session waits for
@@ -128,7 +128,7 @@
     holdings = Forgetful
 
 
-class JumpedClock(Node):
+class JumpedClock(RaftNode):
     """Entries are stamped by a wall clock, which jumps ahead at one copy in two now and then."""
 
     def _stamp(self, now: float) -> float:
@@ -154,14 +154,14 @@
     holdings = NoSessions
 
 
-PLANTS: dict[str, tuple[type[StateMachinePlay], type[Node]]] = {
-    "SnapshotWithoutSessions": (SnapshotWithoutSessions, Node),
-    "DoneAgain": (DoneAgain, Node),
+PLANTS: dict[str, tuple[type[StateMachinePlay], type[RaftNode]]] = {
+    "SnapshotWithoutSessions": (SnapshotWithoutSessions, RaftNode),
+    "DoneAgain": (DoneAgain, RaftNode),
     "JumpedClock": (StateMachinePlay, JumpedClock),
 }
 
 
 def play(seed: int, plant: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    kind, make = PLANTS.get(plant, (StateMachinePlay, Node))
+    kind, make = PLANTS.get(plant, (StateMachinePlay, RaftNode))
     return run_play(kind, seed, make)
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -32,13 +32,17 @@
     async def open(cls, where: Address, fleet: str) -> ReplicaConnection:
         reader, writer = await asyncio.open_connection(*where)
         line = cls(reader, writer)
-        writer.write(wire.encode(wire.Hello(fleet, wire.LOWEST, wire.HIGHEST, "client", "", 0, {}, 0)))
-        await line.next(wire.Hello)
+        writer.write(
+            wire.encode_frame(
+                wire.Handshake(fleet, wire.MIN_VERSION, wire.MAX_VERSION, "client", "", 0, {}, 0)
+            )
+        )
+        await line.next(wire.Handshake)
         return line
 
     async def next(self, kind: type[Any]) -> Any:
         while True:
-            while found := wire.parse(self.data, 0, len(self.data)):
+            while found := wire.decode_frame(self.data, 0, len(self.data)):
                 self.data = self.data[found[1] :]
                 if isinstance(found[0], kind):
                     return found[0]
@@ -53,14 +57,14 @@
 
 async def query_operator_port(
     where: Address, fleet: str, what: str, group: int = -1, copy: str = ""
-) -> wire.Reply | None:
+) -> wire.ClientResponse | None:
     """An operator's question; None if nobody answers."""
-    with contextlib.suppress(OSError, TimeoutError, wire.Strange):
+    with contextlib.suppress(OSError, TimeoutError, wire.ProtocolError):
         async with asyncio.timeout(REPLY_TIMEOUT_S):
             line = await ReplicaConnection.open(where, fleet)
             try:
-                line.writer.write(wire.encode(wire.Ask(1, what, group, copy)))
-                reply: wire.Reply = await line.next(wire.Reply)
+                line.writer.write(wire.encode_frame(wire.AdminRequest(1, what, group, copy)))
+                reply: wire.ClientResponse = await line.next(wire.ClientResponse)
                 return reply
             finally:
                 line.close()
@@ -95,17 +99,17 @@
         self.at = chance.choice(list(gateways))
         self.repeats = 0
 
-    async def _once(self, call: wire.Call) -> wire.Reply | None:
+    async def _once(self, call: wire.ClientRequest) -> wire.ClientResponse | None:
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_S):
                 if self.line is None:
                     self.line = await ReplicaConnection.open(self.gateways[self.at], self.fleet)
-                self.line.writer.write(wire.encode(call))
+                self.line.writer.write(wire.encode_frame(call))
                 while True:
-                    reply: wire.Reply = await self.line.next(wire.Reply)
+                    reply: wire.ClientResponse = await self.line.next(wire.ClientResponse)
                     if reply.number == call.number:
                         return reply
-        except (OSError, TimeoutError, wire.Strange):
+        except (OSError, TimeoutError, wire.ProtocolError):
             self._leave()
             return None
 
@@ -115,7 +119,7 @@
         self.line = None
         self.at = self.chance.choice(list(self.gateways))
 
-    async def _until(self, make: Callable[[int], wire.Call]) -> bytes:
+    async def _until(self, make: Callable[[int], wire.ClientRequest]) -> bytes:
         """Call until it is done: the same operation by the same number, wherever it goes."""
         number = 0
         while True:
@@ -138,7 +142,7 @@
         data = words.encode(command)
         event = HistoryEvent(self.name, mine, operation, self.now())
         self.history.append(event)
-        result = decode_result(await self._until(lambda n: wire.Call(n, self.group, data)))
+        result = decode_result(await self._until(lambda n: wire.ClientRequest(n, self.group, data)))
         event.result, event.ended = result, self.now()
         return result
 
@@ -147,7 +151,7 @@
         self.number += 1
         event = HistoryEvent(self.name, self.number, f"{kind} {name}", self.now())
         self.history.append(event)
-        data = await self._until(lambda n: wire.Call(n, self.group, read=f"{kind} {name}"))
+        data = await self._until(lambda n: wire.ClientRequest(n, self.group, read=f"{kind} {name}"))
         found = msgspec.msgpack.decode(data, type=type or (TokenBucket if kind == "store" else Record) | None)
         event.result, event.ended = found, self.now()
         return found
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,7 @@
 import pytest
 from tornado.iostream import IOStream, StreamClosedError
 
-from mapleshunt import Request
+from mapleshunt import RequestReceived
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.messages import AttemptResult, ResponseSink
 from mapleshunt.net.protocol import resp
@@ -59,7 +59,7 @@
 def request_at(number: int) -> tuple[RequestContext, Attempt]:
     answer: ResponseSink = Silent()
     message = CommandMessage(WORDS, {"c": "look", "d": "480", "r": "1"})
-    context = RequestContext(1, Request(1, "look", "wide", "c", 480), message, answer, 0.0)
+    context = RequestContext(1, RequestReceived(1, "look", "wide", "c", 480), message, answer, 0.0)
     return context, Attempt(0, number, 0.0, 480.0)
 
 
