--- a/mapleshunt/policy/gossip_codec.py
+++ b/mapleshunt/policy/gossip_codec.py
@@ -1,7 +1,12 @@
-"""The text that gateways tell each other: packed base-64 digits with a checksum. No decisions."""
+"""The text of gossip between gateways: packed base-64 digits with a checksum.
+
+A message is the sender's latency ratio, the number of entries, the entries, words on endpoints (which the
+protocol calls so), and a checksum. No I/O and no decisions.
+"""
 
 from __future__ import annotations
 
+import enum
 import math
 import zlib
 from collections.abc import Sequence
@@ -9,53 +14,93 @@
 
 DIGITS = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 VALUES = {digit: value for value, digit in enumerate(DIGITS)}
-PARTS = 8  # steps of a unit
-NUMBERS = 64**3  # requests that ask are numbered up to here and round again
-KINDS = "note", "ask", "granted", "denied", "level", "used"
-SILENT = math.inf
-PACES = [0.005 * math.exp2(step / 6) for step in range(63)] + [SILENT]
-WIDTH, WORD, FRAME = 13, 5, 5  # digits of a line, of a word on a server, of pace, count and checksum
+UNIT_STEPS = 8  # steps of a unit that amounts are rounded to
+UNIT_OFFSET = 2048  # added to the steps, so that amounts below 0 have digits too
+MAX_UNIT_STEPS = 4095  # largest value of two digits
+REQUEST_NUMBERS = 64**3  # requests that ask are numbered up to here and round again
+SILENT = math.inf  # in place of an endpoint's latency ratio: it does not answer
+RATIOS = [0.005 * math.exp2(step / 6) for step in range(63)] + [SILENT]
+# Digits of an entry, of an endpoint's ratio, and of the message's own ratio, count and checksum.
+ENTRY_DIGITS, ENDPOINT_DIGITS, FRAME_DIGITS = 13, 5, 5
+CHECKSUM_DIGITS = 3
+# Endpoints that a message says something of at most.
+MAX_ENDPOINT_RATIOS = 2
 
 
-@dataclass(slots=True, frozen=True)
-class Line:
-    """One customer: what a member asks or notes ("used" wants no answer), or its keeper grants or denies."""
+class EntryKind(enum.StrEnum):
+    """What an entry says. The order is that of the digits on the wire."""
+
+    NOTE = "note"  # a member has used units; the owner answers with the level
+    ASK = "ask"  # a member asks for units
+    GRANTED = "granted"  # an owner grants what was asked for
+    DENIED = "denied"  # an owner denies it
+    LEVEL = "level"  # an owner tells the bucket's level
+    USED = "used"  # a member has used units and wants no answer
+
 
-    kind: str
-    tag: int
-    number: int = 0  # of the request
-    units: float = 0.0  # asked for, or used since the last note (below 0: given back)
-    left: float = 1.0  # part of the store left, as the sender sees it
-    code: int = 0  # a member's plan, plus plans times n if one in 2^n asks; a reply's use by all, in steps
+KINDS = tuple(EntryKind)
+
+
+@dataclass(slots=True, frozen=True)
+class GossipEntry:
+    """What a message says of one customer.
+
+    Attributes:
+        kind: What it says.
+        customer_tag: The customer, by the tag of its name.
+        request_number: The request that asks.
+        units: Units asked for, or used since the last note (below 0: given back).
+        bucket_left: Part of the customer's bucket that is left, as the sender sees it.
+        code: A member's plan, plus the number of plans times n if one request in 2^n asks; in an owner's
+            reply the recent use by all, in steps of `encode_use`.
+    """
+
+    kind: EntryKind
+    customer_tag: int
+    request_number: int = 0
+    units: float = 0.0
+    bucket_left: float = 1.0
+    code: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
-    pace: float
-    lines: tuple[Line, ...] = ()
-    words: tuple[tuple[int, float], ...] = ()  # servers by tag: the pace of an answer, or SILENT
+class GossipMessage:
+    """A message as it was read.
+
+    Attributes:
+        latency_ratio: The sender's mean latency over the objective.
+        entries: What it says of customers.
+        endpoint_ratios: Endpoint tags with the latency ratio of an answer, or `SILENT`.
+    """
+
+    latency_ratio: float
+    entries: tuple[GossipEntry, ...] = ()
+    endpoint_ratios: tuple[tuple[int, float], ...] = ()
 
 
 def tag_of(customer: str) -> int:
+    """Return the tag of a customer's name."""
     return zlib.crc32(customer.encode()) % 64**5
 
 
-def server_tag(server: int) -> int:
-    return server % 64**4
+def endpoint_tag(endpoint: int) -> int:
+    """Return the tag of an endpoint's number."""
+    return endpoint % 64**4
 
 
-def code_of(share: float) -> int:
-    """Use of late, in stores, on a scale that grows with it."""
+def encode_use(share: float) -> int:
+    """Return the code of a recent use, in bursts, on a scale that grows with it."""
     return min(63, round(8 * math.log2(1 + 8 * max(0.0, share))))
 
 
-def share_of(code: int) -> float:
+def decode_use(code: int) -> float:
+    """Return the recent use, in bursts, of a code."""
     return (math.exp2(code / 8) - 1) / 8
 
 
-def room(message_bytes: int) -> int:
-    """Lines that fit in a message, with words on two servers."""
-    return (message_bytes - FRAME - 2 * WORD) // WIDTH
+def max_entries(message_bytes: int) -> int:
+    """Return how many entries fit in a message beside the endpoints' ratios."""
+    return (message_bytes - FRAME_DIGITS - MAX_ENDPOINT_RATIOS * ENDPOINT_DIGITS) // ENTRY_DIGITS
 
 
 def _pack(value: int, width: int) -> str:
@@ -69,42 +114,54 @@
     return value
 
 
-def _pace(pace: float) -> str:
-    return DIGITS[63 if pace == SILENT else min(62, max(0, round(6 * math.log2(max(pace, 1e-6) / PACES[0]))))]
-
-
-def encode(pace: float, lines: Sequence[Line] = (), words: Sequence[tuple[int, float]] = ()) -> str:
-    text = _pace(pace) + DIGITS[len(lines)]
-    for line in lines:
-        units = min(4095, max(0, round(line.units * PARTS) + 2048))
-        left = min(63, max(0, math.ceil(63 * line.left)))
-        text += DIGITS[KINDS.index(line.kind)] + _pack(line.tag, 5) + _pack(line.number, 3)
-        text += _pack(units, 2) + DIGITS[left] + DIGITS[min(63, max(0, line.code))]
-    for server, told in words:
-        text += _pack(server, 4) + _pace(told)
-    return text + _pack(zlib.crc32(text.encode()), 3)
-
-
-def decode(data: str) -> Report | None:
-    """What a peer told; None for anything that is not whole and well formed."""
-    text = data[:-3]
+def _ratio_digit(ratio: float) -> str:
+    if ratio == SILENT:
+        return DIGITS[63]
+    return DIGITS[min(62, max(0, round(6 * math.log2(max(ratio, 1e-6) / RATIOS[0]))))]
+
+
+def encode(
+    latency_ratio: float,
+    entries: Sequence[GossipEntry] = (),
+    endpoint_ratios: Sequence[tuple[int, float]] = (),
+) -> str:
+    """Return the text of a message."""
+    text = _ratio_digit(latency_ratio) + DIGITS[len(entries)]
+    for entry in entries:
+        units = min(MAX_UNIT_STEPS, max(0, round(entry.units * UNIT_STEPS) + UNIT_OFFSET))
+        left = min(63, max(0, math.ceil(63 * entry.bucket_left)))
+        text += DIGITS[KINDS.index(entry.kind)] + _pack(entry.customer_tag, 5)
+        text += _pack(entry.request_number, 3)
+        text += _pack(units, 2) + DIGITS[left] + DIGITS[min(63, max(0, entry.code))]
+    for tag, ratio in endpoint_ratios:
+        text += _pack(tag, 4) + _ratio_digit(ratio)
+    return text + _pack(zlib.crc32(text.encode()), CHECKSUM_DIGITS)
+
+
+def decode(data: str) -> GossipMessage | None:
+    """Return a message; None for anything that is not complete and well formed."""
+    text = data[:-CHECKSUM_DIGITS]
     if len(text) < 2 or any(char not in VALUES for char in text):
         return None
-    end = 2 + WIDTH * VALUES[text[1]]
-    if _pack(zlib.crc32(text.encode()), 3) != data[-3:] or len(text) < end or (len(text) - end) % WORD:
+    end = 2 + ENTRY_DIGITS * VALUES[text[1]]
+    if _pack(zlib.crc32(text.encode()), CHECKSUM_DIGITS) != data[-CHECKSUM_DIGITS:]:
+        return None
+    if len(text) < end or (len(text) - end) % ENDPOINT_DIGITS:
         return None
-    lines = []
-    for at in range(2, end, WIDTH):
-        row = text[at : at + WIDTH]
-        lines.append(
-            Line(
-                KINDS[VALUES[row[0]] % len(KINDS)],
-                _unpack(row[1:6]),
-                _unpack(row[6:9]),
-                (_unpack(row[9:11]) - 2048) / PARTS,
-                VALUES[row[11]] / 63,
-                VALUES[row[12]],
-            )
-        )
-    words = [(_unpack(text[at : at + 4]), PACES[VALUES[text[at + 4]]]) for at in range(end, len(text), WORD)]
-    return Report(min(PACES[62], PACES[VALUES[text[0]]]), tuple(lines), tuple(words))
+    entries = [_decode_entry(text[at : at + ENTRY_DIGITS]) for at in range(2, end, ENTRY_DIGITS)]
+    ratios = [
+        (_unpack(text[at : at + 4]), RATIOS[VALUES[text[at + 4]]])
+        for at in range(end, len(text), ENDPOINT_DIGITS)
+    ]
+    return GossipMessage(min(RATIOS[62], RATIOS[VALUES[text[0]]]), tuple(entries), tuple(ratios))
+
+
+def _decode_entry(row: str) -> GossipEntry:
+    return GossipEntry(
+        KINDS[VALUES[row[0]] % len(KINDS)],
+        _unpack(row[1:6]),
+        _unpack(row[6:9]),
+        (_unpack(row[9:11]) - UNIT_OFFSET) / UNIT_STEPS,
+        VALUES[row[11]] / 63,
+        VALUES[row[12]],
+    )
--- a/mapleshunt/policy/slow_start.py
+++ b/mapleshunt/policy/slow_start.py
@@ -1,30 +1,66 @@
-"""Slow start: how much of its full capacity a server that has just started is sure to have, and may be sent.
+"""Slow start: how much of its full capacity an endpoint that has just started is sure to have, and may be sent.
 
-No I/O and no clock. All gateways send to the same server, so each sends its part of what warm servers answer.
+All gateways send to the same endpoint, so each sends its part of what warm endpoints answer.
 """
 
 from __future__ import annotations
 
+from .endpoints import Endpoint, EndpointTable
+from .exponential_decay import ExponentialDecay
 from .settings import Settings
-from .state import Server
 
-# Times the server's part of full capacity that it is sent, or what it bears by the settings over this: most
-# servers warm sooner than the settings promise.
-OVERSEND = 1.5
+# Times the endpoint's part of full capacity that it is sent, or what it bears by the settings over this: most
+# endpoints warm up sooner than the settings promise.
+SLOW_START_OVERSEND = 1.5
+# Over how many parts of the slow start's duration, and at least how many ms, answers are counted.
+ANSWER_SPAN_PARTS = 4
+MIN_ANSWER_SPAN_MS = 1000.0
 
 
-def capacity(server: Server, settings: Settings, now: float) -> float:
-    """The part of its full capacity that the server is sure to have now: 1 once it is warm."""
-    if not server.since:
-        return 1.0
-    age = max(0.0, now - server.since) / max(settings.slow_start_duration, 1.0)
-    return min(1.0, settings.slow_start_min_capacity + (1 - settings.slow_start_min_capacity) * age)
+class SlowStart:
+    """What endpoints that are warming up may be sent.
 
-
-def may_send(server: Server, settings: Settings, now: float, warm_rate: float) -> bool:
-    """Has the server's allowance room for one more attempt? `warm_rate`: attempts a ms that a warm server
-    answers. First allowances are drawn at random, because what counts is the sum over all gateways.
+    Attributes:
+        warm_answers: Recent answers of one warm endpoint.
     """
-    part = capacity(server, settings, now)
-    server.allowance.rate = min(OVERSEND, settings.overload_crash_multiple / OVERSEND) * part * warm_rate
-    return part >= 1 or server.allowance.fill(now) >= 1
+
+    __slots__ = ("_endpoints", "_settings", "warm_answers")
+
+    def __init__(self, settings: Settings, endpoints: EndpointTable, now: float) -> None:
+        self._settings, self._endpoints = settings, endpoints
+        self.warm_answers = ExponentialDecay(answer_span(settings), 0.0, now)
+
+    def capacity(self, endpoint: Endpoint, now: float) -> float:
+        """Return the part of its full capacity that the endpoint is sure to have now: 1 once it is warm."""
+        if not endpoint.up_since:
+            return 1.0
+        settings = self._settings
+        age = max(0.0, now - endpoint.up_since) / max(settings.slow_start_duration, 1.0)
+        first = settings.slow_start_min_capacity
+        return min(1.0, first + (1 - first) * age)
+
+    def may_send(self, endpoint: Endpoint, now: float) -> bool:
+        """Return whether the endpoint's allowance has room for one more attempt.
+
+        First allowances are drawn at random, because what counts is the sum over all gateways.
+        """
+        part = self.capacity(endpoint, now)
+        multiple = min(SLOW_START_OVERSEND, self._settings.overload_crash_multiple / SLOW_START_OVERSEND)
+        endpoint.allowance.rate = multiple * part * self.warm_answers.rate(now)
+        return part >= 1 or endpoint.allowance.refill(now) >= 1
+
+    def record_sent(self, endpoint: Endpoint, now: float) -> None:
+        """Take an attempt off the allowance of an endpoint that is warming up."""
+        if self.capacity(endpoint, now) < 1:
+            endpoint.allowance.level -= 1
+
+    def record_answer(self, endpoint: Endpoint, now: float) -> None:
+        """Count an answer of a warm endpoint, as one of all warm ones."""
+        if self.capacity(endpoint, now) >= 1:
+            warm = sum([self.capacity(one, now) >= 1 for one in self._endpoints.ready])
+            self.warm_answers.add(now, 1 / max(1, warm))
+
+
+def answer_span(settings: Settings) -> float:
+    """Return the ms over which answers are counted."""
+    return max(settings.slow_start_duration / ANSWER_SPAN_PARTS, MIN_ANSWER_SPAN_MS)
