--- a/mapleshunt/server/endpoint_watch.py
+++ b/mapleshunt/server/endpoint_watch.py
@@ -16,7 +16,7 @@
 from ..net.discovery.watcher import EndpointList, EndpointWatcher, parse_endpoint_list
 from ..net.policy_driver import PolicyDriver
 from ..net.upstream.endpoint_group import EndpointGroup
-from ..policy import interface as i
+from ..policy import UpdateKind
 
 RESTART_DELAY_S = 0.1  # until a watch that a defect ended is begun anew
 
@@ -51,7 +51,7 @@
 
     def apply_list(self, found: EndpointList) -> None:
         """Apply a list or a change that discovery sent."""
-        kind: i.ListKind = "complete" if found.complete else "partial"
+        kind: UpdateKind = "complete" if found.complete else "partial"
         self._driver.apply_event(
             self._upstreams.apply_endpoint_list(kind, found.endpoints, self.max_endpoint_age)
         )
@@ -78,7 +78,7 @@
         if self.task is not None:
             self.task.cancel()
         settings = config.settings
-        backoff = Backoff(settings.instances if settings.ask_discovery else 0, self._random)
+        backoff = Backoff(settings.gateway_count if settings.poll_discovery else 0, self._random)
         discovery = EndpointWatcher(
             config.discovery_address, self.apply_list, self._counters, backoff, self._revision
         )
--- a/mapleshunt/server/gossip_port.py
+++ b/mapleshunt/server/gossip_port.py
@@ -10,7 +10,7 @@
 from ..net.counters import Counters
 from ..net.gossip_transport import GossipTransport
 from ..net.policy_driver import PolicyDriver
-from ..policy import interface as i
+from ..policy import GossipReceived
 
 RETRY_INTERVAL_S = 0.1  # between two attempts to bind the address
 
@@ -61,7 +61,7 @@
             log.log_event("peers_not_heard", why=error)
 
     def _receive(self, peer: int, text: str) -> None:
-        self._driver.apply_event(i.PeerMessage(peer, text))
+        self._driver.apply_event(GossipReceived(peer, text))
 
     def close(self) -> None:
         """Close the socket, if it is open."""
