--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -19,8 +19,8 @@
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replication import messages as m
 from mapleshunt.storage.durable_store import Disk
-from mapleshunt.testbed.faults import faulty_gateway as faulty
-from mapleshunt.testbed.faults.replicated_fleet import FLEET, Faults, replicas_only_config
+from mapleshunt.testbed.faults.process_faults import ProcessFaults
+from mapleshunt.testbed.faults.replicated_fleet import FLEET_NAME, ReplicatedFleet, replicas_only_config
 from mapleshunt.testbed.replica_client import Address, ReplicaClient
 
 AT_ONCE = 64  # sessions
@@ -49,7 +49,7 @@
     async def run() -> list[float]:
         end = time.perf_counter() + SECONDS
         some = [
-            ReplicaClient(f"s{n}", where, FLEET, 0, [], time.monotonic, random.Random(n))
+            ReplicaClient(f"s{n}", where, FLEET_NAME, 0, [], time.monotonic, random.Random(n))
             for n in range(first, first + count)
         ]
         parts = await asyncio.gather(*(count_up(one, end, "c") for one in some))
@@ -72,21 +72,21 @@
     print(f"commits {1000 * slow:g} ms slower than this disk's")
     for turn in range(ROUNDS):
         raw = bare(folder / f"bare{turn}", slow)
-        played = Faults(folder / f"fleet{turn}", replicas_only_config(), 3, 1, 3)
+        fleet = ReplicatedFleet(folder / f"fleet{turn}", replicas_only_config(), 3, 1, 3)
         try:
-            await played.up()
-            for machine in played.machines.values():
-                machine.tell(faulty.Plan(slow=slow))
-            where = {name: machine.where for name, machine in played.machines.items()}
+            await fleet.start()
+            for machine in fleet.machines.values():
+                machine.set_faults(ProcessFaults(commit_delay_s=slow))
+            where = {name: machine.address for name, machine in fleet.machines.items()}
             loop = asyncio.get_running_loop()
             parts = await asyncio.gather(*(
                 loop.run_in_executor(pool, sessions, where, number * AT_ONCE, AT_ONCE // PROCESSES)
                 for number in range(PROCESSES)
             ))  # fmt: skip
             took = [one for part in parts for one in part]
-            alone = await count_up(played.caller(999), time.perf_counter() + SECONDS / 2, "a")
+            alone = await count_up(fleet.client(999), time.perf_counter() + SECONDS / 2, "a")
         finally:
-            await played.down()
+            await fleet.stop()
         rate = len(took) / SECONDS
         median, single = 1000 * statistics.median(took), 1000 * statistics.median(alone)
         print(f"round {turn}: bare batches {raw:.0f}/s; operations {rate:.0f}/s ({rate / raw:.2f} of bare)")
@@ -95,10 +95,10 @@
 
 async def recovery(folder: Path) -> None:
     for customers in (100, 2000, 10_000):
-        played = Faults(folder / f"size{customers}", replicas_only_config(), 4, 1, 3)
+        fleet = ReplicatedFleet(folder / f"size{customers}", replicas_only_config(), 4, 1, 3)
         try:
-            await played.up()
-            some = [played.caller(number) for number in range(AT_ONCE)]
+            await fleet.start()
+            some = [fleet.client(number) for number in range(AT_ONCE)]
 
             async def fill(caller: ReplicaClient, count: int) -> None:
                 await caller.do(w.Open())
@@ -106,18 +106,18 @@
                     await caller.do(w.Count(f"{caller.name}-{caller.number}", 1.0))
 
             await asyncio.gather(*(fill(one, customers // AT_ONCE + 1) for one in some))
-            leader = await played.leader()
-            (status,) = (await played.statuses())[leader.name]["groups"]
+            leader = await fleet.wait_for_leader()
+            (status,) = (await fleet.statuses())[leader.name]["groups"]
             voters = {m.gateway_of(one) for one in status["voters"]}
-            other = next(one for name, one in played.machines.items() if one is not leader and name in voters)
+            other = next(one for name, one in fleet.machines.items() if one is not leader and name in voters)
             begun = time.perf_counter()
-            other.wipe()
+            other.lose_store()
             other.start()
-            await played.whole(60.0)
+            await fleet.wait_until_settled(60.0)
             took = time.perf_counter() - begun
             print(f"{customers} customers: whole again {took:.2f} s after a disk was lost", flush=True)
         finally:
-            await played.down()
+            await fleet.stop()
 
 
 def main() -> None:
--- a/benchmarks/copies_faults.py
+++ b/benchmarks/copies_faults.py
@@ -12,22 +12,26 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from mapleshunt.testbed.faults.replicated_fleet import Faults, Report, replicas_only_config
+from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
+from mapleshunt.testbed.faults.report import FaultReport
+from mapleshunt.testbed.faults.schedule import FaultScheduleRun
 
 ELECTION = 500.0  # ms
 
 
-def one(seed: int, faults: int) -> Report:
+def one(seed: int, faults: int) -> FaultReport:
     """3, 5, 7 or 9 gateways by seed; a group of three or five."""
     gateways = (3, 5, 7, 9)[seed % 4]
     with tempfile.TemporaryDirectory() as folder:
         size = 5 if gateways >= 5 and seed % 8 > 3 else 3
-        played = Faults(Path(folder), replicas_only_config(), gateways, seed, size, election_ms=ELECTION)
-        report = asyncio.run(played.play(faults))
+        fleet = ReplicatedFleet(
+            Path(folder), replicas_only_config(), gateways, seed, size, election_ms=ELECTION
+        )
+        report = asyncio.run(FaultScheduleRun(fleet).run(faults))
         if report.broken:
             keep = Path(tempfile.mkdtemp(prefix=f"faults-{seed}-"))
-            for machine in played.machines.values():
-                log = machine.folder / "log"
+            for machine in fleet.machines.values():
+                log = machine.log
                 (keep / machine.name).write_bytes(log.read_bytes() if log.exists() else b"")
         return report
 
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -95,16 +95,19 @@
     import asyncio
     import tempfile
 
-    from ..testbed.faults.replicated_fleet import FAULTS, Faults, replicas_only_config
+    from ..testbed.faults.fault_injection import FaultKind as ReplicaFaultKind
+    from ..testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
+    from ..testbed.faults.schedule import FaultScheduleRun
 
     chosen = schedule.read_text().split() if schedule is not None else []
-    if odd := [one for one in chosen if one not in FAULTS]:
-        raise Trouble(f"no fault is named {odd[0]!r}; there are {', '.join(FAULTS)}")
+    kinds = [kind.value for kind in ReplicaFaultKind]
+    if odd := [one for one in chosen if one not in kinds]:
+        raise Trouble(f"no fault is named {odd[0]!r}; there are {', '.join(kinds)}")
     if gateways < size:
         raise Trouble(f"{size} copies need {size} gateways at least")
     with tempfile.TemporaryDirectory() as spare:
-        played = Faults(folder or Path(spare), replicas_only_config(), gateways, seed, size)
-        report = asyncio.run(played.play(count, schedule=chosen))
+        fleet = ReplicatedFleet(folder or Path(spare), replicas_only_config(), gateways, seed, size)
+        report = asyncio.run(FaultScheduleRun(fleet).run(count, schedule=chosen))
     if as_json:
         print_json(report)
     else:
--- a/mapleshunt/testbed/faults/faulty_gateway.py
+++ b/mapleshunt/testbed/faults/faulty_gateway.py
@@ -1,10 +1,8 @@
-"""A gateway with replicas that can be made to fail between two steps.
+"""A gateway with replicas that can be made to fail between two steps of an operation.
 
-Run as `python -m mapleshunt.testbed.faults.faulty_gateway`.
-
-The program as it is, with a few of its functions wrapped before it starts. What to do is in the file that
-`MAPLESHUNT_FAULTS` names, read at the start and on SIGUSR2: die at the nth time that a step is reached, be
-slow at each commit, or have a wall clock that is off.
+Run as `python -m mapleshunt.testbed.faults.faulty_gateway`: the program as it is, with a few of its functions
+wrapped before it starts. The faults are in the file that `MAPLESHUNT_FAULTS` names, read at the start and on
+SIGUSR2.
 """
 
 from __future__ import annotations
@@ -15,74 +13,88 @@
 from pathlib import Path
 from typing import Any
 
-import msgspec
-
 from ... import __main__ as program
 from ...net.replication.group_host import GroupHost
 from ...replication import messages as m
 from ...storage.durable_store import Disk
+from .process_faults import FAULTS_FILE_VARIABLE, CrashStep, ProcessFaults, read_process_faults
 
-VARIABLE = "MAPLESHUNT_FAULTS"
-# In the order in which an operation passes them: before it is on disk, on disk and not told, told and nothing
-# said of it, said to the leader or the followers, committed and not answered, answered.
-STEPS = ("unwritten", "written", "durable", "said", "committed", "answered")
-
-
-class Plan(msgspec.Struct, frozen=True):
-    die_at: str = ""  # one of STEPS
-    after: int = 1  # times that it is reached, the last included
-    slow: float = 0.0  # s that each commit takes longer
-    clock: float = 0.0  # s by which the wall clock is ahead
 
+class FaultyProgram:
+    """Wraps functions of the program in this process, so that they fail as the faults file says."""
 
-class Faulty:
     def __init__(self, file: Path) -> None:
-        self.file, self.plan, self.reached = file, Plan(), 0
-        self.read()
-
-    def read(self, *_: Any) -> None:
-        self.plan, self.reached = msgspec.json.decode(self.file.read_bytes(), type=Plan), 0
-
-    def reach(self, step: str) -> None:
-        if self.plan.die_at == step:
-            self.reached += 1
-            if self.reached >= self.plan.after:
+        self._file = file
+        self._faults = ProcessFaults()
+        self._occurrences = 0  # of the step at which the process is to be killed
+        self.read_faults()
+
+    def read_faults(self, *_signal_arguments: object) -> None:
+        """Read the faults anew, and count occurrences of the step from 0."""
+        self._faults, self._occurrences = read_process_faults(self._file), 0
+
+    def _reach(self, step: CrashStep) -> None:
+        """Kill this process if the step has occurred often enough."""
+        if self._faults.crash_step == step:
+            self._occurrences += 1
+            if self._occurrences >= self._faults.occurrence:
                 os.kill(os.getpid(), signal.SIGKILL)
 
-    def wrap(self) -> None:
-        commit, step, apply, wall = Disk.commit, GroupHost.step, GroupHost._apply, time.time
+    def install(self) -> None:
+        """Wrap the program's functions; to be called once, before it starts."""
+        self._wrap_commit()
+        self._wrap_step()
+        self._wrap_apply()
+        self._wrap_wall_clock()
+
+    def _wrap_commit(self) -> None:
+        commit = Disk.commit
 
+        # Both arguments are handed on as they are, of whatever type the store takes.
         def slow_commit(disk: Disk, writes: Any, beside: Any = None) -> None:
-            time.sleep(self.plan.slow)
-            self.reach("unwritten")
+            time.sleep(self._faults.commit_delay_s)
+            self._reach(CrashStep.UNWRITTEN)
             commit(disk, writes, beside)
-            self.reach("written")
+            self._reach(CrashStep.WRITTEN)
 
-        def told(host: GroupHost, event: m.Event) -> None:
+        Disk.commit = slow_commit  # type: ignore[method-assign, assignment]
+
+    def _wrap_step(self) -> None:
+        step = GroupHost.step
+
+        def watched_step(host: GroupHost, event: m.Event) -> None:
             if isinstance(event, m.Written):
-                self.reach("durable")
+                self._reach(CrashStep.DURABLE)
                 step(host, event)
-                self.reach("said")
+                self._reach(CrashStep.ACKNOWLEDGED)
             else:
                 step(host, event)
 
-        def applied(host: GroupHost, entry: m.Entry, call: int | None) -> None:
+        GroupHost.step = watched_step  # type: ignore[method-assign, assignment]
+
+    def _wrap_apply(self) -> None:
+        # The step between commit and answer has no public name.
+        apply = GroupHost._apply
+
+        def watched_apply(host: GroupHost, entry: m.Entry, call: int | None) -> None:
             if call is not None:
-                self.reach("committed")
+                self._reach(CrashStep.COMMITTED)
             apply(host, entry, call)
             if call is not None:
-                self.reach("answered")
+                self._reach(CrashStep.ANSWERED)
 
-        Disk.commit = slow_commit  # type: ignore[method-assign, assignment]
-        GroupHost.step = told  # type: ignore[method-assign, assignment]
-        GroupHost._apply = applied  # type: ignore[method-assign, assignment]
-        time.time = lambda: wall() + self.plan.clock
+        GroupHost._apply = watched_apply  # type: ignore[method-assign, assignment]
+
+    def _wrap_wall_clock(self) -> None:
+        wall_clock = time.time
+        time.time = lambda: wall_clock() + self._faults.clock_offset_s
 
 
 def main() -> int:
-    faulty = Faulty(Path(os.environ[VARIABLE]))
-    faulty.wrap()
-    signal.signal(signal.SIGUSR2, faulty.read)
+    """Run the program with faults; returns its exit status."""
+    faulty = FaultyProgram(Path(os.environ[FAULTS_FILE_VARIABLE]))
+    faulty.install()
+    signal.signal(signal.SIGUSR2, faulty.read_faults)
     return program.daemon()
 
 
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -1,219 +1,274 @@
-"""Work on real gateways, one machine after another, with faults in the middle; and what is seen from outside.
+"""Rolling maintenance on real gateways: one machine after another, with faults in the middle.
 
-Each machine has somebody who works on it: waits until it is safe, ends it, starts it again, and says so.
-Faults strike by what has happened: at the nth time that some machine is in a state.
+Each machine has somebody who works on it: waits until it is safe, ends its gateway, starts it again, and says
+so. A fault is injected by what has happened: when some machine is next in a given state.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import re
 import signal
 import time
-from collections import Counter
-from collections.abc import Mapping, Sequence
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field
-from pathlib import Path
-from typing import Any
+from enum import StrEnum
 
 from ..maintenance import commands as w
 from ..maintenance.state import Works
 from ..replicated_state import commands as h
-from .faults.replicated_fleet import CALM, Faults, Machine
+from .faults.gateway_machine import GatewayMachine
+from .faults.replicated_fleet import SETTLE_TIMEOUT_S, ReplicatedFleet
 from .gateway_process import GatewayError
+from .maintenance_work import grants_of_two_machines, read_maintenance_state, work_on_safe_machine
 from .replica_client import ReplicaClient
 
-DRAIN = 3.0  # s that a grant holds
-STRIKES = ("kill_coordinator", "kill_it", "pause_it", "cut_it", "kill_all", "lose_disk", "kill_another")
-STATES = ("granted", "draining", "safe", "out", "returning")
+GRANT_S = 3.0  # that a grant to drain holds
+BEYOND_GRANT_S = 1.0  # that a paused machine is paused longer than its grant holds
+EFFECT_S = 1.5  # for which a cut or a kill of another machine lasts
+RESTART_AFTER_S = 0.5  # that a killed machine is down
+ROLL_TIMEOUT_S = 4 * SETTLE_TIMEOUT_S  # after the last fault, until all machines are done
+FIRST_WORKER = 1000  # number of the client that works on the first machine
+
+
+class MaintenanceFault(StrEnum):
+    """What can happen in the middle of rolling maintenance, in the order in which a seed draws from it."""
+
+    KILL_COORDINATOR = "kill_coordinator"
+    KILL_IT = "kill_it"
+    PAUSE_IT = "pause_it"
+    CUT_IT = "cut_it"
+    KILL_ALL = "kill_all"
+    LOSE_DISK = "lose_disk"
+    KILL_ANOTHER = "kill_another"
+
+
+STATES = ("granted", "draining", "safe", "out", "returning")  # of a machine in which a fault is injected
+
+
+@dataclass(frozen=True)
+class MaintenanceFaultAt:
+    """A fault, and the state that a machine has to be in for it."""
+
+    kind: MaintenanceFault
+    state: str
 
 
 @dataclass
-class Roll:
-    """What came of it."""
+class RollingMaintenanceReport:
+    """What a run came to."""
 
-    strikes: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
-    times: dict[str, int] = field(default_factory=dict)  # that each machine was out
-    most: int = 0  # that took no clients by plan at once, as they told
+    faults: list[str] = field(default_factory=list)  # that were injected, each with its machine and state
+    violations: list[str] = field(default_factory=list)
+    times_out: dict[str, int] = field(default_factory=dict)  # by machine
+    most_drained: int = 0  # machines that took no clients by plan at once
     seconds: float = 0.0
-    story: list[str] = field(default_factory=list)
-
-
-async def read_maintenance_state(caller: ReplicaClient) -> Works:
-    """The state of maintenance, as the group's leader tells it."""
-    works = Works()
-    _, frozen = await caller.read("works", "", tuple[float, w.Frozen])
-    works.thaw(frozen)
-    return works
-
-
-def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
-    """By number, the grants under which two machines were drained, from the gateways' logs by name."""
-    drained: dict[str, set[str]] = {}
-    for name, log in logs.items():
-        for found in re.finditer(r"event=maintenance_drains fence=(\d+)", log.read_text(errors="replace")):
-            drained.setdefault(found[1], set()).add(name)
-    return {fence: names for fence, names in drained.items() if len(names) > 1}
-
-
-class Rolls(Faults):
-    def __init__(
-        self, folder: Path, config: dict[str, Any], gateways: int = 5, seed: int = 1, most: int = 1
-    ) -> None:
-        super().__init__(folder, config, gateways, seed, 3, election_ms=500.0)
-        self.lease, self.most, self.groups = False, most, 2
-        self.further = (
-            f"(maintenance (most {most}) (zone 1) (pause-s 0.2) (drain-s {DRAIN}) (failures 99)"
+    states: list[str] = field(default_factory=list)  # of each machine, one after another
+
+
+class RollingMaintenanceRun:
+    """One run on a fleet that has not been started; its settings are made those of maintenance."""
+
+    def __init__(self, fleet: ReplicatedFleet, max_out: int = 1) -> None:
+        """At most `max_out` machines may be out at once."""
+        self.fleet, self.max_out = fleet, max_out
+        self.report = RollingMaintenanceReport()
+        fleet.settings.lease, fleet.settings.groups = False, 2
+        fleet.settings.more_sections = (
+            f"(maintenance (most {max_out}) (zone 1) (pause-s 0.2) (drain-s {GRANT_S}) (failures 99)"
             " (most-load 9.0))"
         )
-        self.roll = Roll()
-        self.out: set[str] = set()
-        self.works = Works()
-
-    async def read(self, caller: ReplicaClient) -> Works:
-        self.works = await asyncio.wait_for(read_maintenance_state(caller), CALM)
-        return self.works
-
-    async def works_on(self, machine: Machine, number: int) -> None:
-        """Somebody who works on that machine once it is safe."""
-        caller = self.caller(1000 + number)
-        await caller.do(h.Open())
-        while not self.over:
-            place = (await self.read(caller)).place_of(machine.name)
-            if place is not None and place.state == "safe":
-                told = await caller.do(w.Told(machine.name, place.fence, "out"))
-                if isinstance(told, h.Done):
-                    await self.work(machine, caller, place.fence)
-            await asyncio.sleep(0.1)
-        caller.close()
+        self._out: set[str] = set()  # machines that are worked on
+        self._works = Works()  # as last read
+        self._ended = False
+        self._handlers: dict[MaintenanceFault, Callable[[GatewayMachine], Awaitable[None]]] = {
+            MaintenanceFault.KILL_COORDINATOR: self._kill_coordinator,
+            MaintenanceFault.KILL_IT: self._kill,
+            MaintenanceFault.PAUSE_IT: self._pause,
+            MaintenanceFault.CUT_IT: self._cut,
+            MaintenanceFault.KILL_ALL: self._kill_all,
+            MaintenanceFault.LOSE_DISK: self._lose_store,
+            MaintenanceFault.KILL_ANOTHER: self._kill_another,
+        }
 
-    async def work(self, machine: Machine, caller: ReplicaClient, fence: int) -> None:
-        self.out.add(machine.name)
-        self.roll.times[machine.name] = self.roll.times.get(machine.name, 0) + 1
-        if len(self.out) > self.most:
-            self.roll.broken.append(f"{sorted(self.out)} are worked on, {self.most} may be")
-        await asyncio.to_thread(machine.kill, signal.SIGTERM)
-        await asyncio.sleep(self.random.uniform(0.1, 0.4))
-        machine.start()
-        await caller.do(w.Told(machine.name, fence, "returning"))
-        self.out.discard(machine.name)
+    async def run(
+        self, schedule: Sequence[MaintenanceFaultAt] = (), faults: int = 3
+    ) -> RollingMaintenanceReport:
+        """Work on all machines, with the schedule's faults or as many as the seed draws; all must be done.
 
-    async def watch(self) -> None:
-        """How many take no clients, by what they tell themselves: those that had, and are drained since. One
-        that a fault ended takes none while it starts, and that is no plan.
+        What goes wrong is in the report. If it is cancelled, all tasks and the fleet are stopped.
         """
-        served: set[tuple[str, int]] = set()  # lives that have taken clients
-        while not self.over:
-            told = await self.statuses()
-            served |= {(name, one["boot"]) for name, one in told.items() if one.get("takes", True)}
-            drained = {name for name, one in told.items() if not one.get("takes", True)
-                       and (name, one["boot"]) in served} | self.out  # fmt: skip
-            self.roll.most = max(self.roll.most, len(drained))
-            if len(drained) > self.most:
-                self.roll.broken.append(f"{sorted(drained)} take no clients, {self.most} may not")
-            await asyncio.sleep(0.05)
-
-    async def when(self, caller: ReplicaClient, state: str) -> Machine:
-        """The machine that is in that state next."""
-        end = time.monotonic() + CALM
-        while time.monotonic() < end:
-            for place in (await self.read(caller)).open():
-                if place.state == state:
-                    return self.machines[place.machine]
-            await asyncio.sleep(0.02)
-        raise GatewayError(f"no machine is {state} after {CALM:g} s: {self.works.blocked}")
-
-    async def strike(self, what: str, state: str, caller: ReplicaClient) -> None:
-        it = await self.when(caller, state)
-        self.roll.strikes.append(f"{what} while {it.name} is {state}")
-        worked_on = it.name in self.out  # whoever works on it ends and starts it
-        match what:
-            case "kill_coordinator":
-                leader = await self.leader()
-                if leader.name not in self.out:
-                    leader.kill()
-            case "kill_it" if not worked_on:
-                it.kill()
-                await asyncio.sleep(0.5)
-            case "lose_disk" if not worked_on:
-                it.wipe()
-            case "pause_it" if not worked_on:
-                it.pause()
-                await asyncio.sleep(DRAIN + 1.0)  # beyond its grant, and on
-                it.go_on()
-            case "cut_it":
-                for way in [*self.ways(None, it), *self.ways(it, None)]:
-                    way.open.clear()
-                await asyncio.sleep(1.5)
-            case "kill_another":
-                others = [one for one in self.machines.values() if one is not it and one.name not in self.out]
-                self.random.choice(others).kill()
-                await asyncio.sleep(1.5)
-            case "kill_all":
-                for one in self.machines.values():
-                    if one.name not in self.out:
-                        one.kill()
-        for way in self.ways(None, None):
-            way.open.set()
-        for one in self.machines.values():
-            if one.name not in self.out:
-                one.go_on()
-                one.start()
-
-    async def run(self, schedule: Sequence[tuple[str, str]] = (), strikes: int = 3) -> Roll:
-        """Work on all machines, with those strikes or as many as the seed draws; at the end all are done."""
         begun = time.monotonic()
-        drawn = [(self.random.choice(STRIKES), self.random.choice(STATES)) for _ in range(strikes)]
+        drawn = self._draw(faults)
         tasks: list[asyncio.Task[None]] = []
-        caller = self.caller(1)
+        client = self.fleet.client(1)
         try:
-            await self.up()
-            await caller.do(h.Open())
-            ask = w.Ask("roll", tuple(self.machines), "memory", "op", 60.0)
-            for _ in range(2):  # the second time as if the first had not been answered
-                done = await caller.do(ask)
-                assert isinstance(done, h.Done), done
-            tasks = [
-                *(asyncio.create_task(self.works_on(one, n)) for n, one in enumerate(self.machines.values())),
-                asyncio.create_task(self.watch()),
-            ]
-            for what, state in schedule or drawn:
-                await self.strike(what, state, caller)
-            end = time.monotonic() + 4 * CALM
-            while (await self.read(caller)).open() and time.monotonic() < end:
-                await asyncio.sleep(0.1)
-            await self.whole()
-            self.over = True
-            await asyncio.wait_for(asyncio.gather(*tasks), CALM)
+            await self.fleet.start()
+            await self._request_all(client)
+            for number, machine in enumerate(self.fleet.machines.values()):
+                tasks.append(asyncio.create_task(self._work_on(machine, number)))
+            tasks.append(asyncio.create_task(self._watch_drained()))
+            for fault in schedule or drawn:
+                await self._inject(fault, client)
+            await self._wait_until_done(client)
+            self._ended = True
+            await asyncio.wait_for(asyncio.gather(*tasks), SETTLE_TIMEOUT_S)
             self._judge()
         except (GatewayError, TimeoutError) as error:
-            self.roll.broken.append(f"not in time: {error!r}; {self._told()}")
+            self.report.violations.append(f"not in time: {error!r}; {self._states()}")
         finally:
             for task in tasks:
                 task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.gather(*tasks, return_exceptions=True)
-            caller.close()
-            await self.down()
-        self.roll.seconds = round(time.monotonic() - begun, 1)
-        return self.roll
+            client.close()
+            await self.fleet.stop()
+        self.report.seconds = round(time.monotonic() - begun, 1)
+        return self.report
+
+    def _draw(self, count: int) -> list[MaintenanceFaultAt]:
+        kinds, rng = tuple(MaintenanceFault), self.fleet.random
+        return [MaintenanceFaultAt(rng.choice(kinds), rng.choice(STATES)) for _ in range(count)]
+
+    async def _request_all(self, client: ReplicaClient) -> None:
+        await client.do(h.Open())
+        request = w.Ask("roll", tuple(self.fleet.machines), "memory", "op", 60.0)
+        for _ in range(2):  # the second time as if the first had not been answered
+            result = await client.do(request)
+            if not isinstance(result, h.Done):
+                raise GatewayError(f"the request for maintenance was refused: {result}")
+
+    async def _wait_until_done(self, client: ReplicaClient) -> None:
+        end = time.monotonic() + ROLL_TIMEOUT_S
+        while True:
+            works = await self._read(client)
+            if not works.open() or time.monotonic() >= end:
+                break
+            await asyncio.sleep(0.1)
+        await self.fleet.wait_until_settled()
+
+    async def _read(self, client: ReplicaClient) -> Works:
+        self._works = await asyncio.wait_for(read_maintenance_state(client), SETTLE_TIMEOUT_S)
+        return self._works
+
+    # Work on machines
+
+    async def _work_on(self, machine: GatewayMachine, number: int) -> None:
+        """Work on that machine whenever it is safe."""
+        client = self.fleet.client(FIRST_WORKER + number)
+        await client.do(h.Open())
+        while not self._ended:
+            place = (await self._read(client)).place_of(machine.name)
+            if place is not None and place.state == "safe":
+                await work_on_safe_machine(client, place, self._restart)
+                self._out.discard(machine.name)
+            await asyncio.sleep(0.1)
+        client.close()
+
+    async def _restart(self, name: str) -> None:
+        machine = self.fleet.machines[name]
+        self._out.add(name)
+        self.report.times_out[name] = self.report.times_out.get(name, 0) + 1
+        if len(self._out) > self.max_out:
+            self.report.violations.append(f"{sorted(self._out)} are worked on, {self.max_out} may be")
+        await asyncio.to_thread(machine.kill, signal.SIGTERM)
+        await asyncio.sleep(self.fleet.random.uniform(0.1, 0.4))
+        machine.start()
+
+    async def _watch_drained(self) -> None:
+        """Count the machines that take no clients: those that had taken some, and are drained since.
+
+        One that a fault ended takes none while it starts, which is not by plan.
+        """
+        served: set[tuple[str, int]] = set()  # machines and boots that have taken clients
+        while not self._ended:
+            statuses = await self.fleet.statuses()
+            served |= {(name, one["boot"]) for name, one in statuses.items() if one.get("takes", True)}
+            idle = {name for name, one in statuses.items() if not one.get("takes", True)}
+            drained = {name for name in idle if (name, statuses[name]["boot"]) in served} | self._out
+            self.report.most_drained = max(self.report.most_drained, len(drained))
+            if len(drained) > self.max_out:
+                self.report.violations.append(f"{sorted(drained)} take no clients, {self.max_out} may not")
+            await asyncio.sleep(0.05)
+
+    # Faults
+
+    async def _next_in_state(self, client: ReplicaClient, state: str) -> GatewayMachine:
+        """Return the machine that is in that state next. Raises `GatewayError`."""
+        end = time.monotonic() + SETTLE_TIMEOUT_S
+        while time.monotonic() < end:
+            for place in (await self._read(client)).open():
+                if place.state == state:
+                    return self.fleet.machines[place.machine]
+            await asyncio.sleep(0.02)
+        raise GatewayError(f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s: {self._works.blocked}")
+
+    async def _inject(self, fault: MaintenanceFaultAt, client: ReplicaClient) -> None:
+        """Inject a fault once a machine is in its state, and heal it. One that is worked on is left alone."""
+        machine = await self._next_in_state(client, fault.state)
+        self.report.faults.append(f"{fault.kind} while {machine.name} is {fault.state}")
+        hits_process = fault.kind in (
+            MaintenanceFault.KILL_IT, MaintenanceFault.LOSE_DISK, MaintenanceFault.PAUSE_IT
+        )  # fmt: skip
+        if not (hits_process and machine.name in self._out):
+            await self._handlers[fault.kind](machine)
+        for direction in self.fleet.directions(None, None):
+            direction.open.set()
+        for one in self._not_worked_on():
+            one.resume()
+            one.start()
+
+    def _not_worked_on(self) -> list[GatewayMachine]:
+        return [machine for machine in self.fleet.machines.values() if machine.name not in self._out]
+
+    async def _kill_coordinator(self, _machine: GatewayMachine) -> None:
+        leader = await self.fleet.wait_for_leader()
+        if leader.name not in self._out:
+            leader.kill()
+
+    async def _kill(self, machine: GatewayMachine) -> None:
+        machine.kill()
+        await asyncio.sleep(RESTART_AFTER_S)
+
+    async def _lose_store(self, machine: GatewayMachine) -> None:
+        machine.lose_store()
+
+    async def _pause(self, machine: GatewayMachine) -> None:
+        machine.pause()
+        await asyncio.sleep(GRANT_S + BEYOND_GRANT_S)
+        machine.resume()
+
+    async def _cut(self, machine: GatewayMachine) -> None:
+        directions = [*self.fleet.directions(None, machine), *self.fleet.directions(machine, None)]
+        for direction in directions:
+            direction.open.clear()
+        await asyncio.sleep(EFFECT_S)
+
+    async def _kill_another(self, machine: GatewayMachine) -> None:
+        others = [one for one in self._not_worked_on() if one is not machine]
+        self.fleet.random.choice(others).kill()
+        await asyncio.sleep(EFFECT_S)
+
+    async def _kill_all(self, _machine: GatewayMachine) -> None:
+        for machine in self._not_worked_on():
+            machine.kill()
+
+    # The judgement
 
-    def _told(self) -> str:
-        return ", ".join(f"{one.machine} {one.state}" for one in self.works.places.values())
+    def _states(self) -> str:
+        return ", ".join(f"{place.machine} {place.state}" for place in self._works.places.values())
 
     def _judge(self) -> None:
-        broken = self.roll.broken
-        if left := [one for one in self.works.places.values() if one.state != "done"]:
-            broken.append(f"not done: {self._told()} ({len(left)})")
-        for place in self.works.places.values():
-            self.roll.story.append(f"{place.machine}: {' '.join(step.state for step in place.story)}")
-        if odd := {name: n for name, n in self.roll.times.items() if n != 1}:
-            broken.append(f"out more than once: {odd}")
-        # Each grant's number was one machine's alone, whoever coordinated.
-        logs = {machine.name: machine.folder / "log" for machine in self.machines.values()}
-        if twice := grants_of_two_machines(logs):
-            broken.append(f"two machines under one grant: {twice}")
-        if len(Counter(self.roll.times)) != len(self.machines):
-            broken.append(f"only {sorted(self.roll.times)} were out")
+        report, places = self.report, self._works.places.values()
+        if left := [place for place in places if place.state != "done"]:
+            report.violations.append(f"not done: {self._states()} ({len(left)})")
+        for place in places:
+            report.states.append(f"{place.machine}: {' '.join(step.state for step in place.story)}")
+        if repeated := {name: count for name, count in report.times_out.items() if count != 1}:
+            report.violations.append(f"out more than once: {repeated}")
+        # Each grant's number was one machine's alone, whichever gateway coordinated.
+        logs = {machine.name: machine.log for machine in self.fleet.machines.values()}
+        if shared := grants_of_two_machines(logs):
+            report.violations.append(f"two machines under one grant: {shared}")
+        if len(report.times_out) != len(self.fleet.machines):
+            report.violations.append(f"only {sorted(report.times_out)} were out")
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -27,7 +27,7 @@
 from ..discovery_agent import DiscoveryAgent
 from ..fleet import CHECKOUT_ROOT
 from ..gateway_process import GatewayError
-from ..rolling_maintenance import grants_of_two_machines
+from ..maintenance_work import grants_of_two_machines
 from ..syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 from . import schedule
 from .backends import SoakBackend
--- a/mapleshunt/testbed/soak/maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -7,8 +7,8 @@
 
 from ...maintenance import commands as w
 from ...replicated_state import commands as h
+from ..maintenance_work import read_maintenance_state, work_on_safe_machine
 from ..replica_client import ReplicaClient
-from ..rolling_maintenance import read_maintenance_state
 
 MAINTENANCE = "(maintenance (most 1) (zone 1) (pause-s 0.2) (drain-s 4.0) (failures 99) (most-load 9.0))"
 LOOK_S = 0.1  # between two looks at a machine's state
@@ -40,7 +40,7 @@
             for place in open_places:
                 self.take_clients(place.machine, place.state not in WITHOUT_CLIENTS)
                 if place.state == "safe":
-                    await self._work_on(place)
+                    await work_on_safe_machine(self.caller, place, self.restart)
             await asyncio.sleep(LOOK_S)
         for machine in machines:
             self.take_clients(machine, True)
@@ -48,9 +48,3 @@
     async def _open_places(self, request: str) -> list[w.Place]:
         works = await read_maintenance_state(self.caller)
         return [one for one in works.open() if one.request == request]
-
-    async def _work_on(self, place: w.Place) -> None:
-        told = await self.caller.do(w.Told(place.machine, place.fence, "out"))
-        if isinstance(told, h.Done):
-            await self.restart(place.machine)
-            await self.caller.do(w.Told(place.machine, place.fence, "returning"))
--- a/mapleshunt/testbed/soak/replicas.py
+++ b/mapleshunt/testbed/soak/replicas.py
@@ -16,6 +16,7 @@
 from ..gateway_process import free_port
 from ..replica_client import Address, ReplicaClient, gateway_statuses, leader_status
 from ..replica_workload import BURST, read_final_state, run_workload
+from ..replication_settings import PeerAddress, ReplicationSettings
 from .maintenance import MAINTENANCE
 
 FLEET = "soak"
@@ -25,7 +26,9 @@
 CALLERS = 2  # clients of each group
 CALL_PAUSE_S = 0.1  # between two operations of a client
 CALM_S = 20.0  # within which all has to be answered once nothing is broken any more
-REPLACE_AFTER_S = 600.0
+REPLICATION = ReplicationSettings(
+    FLEET, groups=GROUPS, replicas=SIZE, election_ms=ELECTION_MS, more_sections=MAINTENANCE
+)
 
 
 class SoakReplicas:
@@ -58,16 +61,9 @@
         peers = []
         for other in self.names:
             proxy = self.proxies.get((name, other))  # the lower name dials
-            port = proxy.port if proxy is not None else self.ports[other]
-            peers.append(f'(peer (name "{other}") (address "{HOST}:{port}") (zone "{other}"))')
-        text = (
-            f'(copies (fleet "{FLEET}") (folder "{self.disk(name)}") (groups {GROUPS}) (size {SIZE})'
-            f" (lease true) (election-ms {ELECTION_MS}) (replace-after-s {REPLACE_AFTER_S})"
-            f" (settle-after-s {REPLACE_AFTER_S}) {' '.join(peers)})\n"
-            f"{MAINTENANCE}\n"
-        )
+            peers.append(PeerAddress(other, proxy.port if proxy is not None else self.ports[other]))
         file = self.folder / f"operators-{name}.sexp"
-        file.write_text(text)
+        file.write_text(REPLICATION.render(self.disk(name), peers))
         return {"PROXY_OPERATORS": str(file)}
 
     async def start(self) -> None:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -26,7 +26,10 @@
 from mapleshunt.replication.placement import group_of, place, rank
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
-from mapleshunt.testbed.faults.replicated_fleet import FAULTS, Faults, Report, replicas_only_config
+from mapleshunt.testbed.faults.fault_injection import FaultKind
+from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
+from mapleshunt.testbed.faults.report import FaultReport
+from mapleshunt.testbed.faults.schedule import DRAWN_KINDS, FaultScheduleRun
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -44,8 +47,8 @@
 
 @pytest.mark.parametrize(("gateways", "seed", "schedule"), SCHEDULES)
 def test_promises_hold(gateways: int, seed: int, schedule: list[str], tmp_path: Path) -> None:
-    played = Faults(tmp_path, replicas_only_config(), gateways, seed, gateways, election_ms=600.0)
-    report = asyncio.run(played.play(schedule=schedule))
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), gateways, seed, gateways, election_ms=600.0)
+    report = asyncio.run(FaultScheduleRun(fleet).run(schedule=schedule))
     assert not report.broken and report.faults == schedule and sum(report.calls.values()) > 60
     logs = "".join(one.read_text() for one in tmp_path.glob("*/log"))
     assert "exception" not in logs
@@ -56,7 +59,10 @@
 
 
 def test_schedules_of_ci_meet_every_fault_but_the_plainest() -> None:
-    assert {one for _, _, some in SCHEDULES for one in some} >= set(FAULTS) - {"kill", "start_again"}
+    assert {one for _, _, some in SCHEDULES for one in some} >= {kind.value for kind in DRAWN_KINDS} - {
+        "kill",
+        "start_again",
+    }
 
 
 def test_the_next_version_is_rolled_out_and_back_again(tmp_path: Path) -> None:
@@ -66,17 +72,20 @@
     file = newer / "mapleshunt" / "replication" / "wire.py"
     file.write_text(file.read_text().replace("LOWEST, HIGHEST = 1, 1 ", "LOWEST, HIGHEST = 1, 2 "))
     assert "HIGHEST = 1, 2" in file.read_text()
-    played = Faults(tmp_path / "play", replicas_only_config(), 3, 7, 3, election_ms=600.0)
-    first, second, third = played.machines.values()
+    fleet = ReplicatedFleet(tmp_path / "play", replicas_only_config(), 3, 7, 3, election_ms=600.0)
+    first, second, third = fleet.machines.values()
     first.program = second.program = newer
 
-    async def roll() -> Report:
-        async def back(what: str) -> None:
+    async def roll() -> FaultReport:
+        run = FaultScheduleRun(fleet)
+        inject = run.injector.inject
+
+        async def back(kind: FaultKind) -> None:
             third.program, first.program = newer, ROOT  # one forward, one back, with work going on
-            await Faults.fault(played, what)
+            await inject(kind)
 
-        played.fault = back  # type: ignore[method-assign]
-        return await played.play(schedule=["start_again", "kill_leader"])
+        run.injector.inject = back  # type: ignore[method-assign]
+        return await run.run(schedule=["start_again", "kill_leader"])
 
     report = asyncio.run(roll())
     assert not report.broken and sum(report.calls.values()) > 40
@@ -100,13 +109,13 @@
 
 def test_operators_move_a_copy_and_look_at_it(tmp_path: Path) -> None:
     """The command line against four real gateways, a group on three of them."""
-    played = Faults(tmp_path, replicas_only_config(), 4, 9, 3, election_ms=600.0)
-    played.replace_after = played.settle_after = 3.0
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 4, 9, 3, election_ms=600.0)
+    fleet.settings.replace_after_s = fleet.settings.settle_after_s = 3.0
 
     async def play() -> None:
         try:
-            await played.up()
-            leader = await played.leader()
+            await fleet.start()
+            leader = await fleet.wait_for_leader()
             run = command(tmp_path / "g0" / "operators.sexp")
 
             async def held_by(names: set[str]) -> None:
@@ -120,7 +129,7 @@
             (group,) = json.loads(text)
             voters = {m.gateway_of(one) for one in group["voters"]}
             assert status == 0 and group["state"] == "led" and len(voters) == 3
-            spare = next(one for one in played.machines if one not in voters)
+            spare = next(one for one in fleet.machines if one not in voters)
             # Whoever leads, too: it hands over first. It stays away until that is taken back.
             assert (await run("copies", "replace", leader.name))[0] == 0
             assert (await run("copies", "replace", "nobody"))[0] == 2
@@ -129,16 +138,16 @@
             await held_by(voters)  # it has been here for long: its place in the order is its own again
             assert (await run("holdings", "show", "nobody"))[1] == "nothing is held for nobody\n"
             assert (await run("copies", "status"))[0] == 0
-            lost = played.machines[next(one for one in sorted(voters))]
+            lost = fleet.machines[next(one for one in sorted(voters))]
             lost.kill()  # gone for longer than it may be
             await held_by({*voters, spare} - {lost.name})
             lost.start()
             await held_by(voters)
-            for machine in played.machines.values():
+            for machine in fleet.machines.values():
                 machine.kill()
             assert (await run("copies", "status"))[0] == 1 and (await run("copies", "groups"))[0] == 1
         finally:
-            await played.down()
+            await fleet.stop()
 
     asyncio.run(play())
 
@@ -147,26 +156,26 @@
     tmp_path: Path,
 ) -> None:
     """Two of three machines are lost with their disks; later one is found after all."""
-    played = Faults(tmp_path, replicas_only_config(), 3, 11, 3, election_ms=600.0)
-    played.lease = False
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 3, 11, 3, election_ms=600.0)
+    fleet.settings.lease = False
 
     async def play() -> None:
         try:
-            await played.up()
+            await fleet.start()
             run = command(tmp_path / "g0" / "operators.sexp")
-            caller = played.caller(1)
+            caller = fleet.client(1)
             await caller.do(w.Open())
             for number in range(8):
                 assert isinstance(await caller.do(w.Count("c0", 1.0 + number)), w.Done)
             code, said = await run("copies", "recover", "0")
             assert code == 2 and "has a leader" in said
-            leader = await played.leader()
-            left = next(one for one in played.machines.values() if one is not leader)
-            lost = [one for one in played.machines.values() if one is not left]
+            leader = await fleet.wait_for_leader()
+            left = next(one for one in fleet.machines.values() if one is not leader)
+            lost = [one for one in fleet.machines.values() if one is not left]
             for one in lost:  # found is what the first had on its disk
-                one.save()
+                one.save_store()
             for one in lost:
-                one.wipe()
+                one.lose_store()
                 one.start()
             for _ in range(100):
                 code, said = await run("copies", "groups", "--json")
@@ -182,19 +191,19 @@
             assert (await run("copies", "groups"))[0] == 1  # nothing was done yet
             code, said = await run("copies", "recover", "0", "--confirm", plan["confirm"])
             assert code == 0, said
-            await played.whole()
+            await fleet.wait_until_settled()
             found: Any = await caller.read("store", "c0")
             assert found is not None and found.counted == 36.0  # most had it, and so had this one
             await caller.do(w.Count("c0", 4.0))
             for one in lost:  # each comes back as it was, first one: together they were most of the group
-                one.put_back()
+                one.restore_saved_store()
                 one.start()
-                await played.whole()
+                await fleet.wait_until_settled()
             found = await caller.read("store", "c0")
             assert found is not None and found.counted == 40.0
             caller.close()
         finally:
-            await played.down()
+            await fleet.stop()
 
     asyncio.run(play())
     logs = "".join(one.read_text() for one in tmp_path.glob("*/log"))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -20,7 +20,8 @@
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.leases import Action, Ask, Leaser, Use
 from mapleshunt.replicated_state.state_machine import Holdings
-from mapleshunt.testbed.faults.replicated_fleet import Faults
+from mapleshunt.testbed.faults.fault_injection import FaultInjector, FaultKind
+from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet
 
 from .conftest import Driver
 from .processes import EXAMPLE, query, toy
@@ -251,18 +252,18 @@
 async def served(folder: Path, discovery: str, lease: bool, fault: str) -> tuple[int, float]:
     """Answers with a value to one customer who asks three gateways all the time, and for how many s."""
     config = {**json.loads(EXAMPLE.read_text()), "discovery": discovery}
-    played = Faults(folder, config, 3, 1, election_ms=600)
-    played.lease = lease
+    fleet = ReplicatedFleet(folder, config, 3, 1, election_ms=600)
+    fleet.settings.lease = lease
     count = 0
     try:
-        await played.up()
+        await fleet.start()
         begun, over = time.monotonic(), asyncio.Event()
 
         async def asks(machine: Any, number: int) -> None:
             nonlocal count
             while not over.is_set():
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", machine.listen)
+                    reader, writer = await asyncio.open_connection("127.0.0.1", machine.client_port)
                     while not over.is_set():
                         if number & 0xFF == 1:  # its first lease has come before it goes on
                             await asyncio.sleep(0.8)
@@ -278,18 +279,18 @@
                     writer.close()
                 await asyncio.sleep(0.02)
 
-        machines = played.machines.values()
+        machines = fleet.machines.values()
         tasks = [asyncio.create_task(asks(one, n << 32)) for n, one in enumerate(machines, 1)]
         await asyncio.sleep(2.0)
         if fault:
-            await played.fault(fault)
-            played.mend()
+            await FaultInjector(fleet, []).inject(FaultKind(fault))
+            fleet.heal()
         await asyncio.sleep(2.5)
         over.set()
         await asyncio.gather(*tasks)
         return count, time.monotonic() - begun
     finally:
-        await played.down()
+        await fleet.stop()
 
 
 @pytest.mark.parametrize("fault", ["", "kill_leader"])
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -12,8 +12,12 @@
 from mapleshunt.maintenance.state import Works
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
-from mapleshunt.testbed.faults.replicated_fleet import replicas_only_config
-from mapleshunt.testbed.rolling_maintenance import Rolls
+from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
+from mapleshunt.testbed.rolling_maintenance import (
+    MaintenanceFault,
+    MaintenanceFaultAt,
+    RollingMaintenanceRun,
+)
 
 from .test_faults import PEERS, command
 
@@ -31,20 +35,22 @@
 
 @pytest.mark.parametrize("number", range(len(SCHEDULES)))
 def test_each_machine_goes_once_and_never_more_than_may(number: int, tmp_path: Path) -> None:
-    played = Rolls(tmp_path, replicas_only_config(), 5, seed=number + 1)
-    roll = asyncio.run(played.run(SCHEDULES[number]))
-    assert not roll.broken and len(roll.strikes) == len(SCHEDULES[number]), roll
-    assert roll.times == dict.fromkeys(played.machines, 1) and roll.most == 1
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 5, seed=number + 1, election_ms=500.0)
+    schedule = [MaintenanceFaultAt(MaintenanceFault(kind), state) for kind, state in SCHEDULES[number]]
+    report = asyncio.run(RollingMaintenanceRun(fleet).run(schedule))
+    assert not report.violations and len(report.faults) == len(SCHEDULES[number]), report
+    assert report.times_out == dict.fromkeys(fleet.machines, 1) and report.most_drained == 1
     logs = "".join(one.read_text() for one in tmp_path.glob("*/log"))
     assert "exception" not in logs and "event=maintenance_drains" in logs
 
 
 def test_operators_take_machines_out_by_the_command_line(tmp_path: Path) -> None:
-    played = Rolls(tmp_path, replicas_only_config(), 3, seed=7)
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 3, seed=7, election_ms=500.0)
+    RollingMaintenanceRun(fleet)  # which makes the fleet's settings those of maintenance
 
     async def play() -> None:
         try:
-            await played.up()
+            await fleet.start()
             run = command(tmp_path / "g0" / "operators.sexp")
 
             async def told(*args: str) -> object:
@@ -66,7 +72,7 @@
             code, text = await run("maintenance", "await-safe", "g1", "--patience", "20")
             assert code == 0, text
             assert (await run("maintenance", "hold", "--reason", "payday"))[0] == 0
-            machine = played.machines["g1"]
+            machine = fleet.machines["g1"]
             machine.kill()
             machine.start()
             assert (await run("maintenance", "return", "g1"))[0] == 0
@@ -83,11 +89,11 @@
             assert isinstance(shown, dict)
             went = [one["state"] for one in shown["story"] if one["machine"] == "g1"]
             assert went == ["queued", "granted", "draining", "safe", "out", "returning", "done"]
-            for machine in played.machines.values():
+            for machine in fleet.machines.values():
                 machine.kill()
             assert (await run("maintenance", "list"))[0] == 1
         finally:
-            await played.down()
+            await fleet.stop()
 
     asyncio.run(play())
 
