--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -13,6 +13,18 @@
 if TYPE_CHECKING:
     from ..testbed.soak.schedule import FaultKind
 
+# Operations as the report of `faults` has always named them.
+CALL_NAMES = {
+    "OpenSession": "Open",
+    "AcquireLease": "Lease",
+    "ReturnLease": "Return",
+    "SettleUsage": "Settle",
+    "CountUsage": "Count",
+    "ReserveUnits": "Reserve",
+    "ReleaseReservation": "Release",
+    "SetRecord": "Put",
+}
+
 
 @click.group()
 def rig() -> None:
@@ -20,12 +32,12 @@
 
 
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
-    from ..simulation.day import day_of
+    from ..simulation.day import draw_day
     from ..testbed import fleet
     from ..testbed.gateway_process import GatewayError
 
     try:
-        return fleet.play_day(day_of(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
+        return fleet.play_day(draw_day(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
     except (GatewayError, OSError) as error:
         raise Trouble(str(error)) from None
 
@@ -108,6 +120,7 @@
     with tempfile.TemporaryDirectory() as spare:
         fleet = ReplicatedFleet(folder or Path(spare), replicas_only_config(), gateways, seed, size)
         report = asyncio.run(FaultScheduleRun(fleet).run(count, schedule=chosen))
+    report.calls = {CALL_NAMES.get(kind, kind): number for kind, number in report.calls.items()}
     if as_json:
         print_json(report)
     else:
--- a/mapleshunt/simulation/copies_promises.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -10,12 +10,19 @@
 import msgspec
 
 from ..replicated_state import commands as w
-from ..replicated_state.state_machine import Frozen, Holdings
+from ..replicated_state.results import Applied, Denied, LeaseGranted, Result
+from ..replicated_state.state_machine import ReplicatedState, StateSnapshot
 from ..replication import messages as m
 from ..replication.messages import gateway_of
 from ..replication.node import Node
-from .copies import Broken, Group, Machine, Make, verdict
-from .promises import Event, broken
+from .history_checker import HistoryEvent, find_violations
+from .replication_plays import (
+    InvariantViolationError,
+    NodeFactory,
+    ReplicaGroupPlay,
+    VirtualReplica,
+    run_play,
+)
 
 SESSIONS = 3
 CUSTOMERS = 2
@@ -23,15 +30,15 @@
 AGAIN = 0.6  # s after which a call is made anew through another copy
 
 
-class Promises(Group):
-    holdings: type[Holdings] = Holdings
+class StateMachinePlay(ReplicaGroupPlay):
+    holdings: type[ReplicatedState] = ReplicatedState
 
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: Make = Node) -> None:
+    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = Node) -> None:
         super().__init__(seed, copies, spare, make)
-        self.history: list[Event] = []
-        self.open: dict[str, Event] = {}  # what each session waits for
+        self.history: list[HistoryEvent] = []
+        self.open: dict[str, HistoryEvent] = {}  # what each session waits for
         self.numbers = dict.fromkeys((f"s{n}" for n in range(SESSIONS)), 0)
-        self.by_call: dict[int, Event] = {}
+        self.by_call: dict[int, HistoryEvent] = {}
         self.leases: list[tuple[str, int, float]] = []
         self.quiet = False
 
@@ -43,14 +50,14 @@
     def freeze(self, state: Any) -> bytes:
         return msgspec.msgpack.encode(state.freeze())
 
-    def take(self, one: Machine, entry: m.Entry, call: int | None) -> None:
+    def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         result = one.state.apply(entry.stamp, entry.data) if entry.data else None
         event = self.by_call.pop(call, None) if call is not None else None
         if event is None or event.ended or result is None:
             return
         event.result, event.ended = result, self.now
         self.open.pop(event.session, None)
-        if isinstance(result, w.Granted) and isinstance(event.operation, w.Lease):
+        if isinstance(result, LeaseGranted) and isinstance(event.operation, w.AcquireLease):
             self.leases.append((event.operation.customer, result.lease, result.units))
 
     def operation(self) -> w.Operation:
@@ -58,10 +65,10 @@
         kind = chance.choice(["lease", "lease", "count", "return"])
         if kind == "return" and self.leases:
             whose, lease, units = self.leases.pop(0)
-            return w.Return(whose, lease, chance.uniform(0.0, units))
+            return w.ReturnLease(whose, lease, chance.uniform(0.0, units))
         if kind == "lease":
-            return w.Lease(customer, RATE, BURST, chance.choice([1.0, 5.0, 12.0]), 1.0, TERM)
-        return w.Count(customer, float(chance.randint(1, 9)))
+            return w.AcquireLease(customer, RATE, BURST, chance.choice([1.0, 5.0, 12.0]), 1.0, TERM)
+        return w.CountUsage(customer, float(chance.randint(1, 9)))
 
     def call(self) -> None:
         """One session asks, anew if it waits; through any copy that is up."""
@@ -72,12 +79,14 @@
             if self.quiet:
                 return
             number = self.numbers[session] = self.numbers[session] + 1
-            event = Event(session, number, w.Open() if number == 1 else self.operation(), self.now)
+            event = HistoryEvent(
+                session, number, w.OpenSession() if number == 1 else self.operation(), self.now
+            )
             self.open[session] = event
             self.history.append(event)
         self.ask(event)
 
-    def ask(self, event: Event) -> None:
+    def ask(self, event: HistoryEvent) -> None:
         if event.ended:
             return
         alive = [one for one in self.machines.values() if one.node is not None]
@@ -85,7 +94,7 @@
         if alive:
             self.next_call += 1
             self.by_call[self.next_call] = event
-            data = w.ENCODE(w.Command(event.session, event.number, event.number, event.operation))
+            data = w.encode(w.Command(event.session, event.number, event.number, event.operation))
             self.calls[self.next_call] = {"data": data, "known": 0}
             self.step(self.random.choice(leaders or alive).copy, m.Propose(self.next_call, data))
         self.at(self.now + AGAIN, lambda: self.ask(event))
@@ -99,23 +108,23 @@
         nodes = [one for one in self.machines.values() if one.node is not None]
         state = max(nodes, key=lambda one: one.last).state
         final = {f"store c{n}": state.stores.get(f"c{n}") for n in range(CUSTOMERS)}
-        if said := broken(self.history, final, BURST):
-            raise Broken(said[0])
+        if said := find_violations(self.history, final, BURST):
+            raise InvariantViolationError(said[0])
 
 
 # Planted faults
 
 
-class Forgetful(Holdings):
+class Forgetful(ReplicatedState):
     """A snapshot leaves the sessions' answers out."""
 
-    def freeze(self) -> Frozen:
+    def freeze(self) -> StateSnapshot:
         whole = super().freeze()
         bare = [(name, msgspec.structs.replace(one, results=())) for name, one in whole.sessions]
         return msgspec.structs.replace(whole, sessions=bare)
 
 
-class SnapshotWithoutSessions(Promises):
+class SnapshotWithoutSessions(StateMachinePlay):
     holdings = Forgetful
 
 
@@ -128,31 +137,31 @@
         return max(self.last_stamp(), 1000 * now + ahead)
 
 
-class NoSessions(Holdings):
+class NoSessions(ReplicatedState):
     """An operation that comes again is done again."""
 
-    def apply(self, stamp: float, data: bytes) -> w.Result:
+    def apply(self, stamp: float, data: bytes) -> Result:
         try:
-            command = w.DECODE(data)
+            command = w.decode_command(data)
         except msgspec.DecodeError:
-            return w.Denied("order")
-        if isinstance(command.operation, w.Open):
-            return w.Done()
+            return Denied("order")
+        if isinstance(command.operation, w.OpenSession):
+            return Applied()
         return self._do(stamp, command.session, command.operation)
 
 
-class DoneAgain(Promises):
+class DoneAgain(StateMachinePlay):
     holdings = NoSessions
 
 
-PLANTS: dict[str, tuple[type[Promises], type[Node]]] = {
+PLANTS: dict[str, tuple[type[StateMachinePlay], type[Node]]] = {
     "SnapshotWithoutSessions": (SnapshotWithoutSessions, Node),
     "DoneAgain": (DoneAgain, Node),
-    "JumpedClock": (Promises, JumpedClock),
+    "JumpedClock": (StateMachinePlay, JumpedClock),
 }
 
 
 def play(seed: int, plant: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    kind, make = PLANTS.get(plant, (Promises, Node))
-    return verdict(kind, seed, make)
+    kind, make = PLANTS.get(plant, (StateMachinePlay, Node))
+    return run_play(kind, seed, make)
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -11,7 +11,7 @@
 
 from ...platform_terms import wire_of
 from ...policy import interface as i
-from ...simulation.promises import Event
+from ...simulation.history_checker import HistoryEvent
 from ..fault_proxy import Direction, FaultProxy
 from ..gateway_process import GatewayError
 from ..replica_client import ReplicaClient, gateway_statuses, leader_status
@@ -62,7 +62,7 @@
             self.machines[name] = GatewayMachine(
                 name, folder / name, program or PROGRAM, config, self.settings, self._peers_of
             )
-        self.history: list[Event] = []  # the calls of all clients
+        self.history: list[HistoryEvent] = []  # the calls of all clients
         self._origin = time.monotonic()
 
     def _peers_of(self, name: str) -> list[PeerAddress]:
--- a/mapleshunt/testbed/faults/schedule.py
+++ b/mapleshunt/testbed/faults/schedule.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from ...simulation.promises import Event, broken
+from ...simulation.history_checker import HistoryEvent, find_violations
 from ..gateway_process import GatewayError
 from ..replica_client import ReplicaClient
 from ..replica_workload import BURST, read_final_state, run_workload
@@ -63,7 +63,7 @@
             self._ended = True
             await asyncio.wait_for(asyncio.gather(*calls), SETTLE_TIMEOUT_S)
             final = await read_final_state(callers[0], SETTLE_TIMEOUT_S)
-            self.report.broken = broken(self.fleet.history, final, BURST)
+            self.report.broken = find_violations(self.fleet.history, final, BURST)
         except (GatewayError, TimeoutError) as error:
             self.report.broken.append(f"not healed in time: {error!r} {self._unanswered_calls()}")
         finally:
@@ -92,12 +92,12 @@
         return unanswered[:MAX_LISTED_CALLS]
 
 
-def _calls_by_kind(history: Sequence[Event]) -> dict[str, int]:
+def _calls_by_kind(history: Sequence[HistoryEvent]) -> dict[str, int]:
     kinds = Counter(_kind_of(event) for event in history)
     return dict(sorted(kinds.items()))
 
 
-def _kind_of(event: Event) -> str:
+def _kind_of(event: HistoryEvent) -> str:
     """Return the first word of a read, or an operation's type."""
     if isinstance(event.operation, str):
         return event.operation.split()[0]
--- a/mapleshunt/testbed/maintenance_work.py
+++ b/mapleshunt/testbed/maintenance_work.py
@@ -7,31 +7,32 @@
 from pathlib import Path
 
 from ..maintenance import commands as w
-from ..maintenance.state import Works
-from ..replicated_state import commands as h
+from ..maintenance.jobs import MaintenanceJobs
+from ..maintenance.records import MachineJob, MaintenanceSnapshot
+from ..replicated_state.results import Applied
 from .replica_client import ReplicaClient
 
 
-async def read_maintenance_state(client: ReplicaClient) -> Works:
+async def read_maintenance_state(client: ReplicaClient) -> MaintenanceJobs:
     """Return the state of maintenance as the group's leader has it; repeats its call until it is answered."""
-    works = Works()
-    _, frozen = await client.read("works", "", tuple[float, w.Frozen])
+    works = MaintenanceJobs()
+    _, frozen = await client.read("works", "", tuple[float, MaintenanceSnapshot])
     works.thaw(frozen)
     return works
 
 
 async def work_on_safe_machine(
-    client: ReplicaClient, place: w.Place, restart: Callable[[str], Awaitable[None]]
+    client: ReplicaClient, place: MachineJob, restart: Callable[[str], Awaitable[None]]
 ) -> None:
     """Take a safe machine out, restart its gateway and say that it returns; nothing if it may not go.
 
     `restart` gets the machine's name and returns once its gateway is back. A cancelled call leaves the
     machine out.
     """
-    result = await client.do(w.Told(place.machine, place.fence, "out"))
-    if isinstance(result, h.Done):
+    result = await client.do(w.ReportProgress(place.machine, place.fence, "out"))
+    if isinstance(result, Applied):
         await restart(place.machine)
-        await client.do(w.Told(place.machine, place.fence, "returning"))
+        await client.do(w.ReportProgress(place.machine, place.fence, "returning"))
 
 
 def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -15,8 +15,9 @@
 from enum import StrEnum
 
 from ..maintenance import commands as w
-from ..maintenance.state import Works
+from ..maintenance.jobs import MaintenanceJobs
 from ..replicated_state import commands as h
+from ..replicated_state.results import Applied
 from .faults.gateway_machine import GatewayMachine
 from .faults.replicated_fleet import SETTLE_TIMEOUT_S, ReplicatedFleet
 from .gateway_process import GatewayError
@@ -79,7 +80,7 @@
             " (most-load 9.0))"
         )
         self._out: set[str] = set()  # machines that are worked on
-        self._works = Works()  # as last read
+        self._works = MaintenanceJobs()  # as last read
         self._ended = False
         self._handlers: dict[MaintenanceFault, Callable[[GatewayMachine], Awaitable[None]]] = {
             MaintenanceFault.KILL_COORDINATOR: self._kill_coordinator,
@@ -131,11 +132,11 @@
         return [MaintenanceFaultAt(rng.choice(kinds), rng.choice(STATES)) for _ in range(count)]
 
     async def _request_all(self, client: ReplicaClient) -> None:
-        await client.do(h.Open())
-        request = w.Ask("roll", tuple(self.fleet.machines), "memory", "op", 60.0)
+        await client.do(h.OpenSession())
+        request = w.RequestMaintenance("roll", tuple(self.fleet.machines), "memory", "op", 60.0)
         for _ in range(2):  # the second time as if the first had not been answered
             result = await client.do(request)
-            if not isinstance(result, h.Done):
+            if not isinstance(result, Applied):
                 raise GatewayError(f"the request for maintenance was refused: {result}")
 
     async def _wait_until_done(self, client: ReplicaClient) -> None:
@@ -147,7 +148,7 @@
             await asyncio.sleep(0.1)
         await self.fleet.wait_until_settled()
 
-    async def _read(self, client: ReplicaClient) -> Works:
+    async def _read(self, client: ReplicaClient) -> MaintenanceJobs:
         self._works = await asyncio.wait_for(read_maintenance_state(client), SETTLE_TIMEOUT_S)
         return self._works
 
@@ -156,7 +157,7 @@
     async def _work_on(self, machine: GatewayMachine, number: int) -> None:
         """Work on that machine whenever it is safe."""
         client = self.fleet.client(FIRST_WORKER + number)
-        await client.do(h.Open())
+        await client.do(h.OpenSession())
         while not self._ended:
             place = (await self._read(client)).place_of(machine.name)
             if place is not None and place.state == "safe":
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -16,16 +16,16 @@
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.file_format import Attempt, Row
-from mapleshunt.simulation import fit, recorded
-from mapleshunt.simulation.check import compare
-from mapleshunt.simulation.day import Day, Scenario, day_of, sized
+from mapleshunt.simulation import fit, recorded_traffic
+from mapleshunt.simulation.day import Day, Scenario, draw_day, resized
 from mapleshunt.simulation.engine import Engine
 from mapleshunt.simulation.experiments import play
 from mapleshunt.simulation.scenarios import SCENARIOS
-from mapleshunt.simulation.score import score
+from mapleshunt.simulation.score import score_day
+from mapleshunt.simulation.validation import compare_with_prediction
 
 ROOT = Path(__file__).parent.parent
-BASE = replace(sized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
+BASE = replace(resized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
 
 
 def rows_of(engine: Engine) -> list[tuple[Row, int]]:
@@ -47,7 +47,7 @@
 
 @pytest.fixture(scope="module")
 def day() -> Day:
-    return day_of(BASE, 1)
+    return draw_day(BASE, 1)
 
 
 @pytest.fixture(scope="module")
@@ -71,7 +71,7 @@
 
 @pytest.fixture(scope="module")
 def fitted(day: Day, rows: list[tuple[Row, int]], tmp_path_factory: pytest.TempPathFactory) -> fit.Fit:
-    traffic = recorded.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
+    traffic = recorded_traffic.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
     worths = {c.name: c.worth for c in day.figures.classes}
     return fit.fit(traffic, fit.plans_of(day), worths, 6, {"cores": 3.0}, draws=16, keep=6, jobs=4)
 
@@ -131,13 +131,13 @@
 def test_two_of_three_recordings_make_the_same_fleet(
     day: Day, rows: list[tuple[Row, int]], fitted: fit.Fit, tmp_path: Path
 ) -> None:
-    traffic = recorded.together(write(rows, tmp_path, 3, (0, 2)))
+    traffic = recorded_traffic.together(write(rows, tmp_path, 3, (0, 2)))
     assert traffic.coverage == pytest.approx(2 / 3) and traffic.recorded == (0, 2)
     found = fit.customers_of(traffic)
     asked = sum(fit.rates(c, 100).mean() for c in found)
     whole = sum(fit.rates(c, 100).mean() for c in fitted.customers)
     assert 0.8 < asked / whole < 1.2
-    classes, _ = fit.classes_of(traffic, recorded.received(traffic, 3), {})
+    classes, _ = fit.classes_of(traffic, recorded_traffic.received(traffic, 3), {})
     for one, other in zip(classes, fitted.classes, strict=True):
         assert abs(one.work / other.work - 1) < 4 * one.error + 0.1
 
@@ -146,27 +146,27 @@
     good = write(rows, tmp_path, 3, (0,))
     (tmp_path / "b").mkdir()
     other = write(rows, tmp_path / "b", 2, (1,))
-    with pytest.raises(recorded.BadTraffic, match="different sizes"):
-        recorded.together(good + other)
+    with pytest.raises(recorded_traffic.RecordedTrafficError, match="different sizes"):
+        recorded_traffic.together(good + other)
     (tmp_path / "c").mkdir()
-    with pytest.raises(recorded.BadTraffic, match="no requests"):
-        recorded.together(write([], tmp_path / "c", 3, (0,)))
-    few = recorded.together(good)
+    with pytest.raises(recorded_traffic.RecordedTrafficError, match="no requests"):
+        recorded_traffic.together(write([], tmp_path / "c", 3, (0,)))
+    few = recorded_traffic.together(good)
     few.rows = few.rows[:50]
     with pytest.raises(ValueError, match="too few"):
-        fit.classes_of(few, recorded.received(few, 3), {})
+        fit.classes_of(few, recorded_traffic.received(few, 3), {})
     hurt = bytearray(good[0].read_bytes())
     hurt[form.HEADER.size + 300] ^= 0xFF
     good[0].write_bytes(bytes(hurt))
-    assert any("damaged" in line for line in recorded.together(good).trouble)
+    assert any("damaged" in line for line in recorded_traffic.together(good).trouble)
 
 
 def test_cuts_are_kept_for_spells_and_not_for_chance() -> None:
     rng = np.random.default_rng(1)
-    even = [len(np.unique(recorded.segments(rng.poisson(0.5, 200)))) for _ in range(50)]
+    even = [len(np.unique(recorded_traffic.segments(rng.poisson(0.5, 200)))) for _ in range(50)]
     assert np.mean(even) < 1.4
     spell = np.concatenate([rng.poisson(0.3, 100), rng.poisson(4, 20), rng.poisson(0.3, 100)])
-    rate = recorded.segments(spell)
+    rate = recorded_traffic.segments(spell)
     assert rate[105:115].mean() > 2.5 and rate[:90].mean() < 0.6
     assert rate.sum() == pytest.approx(spell.sum())
 
@@ -174,9 +174,9 @@
 def test_a_fitted_fleet_foretells_another_day_of_the_same_installation(fitted: fit.Fit) -> None:
     told = fit.scenario_from(fitted, BASE)
     model = [play(told, 100 + seed) for seed in range(19)]
-    engine = Engine(day_of(BASE, 2), Gateway)
+    engine = Engine(draw_day(BASE, 2), Gateway)
     engine.run()
-    lines = compare("quiet", 2, model, score(engine))
+    lines = compare_with_prediction("quiet", 2, model, score_day(engine))
     assert {line.figure for line in lines} == {"service", "waste", "late_fail", "messages", "over_quota"}
     service = lines[0]
     assert service.low < service.mean < service.high
