--- a/mapleshunt/testbed/faults/faulty_gateway.py
+++ b/mapleshunt/testbed/faults/faulty_gateway.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from ... import __main__ as program
 from ...net.replication.group_host import GroupHost
 from ...replication import messages as m
-from ...storage.durable_store import Disk
+from ...server.bootstrap import run_gateway
+from ...storage.durable_store import DurableStore
 from .process_faults import FAULTS_FILE_VARIABLE, CrashStep, ProcessFaults, read_process_faults
 
 
@@ -48,22 +48,22 @@
         self._wrap_wall_clock()
 
     def _wrap_commit(self) -> None:
-        commit = Disk.commit
+        commit = DurableStore.commit
 
         # Both arguments are handed on as they are, of whatever type the store takes.
-        def slow_commit(disk: Disk, writes: Any, beside: Any = None) -> None:
+        def slow_commit(store: DurableStore, writes: Any, beside: Any = None) -> None:
             time.sleep(self._faults.commit_delay_s)
             self._reach(CrashStep.UNWRITTEN)
-            commit(disk, writes, beside)
+            commit(store, writes, beside)
             self._reach(CrashStep.WRITTEN)
 
-        Disk.commit = slow_commit  # type: ignore[method-assign, assignment]
+        DurableStore.commit = slow_commit  # type: ignore[method-assign, assignment]
 
     def _wrap_step(self) -> None:
         step = GroupHost.step
 
         def watched_step(host: GroupHost, event: m.Event) -> None:
-            if isinstance(event, m.Written):
+            if isinstance(event, m.WriteCompleted):
                 self._reach(CrashStep.DURABLE)
                 step(host, event)
                 self._reach(CrashStep.ACKNOWLEDGED)
@@ -95,7 +95,7 @@
     faulty = FaultyProgram(Path(os.environ[FAULTS_FILE_VARIABLE]))
     faulty.install()
     signal.signal(signal.SIGUSR2, faulty.read_faults)
-    return program.daemon()
+    return run_gateway()
 
 
 if __name__ == "__main__":
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ...platform_terms import wire_of
-from ...policy import interface as i
+from ...policy import Plan, RequestClass, Settings
 from ...simulation.history_checker import HistoryEvent
 from ..fault_proxy import Direction, FaultProxy
 from ..gateway_process import GatewayError
@@ -28,14 +28,20 @@
 
 def replicas_only_config() -> dict[str, Any]:
     """Return a gateway's configuration (its JSON) with no backends or peers: only its replicas are used."""
-    settings = i.Settings(
-        me=0, instances=1, classes={"look": i.RequestClass("look", aim=500, deadline=2000)},
-        plans={"plan": i.Plan("plan", rate=RATE, burst=BURST)},
-    )  # fmt: skip
+    settings = Settings(
+        gateway_index=0,
+        gateway_count=1,
+        classes={"look": RequestClass("look", latency_objective=500, deadline=2000)},
+        plans={"plan": Plan("plan", rate=RATE, burst=BURST)},
+    )
     return {
-        "name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": wire_of(settings),
-    }  # fmt: skip
+        "name": "g0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "1",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+        "settings": wire_of(settings),
+    }
 
 
 class ReplicatedFleet:
