--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -37,10 +37,10 @@
 
 
 def _addresses(section: Any) -> dict[str, tuple[str, int]]:
-    from ..net.config import ConfigError, address
+    from ..net.config import ConfigError, parse_address
 
     try:
-        return {one.name: address(one.address, f"peer {one.name}") for one in section.peer}
+        return {one.name: parse_address(one.address, f"peer {one.name}") for one in section.peer}
     except ConfigError as error:
         raise Trouble(str(error)) from None
 
@@ -278,15 +278,15 @@
 @json_option
 def show(customer: str, file: Path | None, as_json: bool) -> None:
     """A customer's store as its group's leader holds it now: level, leases, reservations, counted use."""
-    from ..replication.placement import group_of
+    from ..replication.placement import group_of_customer
     from ..testbed.replica_client import ReplicaClient
 
     section = _section(file)
 
     async def read() -> Any:
         caller = ReplicaClient(
-            f"cli-{os.getpid()}", _addresses(section), section.fleet, group_of(customer, section.groups), [],
-            time.monotonic, random.Random(),
+            f"cli-{os.getpid()}", _addresses(section), section.fleet,
+            group_of_customer(customer, section.groups), [], time.monotonic, random.Random(),
         )  # fmt: skip
         try:
             return await asyncio.wait_for(caller.read("store", customer), PATIENCE)
--- a/mapleshunt/lifecycle/warm_state.py
+++ b/mapleshunt/lifecycle/warm_state.py
@@ -127,7 +127,7 @@
 
 def _capture_endpoint(server: Server, now: float) -> EndpointState:
     return EndpointState(
-        server=server.entry.server,
+        server=server.entry.endpoint,
         started=server.started,
         latency_ratio=server.pace,
         ejected_for=max(0.0, server.barred - now),
@@ -229,5 +229,5 @@
     if customer is None:
         return
     customer.store.level = customer.store.fill(now) - units
-    if not customer.keepers or customer.keepers[0] == gateway.set.me:
+    if not customer.keepers or customer.keepers[0] == gateway.set.gateway_index:
         customer.use.add(now, units)
--- a/mapleshunt/replication/messages.py
+++ b/mapleshunt/replication/messages.py
@@ -1,36 +1,44 @@
-"""What copies of a group tell each other and keep: records only.
+"""Records that replicas of a group store and send, and the events and outputs of a replica's step.
 
-A copy is named by its gateway and its incarnation, `NAME/INCARNATION`. The incarnation is made with the
-store: a gateway that lost its disk comes back as another copy, and nothing that the lost one said counts for
-it.
+What is stored or sent holds positions and tags only (`array_like`, `tag`): names may change, tags, the order
+of fields and their defaults may not. A replica is named by its gateway and its incarnation,
+`NAME/INCARNATION`. The incarnation is made with the store: a gateway that lost its disk comes back as another
+replica, and no promise of the lost one counts for it.
 """
 
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
-Copy = str  # NAME/INCARNATION
+from .roles import Role, RoleChangeReason
+
+Replica = str  # NAME/INCARNATION
 
 
-def gateway_of(copy: Copy) -> str:
-    return copy.rpartition("/")[0]
+def gateway_of(replica: Replica) -> str:
+    """The name of a replica's gateway."""
+    return replica.rpartition("/")[0]
 
 
 class Members(msgspec.Struct, array_like=True, frozen=True):
-    """Who decides (voters) and who only listens (learners)."""
+    """Voters, which elect and commit, and learners, which only receive entries."""
 
-    voters: tuple[Copy, ...]
-    learners: tuple[Copy, ...] = ()
+    voters: tuple[Replica, ...]
+    learners: tuple[Replica, ...] = ()
 
-    def all(self) -> tuple[Copy, ...]:
+    def all(self) -> tuple[Replica, ...]:
+        """Voters and learners."""
         return self.voters + self.learners
 
     def majority(self) -> int:
+        """How many voters a quorum needs."""
         return len(self.voters) // 2 + 1
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """A place in the log. `stamp` is the log's own time in ms: it never goes back, and never runs ahead."""
+    """An entry of the log. `stamp` is the log's own time in ms: it never goes back, and never runs ahead."""
 
     index: int
     term: int
@@ -40,7 +48,7 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All that the log up to `index` came to."""
+    """The state machine's state after the log's entries up to `index`."""
 
     index: int
     term: int
@@ -49,74 +57,79 @@
     data: bytes
 
 
-class Stored(msgspec.Struct, frozen=True):
-    """What a copy's disk holds."""
+class PersistentState(msgspec.Struct, frozen=True):
+    """What a replica's disk holds."""
 
     snapshot: Snapshot
     term: int = 0
-    vote: Copy = ""
+    vote: Replica = ""
     entries: tuple[Entry, ...] = ()
 
 
-# Messages. All but the first two and the last carry their sender's term.
+# Messages. Each carries its sender's term.
 
 
-class Ask(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A candidate asks for a vote; `pre`: would it get one in that term?"""
+class VoteRequest(msgspec.Struct, array_like=True, tag=1, frozen=True):
+    """A candidate's request for a vote; with `pre_vote`, whether it would get one in that term."""
 
     term: int
     last_index: int
     last_term: int
-    pre: bool
-    told: bool  # the leader told it to: others that hear the leader vote too
+    pre_vote: bool
+    leadership_transfer: bool  # the leader asked it to campaign: replicas that hear the leader vote too
+
 
+class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
+    """A vote that is granted or denied."""
 
-class Vote(msgspec.Struct, array_like=True, tag=2, frozen=True):
     term: int
     granted: bool
-    pre: bool
+    pre_vote: bool
 
 
-class Append(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """Entries after the one at `before`; empty as a heartbeat. `round` numbers what a majority confirms."""
+class AppendEntries(msgspec.Struct, array_like=True, tag=3, frozen=True):
+    """Entries after the one at `previous_index`; none in a heartbeat.
+
+    A majority's answers confirm `round`.
+    """
 
     term: int
-    before: int
-    before_term: int
+    previous_index: int
+    previous_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int
     round: int
 
 
-class Appended(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """`index` up to which its durable log is the leader's, or, if not `good`, where to look for agreement."""
+class AppendEntriesResponse(msgspec.Struct, array_like=True, tag=4, frozen=True):
+    """How far the durable log agrees with the leader's; without `success`, where to look for agreement."""
 
     term: int
-    good: bool
+    success: bool
     index: int
     round: int
 
 
-class Piece(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A part of a snapshot, from `offset` on."""
+class SnapshotChunk(msgspec.Struct, array_like=True, tag=5, frozen=True):
+    """A part of a snapshot, from byte `offset` on."""
 
     term: int
     index: int
-    at_term: int
+    snapshot_term: int
     stamp: float
     members: Members
     offset: int
     data: bytes
-    last: bool
+    is_last: bool
     round: int
 
 
-class PieceTaken(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """`offset` is where the next piece is to begin."""
+class SnapshotChunkAck(msgspec.Struct, array_like=True, tag=6, frozen=True):
+    """A chunk of the snapshot of `index` came; the next one is to begin at `next_offset`."""
 
     term: int
     index: int
-    offset: int
+    next_offset: int
     round: int
 
 
@@ -126,118 +139,149 @@
     term: int
 
 
-Message = Ask | Vote | Append | Appended | Piece | PieceTaken | TimeoutNow
+Message = (
+    VoteRequest | VoteResponse | AppendEntries | AppendEntriesResponse | SnapshotChunk | SnapshotChunkAck
+    | TimeoutNow
+)  # fmt: skip
 
 
 # Events
 
 
-class Heard(msgspec.Struct, frozen=True):
-    sender: Copy
+class MembershipAction(enum.StrEnum):
+    """What is done about a replica's membership. The values stand in log lines."""
+
+    ADD_LEARNER = "learner"
+    PROMOTE = "voter"
+    REMOVE = "out"
+    TRANSFER_LEADERSHIP = "transfer"  # changes no members, but comes before the leader's removal
+
+
+class MessageReceived(msgspec.Struct, frozen=True):
+    """A message of another replica."""
+
+    sender: Replica
     message: Message
 
 
-class Written(msgspec.Struct, frozen=True):
+class WriteCompleted(msgspec.Struct, frozen=True):
     """The write of that number, and all before it, are durable."""
 
     number: int
 
 
 class Tick(msgspec.Struct, frozen=True):
-    pass
+    """Time has passed."""
 
 
 class Propose(msgspec.Struct, frozen=True):
-    call: int
+    """A request to append `data` to the log."""
+
+    request_id: int
     data: bytes
 
 
-class Read(msgspec.Struct, frozen=True):
-    call: int
+class ReadRequest(msgspec.Struct, frozen=True):
+    """A request to read the state machine linearizably."""
+
+    request_id: int
 
 
-class Change(msgspec.Struct, frozen=True):
-    """One copy more or less: `how` is learner (joins to listen), voter (may decide), or out."""
+class ChangeMembership(msgspec.Struct, frozen=True):
+    """A request for one member more or less, or for a learner to become a voter."""
 
-    call: int
-    how: str
-    copy: Copy
+    request_id: int
+    action: MembershipAction
+    replica: Replica
 
 
-class Transfer(msgspec.Struct, frozen=True):
-    """Hand leadership to that copy, or to whoever is furthest."""
+class TransferLeadership(msgspec.Struct, frozen=True):
+    """Hand leadership to that replica, or to the one that is furthest."""
 
-    to: Copy = ""
+    to: Replica = ""
 
 
-class Snapped(msgspec.Struct, frozen=True):
-    """The state as of the entry at `index`, all applied up to there."""
+class SnapshotCreated(msgspec.Struct, frozen=True):
+    """The state machine's state as of the entry at `index`."""
 
     index: int
     data: bytes
 
 
-Event = Heard | Written | Tick | Propose | Read | Change | Transfer | Snapped
+Event = (
+    MessageReceived | WriteCompleted | Tick | Propose | ReadRequest | ChangeMembership | TransferLeadership
+    | SnapshotCreated
+)  # fmt: skip
+
+
+# Outputs
 
 
-# What a step asks of its host, in order
+class RequestOutcome(enum.StrEnum):
+    """How a request ended at the replica. `REJECTED` and `UNKNOWN` are sent to clients by their values."""
+
+    READ_READY = "read"  # answer once all up to the result's index is applied
+    REJECTED = "refused"  # nothing was or will be done
+    UNKNOWN = "unknown"  # it may come to be applied, or not
 
 
 class Send(msgspec.Struct, frozen=True):
-    to: Copy
+    """Send a message; it may be lost."""
+
+    to: Replica
     message: Message
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Make durable, in the order of numbers. Entries replace what the log holds from the first's index on;
-    a snapshot replaces all up to its index, and the whole log if `reset`.
+    """Make durable, in the order of numbers.
+
+    Entries replace what the log holds from the first's index on; a snapshot replaces all up to its index, and
+    the whole log if `reset`.
     """
 
     number: int
     term: int
-    vote: Copy
+    vote: Replica
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
     reset: bool = False
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """A committed entry, each once and in order."""
+    """Apply a committed entry, each once and in order."""
 
     entry: Entry
-    call: int | None = None  # of the one who proposed it here
+    request_id: int | None = None  # of the proposal that was made here
 
 
-class Install(msgspec.Struct, frozen=True):
+class RestoreSnapshot(msgspec.Struct, frozen=True):
     """Take this state in place of all that was applied."""
 
     snapshot: Snapshot
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """To a call: "read" (answer once all up to `index` is applied), "refused" (nothing was or will be done),
-    or "unknown" (it may come to be applied, or not). `hint` is who leads, if known.
-    """
+class RequestResult(msgspec.Struct, frozen=True):
+    """Answer a request that led to no entry; `leader_hint` is the leader, if known."""
 
-    call: int
-    how: str
+    request_id: int
+    outcome: RequestOutcome
     index: int = 0
-    hint: Copy = ""
+    leader_hint: Replica = ""
 
 
-class WantSnapshot(msgspec.Struct, frozen=True):
+class CreateSnapshot(msgspec.Struct, frozen=True):
     """Hand in the state as of the entry at `index`, the last that was handed out to be applied."""
 
     index: int
 
 
-class Role(msgspec.Struct, frozen=True):
-    """The role has changed: leader, follower, candidate; `leader` is who leads, if known."""
+class RoleChanged(msgspec.Struct, frozen=True):
+    """The role or the leader has changed; `leader` is empty if none is known."""
 
-    role: str
+    role: Role
     term: int
-    leader: Copy
-    why: str
+    leader: Replica
+    reason: RoleChangeReason
 
 
-Output = Send | Write | Apply | Install | Answer | WantSnapshot | Role
+Output = Send | Write | Apply | RestoreSnapshot | RequestResult | CreateSnapshot | RoleChanged
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -13,8 +13,10 @@
 from ..replicated_state.results import Applied, Denied, LeaseGranted, Result
 from ..replicated_state.state_machine import ReplicatedState, StateSnapshot
 from ..replication import messages as m
+from ..replication.leader import Leader
 from ..replication.messages import gateway_of
-from ..replication.node import Node
+from ..replication.node import RaftNode
+from ..replication.roles import Role
 from .history_checker import HistoryEvent, find_violations
 from .replication_plays import (
     InvariantViolationError,
@@ -33,7 +35,7 @@
 class StateMachinePlay(ReplicaGroupPlay):
     holdings: type[ReplicatedState] = ReplicatedState
 
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = Node) -> None:
+    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = RaftNode) -> None:
         super().__init__(seed, copies, spare, make)
         self.history: list[HistoryEvent] = []
         self.open: dict[str, HistoryEvent] = {}  # what each session waits for
@@ -90,7 +92,7 @@
         if event.ended:
             return
         alive = [one for one in self.machines.values() if one.node is not None]
-        leaders = [one for one in alive if one.node is not None and one.node.role == "leader"]
+        leaders = [one for one in alive if one.node is not None and one.node.role is Role.LEADER]
         if alive:
             self.next_call += 1
             self.by_call[self.next_call] = event
@@ -128,13 +130,19 @@
     holdings = Forgetful
 
 
-class JumpedClock(Node):
-    """Entries are stamped by a wall clock, which jumps ahead at one copy in two now and then."""
+class JumpedClockLeader(Leader):
+    """A leader that stamps entries by a wall clock, which jumps ahead at one replica in two now and then."""
 
-    def _stamp(self, now: float) -> float:
+    def stamp(self, now: float) -> float:
         odd = int(gateway_of(self.me)[1:]) % 2
         ahead = 5000.0 if odd and now % 8 > 4 else 0.0
-        return max(self.last_stamp(), 1000 * now + ahead)
+        return max(self.log.last_stamp(), 1000 * now + ahead)
+
+
+class JumpedClock(RaftNode):
+    """Entries are stamped by a wall clock."""
+
+    leader_type = JumpedClockLeader
 
 
 class NoSessions(ReplicatedState):
@@ -154,14 +162,14 @@
     holdings = NoSessions
 
 
-PLANTS: dict[str, tuple[type[StateMachinePlay], type[Node]]] = {
-    "SnapshotWithoutSessions": (SnapshotWithoutSessions, Node),
-    "DoneAgain": (DoneAgain, Node),
+PLANTS: dict[str, tuple[type[StateMachinePlay], type[RaftNode]]] = {
+    "SnapshotWithoutSessions": (SnapshotWithoutSessions, RaftNode),
+    "DoneAgain": (DoneAgain, RaftNode),
     "JumpedClock": (StateMachinePlay, JumpedClock),
 }
 
 
 def play(seed: int, plant: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    kind, make = PLANTS.get(plant, (StateMachinePlay, Node))
+    kind, make = PLANTS.get(plant, (StateMachinePlay, RaftNode))
     return run_play(kind, seed, make)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -24,10 +24,13 @@
 from mapleshunt.replicated_state.results import Applied
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
-from mapleshunt.replication.placement import group_of, place, rank
+from mapleshunt.replication.placement import group_of_customer, place_replicas, rank_gateways
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
-from mapleshunt.testbed.faults.replicated_fleet import FAULTS, Faults, Report, replicas_only_config
+from mapleshunt.testbed.faults.fault_injection import FaultKind
+from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
+from mapleshunt.testbed.faults.report import FaultReport
+from mapleshunt.testbed.faults.schedule import DRAWN_KINDS, FaultScheduleRun
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -45,8 +48,8 @@
 
 @pytest.mark.parametrize(("gateways", "seed", "schedule"), SCHEDULES)
 def test_promises_hold(gateways: int, seed: int, schedule: list[str], tmp_path: Path) -> None:
-    played = Faults(tmp_path, replicas_only_config(), gateways, seed, gateways, election_ms=600.0)
-    report = asyncio.run(played.play(schedule=schedule))
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), gateways, seed, gateways, election_ms=600.0)
+    report = asyncio.run(FaultScheduleRun(fleet).run(schedule=schedule))
     assert not report.broken and report.faults == schedule and sum(report.calls.values()) > 60
     logs = "".join(one.read_text() for one in tmp_path.glob("*/log"))
     assert "exception" not in logs
@@ -57,7 +60,10 @@
 
 
 def test_schedules_of_ci_meet_every_fault_but_the_plainest() -> None:
-    assert {one for _, _, some in SCHEDULES for one in some} >= set(FAULTS) - {"kill", "start_again"}
+    assert {one for _, _, some in SCHEDULES for one in some} >= {kind.value for kind in DRAWN_KINDS} - {
+        "kill",
+        "start_again",
+    }
 
 
 def test_the_next_version_is_rolled_out_and_back_again(tmp_path: Path) -> None:
@@ -65,19 +71,24 @@
     newer = tmp_path / "newer"
     shutil.copytree(ROOT / "mapleshunt", newer / "mapleshunt", ignore=shutil.ignore_patterns("__pycache__"))
     file = newer / "mapleshunt" / "replication" / "wire.py"
-    file.write_text(file.read_text().replace("LOWEST, HIGHEST = 1, 1 ", "LOWEST, HIGHEST = 1, 2 "))
-    assert "HIGHEST = 1, 2" in file.read_text()
-    played = Faults(tmp_path / "play", replicas_only_config(), 3, 7, 3, election_ms=600.0)
-    first, second, third = played.machines.values()
+    file.write_text(
+        file.read_text().replace("MIN_VERSION, MAX_VERSION = 1, 1 ", "MIN_VERSION, MAX_VERSION = 1, 2 ")
+    )
+    assert "MAX_VERSION = 1, 2" in file.read_text()
+    fleet = ReplicatedFleet(tmp_path / "play", replicas_only_config(), 3, 7, 3, election_ms=600.0)
+    first, second, third = fleet.machines.values()
     first.program = second.program = newer
 
-    async def roll() -> Report:
-        async def back(what: str) -> None:
+    async def roll() -> FaultReport:
+        run = FaultScheduleRun(fleet)
+        inject = run.injector.inject
+
+        async def back(kind: FaultKind) -> None:
             third.program, first.program = newer, ROOT  # one forward, one back, with work going on
-            await Faults.fault(played, what)
+            await inject(kind)
 
-        played.fault = back  # type: ignore[method-assign]
-        return await played.play(schedule=["start_again", "kill_leader"])
+        run.injector.inject = back  # type: ignore[method-assign]
+        return await run.run(schedule=["start_again", "kill_leader"])
 
     report = asyncio.run(roll())
     assert not report.broken and sum(report.calls.values()) > 40
@@ -101,13 +112,13 @@
 
 def test_operators_move_a_copy_and_look_at_it(tmp_path: Path) -> None:
     """The command line against four real gateways, a group on three of them."""
-    played = Faults(tmp_path, replicas_only_config(), 4, 9, 3, election_ms=600.0)
-    played.replace_after = played.settle_after = 3.0
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 4, 9, 3, election_ms=600.0)
+    fleet.settings.replace_after_s = fleet.settings.settle_after_s = 3.0
 
     async def play() -> None:
         try:
-            await played.up()
-            leader = await played.leader()
+            await fleet.start()
+            leader = await fleet.wait_for_leader()
             run = command(tmp_path / "g0" / "operators.sexp")
 
             async def held_by(names: set[str]) -> None:
@@ -121,7 +132,7 @@
             (group,) = json.loads(text)
             voters = {m.gateway_of(one) for one in group["voters"]}
             assert status == 0 and group["state"] == "led" and len(voters) == 3
-            spare = next(one for one in played.machines if one not in voters)
+            spare = next(one for one in fleet.machines if one not in voters)
             # Whoever leads, too: it hands over first. It stays away until that is taken back.
             assert (await run("copies", "replace", leader.name))[0] == 0
             assert (await run("copies", "replace", "nobody"))[0] == 2
@@ -130,16 +141,16 @@
             await held_by(voters)  # it has been here for long: its place in the order is its own again
             assert (await run("holdings", "show", "nobody"))[1] == "nothing is held for nobody\n"
             assert (await run("copies", "status"))[0] == 0
-            lost = played.machines[next(one for one in sorted(voters))]
+            lost = fleet.machines[next(one for one in sorted(voters))]
             lost.kill()  # gone for longer than it may be
             await held_by({*voters, spare} - {lost.name})
             lost.start()
             await held_by(voters)
-            for machine in played.machines.values():
+            for machine in fleet.machines.values():
                 machine.kill()
             assert (await run("copies", "status"))[0] == 1 and (await run("copies", "groups"))[0] == 1
         finally:
-            await played.down()
+            await fleet.stop()
 
     asyncio.run(play())
 
@@ -148,26 +159,26 @@
     tmp_path: Path,
 ) -> None:
     """Two of three machines are lost with their disks; later one is found after all."""
-    played = Faults(tmp_path, replicas_only_config(), 3, 11, 3, election_ms=600.0)
-    played.lease = False
+    fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 3, 11, 3, election_ms=600.0)
+    fleet.settings.lease = False
 
     async def play() -> None:
         try:
-            await played.up()
+            await fleet.start()
             run = command(tmp_path / "g0" / "operators.sexp")
-            caller = played.caller(1)
+            caller = fleet.client(1)
             await caller.do(w.OpenSession())
             for number in range(8):
                 assert isinstance(await caller.do(w.CountUsage("c0", 1.0 + number)), Applied)
             code, said = await run("copies", "recover", "0")
             assert code == 2 and "has a leader" in said
-            leader = await played.leader()
-            left = next(one for one in played.machines.values() if one is not leader)
-            lost = [one for one in played.machines.values() if one is not left]
+            leader = await fleet.wait_for_leader()
+            left = next(one for one in fleet.machines.values() if one is not leader)
+            lost = [one for one in fleet.machines.values() if one is not left]
             for one in lost:  # found is what the first had on its disk
-                one.save()
+                one.save_store()
             for one in lost:
-                one.wipe()
+                one.lose_store()
                 one.start()
             for _ in range(100):
                 code, said = await run("copies", "groups", "--json")
@@ -183,19 +194,19 @@
             assert (await run("copies", "groups"))[0] == 1  # nothing was done yet
             code, said = await run("copies", "recover", "0", "--confirm", plan["confirm"])
             assert code == 0, said
-            await played.whole()
+            await fleet.wait_until_settled()
             found: Any = await caller.read("store", "c0")
             assert found is not None and found.counted_usage == 36.0  # most had it, and so had this one
             await caller.do(w.CountUsage("c0", 4.0))
             for one in lost:  # each comes back as it was, first one: together they were most of the group
-                one.put_back()
+                one.restore_saved_store()
                 one.start()
-                await played.whole()
+                await fleet.wait_until_settled()
             found = await caller.read("store", "c0")
             assert found is not None and found.counted_usage == 40.0
             caller.close()
         finally:
-            await played.down()
+            await fleet.stop()
 
     asyncio.run(play())
     logs = "".join(one.read_text() for one in tmp_path.glob("*/log"))
@@ -234,72 +245,76 @@
 
 # Frames and placement
 
-HELLO = wire.Hello("f", 1, 1, "n0", "ab", 3, {"ab": 3}, 5)
-PACKET = wire.Packet(((0, m.Append(1, 2, 1, (m.Entry(3, 1, 4.0, b"x"),), 2, 7)), (1, m.TimeoutNow(4))))
+HELLO = wire.Handshake("f", 1, 1, "n0", "ab", 3, {"ab": 3}, 5)
+PACKET = wire.MessageBatch(
+    ((0, m.AppendEntries(1, 2, 1, (m.Entry(3, 1, 4.0, b"x"),), 2, 7)), (1, m.TimeoutNow(4)))
+)
 
 
 @given(st.integers(0, 200), st.binary(max_size=40))
 def test_frames_are_read_alike_in_whatever_pieces_they_come(cut: int, noise: bytes) -> None:
-    whole = bytearray(wire.encode(HELLO) + wire.encode(PACKET))
-    first = wire.parse(whole, 0, len(whole))
+    whole = bytearray(wire.encode_frame(HELLO) + wire.encode_frame(PACKET))
+    first = wire.decode_frame(whole, 0, len(whole))
     assert first is not None and first[0] == HELLO
-    assert wire.parse(whole, first[1], len(whole)) == (PACKET, len(whole))
-    part = wire.parse(whole, 0, min(cut, len(whole)))
+    assert wire.decode_frame(whole, first[1], len(whole)) == (PACKET, len(whole))
+    part = wire.decode_frame(whole, 0, min(cut, len(whole)))
     assert part is None or part == first
-    spoilt = bytearray(wire.HEAD.pack(len(noise)) + noise)
-    with contextlib.suppress(wire.Strange):
-        wire.parse(spoilt, 0, len(spoilt))
+    spoilt = bytearray(wire.FRAME_HEADER.pack(len(noise)) + noise)
+    with contextlib.suppress(wire.ProtocolError):
+        wire.decode_frame(spoilt, 0, len(spoilt))
 
 
 @pytest.mark.parametrize(
     ("hello", "said"),
     [
-        (wire.Hello("other", 1, 1, "n0", "ab", 3, {}, 0), "another fleet"),
-        (wire.Hello("f", 2, 3, "n0", "ab", 3, {}, 0), "versions 2 to 3"),
-        (wire.Hello("f", 1, 1, "n0", "ab", 3, {str(k): 1 for k in range(2000)}, 0), "knows too many"),
+        (wire.Handshake("other", 1, 1, "n0", "ab", 3, {}, 0), "another fleet"),
+        (wire.Handshake("f", 2, 3, "n0", "ab", 3, {}, 0), "versions 2 to 3"),
+        (wire.Handshake("f", 1, 1, "n0", "ab", 3, {str(k): 1 for k in range(2000)}, 0), "knows too many"),
     ],
 )
-def test_who_cannot_take_part_is_told_why(hello: wire.Hello, said: str) -> None:
-    with pytest.raises(wire.Strange, match=said):
-        wire.greeted(hello, "f")
-    wire.greeted(wire.Hello("f", 1, 2, "n0", "ab", 3, {}, 0), "f")  # the next version speaks this one too
+def test_who_cannot_take_part_is_told_why(hello: wire.Handshake, said: str) -> None:
+    with pytest.raises(wire.ProtocolError, match=said):
+        wire.check_handshake(hello, "f")
+    # The next version speaks this one too.
+    wire.check_handshake(wire.Handshake("f", 1, 2, "n0", "ab", 3, {}, 0), "f")
 
 
 def test_a_disk_that_was_put_back_is_known_by_its_boot() -> None:
     first, second, again = (1 << 32) + 5, (2 << 32) + 9, (2 << 32) + 11
-    assert not wire.is_older(second, second) and not wire.is_older(second, first)
-    assert wire.is_older(first, second) and wire.is_older(again, second) and not wire.is_older(second, 0)
-    assert wire.merged({"a": second}, {"a": again, "b": 1}) == {"a": second, "b": 1}
-    assert wire.merged({"a": first}, {"a": second}) == {"a": second}
+    assert not wire.is_store_outdated(second, second) and not wire.is_store_outdated(second, first)
+    assert wire.is_store_outdated(first, second)
+    assert wire.is_store_outdated(again, second) and not wire.is_store_outdated(second, 0)
+    assert wire.merge_known_boots({"a": second}, {"a": again, "b": 1}) == {"a": second, "b": 1}
+    assert wire.merge_known_boots({"a": first}, {"a": second}) == {"a": second}
 
 
 def test_the_boot_of_whoever_is_met_is_remembered_however_many_incarnations_are_gone() -> None:
     """Each disk that was lost leaves one behind. Without its boot a disk that is put back is not known."""
-    gone = {f"gone-{number}": 1 << 32 for number in range(2 * wire.MOST_KNOWN)}
-    known = wire.merged({}, gone)
-    known = wire.met(known, "here", 2 << 32)
-    assert known["here"] == 2 << 32 and len(known) <= wire.MOST_KNOWN
-    for number in range(wire.MOST_KNOWN // 2):
-        known = wire.met(wire.merged(known, gone), f"new-{number}", 1 << 32)
-    assert known["here"] == 2 << 32 and len(known) <= wire.MOST_KNOWN
-    assert wire.met(known, "here", 1 << 32)["here"] == 2 << 32  # its disk was put back
+    gone = {f"gone-{number}": 1 << 32 for number in range(2 * wire.MAX_KNOWN_INCARNATIONS)}
+    known = wire.merge_known_boots({}, gone)
+    known = wire.remember_boot(known, "here", 2 << 32)
+    assert known["here"] == 2 << 32 and len(known) <= wire.MAX_KNOWN_INCARNATIONS
+    for number in range(wire.MAX_KNOWN_INCARNATIONS // 2):
+        known = wire.remember_boot(wire.merge_known_boots(known, gone), f"new-{number}", 1 << 32)
+    assert known["here"] == 2 << 32 and len(known) <= wire.MAX_KNOWN_INCARNATIONS
+    assert wire.remember_boot(known, "here", 1 << 32)["here"] == 2 << 32  # its disk was put back
 
 
 def test_too_long_a_frame_is_told_from_its_head() -> None:
-    with pytest.raises(wire.Strange, match="too long"):
-        wire.parse(bytearray(wire.HEAD.pack(1 << 30)), 0, 4)
+    with pytest.raises(wire.ProtocolError, match="too long"):
+        wire.decode_frame(bytearray(wire.FRAME_HEADER.pack(1 << 30)), 0, 4)
 
 
 def test_groups_are_spread_and_few_move_when_a_gateway_goes() -> None:
     fleet = {f"g{n}": f"z{n % 3}" for n in range(12)}
-    placed = {group: list(place(group, fleet, 3)) for group in range(64)}
+    placed = {group: list(place_replicas(group, fleet, 3)) for group in range(64)}
     assert all(len({fleet[one] for one in some}) == 3 for some in placed.values())  # a zone each
     counts = [sum(name in some for some in placed.values()) for name in fleet]
     assert min(counts) >= 6 and max(counts) <= 30
     fewer = {name: zone for name, zone in fleet.items() if name != "g5"}
-    moved = [group for group, some in placed.items() if list(place(group, fewer, 3)) != some]
+    moved = [group for group, some in placed.items() if list(place_replicas(group, fewer, 3)) != some]
     assert all("g5" in placed[group] for group in moved)
-    assert set(rank(3, fleet)) == set(fleet) and 0 <= group_of("c", 64) < 64
+    assert set(rank_gateways(3, fleet)) == set(fleet) and 0 <= group_of_customer("c", 64) < 64
 
 
 def test_nothing_passes_on_a_link_that_was_greeted_as_another_incarnation() -> None:
@@ -310,8 +325,8 @@
         incarnation = "old"
         heard: list[object] = []  # noqa: RUF012
 
-        def greeting(self) -> wire.Hello:
-            return wire.Hello("f", 1, 1, "n0", self.incarnation, 3, {}, 0)
+        def greeting(self) -> wire.Handshake:
+            return wire.Handshake("f", 1, 1, "n0", self.incarnation, 3, {}, 0)
 
         def met(self, link: PeerConnection) -> None:
             self.heard.append(link.hello)
@@ -323,7 +338,7 @@
         task = asyncio.create_task(link.run())
         await asyncio.sleep(0)
         stub.incarnation = "new"
-        theirs.sendall(wire.encode(HELLO))
+        theirs.sendall(wire.encode_frame(HELLO))
         reason = await task
         assert not stub.heard
         theirs.close()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -14,14 +14,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from mapleshunt import Refuse, Send
+from mapleshunt import RejectRequest, StartAttempt
+from mapleshunt.policy import QuotaLeaseGranted
 from mapleshunt.policy.gossip_codec import tag_of
-from mapleshunt.policy.interface import Leased
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from mapleshunt.replicated_state.results import Applied, Denied, LeaseGranted
 from mapleshunt.replicated_state.state_machine import ReplicatedState
-from mapleshunt.testbed.faults.replicated_fleet import Faults
+from mapleshunt.testbed.faults.fault_injection import FaultInjector, FaultKind
+from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet
 
 from .conftest import Driver
 from .processes import EXAMPLE, query, toy
@@ -37,48 +38,52 @@
 
 
 def test_decisions_go_by_the_lease_while_it_is_in_force(driver: Driver) -> None:
-    driver.feed(Leased("c", "thin", 1, 2.0, driver.now + 500))
-    assert [kinds(driver.ask(plan="thin")) for _ in range(3)] == [["Send"], ["Send"], ["Refuse"]]
+    driver.feed(QuotaLeaseGranted("c", "thin", 1, 2.0, driver.now + 500))
+    assert [kinds(driver.ask(plan="thin")) for _ in range(3)] == [
+        ["StartAttempt"],
+        ["StartAttempt"],
+        ["RejectRequest"],
+    ]
     driver.wait(600)  # it has run out: as without copies, the plan's own store decides
-    assert [kinds(driver.ask(plan="thin")) for _ in range(5)] == [["Send"]] * 4 + [["Refuse"]]
+    assert [kinds(driver.ask(plan="thin")) for _ in range(5)] == [["StartAttempt"]] * 4 + [["RejectRequest"]]
     assert driver.gateway.customers[tag_of("c")].owed == 4.0
 
 
 def test_a_store_does_not_fill_up_behind_leases(driver: Driver) -> None:
     for _ in range(4):
-        driver.feed(Leased("c", "thin", 0, 0.0, driver.now + 500))
+        driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 500))
         driver.wait(400)
     driver.wait(100)  # nobody answers any more: one unit a second since then
-    assert kinds(driver.ask(plan="thin")) == ["Refuse"]
+    assert kinds(driver.ask(plan="thin")) == ["RejectRequest"]
     driver.wait(1000)
-    assert [kinds(driver.ask(plan="thin")) for _ in range(2)] == [["Send"], ["Refuse"]]
+    assert [kinds(driver.ask(plan="thin")) for _ in range(2)] == [["StartAttempt"], ["RejectRequest"]]
 
 
 def test_none_to_be_had_refuses_and_says_when_to_come_back(driver: Driver) -> None:
-    driver.feed(Leased("c", "thin", 0, 0.0, driver.now + 500))
+    driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 500))
     (refused,) = driver.ask(plan="thin")
-    assert isinstance(refused, Refuse) and refused.wait > 0
+    assert isinstance(refused, RejectRequest) and refused.retry_after > 0
 
 
 def test_what_was_not_sent_goes_back_and_true_costs_come_off_the_lease() -> None:
-    driver = Driver(settles=True)
-    driver.feed(Leased("c", "thin", 1, 3.0, driver.now + 5000))
+    driver = Driver(cost_known_after=True)
+    driver.feed(QuotaLeaseGranted("c", "thin", 1, 3.0, driver.now + 5000))
     (sent,) = driver.ask(plan="thin")
-    assert isinstance(sent, Send)
+    assert isinstance(sent, StartAttempt)
     driver.answer(sent, cost=2.5)  # one was guessed
     assert driver.gateway.customers[tag_of("c")].leases[1][0] == pytest.approx(0.5)
-    assert kinds(driver.ask(plan="thin")) == ["Refuse"]
+    assert kinds(driver.ask(plan="thin")) == ["RejectRequest"]
 
 
 def test_true_costs_that_no_lease_holds_are_owed() -> None:
     """They came off lease 0, which ended last, and were gone with the next answer."""
-    driver = Driver(settles=True)
-    driver.feed(Leased("c", "thin", 1, 1.0, driver.now + 500))
-    driver.feed(Leased("c", "thin", 0, 0.0, driver.now + 5000))
+    driver = Driver(cost_known_after=True)
+    driver.feed(QuotaLeaseGranted("c", "thin", 1, 1.0, driver.now + 500))
+    driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 5000))
     (sent,) = driver.ask(plan="thin")
-    assert isinstance(sent, Send)
+    assert isinstance(sent, StartAttempt)
     driver.answer(sent, cost=3.5)  # one was guessed
-    driver.feed(Leased("c", "thin", 0, 0.0, driver.now + 5000))
+    driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 5000))
     assert driver.gateway.customers[tag_of("c")].owed == pytest.approx(2.5)
 
 
@@ -265,18 +270,18 @@
 async def served(folder: Path, discovery: str, lease: bool, fault: str) -> tuple[int, float]:
     """Answers with a value to one customer who asks three gateways all the time, and for how many s."""
     config = {**json.loads(EXAMPLE.read_text()), "discovery": discovery}
-    played = Faults(folder, config, 3, 1, election_ms=600)
-    played.lease = lease
+    fleet = ReplicatedFleet(folder, config, 3, 1, election_ms=600)
+    fleet.settings.lease = lease
     count = 0
     try:
-        await played.up()
+        await fleet.start()
         begun, over = time.monotonic(), asyncio.Event()
 
         async def asks(machine: Any, number: int) -> None:
             nonlocal count
             while not over.is_set():
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", machine.listen)
+                    reader, writer = await asyncio.open_connection("127.0.0.1", machine.client_port)
                     while not over.is_set():
                         if number & 0xFF == 1:  # its first lease has come before it goes on
                             await asyncio.sleep(0.8)
@@ -292,18 +297,18 @@
                     writer.close()
                 await asyncio.sleep(0.02)
 
-        machines = played.machines.values()
+        machines = fleet.machines.values()
         tasks = [asyncio.create_task(asks(one, n << 32)) for n, one in enumerate(machines, 1)]
         await asyncio.sleep(2.0)
         if fault:
-            await played.fault(fault)
-            played.mend()
+            await FaultInjector(fleet, []).inject(FaultKind(fault))
+            fleet.heal()
         await asyncio.sleep(2.5)
         over.set()
         await asyncio.gather(*tasks)
         return count, time.monotonic() - begun
     finally:
-        await played.down()
+        await fleet.stop()
 
 
 @pytest.mark.parametrize("fault", ["", "kill_leader"])
