--- a/mapleshunt/replicated_state/commands.py
+++ b/mapleshunt/replicated_state/commands.py
@@ -1,7 +1,7 @@
-"""Operations on the holdings, and what comes of them: records that go through the log.
+"""Commands: operations on the replicated state, as they go through the log.
 
-Each operation is applied once however often it is sent: a session (a gateway's incarnation) numbers its own,
-and tells with each below which number it has all its answers.
+Each operation is applied once, however often it is sent: a session (a gateway's incarnation) numbers its
+operations, and tells with each below which number it has received all results.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 
 import msgspec
 
-from ..maintenance import commands as works
-
-# Operations
+from ..maintenance import commands as maintenance
 
 
 class OpenSession(msgspec.Struct, array_like=True, tag=0, frozen=True):
-    """Begin the session; done again it changes nothing."""
+    """Begin the session; if it is open already, it stays as it is."""
 
 
 class AcquireLease(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Units of a customer's store for `term` ms of the log's time: what there is, `least` at least. Before
-    that the leases in `back` end, each with what was used of it, as by `Return`.
+    """Lease units of a customer's token bucket: what there is up to `units`, and at least `min_units`.
+
+    Before that the leases in `returned` end, each with the units that were used of it, as by `ReturnLease`.
     """
 
     customer: str
-    rate: float  # of the store, units a second
-    burst: float  # the most that it holds, leases included
+    rate: float  # of the bucket, units a second
+    burst: float  # the most that the bucket holds, leases included
     units: float
     min_units: float
-    term_ms: float
-    returned: tuple[tuple[int, float], ...] = ()
+    term_ms: float  # of the log's time
+    returned: tuple[tuple[int, float], ...] = ()  # lease id and used units
 
 
 class ReturnLease(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """A lease ends: `used` of its units are spent, the rest goes back, unless it has run out. More than its
-    units were used where true costs were above the guess: that comes off the store.
+    """End a lease: what was not used goes back to the bucket, unless the lease has expired.
+
+    More than its units were used where true costs were above the estimate: that comes off the bucket.
     """
 
     customer: str
@@ -44,35 +44,37 @@
 
 
 class SettleUsage(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The true cost of what was used differs by so much; a store may go below 0 by its burst at most."""
+    """Take units off for costs above the estimate; a bucket may go below 0 by its burst at most."""
 
     customer: str
     units: float
 
 
 class CountUsage(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """Use that is owed to billing, added to what is counted for that customer."""
+    """Add usage that is owed to billing to what is counted for that customer."""
 
     customer: str
     units: float
 
 
 class ReserveUnits(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """Set units of a store aside under a name until they are released, or `term` ms have passed."""
+    """Set units of a bucket aside under a name, until they are released or the term ends."""
 
     customer: str
     name: str
     units: float
-    term_ms: float
+    term_ms: float  # of the log's time
 
 
 class ReleaseReservation(msgspec.Struct, array_like=True, tag=6, frozen=True):
+    """Give reserved units back to the bucket."""
+
     customer: str
     name: str
 
 
 class SetRecord(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """A record that an operator sets, if it is at this version (0: there is none)."""
+    """Set a record if it is at the expected version; 0 stands for a record that does not exist."""
 
     key: str
     value: str
@@ -88,19 +90,18 @@
     | ReserveUnits
     | ReleaseReservation
     | SetRecord
-    | works.Operation
+    | maintenance.Operation
 )
 
 
 class Command(msgspec.Struct, array_like=True, frozen=True):
+    """An operation with its place in its session."""
+
     session: str
     sequence_number: int
-    acknowledged_below: int  # the session has the answers to all below this number
+    acknowledged_below: int  # the session has the results of all operations below this number
     operation: Operation
 
 
-# What comes of one
-
-
-encode = msgspec.msgpack.Encoder().encode
+encode: Callable[[object], bytes] = msgspec.msgpack.Encoder().encode
 decode_command: Callable[[bytes], Command] = msgspec.msgpack.Decoder(Command).decode
--- a/mapleshunt/replicated_state/leases.py
+++ b/mapleshunt/replicated_state/leases.py
@@ -1,12 +1,12 @@
-"""A holder's side of leases: how many units are drawn for whom and when they go back. No I/O, no clock.
+"""The lease holder: decides how many units to lease for whom, and when leases go back. No I/O, no clock.
 
-`demand`, `answered` and `tick` take what happened at `now` (ms, a clock that never goes back) and return what
-to do. A lease may be spent here until its term after it was asked for, less what clocks may drift apart; the
+`request_units`, `apply_result` and `tick` take what happened at `now` (ms, a clock that never goes back) and
+return actions. A lease may be spent here until its term after it was asked for, less the drift of clocks; the
 log's time counts it for longer. It goes back a part of its term before that, with what was not spent: along
-with the next one that is asked for, or by itself if none is.
+with the next lease that is asked for, or by itself if none is.
 
-Each operation costs all copies a write, so a lease is for as long as its units are likely to last, `term` to
-`longest`: the less is asked for, the longer.
+Each operation costs all replicas a write, so a lease is for as long as its units are likely to last, from
+`term_ms` to `max_term_ms`: the less is asked for, the longer.
 """
 
 from __future__ import annotations
@@ -15,169 +15,232 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from . import commands as w
-from .results import Denied, LeaseGranted, Result
+from . import commands
+from .results import DenialReason, Denied, LeaseGranted, Result
 
 MAX_CLOCK_DRIFT = 0.01  # part of a term by which two clocks may differ in their rates
-RETURN_MARGIN_TERMS = 0.25  # part of a term before its end at which a lease goes back
-SPENT_FRACTION = 0.01  # part of a lease that is as good as none
-PREFETCH_TERMS = 1.5  # terms for whose demand is drawn: more lies idle here while other gateways refuse
-PREFETCH_THRESHOLD = 0.25  # part of what is drawn at a time, below which more is
+RETURN_MARGIN_TERMS = 0.25  # terms before its end at which a lease goes back
+SPENT_FRACTION = 0.01  # part of a lease that is as good as nothing
+PREFETCH_TERMS = 1.5  # terms for whose demand is leased: more would idle here while others refuse
+PREFETCH_THRESHOLD = 0.25  # part of what is leased at a time, below which more is
 IDLE_TERMS = 2.0  # longest terms without demand after which a customer is forgotten
-EMPTY_BACKOFF_TERMS = 0.02  # part of a term for which a store that had nothing is not asked again, at least
+EMPTY_BACKOFF_TERMS = 0.02  # terms for which a bucket that had nothing is not asked again, at least
 
 
 @dataclass(slots=True, frozen=True)
 class ProposeOperation:
-    """Propose the operation; what comes of it goes to `answered` with `asked`."""
+    """Propose the operation; its result goes to `LeaseHolder.apply_result` with this action."""
 
     customer: str
-    operation: w.Operation
-    proposed_at: float
+    operation: commands.Operation
+    proposed_at: float  # ms
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseUpdate:
-    """To the decisions: so many units of that customer may be used here until then. Lease 0 has none: while
-    it is in force only what other leases hold may be used. It holds for a term from each answer on: as long
-    as answers come, nothing else does.
+    """Tell the decisions that so many units of the customer may be used until then.
+
+    Lease 0 has no units: while it is in force, only what other leases hold may be used. It is renewed by each
+    answer, so that nothing else applies as long as answers come.
     """
 
     customer: str
     lease_id: int
     units: float
-    usable_until: float
+    usable_until: float  # ms
 
 
 Action = ProposeOperation | LeaseUpdate
 
 
+@dataclass(slots=True)
+class HeldLease:
+    """A lease as its holder sees it. Times in ms."""
+
+    units: float
+    usable_until: float
+    returned_at: float
+
+
 @dataclass(slots=True)
 class CustomerDemand:
+    """What is known of a customer that is leased for. Times in ms."""
+
     rate: float  # units a second
     burst: float
-    part: float  # of the burst that one holder may have out at once
-    demand: float = 0.0  # units a ms of late
-    at: float = 0.0
-    last: float = 0.0  # when something was last wanted
-    asking: bool = False
-    pause: float = -math.inf  # not asked again before
-    told: float = math.inf  # what the store had when it last had too little
-    told_at: float = 0.0
-    # Units, end here and when it goes back, by number.
-    leases: dict[int, tuple[float, float, float]] = field(default_factory=dict)
-    back: list[tuple[int, float]] = field(default_factory=list)  # ended here: to be told with what was used
-    back_by: float = math.inf
+    max_outstanding: float  # part of the burst that one holder may have leased at once
+    units_per_ms: float = 0.0  # smoothed demand
+    smoothed_at: float = 0.0
+    last_request_at: float = 0.0
+    is_proposing: bool = False
+    retry_at: float = -math.inf
+    bucket_level: float = math.inf  # when the bucket last had too little
+    bucket_level_at: float = 0.0
+    leases: dict[int, HeldLease] = field(default_factory=dict)
+    to_return: list[tuple[int, float]] = field(default_factory=list)  # ended here: lease id and used units
+    return_by: float = math.inf
 
 
 class LeaseHolder:
-    """`rest(customer, lease)` is what of a lease is not spent; `left` tells that and takes the lease away
-    from the decisions; `level(customer, at)` is what they may still spend of leases in force at that time;
-    `owed(customer)` what they spent without a lease since it was last asked.
-    """
+    """Leases units ahead of demand for a gateway's decisions."""
 
     def __init__(
-        self, term: float, longest: float, rest: Callable[[str, int], float],
-        left: Callable[[str, int], float], level: Callable[[str, float], float], owed: Callable[[str], float],
-    ) -> None:  # fmt: skip
-        self.term, self.longest = term, longest
-        self.rest, self.left, self.level, self.owed = rest, left, level, owed
+        self,
+        term_ms: float,
+        max_term_ms: float,
+        remaining: Callable[[str, int], float],
+        take_remaining: Callable[[str, int], float],
+        usable: Callable[[str, float], float],
+        take_debt: Callable[[str], float],
+    ) -> None:
+        """Start without leases; the callables ask the decisions.
+
+        Args:
+            term_ms: the shortest term of a lease.
+            max_term_ms: the longest.
+            remaining: units of a customer's lease that are not spent.
+            take_remaining: the same, and the decisions may not use that lease any more.
+            usable: units of a customer that may still be spent of leases in force at that time.
+            take_debt: units that a customer spent without a lease since this was last asked.
+        """
+        self._term_ms = term_ms
+        self._max_term_ms = max_term_ms
+        self._remaining = remaining
+        self._take_remaining = take_remaining
+        self._usable = usable
+        self._take_debt = take_debt
         self.customers: dict[str, CustomerDemand] = {}
 
     def request_units(
-        self, now: float, customer: str, rate: float, burst: float, spread: int, units: float
+        self, now: float, customer: str, rate: float, burst: float, gateway_set_size: int, units: float
     ) -> list[Action]:
-        """A request of that customer wants units; `spread` gateways share what it may use."""
+        """A request of that customer needs units; `gateway_set_size` gateways share its quota."""
         if not rate:
             return []
-        part = burst / max(1, spread)
-        one = self.customers.setdefault(customer, CustomerDemand(rate, burst, part, at=now))
-        one.rate, one.burst, one.part, one.last = rate, burst, part, now
-        one.demand = one.demand * math.exp((one.at - now) / self.longest) + units / self.longest
-        one.at = now
-        return self._draw(now, customer, one, units)
+        max_outstanding = burst / max(1, gateway_set_size)
+        demand = self.customers.setdefault(
+            customer, CustomerDemand(rate, burst, max_outstanding, smoothed_at=now)
+        )
+        demand.rate = rate
+        demand.burst = burst
+        demand.max_outstanding = max_outstanding
+        demand.last_request_at = now
+        decay = math.exp((demand.smoothed_at - now) / self._max_term_ms)
+        demand.units_per_ms = demand.units_per_ms * decay + units / self._max_term_ms
+        demand.smoothed_at = now
+        return self._acquire(now, customer, demand, units)
 
     def request_more(self, now: float, customer: str, units: float) -> list[Action]:
-        """A request that has waited finds too little: it may ask on."""
-        one = self.customers.get(customer)
-        return self._draw(now, customer, one, units) if one is not None else []
+        """A request that has waited for a lease still finds too few units."""
+        demand = self.customers.get(customer)
+        return self._acquire(now, customer, demand, units) if demand is not None else []
 
     def is_waiting(self, now: float, customer: str, units: float) -> bool:
-        """Is the answer on its way that says whether so many units may be used?"""
-        one = self.customers.get(customer)
-        return one is not None and one.asking and self.level(customer, now) < units
-
-    def _draw(self, now: float, customer: str, one: CustomerDemand, least: float) -> list[Action]:
-        """Ask for what is likely to be wanted in the time `AHEAD_FOR`, where little of that is left."""
-        there = one.told + one.rate / 1000 * (now - one.told_at)  # of the store, at most
-        if one.asking or now < one.pause or there < least:
+        """Whether the answer is outstanding that decides if so many units may be used."""
+        demand = self.customers.get(customer)
+        return demand is not None and demand.is_proposing and self._usable(customer, now) < units
+
+    def _acquire(self, now: float, customer: str, demand: CustomerDemand, min_units: float) -> list[Action]:
+        """Ask for the likely demand of `PREFETCH_TERMS`, where little of that is left."""
+        max_level = demand.bucket_level + demand.rate / 1000 * (now - demand.bucket_level_at)
+        if demand.is_proposing or now < demand.retry_at or max_level < min_units:
             return []
-        want = max(least, min(one.part, one.demand * PREFETCH_TERMS * self.term))
-        lasts = 2 * want / one.demand if one.demand > 0 else self.longest  # twice: it may come slower
-        term = max(self.term, min(self.longest, lasts))
-        level = self.level(
-            customer, now + RETURN_MARGIN_TERMS * self.term
-        )  # what ends soon is as good as gone
-        if level >= max(least, PREFETCH_THRESHOLD * want):
+        likely = demand.units_per_ms * PREFETCH_TERMS * self._term_ms
+        units = max(min_units, min(demand.max_outstanding, likely))
+        # What ends soon is as good as gone.
+        usable = self._usable(customer, now + RETURN_MARGIN_TERMS * self._term_ms)
+        if usable >= max(min_units, PREFETCH_THRESHOLD * units):
             return []
-        one.asking = True
-        # What is too little goes back: a store earns nothing behind units that are out, spent or not.
-        for number in [number for number in one.leases if self.rest(customer, number) < least]:
-            self._end(customer, one, number, math.inf)
-        ask = w.AcquireLease(customer, one.rate, one.burst, want, min(least, want), term, tuple(one.back))
-        one.back, one.back_by = [], math.inf
-        return [ProposeOperation(customer, ask, now)]
-
-    def _end(self, customer: str, one: CustomerDemand, number: int, back_by: float) -> None:
-        """A lease is over here; it goes back with what is asked for next, or alone by then."""
-        units, _, _ = one.leases.pop(number)
-        # Below 0 where true costs were above what was guessed: that comes off the store too.
-        one.back.append((number, units - min(units, self.left(customer, number))))
-        one.back_by = min(one.back_by, back_by)
-
-    def apply_result(self, now: float, ask: ProposeOperation, result: Result | None) -> list[Action]:
-        """`None`: nobody could tell in time; it may have been done, and runs out by itself."""
-        one = self.customers.get(ask.customer)
-        if not isinstance(ask.operation, w.AcquireLease) or one is None:
+        demand.is_proposing = True
+        # What is too little goes back: a bucket earns nothing while its units are out, spent or not.
+        too_small = [
+            lease_id for lease_id in demand.leases if self._remaining(customer, lease_id) < min_units
+        ]
+        for lease_id in too_small:
+            self._end(customer, demand, lease_id, math.inf)
+        request = commands.AcquireLease(
+            customer,
+            demand.rate,
+            demand.burst,
+            units,
+            min(min_units, units),
+            self._term_of(demand, units),
+            tuple(demand.to_return),
+        )
+        demand.to_return = []
+        demand.return_by = math.inf
+        return [ProposeOperation(customer, request, now)]
+
+    def _term_of(self, demand: CustomerDemand, units: float) -> float:
+        """For twice as long as the units should last, since demand may fall; ms."""
+        lasts = 2 * units / demand.units_per_ms if demand.units_per_ms > 0 else self._max_term_ms
+        return max(self._term_ms, min(self._max_term_ms, lasts))
+
+    def _end(self, customer: str, demand: CustomerDemand, lease_id: int, return_by: float) -> None:
+        """End a lease here; it goes back with the next request, or alone at `return_by`."""
+        lease = demand.leases.pop(lease_id)
+        # Below 0 where true costs were above the estimate: that comes off the bucket too.
+        used_units = lease.units - min(lease.units, self._take_remaining(customer, lease_id))
+        demand.to_return.append((lease_id, used_units))
+        demand.return_by = min(demand.return_by, return_by)
+
+    def apply_result(self, now: float, proposal: ProposeOperation, result: Result | None) -> list[Action]:
+        """The result of a proposal. `None`: unknown; it may have been applied, and then it expires."""
+        demand = self.customers.get(proposal.customer)
+        if not isinstance(proposal.operation, commands.AcquireLease) or demand is None:
             return []
-        one.asking = False
-        match result:
-            case LeaseGranted(number, units):
-                term = ask.operation.term_ms
-                until = ask.proposed_at + term * (1 - MAX_CLOCK_DRIFT)
-                one.leases[number] = (units, until, until - RETURN_MARGIN_TERMS * self.term)
-                use: list[Action] = [
-                    LeaseUpdate(ask.customer, number, units, until - RETURN_MARGIN_TERMS * self.term),
-                    LeaseUpdate(ask.customer, 0, 0.0, now + self.term),
-                ]
-                if (owed := self.owed(ask.customer)) > 0:
-                    use.append(ProposeOperation(ask.customer, w.SettleUsage(ask.customer, owed), now))
-                return use
-            case Denied(why, level):
-                one.pause = now + EMPTY_BACKOFF_TERMS * self.term
-                if why == "store":  # what is left may do for a smaller request, and fills up
-                    one.told, one.told_at = level, now
-                return [LeaseUpdate(ask.customer, 0, 0.0, now + self.term)]
-        one.pause = now + EMPTY_BACKOFF_TERMS * self.term
-        return []
+        demand.is_proposing = False
+        if isinstance(result, LeaseGranted):
+            usable_until = proposal.proposed_at + proposal.operation.term_ms * (1 - MAX_CLOCK_DRIFT)
+            return self._granted(now, proposal.customer, demand, result, usable_until)
+        demand.retry_at = now + EMPTY_BACKOFF_TERMS * self._term_ms
+        if not isinstance(result, Denied):
+            return []
+        if result.reason == DenialReason.STORE:  # what is left may do for a smaller request, and fills up
+            demand.bucket_level = result.value
+            demand.bucket_level_at = now
+        return [self._answered(now, proposal.customer)]
+
+    def _granted(
+        self, now: float, customer: str, demand: CustomerDemand, lease: LeaseGranted, usable_until: float
+    ) -> list[Action]:
+        returned_at = usable_until - RETURN_MARGIN_TERMS * self._term_ms
+        demand.leases[lease.lease_id] = HeldLease(lease.units, usable_until, returned_at)
+        actions: list[Action] = [
+            LeaseUpdate(customer, lease.lease_id, lease.units, returned_at),
+            self._answered(now, customer),
+        ]
+        debt = self._take_debt(customer)
+        if debt > 0:
+            actions.append(ProposeOperation(customer, commands.SettleUsage(customer, debt), now))
+        return actions
+
+    def _answered(self, now: float, customer: str) -> LeaseUpdate:
+        return LeaseUpdate(customer, 0, 0.0, now + self._term_ms)
 
     def tick(self, now: float) -> list[Action]:
-        """Give back what is near its end, with what is drawn anew or by itself. Call often in a term."""
+        """Return leases that are near their end, with a new request or alone. Call often in a term."""
         actions: list[Action] = []
-        for customer, one in list(self.customers.items()):
-            for number, (units, until, goes_back) in list(one.leases.items()):
-                if now >= goes_back:
-                    self._end(customer, one, number, until - RETURN_MARGIN_TERMS * self.term / 2)
-                elif self.rest(customer, number) < SPENT_FRACTION * units:
-                    self._end(customer, one, number, now + self.term / 2)
-            if one.back and now - one.last < self.term:  # it goes on: what comes next takes this along
-                actions += self._draw(now, customer, one, 1.0)
-            if now >= one.back_by:
+        for customer, demand in list(self.customers.items()):
+            self._end_due_leases(now, customer, demand)
+            if demand.to_return and now - demand.last_request_at < self._term_ms:
+                actions += self._acquire(now, customer, demand, 1.0)  # it takes the returns along
+            if now >= demand.return_by:
                 actions += [
-                    ProposeOperation(customer, w.ReturnLease(customer, *back), now) for back in one.back
+                    ProposeOperation(customer, commands.ReturnLease(customer, *returned), now)
+                    for returned in demand.to_return
                 ]
-                one.back, one.back_by = [], math.inf
-            done = not one.leases and not one.asking and not one.back
-            if done and now - one.last > IDLE_TERMS * self.longest:
+                demand.to_return = []
+                demand.return_by = math.inf
+            is_done = not demand.leases and not demand.is_proposing and not demand.to_return
+            if is_done and now - demand.last_request_at > IDLE_TERMS * self._max_term_ms:
                 del self.customers[customer]
         return actions
+
+    def _end_due_leases(self, now: float, customer: str, demand: CustomerDemand) -> None:
+        for lease_id, lease in list(demand.leases.items()):
+            if now >= lease.returned_at:
+                return_by = lease.usable_until - RETURN_MARGIN_TERMS * self._term_ms / 2
+                self._end(customer, demand, lease_id, return_by)
+            elif self._remaining(customer, lease_id) < SPENT_FRACTION * lease.units:
+                self._end(customer, demand, lease_id, now + self._term_ms / 2)
--- a/mapleshunt/replicated_state/state_machine.py
+++ b/mapleshunt/replicated_state/state_machine.py
@@ -1,11 +1,11 @@
-"""The replicated state: stores with leases and reservations, counted use, records, and sessions.
+"""The state that gateways replicate: token buckets with leases, counted usage, records and sessions.
 
-`apply(stamp, data)` is a function of the state and the log alone: every copy comes to the same. Time is the
-log's stamp, which never goes back. The maps are persistent (hash array mapped tries), so that a snapshot is a
-handful of references, taken between two entries and encoded elsewhere while the log goes on.
+`ReplicatedState.apply` is a function of the state and the log alone, so every replica reaches the same state.
+Time is the log's stamp in ms, which never goes back. The maps are persistent (hash array mapped tries): a
+snapshot is a handful of references, taken between two entries and encoded elsewhere while the log goes on.
 
-A store holds at most its burst, leased and reserved units included: level + held <= burst at every moment. So
-over any span a customer's use is at most burst + rate x span, if holders spend no lease that has run out.
+A bucket holds at most its burst, leased and reserved units included: level + outstanding <= burst at every
+moment. So over any span a customer's use is at most burst + rate x span, if no expired lease is spent.
 """
 
 from __future__ import annotations
@@ -18,20 +18,22 @@
 
 from ..maintenance.jobs import MaintenanceError, MaintenanceJobs
 from ..maintenance.records import MaintenanceSnapshot
-from . import commands as w
-from .results import Applied, Denied, LeaseGranted, Result
+from . import commands
+from .results import Applied, DenialReason, Denied, LeaseGranted, Result
 
 MAX_BUCKETS = 200_000
-MAX_LEASES_PER_CUSTOMER = 256  # of one customer
+EVICTED_BUCKETS = MAX_BUCKETS // 16  # at a time, so that not each new customer pays for the search
+MAX_LEASES_PER_CUSTOMER = 256
 MAX_RECORDS = 10_000
-MAX_TEXT_CHARS = 4096  # characters of a record, and of a key
+MAX_TEXT_CHARS = 4096  # of a name, and of a record's key and value
 MAX_SESSIONS = 4096
-MAX_UNACKNOWLEDGED = 64  # operations of a session whose answers it may not have
-SESSION_TIMEOUT_MS = 600_000.0  # ms of the log's time after which a silent session is forgotten, oldest first
+MAX_UNACKNOWLEDGED = 64  # operations of a session whose results are remembered
+SESSION_TIMEOUT_MS = 600_000.0  # of the log's time, after which a silent session may be forgotten
+SNAPSHOT_VERSION = 1
 
 
 class Allocation(msgspec.Struct, array_like=True, frozen=True):
-    """Units that are out: a lease, or a reservation with a name."""
+    """Units that are outstanding: a lease, or a reservation. `expires_at` is ms of the log's time."""
 
     units: float
     expires_at: float
@@ -39,16 +41,20 @@
 
 
 class TokenBucket(msgspec.Struct, array_like=True, frozen=True):
-    rate_per_ms: float  # units a ms
+    """A customer's quota as of `updated_at`, ms of the log's time. The rate is in units a ms."""
+
+    rate_per_ms: float
     burst: float
     level: float
     updated_at: float
-    leases: tuple[tuple[int, Allocation], ...] = ()  # leases by number
-    reservations: tuple[tuple[str, Allocation], ...] = ()  # reservations by name
+    leases: tuple[tuple[int, Allocation], ...] = ()  # by lease id
+    reservations: tuple[tuple[str, Allocation], ...] = ()  # by name
     counted_usage: float = 0.0
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
+    """A versioned value that operators or gateways set. `updated_at` is ms of the log's time."""
+
     value: str
     version: int
     author: str
@@ -56,13 +62,15 @@
 
 
 class Session(msgspec.Struct, array_like=True, frozen=True):
+    """What is remembered of a client, so that an operation which is sent again is not applied again."""
+
     acknowledged_below: int
-    last_active: float
-    results: tuple[tuple[int, Result], ...] = ()  # of those from `answered` on
+    last_active: float  # ms of the log's time
+    results: tuple[tuple[int, Result], ...] = ()  # by sequence number, from `acknowledged_below` on
 
 
 class StateSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """A snapshot's form."""
+    """The stored form of the whole state."""
 
     version: int
     last_lease_id: int
@@ -72,238 +80,281 @@
     maintenance: MaintenanceSnapshot | None = None
 
 
-SNAPSHOT_VERSION = 1
-
-
 class ReplicatedState:
+    """The state machine that each replica applies the log to."""
+
     def __init__(self) -> None:
         self.buckets: Map[str, TokenBucket] = Map()
         self.records: Map[str, Record] = Map()
         self.sessions: Map[str, Session] = Map()
-        self.last_lease_id = 0  # numbered from 1
+        self.last_lease_id = 0
         self.maintenance = MaintenanceJobs()
 
     # Snapshots
 
     def snapshot(self) -> StateSnapshot:
-        """A view that later entries do not change; encode it wherever there is time."""
-        stores, records, sessions = self.buckets, self.records, self.sessions
+        """A view that later entries do not change; it may be encoded at any time."""
         return StateSnapshot(
             SNAPSHOT_VERSION,
             self.last_lease_id,
-            sorted(stores.items()),
-            sorted(records.items()),
-            sorted(sessions.items()),
+            sorted(self.buckets.items()),
+            sorted(self.records.items()),
+            sorted(self.sessions.items()),
             self.maintenance.snapshot(),
         )
 
     def restore(self, data: bytes) -> None:
-        """Take a snapshot's state. Raises ValueError for one that is not whole or of another version."""
-        empty = StateSnapshot(SNAPSHOT_VERSION, 0, [], [], [])  # the state before the first entry
-        frozen = msgspec.msgpack.decode(data, type=StateSnapshot) if data else empty
-        if frozen.version != SNAPSHOT_VERSION:
-            raise ValueError(f"a snapshot of version {frozen.version}")
-        self.buckets, self.records = Map(frozen.buckets), Map(frozen.records)
-        self.sessions, self.last_lease_id = Map(frozen.sessions), frozen.last_lease_id
+        """Replace the state by that of an encoded snapshot; no bytes stand for the empty state.
+
+        Raises:
+            ValueError: it is incomplete or of another version.
+        """
+        empty = StateSnapshot(SNAPSHOT_VERSION, 0, [], [], [])
+        snapshot = msgspec.msgpack.decode(data, type=StateSnapshot) if data else empty
+        if snapshot.version != SNAPSHOT_VERSION:
+            raise ValueError(f"a snapshot of version {snapshot.version}")
+        self.buckets = Map(snapshot.buckets)
+        self.records = Map(snapshot.records)
+        self.sessions = Map(snapshot.sessions)
+        self.last_lease_id = snapshot.last_lease_id
         self.maintenance = MaintenanceJobs()
-        if frozen.maintenance is not None:
-            self.maintenance.restore(frozen.maintenance)
+        if snapshot.maintenance is not None:
+            self.maintenance.restore(snapshot.maintenance)
 
     # Entries
 
     def apply(self, stamp: float, data: bytes) -> Result:
-        """Raises nothing: what cannot be read is denied, at every copy alike."""
+        """Apply an encoded command at the log's time `stamp`, ms.
+
+        It raises nothing: a command that cannot be read is denied, by each replica alike.
+        """
         try:
-            command = w.decode_command(data)
+            command = commands.decode_command(data)
         except msgspec.DecodeError:
-            return Denied("order")
-        figures = [one for one in msgspec.structs.astuple(command.operation) if isinstance(one, float)]
-        if isinstance(command.operation, w.AcquireLease):
-            figures += [used for _, used in command.operation.returned]
-        if not all(math.isfinite(one) for one in figures):
-            return Denied("order")
-        if isinstance(command.operation, w.OpenSession):
-            return self._open(stamp, command.session)
+            return Denied(DenialReason.ORDER)
+        if not _has_finite_numbers(command.operation):
+            return Denied(DenialReason.ORDER)
+        if isinstance(command.operation, commands.OpenSession):
+            return self._open_session(stamp, command.session)
+        return self._apply_once(stamp, command)
+
+    def _apply_once(self, stamp: float, command: commands.Command) -> Result:
+        """Apply the operation, or return the result that it had when it was applied before."""
         session = self.sessions.get(command.session)
         if session is None:  # it may have been applied before the session was forgotten
-            return Denied("session")
+            return Denied(DenialReason.SESSION)
         if command.sequence_number < session.acknowledged_below:
-            return Denied("order")
-        known = dict(session.results)
-        if command.sequence_number in known:
-            return known[command.sequence_number]
-        if len(known) >= MAX_UNACKNOWLEDGED:
-            return Denied("full")
-        result = self._do(stamp, command.session, command.operation)
+            return Denied(DenialReason.ORDER)
+        results = dict(session.results)
+        if command.sequence_number in results:
+            return results[command.sequence_number]
+        if len(results) >= MAX_UNACKNOWLEDGED:
+            return Denied(DenialReason.FULL)
+        result = self._execute(stamp, command.session, command.operation)
         low = max(session.acknowledged_below, min(command.acknowledged_below, command.sequence_number))
-        kept = [(number, one) for number, one in session.results if number >= low]
-        kept.append((command.sequence_number, result))
-        self.sessions = self.sessions.set(command.session, Session(low, stamp, tuple(kept)))
+        remembered = [(number, earlier) for number, earlier in session.results if number >= low]
+        remembered.append((command.sequence_number, result))
+        self.sessions = self.sessions.set(command.session, Session(low, stamp, tuple(remembered)))
         return result
 
-    def _open(self, stamp: float, name: str) -> Result:
-        if name not in self.sessions:
-            if len(self.sessions) >= MAX_SESSIONS:
-                oldest = min(self.sessions.items(), key=lambda one: (one[1].last_active, one[0]))
-                if stamp - oldest[1].last_active < SESSION_TIMEOUT_MS:
-                    return Denied("full")
-                self.sessions = self.sessions.delete(oldest[0])
-            self.sessions = self.sessions.set(name, Session(0, stamp))
-        else:
-            known = self.sessions[name]
-            self.sessions = self.sessions.set(name, Session(known.acknowledged_below, stamp, known.results))
+    def _open_session(self, stamp: float, name: str) -> Result:
+        known = self.sessions.get(name)
+        if known is not None:
+            renewed = Session(known.acknowledged_below, stamp, known.results)
+            self.sessions = self.sessions.set(name, renewed)
+            return Applied()
+        if len(self.sessions) >= MAX_SESSIONS:
+            oldest_name, oldest = min(
+                self.sessions.items(), key=lambda session: (session[1].last_active, session[0])
+            )
+            if stamp - oldest.last_active < SESSION_TIMEOUT_MS:
+                return Denied(DenialReason.FULL)
+            self.sessions = self.sessions.delete(oldest_name)
+        self.sessions = self.sessions.set(name, Session(0, stamp))
         return Applied()
 
-    def _do(self, stamp: float, session: str, operation: w.Operation) -> Result:
+    def _execute(self, stamp: float, session: str, operation: commands.Operation) -> Result:  # noqa: PLR0911 - one return a kind of operation
         match operation:
-            case w.AcquireLease():
-                return self._lease(stamp, session, operation)
-            case w.ReturnLease():
-                return self._return(stamp, operation)
-            case w.SettleUsage(customer, units):
-                return self._settle(stamp, customer, units)
-            case w.CountUsage(customer, units):
-                return self._count(stamp, customer, units)
-            case w.ReserveUnits():
-                return self._reserve(stamp, session, operation)
-            case w.ReleaseReservation(customer, name):
-                return self._release(stamp, customer, name)
-            case w.SetRecord():
-                return self._put(stamp, session, operation)
-            case w.OpenSession():
-                return Denied("order")
+            case commands.AcquireLease():
+                return self._acquire_lease(stamp, session, operation)
+            case commands.ReturnLease():
+                return self._return_lease(stamp, operation)
+            case commands.SettleUsage(customer, units):
+                return self._settle_usage(stamp, customer, units)
+            case commands.CountUsage(customer, units):
+                return self._count_usage(stamp, customer, units)
+            case commands.ReserveUnits():
+                return self._reserve_units(stamp, session, operation)
+            case commands.ReleaseReservation(customer, name):
+                return self._release_reservation(stamp, customer, name)
+            case commands.SetRecord():
+                return self._set_record(stamp, session, operation)
+            case commands.OpenSession():
+                return Denied(DenialReason.ORDER)
         try:
             return Applied(self.maintenance.apply(stamp, operation))
-        except MaintenanceError as refused:
-            return Denied(str(refused))
+        except MaintenanceError as error:
+            return Denied(str(error))
 
-    # Stores
+    # Token buckets
 
     def bucket_at(self, stamp: float, customer: str) -> TokenBucket | None:
-        """As of the log's time `stamp`: what has run out is spent, and time has filled the rest."""
-        one = self.buckets.get(customer)
-        if one is None:
+        """The bucket as of the log's time `stamp`, ms: refilled, and without what has expired."""
+        bucket = self.buckets.get(customer)
+        if bucket is None:
             return None
-        held = tuple(pair for pair in one.leases if pair[1].expires_at > stamp)
-        names = tuple(pair for pair in one.reservations if pair[1].expires_at > stamp)
-        level = min(
-            one.burst - _out(held, names), one.level + one.rate_per_ms * max(0.0, stamp - one.updated_at)
-        )
+        leases = tuple(pair for pair in bucket.leases if pair[1].expires_at > stamp)
+        reservations = tuple(pair for pair in bucket.reservations if pair[1].expires_at > stamp)
+        refilled = bucket.level + bucket.rate_per_ms * max(0.0, stamp - bucket.updated_at)
         return _changed(
-            one, leases=held, reservations=names, level=level, updated_at=max(one.updated_at, stamp)
+            bucket,
+            leases=leases,
+            reservations=reservations,
+            level=min(bucket.burst - _outstanding(leases, reservations), refilled),
+            updated_at=max(bucket.updated_at, stamp),
         )
 
-    def _keep(self, customer: str, one: TokenBucket) -> None:
-        self.buckets = self.buckets.set(customer, one)
-
-    def _lease(self, stamp: float, session: str, ask: w.AcquireLease) -> Result:
-        good = ask.units > 0 and ask.min_units > 0 and ask.term_ms > 0 and ask.rate >= 0 and ask.burst > 0
-        if not good or len(ask.customer) > MAX_TEXT_CHARS:
-            return Denied("order")
-        for number, used in ask.returned[:MAX_LEASES_PER_CUSTOMER]:
-            self._return(stamp, w.ReturnLease(ask.customer, number, used))
-        one = self.bucket_at(stamp, ask.customer)
-        if one is None:
-            if not self._room(stamp):
-                return Denied("full")
-            one = TokenBucket(ask.rate / 1000, ask.burst, ask.burst, stamp)
-        elif (one.rate_per_ms, one.burst) != (ask.rate / 1000, ask.burst):  # another plan: no level is gained
-            level = min(one.level, ask.burst - _out(one.leases, one.reservations))
-            one = _changed(one, rate_per_ms=ask.rate / 1000, burst=ask.burst, level=level)
-        units = min(ask.units, one.level)
-        if units < ask.min_units or len(one.leases) >= MAX_LEASES_PER_CUSTOMER:
-            self._keep(ask.customer, one)
-            return Denied("store", one.level)
+    def _store(self, customer: str, bucket: TokenBucket) -> None:
+        self.buckets = self.buckets.set(customer, bucket)
+
+    def _acquire_lease(self, stamp: float, session: str, request: commands.AcquireLease) -> Result:
+        if not _is_valid(request):
+            return Denied(DenialReason.ORDER)
+        for lease_id, used_units in request.returned[:MAX_LEASES_PER_CUSTOMER]:
+            self._return_lease(stamp, commands.ReturnLease(request.customer, lease_id, used_units))
+        bucket = self._bucket_of_plan(stamp, request)
+        if bucket is None:
+            return Denied(DenialReason.FULL)
+        units = min(request.units, bucket.level)
+        if units < request.min_units or len(bucket.leases) >= MAX_LEASES_PER_CUSTOMER:
+            self._store(request.customer, bucket)
+            return Denied(DenialReason.STORE, bucket.level)
         self.last_lease_id += 1
-        lease = (self.last_lease_id, Allocation(units, stamp + ask.term_ms, session))
-        self._keep(ask.customer, _changed(one, level=one.level - units, leases=(*one.leases, lease)))
+        lease = (self.last_lease_id, Allocation(units, stamp + request.term_ms, session))
+        leased = _changed(bucket, level=bucket.level - units, leases=(*bucket.leases, lease))
+        self._store(request.customer, leased)
         return LeaseGranted(self.last_lease_id, units)
 
-    def _return(self, stamp: float, back: w.ReturnLease) -> Result:
-        one = self.bucket_at(stamp, back.customer)
-        found = dict(one.leases).get(back.lease_id) if one is not None else None
-        if one is None or found is None:  # it has run out, or was returned
-            return Denied("lease")
-        held = tuple(pair for pair in one.leases if pair[0] != back.lease_id)
-        level = max(-one.burst, one.level + found.units - max(0.0, back.used_units))
-        self._keep(back.customer, _changed(one, leases=held, level=level))
+    def _bucket_of_plan(self, stamp: float, request: commands.AcquireLease) -> TokenBucket | None:
+        """The customer's bucket with the rate and burst of the request; `None` if there are too many."""
+        bucket = self.bucket_at(stamp, request.customer)
+        rate_per_ms = request.rate / 1000
+        if bucket is None:
+            if not self._make_room(stamp):
+                return None
+            return TokenBucket(rate_per_ms, request.burst, request.burst, stamp)
+        if (bucket.rate_per_ms, bucket.burst) != (rate_per_ms, request.burst):
+            # A change of plan gains no level, or one back and forth would fill the bucket.
+            level = min(bucket.level, request.burst - _outstanding(bucket.leases, bucket.reservations))
+            return _changed(bucket, rate_per_ms=rate_per_ms, burst=request.burst, level=level)
+        return bucket
+
+    def _return_lease(self, stamp: float, request: commands.ReturnLease) -> Result:
+        bucket = self.bucket_at(stamp, request.customer)
+        lease = dict(bucket.leases).get(request.lease_id) if bucket is not None else None
+        if bucket is None or lease is None:  # it has expired, or was returned before
+            return Denied(DenialReason.LEASE)
+        leases = tuple(pair for pair in bucket.leases if pair[0] != request.lease_id)
+        level = max(-bucket.burst, bucket.level + lease.units - max(0.0, request.used_units))
+        self._store(request.customer, _changed(bucket, leases=leases, level=level))
         return Applied(level)
 
-    def _settle(self, stamp: float, customer: str, units: float) -> Result:
-        one = self.bucket_at(stamp, customer)
-        if one is None:
-            return Denied("store")
-        level = max(-one.burst, min(one.burst - _out(one.leases, one.reservations), one.level - units))
-        self._keep(customer, _changed(one, level=level))
+    def _settle_usage(self, stamp: float, customer: str, units: float) -> Result:
+        bucket = self.bucket_at(stamp, customer)
+        if bucket is None:
+            return Denied(DenialReason.STORE)
+        available = bucket.burst - _outstanding(bucket.leases, bucket.reservations)
+        level = max(-bucket.burst, min(available, bucket.level - units))
+        self._store(customer, _changed(bucket, level=level))
         return Applied(level)
 
-    def _count(self, stamp: float, customer: str, units: float) -> Result:
-        one = self.bucket_at(stamp, customer)
-        if units < 0 or (one is None and (not self._room(stamp) or len(customer) > MAX_TEXT_CHARS)):
-            return Denied("full" if units >= 0 else "order")
-        one = one or TokenBucket(0.0, 0.0, 0.0, stamp)
-        self._keep(customer, _changed(one, counted_usage=one.counted_usage + units))
-        return Applied(one.counted_usage + units)
-
-    def _reserve(self, stamp: float, session: str, ask: w.ReserveUnits) -> Result:
-        one = self.bucket_at(stamp, ask.customer)
-        if one is None or not 0 < ask.units <= one.level or ask.term_ms <= 0:
-            return Denied("store", one.level if one is not None else 0.0)
-        if (
-            ask.name in dict(one.reservations)
-            or len(one.reservations) >= MAX_LEASES_PER_CUSTOMER
-            or len(ask.name) > MAX_TEXT_CHARS
-        ):
-            return Denied("name")
-        mark = (ask.name, Allocation(ask.units, stamp + ask.term_ms, session))
-        self._keep(
-            ask.customer, _changed(one, level=one.level - ask.units, reservations=(*one.reservations, mark))
-        )
-        return Applied(one.level - ask.units)
-
-    def _release(self, stamp: float, customer: str, name: str) -> Result:
-        one = self.bucket_at(stamp, customer)
-        found = dict(one.reservations).get(name) if one is not None else None
-        if one is None or found is None:
-            return Denied("name")
-        names = tuple(pair for pair in one.reservations if pair[0] != name)
-        self._keep(customer, _changed(one, reservations=names, level=one.level + found.units))
-        return Applied(one.level + found.units)
-
-    def _room(self, stamp: float) -> bool:
-        """Make room where stores are many: the oldest that owe nothing and are full again go first."""
+    def _count_usage(self, stamp: float, customer: str, units: float) -> Result:
+        bucket = self.bucket_at(stamp, customer)
+        if units < 0:
+            return Denied(DenialReason.ORDER)
+        if bucket is None:
+            if not self._make_room(stamp) or len(customer) > MAX_TEXT_CHARS:
+                return Denied(DenialReason.FULL)
+            bucket = TokenBucket(0.0, 0.0, 0.0, stamp)
+        self._store(customer, _changed(bucket, counted_usage=bucket.counted_usage + units))
+        return Applied(bucket.counted_usage + units)
+
+    def _reserve_units(self, stamp: float, session: str, request: commands.ReserveUnits) -> Result:
+        bucket = self.bucket_at(stamp, request.customer)
+        if bucket is None or not 0 < request.units <= bucket.level or request.term_ms <= 0:
+            return Denied(DenialReason.STORE, bucket.level if bucket is not None else 0.0)
+        is_taken = request.name in dict(bucket.reservations)
+        is_full = len(bucket.reservations) >= MAX_LEASES_PER_CUSTOMER
+        if is_taken or is_full or len(request.name) > MAX_TEXT_CHARS:
+            return Denied(DenialReason.NAME)
+        reservation = (request.name, Allocation(request.units, stamp + request.term_ms, session))
+        level = bucket.level - request.units
+        reservations = (*bucket.reservations, reservation)
+        self._store(request.customer, _changed(bucket, level=level, reservations=reservations))
+        return Applied(level)
+
+    def _release_reservation(self, stamp: float, customer: str, name: str) -> Result:
+        bucket = self.bucket_at(stamp, customer)
+        reservation = dict(bucket.reservations).get(name) if bucket is not None else None
+        if bucket is None or reservation is None:
+            return Denied(DenialReason.NAME)
+        reservations = tuple(pair for pair in bucket.reservations if pair[0] != name)
+        level = bucket.level + reservation.units
+        self._store(customer, _changed(bucket, reservations=reservations, level=level))
+        return Applied(level)
+
+    def _make_room(self, stamp: float) -> bool:
+        """Whether a bucket may be added; full buckets that owe nothing are evicted, the oldest first."""
         if len(self.buckets) < MAX_BUCKETS:
             return True
-        settled = []
+        evictable = []
         for customer in self.buckets:
-            one = self.bucket_at(stamp, customer)
-            if one is None or one.leases or one.reservations or one.counted_usage:
+            bucket = self.bucket_at(stamp, customer)
+            if bucket is None or bucket.leases or bucket.reservations or bucket.counted_usage:
                 continue
-            if one.level >= one.burst:
-                settled.append((self.buckets[customer].updated_at, customer))
-        for _, customer in sorted(settled)[: MAX_BUCKETS // 16]:
+            if bucket.level >= bucket.burst:
+                evictable.append((self.buckets[customer].updated_at, customer))
+        for _, customer in sorted(evictable)[:EVICTED_BUCKETS]:
             self.buckets = self.buckets.delete(customer)
-        return bool(settled)
+        return bool(evictable)
 
     # Records
 
-    def _put(self, stamp: float, session: str, put: w.SetRecord) -> Result:
-        if not 0 < len(put.key) <= MAX_TEXT_CHARS or len(put.value) > MAX_TEXT_CHARS:
-            return Denied("order")
-        known = self.records.get(put.key)
+    def _set_record(self, stamp: float, session: str, request: commands.SetRecord) -> Result:
+        if not 0 < len(request.key) <= MAX_TEXT_CHARS or len(request.value) > MAX_TEXT_CHARS:
+            return Denied(DenialReason.ORDER)
+        known = self.records.get(request.key)
         version = known.version if known is not None else 0
-        if put.expected_version != version:
-            return Denied("version", version)
+        if request.expected_version != version:
+            return Denied(DenialReason.VERSION, version)
         if known is None and len(self.records) >= MAX_RECORDS:
-            return Denied("full")
-        self.records = self.records.set(put.key, Record(put.value, version + 1, session, stamp))
+            return Denied(DenialReason.FULL)
+        self.records = self.records.set(request.key, Record(request.value, version + 1, session, stamp))
         return Applied(version + 1)
 
 
-def _out(leases: tuple[tuple[int, Allocation], ...], names: tuple[tuple[str, Allocation], ...]) -> float:
+def _has_finite_numbers(operation: commands.Operation) -> bool:
+    numbers = [field for field in msgspec.structs.astuple(operation) if isinstance(field, float)]
+    if isinstance(operation, commands.AcquireLease):
+        numbers += [used_units for _, used_units in operation.returned]
+    return all(math.isfinite(number) for number in numbers)
+
+
+def _is_valid(request: commands.AcquireLease) -> bool:
+    units_are_valid = request.units > 0 and request.min_units > 0
+    plan_is_valid = request.rate >= 0 and request.burst > 0
+    return (
+        units_are_valid and request.term_ms > 0 and plan_is_valid and len(request.customer) <= MAX_TEXT_CHARS
+    )
+
+
+def _outstanding(
+    leases: tuple[tuple[int, Allocation], ...], reservations: tuple[tuple[str, Allocation], ...]
+) -> float:
     """Units that are leased or reserved."""
-    return sum(one.units for _, one in leases) + sum(one.units for _, one in names)
+    leased = sum(lease.units for _, lease in leases)
+    return leased + sum(reservation.units for _, reservation in reservations)
 
 
-def _changed(one: TokenBucket, **changes: Any) -> TokenBucket:
-    return msgspec.structs.replace(one, **changes)
+def _changed(bucket: TokenBucket, **changes: Any) -> TokenBucket:  # any of its fields, by name
+    return msgspec.structs.replace(bucket, **changes)
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -155,7 +155,7 @@
             return Denied("order")
         if isinstance(command.operation, w.OpenSession):
             return Applied()
-        return self._do(stamp, command.session, command.operation)
+        return self._execute(stamp, command.session, command.operation)
 
 
 class DoneAgain(StateMachinePlay):
--- a/tests/test_holdings.py
+++ b/tests/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""The replicated state: what it holds, each operation once, and plays on copies with planted faults."""
+"""The replicated state machine: operations, sessions, and random plays on replicas with planted faults."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         return self.do(w.AcquireLease(customer, RATE, BURST, units, 1.0, term))
 
 
-def test_leases_come_out_of_the_store_and_run_out() -> None:
+def test_lease_takes_units_of_the_bucket_until_it_is_returned_or_expires() -> None:
     one = Session()
     assert one.lease(30) == LeaseGranted(1, 30.0) and one.lease(30) == LeaseGranted(2, 20.0)
     assert one.lease(1) == Denied("store", 0.0)
@@ -45,7 +45,7 @@
     assert one.lease(99) == LeaseGranted(3, 35.0)
 
 
-def test_an_operation_that_comes_again_is_not_done_again() -> None:
+def test_operation_sent_again_gets_the_same_result_and_changes_nothing() -> None:
     one = Session()
     assert one.do(w.CountUsage("c", 5.0)) == Applied(5.0)
     assert one.state.apply(99.0, one.last) == Applied(5.0)
@@ -56,7 +56,7 @@
     assert one.state.apply(100.0, other) == Denied("session")
 
 
-def test_a_session_has_so_many_answers_open_at_most() -> None:
+def test_operation_is_denied_when_too_many_results_are_unacknowledged() -> None:
     one = Session()
     for number in range(2, MAX_UNACKNOWLEDGED + 40):
         data = w.encode(w.Command("a/1", number, 0, w.CountUsage("c", 1.0)))
@@ -64,14 +64,14 @@
     assert result == Denied("full") and len(one.state.sessions["a/1"].results) == MAX_UNACKNOWLEDGED
 
 
-def test_a_plan_that_changes_back_and_forth_gains_nothing() -> None:
+def test_change_of_plan_back_and_forth_gains_no_units() -> None:
     one = Session()
     one.lease(50, 1e9)
     for burst in (500.0, 50.0) * 5:
         assert one.do(w.AcquireLease("c", RATE, burst, 1.0, 1.0, 1e9)) == Denied("store", 0.0)
 
 
-def test_records_have_versions() -> None:
+def test_record_is_set_only_at_its_expected_version() -> None:
     one = Session()
     assert one.do(w.SetRecord("k", "x", 0)) == Applied(1) and one.do(w.SetRecord("k", "y", 0)) == Denied(
         "version", 1
@@ -82,18 +82,18 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x00", b"nonsense", w.encode(w.Command("a/1", 2, 0, w.OpenSession()))[:-1]]
 )
-def test_what_makes_no_sense_is_denied(data: bytes) -> None:
+def test_unreadable_command_is_denied(data: bytes) -> None:
     assert Session().state.apply(0.0, data) == Denied("order")
 
 
 @pytest.mark.parametrize("odd", [float("nan"), float("inf"), -1.0])
-def test_odd_figures_change_nothing(odd: float) -> None:
+def test_command_with_invalid_numbers_changes_nothing(odd: float) -> None:
     one = Session()
     assert isinstance(one.do(w.CountUsage("c", odd)), Denied) and isinstance(one.lease(odd), Denied)
     assert not one.state.buckets
 
 
-class HoldingsMachine(RuleBasedStateMachine):
+class ReplicatedStateMachine(RuleBasedStateMachine):
     """Level and what is out never pass the burst; use is within burst and rate; copies agree."""
 
     @initialize()
@@ -154,16 +154,18 @@
             assert self.one.state.snapshot() == self.copy.snapshot()
 
 
-TestHoldings = HoldingsMachine.TestCase
-TestHoldings.settings = settings(derandomize=True, max_examples=60, stateful_step_count=30, deadline=None)
+TestReplicatedState = ReplicatedStateMachine.TestCase
+TestReplicatedState.settings = settings(
+    derandomize=True, max_examples=60, stateful_step_count=30, deadline=None
+)
 
 
-def test_plays_on_copies_keep_every_promise() -> None:
+def test_random_plays_on_replicas_violate_no_guarantee() -> None:
     assert not {seed: said for seed in range(24) if (said := play(seed))}
 
 
 @pytest.mark.parametrize("plant", PLANTS)
-def test_a_planted_fault_breaks_a_promise(plant: str) -> None:
+def test_planted_fault_is_detected(plant: str) -> None:
     assert any(play(seed, plant) for seed in range(12))
 
 
@@ -205,6 +207,6 @@
          "a read of c says 5"),
     ],
 )  # fmt: skip
-def test_checkers_tell_what_does_not_hold(events: list[HistoryEvent], final: Any, said: str) -> None:
+def test_history_checker_reports_each_violation(events: list[HistoryEvent], final: Any, said: str) -> None:
     found = find_violations(events, final, BURST)
     assert bool(found) == bool(said) and (not said or said in found[0])
