--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -108,9 +108,9 @@
     from ..simulation.scenarios import SCENARIOS
 
     if as_json:
-        print_json({name: one.about for name, one in SCENARIOS.items()})
+        print_json({name: one.description for name, one in SCENARIOS.items()})
     else:
-        table(["scenario", "what it is"], [[name, one.about] for name, one in SCENARIOS.items()])
+        table(["scenario", "what it is"], [[name, one.description] for name, one in SCENARIOS.items()])
 
 
 @model.command()
--- a/mapleshunt/fleet/clients.py
+++ b/mapleshunt/fleet/clients.py
@@ -30,8 +30,8 @@
     name: str
     plan: int
     rate: float
-    spread: int
-    first: int
+    gateway_set_size: int
+    first_gateway: int
     kind: Literal["calm", "full", "heavy", "spiky"]
 
 
@@ -39,16 +39,16 @@
 class ClientRequest:
     """A first try as drawn: what is asked, and the chances of its further tries (uniform in 0 to 1)."""
 
-    at: float
+    arrives_at: float
     customer: int
-    cls: int
-    work: float  # ms of a core
+    class_index: int
+    work_ms: float  # ms of a core
     units: float  # true ones
-    guess: float
-    pick: float  # chooses among the gateways of the set
-    patience: float  # part of the deadline a try waits
-    heeds: float  # the client heeds the advised wait if this lies under `honour`
-    noise: int  # where in the table of attempt noise this request begins
+    estimated_units: float
+    gateway_draw: float  # chooses among the gateways of the set
+    timeout_share: float  # part of the deadline a try waits
+    retry_after_draw: float  # the client heeds the advised wait if this lies under `honour`
+    noise_offset: int  # where in the table of attempt noise this request begins
 
 
 @dataclass(slots=True)
@@ -56,31 +56,31 @@
     """The customers and all first tries of a run, by time."""
 
     customers: Sequence[Customer]
-    asks: Sequence[ClientRequest]
+    requests: Sequence[ClientRequest]
     weights: Floats  # [shift, customer, place in the set], cumulative
-    shift: float  # ms
+    shift_ms: float  # ms
 
-    def gateway(
+    def pick_gateway(
         self, customer: int, now: float, pick: float, gateways: int, avoid: frozenset[int] | set[int]
     ) -> int:
         """The gateway through which a request goes now: by the set's weights, without those seen down."""
         who = self.customers[customer]
-        rows = self.weights[min(int(now / self.shift), len(self.weights) - 1), customer]
+        rows = self.weights[min(int(now / self.shift_ms), len(self.weights) - 1), customer]
         place = 0
-        while place < who.spread - 1 and pick >= rows[place]:
+        while place < who.gateway_set_size - 1 and pick >= rows[place]:
             place += 1
-        for step in range(who.spread):
-            gateway = (who.first + (place + step) % who.spread) % gateways
+        for step in range(who.gateway_set_size):
+            gateway = (who.first_gateway + (place + step) % who.gateway_set_size) % gateways
             if gateway not in avoid:
                 return gateway
-        return (who.first + place) % gateways
+        return (who.first_gateway + place) % gateways
 
 
 def draw_customers(figures: Parameters, gateways: int, units_per_s: float, rng: Rng) -> list[Customer]:
     """Customers whose use inside quotas comes to `units_per_s` in all, by the plans' shares."""
     found: list[Customer] = []
     for number, plan in enumerate(figures.plans):
-        spread = max(min(2, gateways), min(4, round(plan.spread * gateways)))
+        spread = max(min(2, gateways), min(4, round(plan.gateway_share * gateways)))
         left = plan.share * units_per_s
         while left > 0:
             chance = float(rng.random())
@@ -154,7 +154,7 @@
             rise = np.clip((times - fault.at) / 1000, 0, 1) * np.clip((fault.end - times) / 1000, 0, 1)
             for n, who in enumerate(customers):
                 if figures.plans[who.plan].name == fault.plan:
-                    rates[n] *= 1 + (fault.size - 1) * rise
+                    rates[n] *= 1 + (fault.magnitude - 1) * rise
 
 
 def mean_work(figures: Parameters) -> float:
@@ -185,8 +185,8 @@
     streams: RandomStreams,
 ) -> Traffic:
     """Draw a run's traffic: `length` ms of first tries whose use inside quotas is about `units_per_s`."""
-    customers = draw_customers(figures, gateways, units_per_s, streams.of("customers"))
-    rates = draw_rates(figures, customers, length, faults, streams.of("rates"))
+    customers = draw_customers(figures, gateways, units_per_s, streams.generator("customers"))
+    rates = draw_rates(figures, customers, length, faults, streams.generator("rates"))
     return draw_traffic_for(figures, gateways, customers, rates, length, streams)
 
 
@@ -200,7 +200,7 @@
 ) -> Traffic:
     """First tries of given customers with given multiples of their rates, [customer, step of `STEP` ms]."""
     per_request = mean_units(figures)
-    rng = streams.of("arrivals")
+    rng = streams.generator("arrivals")
     usual = np.array([who.rate for who in customers]) / per_request  # requests a second
     counts = rng.poisson(usual[:, None] * rates * RATE_STEP_MS / 1000)
     who, step = np.nonzero(counts)
@@ -223,7 +223,7 @@
     figures: Parameters, at: Floats, who: npt.NDArray[np.intp], streams: RandomStreams
 ) -> list[ClientRequest]:
     """First tries at these times of these customers, with their sizes and chances drawn."""
-    size, rng, chances = len(at), streams.of("sizes"), streams.of("tries")
+    size, rng, chances = len(at), streams.generator("sizes"), streams.generator("tries")
     shares = np.cumsum([cls.share for cls in figures.classes])
     cls = np.searchsorted(shares / shares[-1], rng.random(size))
     work = np.zeros(size)
@@ -259,12 +259,12 @@
     figures: Parameters, gateways: int, customers: Sequence[Customer], length: float, streams: RandomStreams
 ) -> Floats:
     """Cumulative weights of the gateways of each set, [shift, customer, place], drawn anew at every shift."""
-    rng = streams.of("spread")
+    rng = streams.generator("spread")
     shifts = math.ceil(length / figures["shift_ms"]) + 1
-    most = max((who.spread for who in customers), default=1)
+    most = max((who.gateway_set_size for who in customers), default=1)
     raw = np.exp(figures["skew"] * rng.standard_normal((shifts, len(customers), most)))
     for n, one in enumerate(customers):
-        raw[:, n, one.spread :] = 0.0
+        raw[:, n, one.gateway_set_size :] = 0.0
     total = np.cumsum(raw, axis=2)
     return np.asarray(total / total[:, :, -1:], dtype=np.float64)
 
@@ -273,12 +273,12 @@
     """How clients of a day repeat: `next_try` says when, or that it is over. Times in ms."""
 
     def __init__(self, figures: Parameters, max_retry_after: float) -> None:
-        self.retries = int(figures["retries"])
-        self.backoff, self.grows = figures["backoff_ms"], figures["backoff_grows"] > 0
-        self.honour, self.elsewhere = figures["honour"], figures["elsewhere"]
+        self.max_retries = int(figures["retries"])
+        self.backoff_ms, self.exponential_backoff = figures["backoff_ms"], figures["backoff_grows"] > 0
+        self.retry_after_probability, self.other_gateway_probability = figures["honour"], figures["elsewhere"]
         self.max_retry_after = max_retry_after
 
-    def next_try(
+    def retry_delay(
         self, ask: ClientRequest, tries: int, told: ClientResult, wait: float, repeatable: bool
     ) -> float | None:
         """How long after a final answer the client tries again (ms); None: it does not.
@@ -286,20 +286,20 @@
         A request that may be repeated is, after any failure; another only after a refusal, or when no
         gateway could be reached.
         """
-        if told == "served" or tries > self.retries:
+        if told == "served" or tries > self.max_retries:
             return None
         if not repeatable and told not in ("refused", "unreachable"):
             return None
         own = (
-            self.backoff
-            * (2 ** (tries - 1) if self.grows else 1)
-            * (0.75 + 0.5 * ((ask.noise + tries) % 97) / 97)
+            self.backoff_ms
+            * (2 ** (tries - 1) if self.exponential_backoff else 1)
+            * (0.75 + 0.5 * ((ask.noise_offset + tries) % 97) / 97)
         )
-        if wait and ask.heeds < self.honour:
+        if wait and ask.retry_after_draw < self.retry_after_probability:
             own = max(own, min(wait, self.max_retry_after))
         return own
 
-    def elsewhere_pick(self, ask: ClientRequest, tries: int) -> float:
+    def retry_gateway_draw(self, ask: ClientRequest, tries: int) -> float:
         """Where in the set's weights a further try falls: mostly where the first did, or drawn anew."""
-        drawn = (ask.noise * (tries + 7) * 2654435761) % 1048573 / 1048573
-        return ask.pick if drawn > self.elsewhere else (drawn * 7919) % 1.0
+        drawn = (ask.noise_offset * (tries + 7) * 2654435761) % 1048573 / 1048573
+        return ask.gateway_draw if drawn > self.other_gateway_probability else (drawn * 7919) % 1.0
--- a/mapleshunt/fleet/counter.py
+++ b/mapleshunt/fleet/counter.py
@@ -16,43 +16,43 @@
 @dataclass(slots=True)
 class CounterValue:
     total: float
-    until: float
+    expires_at: float
 
 
 class SharedCounter:
     """One server for calls in turn. `call` says when a call is answered and with what. Times in ms."""
 
     def __init__(self, figures: Parameters) -> None:
-        self.cost = 1000.0 / figures["counter_per_s"]
-        self.least = figures["counter_ms"]
-        self.most_wait = figures["counter_line"] * figures["counter_wait_ms"]
-        self.slower = 1.0
-        self.down: Literal["", "refusing", "silent"] = ""
-        self.busy = 0.0
+        self.call_cost_ms = 1000.0 / figures["counter_per_s"]
+        self.min_latency_ms = figures["counter_ms"]
+        self.max_queue_wait_ms = figures["counter_line"] * figures["counter_wait_ms"]
+        self.slowdown = 1.0
+        self.outage: Literal["", "refusing", "silent"] = ""
+        self.busy_until = 0.0
         self.calls = 0
-        self.halves: dict[int, dict[int, CounterValue]] = {
+        self.partitions: dict[int, dict[int, CounterValue]] = {
             0: {}
         }  # a split counter's parts by the side that sees them
-        self.sides: frozenset[int] = frozenset()  # gateways that see the other half
+        self.split_gateways: frozenset[int] = frozenset()  # gateways that see the other half
 
     def call(
         self, now: float, name: int, amount: float, life: float, gateway: int = 0
     ) -> tuple[CounterStatus, float, float]:
         """(word, when the answer leaves, total). A silent counter answers at infinity."""
         self.calls += 1
-        if self.down == "refusing":
+        if self.outage == "refusing":
             return "unreachable", now, 0.0
-        if self.down == "silent":
+        if self.outage == "silent":
             return "ok", math.inf, 0.0
-        if self.busy - now > self.most_wait:
-            return "full", now + self.least, 0.0
-        self.busy = max(self.busy, now) + self.cost * self.slower
-        at = self.busy + self.least * self.slower
-        numbers = self.halves.setdefault(1, {}) if gateway in self.sides else self.halves[0]
+        if self.busy_until - now > self.max_queue_wait_ms:
+            return "full", now + self.min_latency_ms, 0.0
+        self.busy_until = max(self.busy_until, now) + self.call_cost_ms * self.slowdown
+        at = self.busy_until + self.min_latency_ms * self.slowdown
+        numbers = self.partitions.setdefault(1, {}) if gateway in self.split_gateways else self.partitions[0]
         number = numbers.get(name)
-        if number is None or number.until < at:
+        if number is None or number.expires_at < at:
             if len(numbers) >= SWEEP_INTERVAL_VALUES and len(numbers) % SWEEP_INTERVAL_VALUES == 0:
-                for old in [n for n, held in numbers.items() if held.until < at]:
+                for old in [n for n, held in numbers.items() if held.expires_at < at]:
                     del numbers[old]
             number = numbers[name] = CounterValue(0.0, at + min(life, MAX_LIFETIME_MS))
         number.total = float(f"{number.total + amount:.7g}")
@@ -60,12 +60,14 @@
 
     def empty(self) -> None:
         """It is replaced: all numbers start at zero."""
-        self.halves = {0: {}}
+        self.partitions = {0: {}}
 
     def split(self, gateways: frozenset[int]) -> None:
         """From now on these gateways see a counter of their own, a copy as of now; none of them heals it."""
-        self.sides = gateways
+        self.split_gateways = gateways
         if gateways:
-            self.halves[1] = {name: CounterValue(n.total, n.until) for name, n in self.halves[0].items()}
+            self.partitions[1] = {
+                name: CounterValue(n.total, n.expires_at) for name, n in self.partitions[0].items()
+            }
         else:
-            self.halves.pop(1, None)
+            self.partitions.pop(1, None)
--- a/mapleshunt/fleet/discovery.py
+++ b/mapleshunt/fleet/discovery.py
@@ -18,20 +18,20 @@
     server: int
     cell: int
     state: EndpointState = "ready"
-    started: float = 0.0
+    started_at: float = 0.0
 
 
 class Discovery:
     """What discovery knows, and when each gateway is told. Times in ms."""
 
     def __init__(self, figures: Parameters, rng: Rng) -> None:
-        self.figures, self.rng = figures, rng
+        self.parameters, self.rng = figures, rng
         self.entries: dict[int, EndpointEntry] = {}
-        self.told: dict[
+        self.last_delivery: dict[
             int, float
         ] = {}  # until when news to a gateway are on their way: they keep their order
 
-    def change(
+    def apply_change(
         self, now: float, entry: EndpointEntry, gateways: int, silent: bool = False
     ) -> list[tuple[float, int]]:
         """Take in a change; (when, gateway) for each that is told of it.
@@ -39,10 +39,10 @@
         A start is noticed soon, an end later, and that of a machine which says nothing later still.
         """
         self.entries[entry.server] = entry
-        f = self.figures
+        f = self.parameters
         if silent:
             notice = f["silent_notice_ms"]
-        elif entry.state == "ready" and entry.started:
+        elif entry.state == "ready" and entry.started_at:
             notice = f["add_ms"]
         elif entry.state == "draining":
             notice = 0.0  # its operator says so
@@ -51,8 +51,9 @@
         news = []
         for gateway in range(gateways):
             at = max(
-                now + notice + float(self.rng.exponential(f["list_spread_ms"])), self.told.get(gateway, 0.0)
+                now + notice + float(self.rng.exponential(f["list_spread_ms"])),
+                self.last_delivery.get(gateway, 0.0),
             )
-            self.told[gateway] = at
+            self.last_delivery[gateway] = at
             news.append((at, gateway))
         return news
--- a/mapleshunt/fleet/faults.py
+++ b/mapleshunt/fleet/faults.py
@@ -31,18 +31,18 @@
 
     at: float
     kind: FaultKind
-    lasts: float = 0.0
-    who: tuple[int, ...] = ()
-    size: float = 1.0
+    duration: float = 0.0
+    targets: tuple[int, ...] = ()
+    magnitude: float = 1.0
     plan: str = ""
 
     @property
     def end(self) -> float:
-        return self.at + self.lasts
+        return self.at + self.duration
 
 
 def sorted_by_time(faults: Iterable[Fault]) -> tuple[Fault, ...]:
-    return tuple(sorted(faults, key=lambda one: (one.at, one.kind, one.who)))
+    return tuple(sorted(faults, key=lambda one: (one.at, one.kind, one.targets)))
 
 
 def sample_machines(rng: Rng, count: int, part: float) -> tuple[int, ...]:
--- a/mapleshunt/fleet/network.py
+++ b/mapleshunt/fleet/network.py
@@ -14,7 +14,7 @@
     def __init__(self, figures: Parameters, streams: RandomStreams) -> None:
         jitter = figures["jitter"]
         rngs = {
-            name: streams.of("network", number)
+            name: streams.generator("network", number)
             for number, name in enumerate(("till", "client", "peer", "loss"))
         }
 
@@ -22,32 +22,37 @@
             rng = rngs[name]
             return BufferedDraws(lambda n: mean * (1 - jitter + rng.exponential(jitter, n)))
 
-        self.till = path("till", figures["same_ms"])
-        self.client = path("client", figures["client_ms"])
-        self.peer = path("peer", figures["peer_ms"])
-        self.lost = BufferedDraws(lambda n: rngs["loss"].random(n))
-        self.loss = figures["peer_loss"]
-        self.split: frozenset[int] = frozenset()  # gateways that messages of the others do not reach
+        self.backend_delay = path("till", figures["same_ms"])
+        self.client_delay = path("client", figures["client_ms"])
+        self.peer_delay = path("peer", figures["peer_ms"])
+        self.loss_draws = BufferedDraws(lambda n: rngs["loss"].random(n))
+        self.loss_rate = figures["peer_loss"]
+        self.partition: frozenset[int] = frozenset()  # gateways that messages of the others do not reach
 
-    def message(self, sender: int, receiver: int) -> float | None:
+    def peer_message_delay(self, sender: int, receiver: int) -> float | None:
         """The delay of a message between gateways; None if it is lost."""
-        if self.lost.next() < self.loss or (sender in self.split) != (receiver in self.split):
+        if self.loss_draws.next() < self.loss_rate or (sender in self.partition) != (
+            receiver in self.partition
+        ):
             return None
-        return self.peer.next()
+        return self.peer_delay.next()
 
 
 class MessageRateLimiter:
     """How many messages a gateway takes in: over `per_s` in a second the rest are dropped."""
 
-    __slots__ = ("at", "left", "most", "per_ms")
+    __slots__ = ("refilled_at", "tokens", "burst", "per_ms")
 
     def __init__(self, per_s: float) -> None:
-        self.per_ms, self.most = per_s / MS_PER_SECOND, max(1.0, per_s / 4)
-        self.left, self.at = self.most, 0.0
-
-    def take(self, now: float) -> bool:
-        self.left, self.at = min(self.most, self.left + self.per_ms * (now - self.at)), now
-        if self.left < 1:
+        self.per_ms, self.burst = per_s / MS_PER_SECOND, max(1.0, per_s / 4)
+        self.tokens, self.refilled_at = self.burst, 0.0
+
+    def try_acquire(self, now: float) -> bool:
+        self.tokens, self.refilled_at = (
+            min(self.burst, self.tokens + self.per_ms * (now - self.refilled_at)),
+            now,
+        )
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
--- a/mapleshunt/fleet/parameters.py
+++ b/mapleshunt/fleet/parameters.py
@@ -25,17 +25,17 @@
 
     low: float
     high: float
-    guess: bool = False
-    whole: bool = False  # rounded to a whole number
+    guessed: bool = False
+    integral: bool = False  # rounded to a whole number
 
     def draw(self, rng: Rng) -> float:
         value = float(rng.uniform(self.low, self.high))
-        return float(round(value)) if self.whole else value
+        return float(round(value)) if self.integral else value
 
 
 PARAMETER_RANGES: dict[str, ParameterRange] = {
     # Till servers. Times are ms, work is ms of one core at speed 1.
-    "cores": ParameterRange(3, 3, whole=True),
+    "cores": ParameterRange(3, 3, integral=True),
     "speed": ParameterRange(0.85, 1.1),
     "speed_cv": ParameterRange(0.034, 0.23),
     "slots_per_core": ParameterRange(2, 6),
@@ -48,12 +48,12 @@
     "cold_ms": ParameterRange(5200, 15000),
     "warm_by_work": ParameterRange(0, 0),  # 1: warms with the work done, never slower than by time
     "warm_work": ParameterRange(
-        0.15, 0.25, guess=True
+        0.15, 0.25, guessed=True
     ),  # work that warms it, as a part of what it does warm in that time
     "error_rate": ParameterRange(0, 0.001),
-    "drops_cancelled": ParameterRange(0, 1, whole=True),  # waiting work that was cancelled is dropped
-    "drops_expired": ParameterRange(0, 1, whole=True),
-    "handshake_rtts": ParameterRange(1, 3, whole=True),
+    "drops_cancelled": ParameterRange(0, 1, integral=True),  # waiting work that was cancelled is dropped
+    "drops_expired": ParameterRange(0, 1, integral=True),
+    "handshake_rtts": ParameterRange(1, 3, integral=True),
     "handshake_work": ParameterRange(0.64, 1.7),
     "conn_cap_per_core": ParameterRange(430, 890),
     "conn_tax": ParameterRange(0.031, 0.15),  # part of its capacity that a full connection table takes
@@ -62,9 +62,9 @@
     "report_period_ms": ParameterRange(180, 720),
     "report_delay_ms": ParameterRange(2.9, 280),
     "report_noise": ParameterRange(0.048, 0.11),
-    "cell_size": ParameterRange(3, 5, whole=True),
+    "cell_size": ParameterRange(3, 5, integral=True),
     "push_slack": ParameterRange(
-        0.1, 0.1, guess=True
+        0.1, 0.1, guessed=True
     ),  # of the budget that tips a cold server over, for chance
     # Network.
     "same_ms": ParameterRange(0.085, 0.25),  # one way, gateway to till server
@@ -73,7 +73,7 @@
     "peer_ms": ParameterRange(2.2, 31),
     "peer_loss": ParameterRange(0.0041, 0.08),
     # The gateway as a machine: what each event costs it.
-    "event_ms": ParameterRange(0.1, 0.35, guess=True),
+    "event_ms": ParameterRange(0.1, 0.35, guessed=True),
     # Discovery.
     "notice_ms": ParameterRange(670, 4300),
     "silent_notice_ms": ParameterRange(5100, 12000),
@@ -89,7 +89,7 @@
     "retries": ParameterRange(2, 3.99),
     "try_share": ParameterRange(0.5, 1),  # part of the deadline that a try waits, at least
     "backoff_ms": ParameterRange(50, 400),
-    "backoff_grows": ParameterRange(0, 1, whole=True),
+    "backoff_grows": ParameterRange(0, 1, integral=True),
     "honour": ParameterRange(0.56, 0.97),
     "elsewhere": ParameterRange(0.012, 0.79),
     "skew": ParameterRange(0.27, 0.9),
@@ -100,15 +100,15 @@
     "full": ParameterRange(0.08, 0.25),
     "heavy": ParameterRange(0.094, 0.14),
     "heavy_x": ParameterRange(2.3, 4.2),
-    "heavy_spell_ms": ParameterRange(8000, 30000, guess=True),
+    "heavy_spell_ms": ParameterRange(8000, 30000, guessed=True),
     "spiky": ParameterRange(0.1, 0.25),
     "spike_x": ParameterRange(2.3, 7.5),
     "spike_ms": ParameterRange(580, 5000),
     "spike_every_ms": ParameterRange(13000, 21000),
     # Units: true ones follow the work, the guess is off by a lognormal factor.
-    "unit_ms": ParameterRange(45, 75, guess=True),
+    "unit_ms": ParameterRange(45, 75, guessed=True),
     "guess_cv": ParameterRange(0.4, 0.7),
-    "most_units": ParameterRange(8, 8, whole=True),
+    "most_units": ParameterRange(8, 8, integral=True),
 }
 
 
@@ -121,7 +121,7 @@
     work: float
     cv: float
     noise: float
-    worth: float
+    priority_weight: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -133,8 +133,8 @@
     rate: float  # units a second
     burst: float  # units
     price: float
-    over_cost: float
-    spread: float  # part of the gateways that a customer's set holds
+    over_quota_cost: float
+    gateway_share: float  # part of the gateways that a customer's set holds
 
 
 CLASS_RANGES = {
@@ -143,21 +143,21 @@
         "work": (92, 160),
         "cv": (0.51, 1.4),
         "noise": (0.087, 0.48),
-        "worth": (1, 1),
+        "priority_weight": (1, 1),
     },
     "basket-total": {
         "share": (0.3, 0.44),
         "work": (92, 160),
         "cv": (0.66, 1.3),
         "noise": (0.15, 0.46),
-        "worth": (3, 3),
+        "priority_weight": (3, 3),
     },
     "sale-close": {
         "share": (0.13, 0.19),
         "work": (150, 270),
         "cv": (0.5, 1.4),
         "noise": (0.052, 0.45),
-        "worth": (2, 2),
+        "priority_weight": (2, 2),
     },
 }
 PLAN_RANGES = {
@@ -190,17 +190,17 @@
 class Parameters:
     """One drawn fleet: `value[NAME]` for each of `PARAMETER_RANGES`, and its request classes and plans."""
 
-    value: Mapping[str, float]
+    values: Mapping[str, float]
     classes: tuple[ClassParameters, ...]
     plans: tuple[PlanParameters, ...]
 
     def __getitem__(self, name: str) -> float:
-        return self.value[name]
+        return self.values[name]
 
-    def with_(self, **changes: float) -> Parameters:
+    def with_values(self, **changes: float) -> Parameters:
         """The same world but for some figures. Raises `UnknownFigure`."""
         check_overrides(changes)
-        return replace(self, value={**self.value, **changes})
+        return replace(self, values={**self.values, **changes})
 
 
 def check_overrides(changes: Mapping[str, Any]) -> None:
@@ -247,4 +247,4 @@
 
 def guessed_parameters() -> list[str]:
     """The figures that no page tells."""
-    return [name for name, span in PARAMETER_RANGES.items() if span.guess]
+    return [name for name, span in PARAMETER_RANGES.items() if span.guessed]
--- a/mapleshunt/fleet/quota.py
+++ b/mapleshunt/fleet/quota.py
@@ -6,22 +6,22 @@
 class TokenBucket:
     """A customer's store: `rate` units a second, at most `burst`; starts full, may be settled below 0."""
 
-    __slots__ = ("at", "burst", "level", "rate")
+    __slots__ = ("refilled_at", "burst", "level", "rate")
 
     def __init__(self, rate: float, burst: float) -> None:
-        self.rate, self.burst, self.level, self.at = rate / 1000, burst, burst, 0.0
+        self.rate, self.burst, self.level, self.refilled_at = rate / 1000, burst, burst, 0.0
 
-    def fill(self, now: float) -> float:
-        if now > self.at:
-            self.level = min(self.burst, self.level + self.rate * (now - self.at))
-            self.at = now
+    def refill(self, now: float) -> float:
+        if now > self.refilled_at:
+            self.level = min(self.burst, self.level + self.rate * (now - self.refilled_at))
+            self.refilled_at = now
         return self.level
 
-    def take(self, now: float, units: float) -> bool:
+    def try_take(self, now: float, units: float) -> bool:
         """Is a try of so many units inside the quota? Then it takes them."""
         if not self.rate:
             return True
-        inside = self.fill(now) >= units
+        inside = self.refill(now) >= units
         if inside:
             self.level -= units
         return inside
@@ -29,4 +29,4 @@
     def settle(self, now: float, more: float) -> None:
         """The true units were so many more than those taken (or fewer, below 0)."""
         if self.rate:
-            self.level = min(self.burst, self.fill(now) - more)
+            self.level = min(self.burst, self.refill(now) - more)
--- a/mapleshunt/fleet/random_streams.py
+++ b/mapleshunt/fleet/random_streams.py
@@ -22,30 +22,30 @@
 
     def __init__(self, seed: int, world: int | None = None) -> None:
         """`world`: the seed of what stays from day to day; None: the day's own."""
-        self.seed, self.world = seed, seed if world is None else world
+        self.seed, self.installation_seed = seed, seed if world is None else world
 
-    def of(self, purpose: str, number: int = 0) -> Rng:
-        seed = self.world if purpose in INSTALLATION_PURPOSES else self.seed
+    def generator(self, purpose: str, number: int = 0) -> Rng:
+        seed = self.installation_seed if purpose in INSTALLATION_PURPOSES else self.seed
         key = (zlib.crc32(purpose.encode()), number)
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence(seed, spawn_key=key)))
 
-    def integer(self, purpose: str, number: int = 0) -> int:
-        return int(self.of(purpose, number).integers(1 << 62))
+    def seed_for(self, purpose: str, number: int = 0) -> int:
+        return int(self.generator(purpose, number).integers(1 << 62))
 
 
 class BufferedDraws:
     """Floats one by one from a generator that is asked for many at once: a call into numpy costs a µs."""
 
-    __slots__ = ("block", "left", "make")
+    __slots__ = ("block", "buffer", "generate")
 
     def __init__(self, make: Callable[[int], np.ndarray]) -> None:
-        self.make = make
-        self.left: list[float] = []
+        self.generate = make
+        self.buffer: list[float] = []
 
     def next(self) -> float:
-        if not self.left:
-            self.left = self.make(BLOCK_SIZE).tolist()
-        return self.left.pop()
+        if not self.buffer:
+            self.buffer = self.generate(BLOCK_SIZE).tolist()
+        return self.buffer.pop()
 
 
 def lognormal(rng: Rng, mean: float, cv: float, size: int) -> np.ndarray:
--- a/mapleshunt/simulation/day.py
+++ b/mapleshunt/simulation/day.py
@@ -23,30 +23,32 @@
     """What is played: sizes, load and troubles. `load`: use inside quotas over what the fleet can do."""
 
     name: str
-    about: str
+    description: str
     load: tuple[float, float]
-    troubles: FaultPlan = field(default=lambda rng, scenario: [])
+    fault_plan: FaultPlan = field(default=lambda rng, scenario: [])
     gateways: int = 3
     servers: int = 14
     seconds: float = 30.0
     rate: float | None = None  # requests a second inside quotas, in place of `load`
-    fixed: Mapping[str, float] = field(default_factory=dict)  # figures
-    spans: Mapping[str, figures.ParameterRange] = field(default_factory=dict)
+    fixed_parameters: Mapping[str, float] = field(default_factory=dict)  # figures
+    parameter_ranges: Mapping[str, figures.ParameterRange] = field(default_factory=dict)
     settings: Mapping[str, Any] = field(default_factory=dict)  # of the gateways
-    world: int | None = (
+    installation_seed: int | None = (
         None  # the seed of an installation: its machines, figures and customers stay from day to day
     )
-    make: Callable[[Scenario, int], Day] | None = None  # draws the day in another way, from a recording say
+    day_factory: Callable[[Scenario, int], Day] | None = (
+        None  # draws the day in another way, from a recording say
+    )
 
 
 @dataclass(slots=True, frozen=True)
 class RuleLimits:
     """Figures of the rules; times in ms."""
 
-    answer_slack: float = 8.0
-    drain_grace: float = 500.0
-    fall_multiple: float = 4.0
-    tip_after: float = 1000.0
+    answer_slack_ms: float = 8.0
+    drain_grace_ms: float = 500.0
+    overload_multiple: float = 4.0
+    overload_window_ms: float = 1000.0
 
 
 CLASSES: dict[str, dict[str, Any]] = {
@@ -68,13 +70,13 @@
     scenario: Scenario
     seed: int
     streams: RandomStreams
-    figures: Parameters
+    parameters: Parameters
     traffic: Traffic
     faults: tuple[Fault, ...]
     rules: RuleLimits = RuleLimits()
 
     @property
-    def length(self) -> float:
+    def length_ms(self) -> float:
         return 1000 * self.scenario.seconds
 
     def settings(self, words: Any = i) -> list[Any]:
@@ -84,7 +86,7 @@
         known = {name for name in words.Settings.__dataclass_fields__}
         classes = {name: words.RequestClass(name=name, **figures) for name, figures in CLASSES.items()}
         plans = {}
-        for shape in self.figures.plans:
+        for shape in self.parameters.plans:
             held = {"rate": shape.rate, "burst": shape.burst}
             for name, value in plan_changes.items():
                 _, plan, part = name.split(".", 2)
@@ -105,15 +107,17 @@
 
 def draw_day(scenario: Scenario, seed: int) -> Day:
     """Draw a day. Raises `UnknownFigure`."""
-    if scenario.make is not None:
-        return scenario.make(scenario, seed)
-    streams = RandomStreams(seed, scenario.world)
-    drawn = figures.draw_parameters(streams.of("figures"), scenario.fixed, scenario.spans)
-    load = float(streams.of("load").uniform(*scenario.load))
+    if scenario.day_factory is not None:
+        return scenario.day_factory(scenario, seed)
+    streams = RandomStreams(seed, scenario.installation_seed)
+    drawn = figures.draw_parameters(
+        streams.generator("figures"), scenario.fixed_parameters, scenario.parameter_ranges
+    )
+    load = float(streams.generator("load").uniform(*scenario.load))
     rate = scenario.rate
     if rate is None:
         rate = load * fleet_capacity(drawn, scenario.servers) / clients.mean_work(drawn)
-    troubles = faults.sorted_by_time(scenario.troubles(streams.of("troubles"), scenario))
+    troubles = faults.sorted_by_time(scenario.fault_plan(streams.generator("troubles"), scenario))
     asked = clients.draw_traffic(
         drawn, scenario.gateways, rate * clients.mean_units(drawn), 1000 * scenario.seconds, troubles, streams
     )
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -48,7 +48,7 @@
             int, dict[BackendRequest, tuple[int, ClientAttempt, UpstreamAttempt]]
         ] = {}  # at each till server
         super().__init__(day, words)
-        f, count = day.figures, day.scenario.gateways
+        f, count = day.parameters, day.scenario.gateways
         self.gateways: list[GatewayPolicy | None] = [None] * count
         self.epochs, self.busy = [0] * count, [0.0] * count
         self.open: list[dict[int, ClientAttempt]] = [{} for _ in range(count)]
@@ -68,17 +68,17 @@
             words.Watch: lambda gateway, action, at: None, CounterCall: self._count,
         }  # fmt: skip
         for fault in day.faults:
-            self.agenda.at(fault.at, self._strike, fault)
+            self.agenda.schedule(fault.at, self._strike, fault)
         for number in range(count):
             self._start_gateway(number)
-        if self.asks:
-            self.agenda.at(self.asks[0].ask.at, self._arrive, 0)
+        if self.requests:
+            self.agenda.schedule(self.requests[0].request.arrives_at, self._arrive, 0)
 
     def now(self) -> float:
         return self.agenda.now
 
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
-        self.agenda.at(when, call, *arguments)
+        self.agenda.schedule(when, call, *arguments)
 
     def _take_in(self, till: Backend) -> None:
         self.held[till.number], self.wakes[till.number] = {}, float("inf")
@@ -88,34 +88,34 @@
     def run(self) -> None:
         """Play the day, and on until all is answered."""
         begun = time.process_time_ns()
-        last = self.day.length + 2 * self.window + 1000
+        last = self.day.length_ms + 2 * self.idempotency_window_ms + 1000
         # What a run makes it keeps: looking for garbage among it is a tenth of the time, and finds none.
         collecting = gc.isenabled()
         gc.disable()
         try:
-            self.agenda.run(last)
+            self.agenda.run_until(last)
         finally:
             if collecting:
                 gc.enable()
-        self.events = self.agenda.done
-        self.cpu_ns = time.process_time_ns() - begun
-        self.watchman.end(self.agenda.now)
+        self.events = self.agenda.processed
+        self.total_cpu_ns = time.process_time_ns() - begun
+        self.rule_checker.finish(self.agenda.now)
 
     # Gateways
 
     def _start_gateway(self, number: int) -> None:
         now = self.agenda.now
-        seed = self.day.streams.integer("gateway", number * 1000 + self.epochs[number])
+        seed = self.day.streams.seed_for("gateway", number * 1000 + self.epochs[number])
         gateway = self.factory(self.settings[number], seed, now)
         self.gateways[number], self.busy[number] = gateway, now
         self._carry_out(number, gateway.start())
-        rows = tuple(self._row(entry) for entry in self.lists[number].values())
-        self.watchman.told_list(number, self.lists[number].values(), now)
+        rows = tuple(self._row(entry) for entry in self.endpoint_lists[number].values())
+        self.rule_checker.endpoint_list_delivered(number, self.endpoint_lists[number].values(), now)
         self._feed(number, self.words.Members("persisted", rows))
 
     def _row(self, entry: EndpointEntry) -> Any:
         return self.words.ServerEntry(
-            entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started
+            entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started_at
         )
 
     def _feed(self, number: int, event: Any) -> None:
@@ -125,7 +125,7 @@
         now = self.agenda.now
         begun = time.perf_counter_ns()
         actions = gateway.handle(now, event)
-        self.gateway_ns += time.perf_counter_ns() - begun
+        self.gateway_cpu_ns += time.perf_counter_ns() - begun
         self._carry_out(number, actions)
 
     def _carry_out(self, number: int, actions: Iterable[Any]) -> None:
@@ -138,7 +138,7 @@
             acts[type(action)](number, action, at)
 
     def _timer(self, gateway: int, action: Any, at: float) -> None:
-        self.agenda.at(
+        self.agenda.schedule(
             max(action.at, self.agenda.now), self._fire, gateway, self.epochs[gateway], action.token
         )
 
@@ -151,22 +151,22 @@
     def _tell(self, gateway: int, action: Any, at: float) -> None:
         peers = range(len(self.gateways)) if action.peer < 0 else (action.peer,)
         for peer in peers:
-            if peer != gateway and (delay := self.network.message(gateway, peer)) is not None:
-                self.agenda.at(at + delay, self._hear, gateway, peer, action.data)
+            if peer != gateway and (delay := self.network.peer_message_delay(gateway, peer)) is not None:
+                self.agenda.schedule(at + delay, self._hear, gateway, peer, action.data)
 
     def _hear(self, sender: int, peer: int, data: str) -> None:
-        if self.gateways[peer] is not None and self.intakes[peer].take(self.agenda.now):
+        if self.gateways[peer] is not None and self.peer_rate_limiters[peer].try_acquire(self.agenda.now):
             self.message_bytes += len(data)
             self._feed(peer, self.words.PeerMessage(sender, data))
 
     def _count(self, gateway: int, action: Any, at: float) -> None:
-        self.counts += 1
+        self.counter_calls += 1
         word, done, total = self.counter.call(at, action.name, action.amount, action.life, gateway)
-        given_up = at + self.day.figures["counter_wait_ms"]
-        back = done + 2 * self.network.till.next()
+        given_up = at + self.day.parameters["counter_wait_ms"]
+        back = done + 2 * self.network.backend_delay.next()
         if back > given_up:
             word, back = "timeout", given_up  # type: ignore[assignment]
-        self.agenda.at(
+        self.agenda.schedule(
             back, self._counted, gateway, self.epochs[gateway], CounterReply(action.name, word, total)
         )
 
@@ -177,85 +177,87 @@
     # Clients
 
     def _arrive(self, number: int) -> None:
-        if number + 1 < len(self.asks):
-            self.agenda.at(self.asks[number + 1].ask.at, self._arrive, number + 1)
-        self._ask(self.asks[number], 1)
+        if number + 1 < len(self.requests):
+            self.agenda.schedule(self.requests[number + 1].request.arrives_at, self._arrive, number + 1)
+        self._ask(self.requests[number], 1)
 
     def _ask(self, record: RequestRecord, number: int) -> None:
-        one = self.new_try(record, number)
+        one = self.start_attempt(record, number)
         if one is None:
             return
-        self.agenda.at(one.sent + self.network.client.next(), self._taken, record, one)
+        self.agenda.schedule(one.sent_at + self.network.client_delay.next(), self._taken, record, one)
 
     def _taken(self, record: RequestRecord, one: ClientAttempt) -> None:
         if self.gateways[one.gateway] is None:
             self._client_told(record, one, "unreachable", 0.0)
             return
-        ask, now = one.ask, self.agenda.now
+        ask, now = one.request, self.agenda.now
         who = self.day.traffic.customers[ask.customer]
-        one.taken = True
-        self.open[one.gateway][one.ref] = one
+        one.accepted = True
+        self.open[one.gateway][one.request_id] = one
         # Most are answered long before: only what is still open is put on the agenda, shortly before.
-        end = one.sent + one.patience
+        end = one.sent_at + one.timeout_ms
         bucket = int(end / TIMEOUT_BUCKET_MS)
         held = self.buckets.get(bucket)
         if held is None:
             held = self.buckets[bucket] = []
-            self.agenda.at(max(now, bucket * TIMEOUT_BUCKET_MS), self._near, bucket)
+            self.agenda.schedule(max(now, bucket * TIMEOUT_BUCKET_MS), self._near, bucket)
         held.append((end, record, one))
-        self.records[one.ref] = record
+        self.records[one.request_id] = record
         self._feed(
             one.gateway,
             self.words.Request(
-                ref=one.ref,
-                cls=self.classes[ask.cls],
-                plan=self.day.figures.plans[who.plan].name,
+                ref=one.request_id,
+                cls=self.classes[ask.class_index],
+                plan=self.day.parameters.plans[who.plan].name,
                 customer=who.name,
-                patience=one.sent + one.patience - now,
-                units=ask.guess,
-                spread=who.spread,
-                first=who.first,
+                patience=one.sent_at + one.timeout_ms - now,
+                units=ask.estimated_units,
+                spread=who.gateway_set_size,
+                first=who.first_gateway,
                 retry=one.number > 1,
             ),
         )
 
     def _near(self, bucket: int) -> None:
         for end, record, one in self.buckets.pop(bucket):
-            if not one.known or one.answer is None:
-                self.agenda.at(end, self._give_up, record, one)
+            if not one.client_notified or one.result is None:
+                self.agenda.schedule(end, self._give_up, record, one)
 
     def _give_up(self, record: RequestRecord, one: ClientAttempt) -> None:
         """The client's patience is over."""
-        if not one.known:
+        if not one.client_notified:
             self._client_told(record, one, "late", 0.0)
-        if one.answer is None and self.open[one.gateway].get(one.ref) is one:
-            self.agenda.at(self.agenda.now + self.day.rules.answer_slack, self._overdue, one)
+        if one.result is None and self.open[one.gateway].get(one.request_id) is one:
+            self.agenda.schedule(self.agenda.now + self.day.rules.answer_slack_ms, self._overdue, one)
 
     def _overdue(self, one: ClientAttempt) -> None:
-        if one.answer is None and self.open[one.gateway].pop(one.ref, None) is not None:
-            self.watchman.lost(one)
-            self._feed(one.gateway, self.words.ClientGone(one.ref))
+        if one.result is None and self.open[one.gateway].pop(one.request_id, None) is not None:
+            self.rule_checker.request_lost(one)
+            self._feed(one.gateway, self.words.ClientGone(one.request_id))
 
     def _client_told(
         self, record: RequestRecord, one: ClientAttempt, told: ClientResult, wait: float
     ) -> None:
-        if one.known:
+        if one.client_notified:
             return
-        pause = self.client_told(record, one, told, wait)
+        pause = self.notify_client(record, one, told, wait)
         if pause is not None:
-            self.agenda.at(self.agenda.now + pause, self._ask, record, one.number + 1)
+            self.agenda.schedule(self.agenda.now + pause, self._ask, record, one.number + 1)
 
     # Answers
 
     def _answer(self, gateway: int, ref: int, final: ClientResult, wait: float, at: float) -> None:
         one = self.open[gateway].pop(ref, None)
         if one is None:
-            self.watchman.answered_again(ref, final)
+            self.rule_checker.answered_again(ref, final)
             return
-        one.answer, one.answered = final, at
-        self.watchman.answered(one, final, at)
+        one.result, one.answered_at = final, at
+        self.rule_checker.client_answered(one, final, at)
         record = self.records.pop(ref)
-        self.agenda.at(at + self.network.client.next(), self._client_told, record, one, final, wait)
+        self.agenda.schedule(
+            at + self.network.client_delay.next(), self._client_told, record, one, final, wait
+        )
 
     def _refuse(self, gateway: int, action: Any, at: float) -> None:
         self._answer(gateway, action.ref, "refused", action.wait, at)
@@ -268,20 +270,20 @@
     def _send(self, gateway: int, action: Any, at: float) -> None:
         one = self.open[gateway].get(action.ref)
         if one is None:
-            self.watchman.sent_after_end(action.ref)
+            self.rule_checker.sent_after_end(action.ref)
             return
         server = action.server
         number = len(one.attempts)
-        till = self.tills[server]
-        until = one.sent + one.patience
+        till = self.backend_models[server]
+        until = one.sent_at + one.timeout_ms
         if action.timeout:
             until = min(until, at + action.timeout)
-        work = self.work(one, number, until)
+        work = self.backend_request(one, number, until)
         attempt = UpstreamAttempt(server, till.cell, at, work)
-        self.watchman.sending(one, attempt, gateway, at)
+        self.rule_checker.attempt_sent(one, attempt, gateway, at)
         one.attempts.append(attempt)
-        self.attempts[gateway][one.ref, number] = (one, attempt)
-        delay = self.network.till.next()
+        self.attempts[gateway][one.request_id, number] = (one, attempt)
+        delay = self.network.backend_delay.next()
         pool = self.pools[gateway].get(server)
         while pool and pool[0] < at - self.idle_ms:
             del pool[0]
@@ -292,77 +294,79 @@
             place -= 1
         if place >= 0 and pool is not None:
             del pool[place]
-            attempt.connection = True
-            self.agenda.at(at + delay, self._reach, one, attempt, gateway)
+            attempt.holds_connection = True
+            self.agenda.schedule(at + delay, self._reach, one, attempt, gateway)
         elif till.silent:
-            self.agenda.at(
+            self.agenda.schedule(
                 at + self.dial_ms, self._end, gateway, one, attempt, "unreachable", self.epochs[gateway]
             )
-        elif not till.up or till.connections >= till.conn_cap:
-            self.agenda.at(
+        elif not till.up or till.connections >= till.max_connections:
+            self.agenda.schedule(
                 at + 2 * delay, self._end, gateway, one, attempt, "unreachable", self.epochs[gateway]
             )
         else:
             till.connections += 1
-            attempt.connection = True
-            till.extra(self.agenda.now, self.handshake)
+            attempt.holds_connection = True
+            till.add_connection_work(self.agenda.now, self.handshake_work)
             self._wake(till)
-            self.agenda.at(at + delay * (1 + 2 * self.rtts), self._reach, one, attempt, gateway)
-        if until < one.sent + one.patience:
-            self.agenda.at(until, self._end, gateway, one, attempt, "timeout", self.epochs[gateway])
+            self.agenda.schedule(at + delay * (1 + 2 * self.rtts), self._reach, one, attempt, gateway)
+        if until < one.sent_at + one.timeout_ms:
+            self.agenda.schedule(until, self._end, gateway, one, attempt, "timeout", self.epochs[gateway])
 
     def _reach(self, one: ClientAttempt, attempt: UpstreamAttempt, gateway: int) -> None:
         """The attempt's last byte is at its till server."""
-        if attempt.status is not None or attempt.work.cancelled:
+        if attempt.status is not None or attempt.backend_request.cancelled:
             return
-        now, till, epoch = self.agenda.now, self.tills[attempt.server], self.epochs[gateway]
+        now, till, epoch = self.agenda.now, self.backend_models[attempt.server], self.epochs[gateway]
         if not till.up:
-            self.agenda.at(now + self.network.till.next(), self._end, gateway, one, attempt, "reset", epoch)
+            self.agenda.schedule(
+                now + self.network.backend_delay.next(), self._end, gateway, one, attempt, "reset", epoch
+            )
             return
-        attempt.arrived = now
-        self.books.arrived(one, now)
+        attempt.arrived_at = now
+        self.quota_ledger.record_arrival(one, now)
         if till.silent:
-            self.held[attempt.server][attempt.work] = (gateway, one, attempt)
+            self.held[attempt.server][attempt.backend_request] = (gateway, one, attempt)
             return
-        told = self.watchman.knows_start(gateway, attempt.server, till.started)
-        fallen = till.fallen
-        word, ended = till.offer(now, attempt.work, told)
-        if till.fallen and not fallen:
-            self.fell(till)
+        told = self.rule_checker.knows_start(gateway, attempt.server, till.started_at)
+        fallen = till.collapsed
+        word, ended = till.offer(now, attempt.backend_request, told)
+        if till.collapsed and not fallen:
+            self.backend_collapsed(till)
         self._finished(till, ended)
         if word is None:
-            self.held[attempt.server][attempt.work] = (gateway, one, attempt)
+            self.held[attempt.server][attempt.backend_request] = (gateway, one, attempt)
         else:
             self._back(gateway, one, attempt, word)
         self._wake(till)
 
     def _wake(self, till: Backend) -> None:
-        if till.due < self.wakes[till.number]:
-            self.wakes[till.number] = till.due
-            self.agenda.at(till.due, self._due, till)
+        if till.next_event_at < self.wakes[till.number]:
+            self.wakes[till.number] = till.next_event_at
+            self.agenda.schedule(till.next_event_at, self._due, till)
 
     def _due(self, till: Backend) -> None:
         now = self.agenda.now
         if now < self.wakes[till.number]:
             return
         self.wakes[till.number] = float("inf")
-        if till.due <= now:
+        if till.next_event_at <= now:
             self._finished(till, till.advance(now))
         self._wake(till)
 
     def _finished(self, till: Backend, ended: list[BackendRequest]) -> None:
         held = self.held[till.number]
         for work in ended:
-            if work.effect:
-                self.watchman.ran(work)
+            if work.took_effect:
+                self.rule_checker.effect_ran(work)
             found = held.pop(work, None)
             if found is not None and not work.cancelled:
-                till.took += self.agenda.now - (found[2].arrived or 0.0)
-                self._back(*found, till.answer(work))
+                till.latency_since_report += self.agenda.now - (found[2].arrived_at or 0.0)
+                self._back(*found, till.draw_status(work))
 
     def _back(self, gateway: int, one: ClientAttempt, attempt: UpstreamAttempt, word: str) -> None:
-        at = self.agenda.now + self.network.till.next()
-        self.agenda.at(at, self._end, gateway, one, attempt, word, self.epochs[gateway])
+        at = self.agenda.now + self.network.backend_delay.next()
+        self.agenda.schedule(at, self._end, gateway, one, attempt, word, self.epochs[gateway])
 
     def _end(
         self, gateway: int, one: ClientAttempt, attempt: UpstreamAttempt, status: str, epoch: int
@@ -372,33 +376,33 @@
             return
         attempt.status = status
         now, server = self.agenda.now, attempt.server
-        number = attempt.work.token[1]  # type: ignore[index]
-        self.attempts[gateway].pop((one.ref, number), None)
-        if attempt.connection:
-            till = self.tills[server]
+        number = attempt.backend_request.token[1]  # type: ignore[index]
+        self.attempts[gateway].pop((one.request_id, number), None)
+        if attempt.holds_connection:
+            till = self.backend_models[server]
             if status in ("ok", "error", "full"):
                 self.pools[gateway].setdefault(server, []).append(now)
             else:
                 till.connections = max(0, till.connections - 1)
-                till.cancel(now, attempt.work)
-        if status in ("unreachable", "reset") and attempt.arrived is None:
+                till.cancel(now, attempt.backend_request)
+        if status in ("unreachable", "reset") and attempt.arrived_at is None:
             attempt.status = status = "unreachable"
         cost = 0.0
         if status == "ok":
-            cost = attempt.work.units
-            self.books.settled(one, now)
-            if one.answer is None:
+            cost = attempt.backend_request.units
+            self.quota_ledger.record_settlement(one, now)
+            if one.result is None:
                 at = max(self.busy[gateway], now) + self.event_ms
-                self._answer(gateway, one.ref, "served", 0.0, at)
+                self._answer(gateway, one.request_id, "served", 0.0, at)
         self._feed(
             gateway,
             self.words.Outcome(
-                ref=one.ref,
+                ref=one.request_id,
                 status=status,
-                closed=one.answer is not None or one.ref not in self.open[gateway],
+                closed=one.result is not None or one.request_id not in self.open[gateway],
                 attempt=number,
                 server=server,
-                latency=now - attempt.sent,
+                latency=now - attempt.sent_at,
                 cost=cost,
             ),
         )
@@ -407,15 +411,15 @@
         found = self.attempts[gateway].get((action.ref, action.attempt))
         if found is not None and found[1].status is None:
             one, attempt = found
-            attempt.work.cancelled = True
-            self.held[attempt.server].pop(attempt.work, None)
-            self.agenda.at(
+            attempt.backend_request.cancelled = True
+            self.held[attempt.server].pop(attempt.backend_request, None)
+            self.agenda.schedule(
                 at,
                 self._end,
                 gateway,
                 one,
                 attempt,
-                "cancelled" if attempt.arrived is not None else "unsent",
+                "cancelled" if attempt.arrived_at is not None else "unsent",
                 self.epochs[gateway],
             )
 
@@ -423,7 +427,7 @@
 
     def _told(self, gateway: int, entry: EndpointEntry) -> None:
         if self.gateways[gateway] is not None:
-            self.watchman.told(gateway, entry, self.agenda.now)
+            self.rule_checker.endpoint_notified(gateway, entry, self.agenda.now)
             self._feed(gateway, self.words.Members("partial", (self._row(entry),)))
 
     def _lose(self, till: Backend, held: Iterable[BackendRequest]) -> None:
@@ -441,17 +445,17 @@
                 self._back(*found, "reset")
 
     def _die(self, number: int) -> None:
-        till = self.tills[number]
+        till = self.backend_models[number]
         self._finished(till, till.advance(self.agenda.now))
         self._lose(till, till.crash(self.agenda.now))
 
     def _fall_silent(self, number: int) -> None:
-        till = self.tills[number]
+        till = self.backend_models[number]
         self._finished(till, till.advance(self.agenda.now))
-        till.silent, till.due = True, float("inf")
+        till.silent, till.next_event_at = True, float("inf")
 
     def _start_again(self, number: int) -> None:
-        till = self.tills[number]
+        till = self.backend_models[number]
         if till.silent:
             self._lose(till, till.crash(self.agenda.now))
         till.start(self.agenda.now)
@@ -463,39 +467,43 @@
         self.gateways[number] = None
         self.epochs[number] += 1
         for _, attempt in self.attempts[number].values():
-            attempt.work.cancelled = True
+            attempt.backend_request.cancelled = True
             attempt.status = "cancelled"
-            self.held[attempt.server].pop(attempt.work, None)
-            if attempt.connection:
-                self.tills[attempt.server].connections -= 1
+            self.held[attempt.server].pop(attempt.backend_request, None)
+            if attempt.holds_connection:
+                self.backend_models[attempt.server].connections -= 1
         self.attempts[number] = {}
         for server, idle in self.pools[number].items():
-            self.tills[server].connections = max(0, self.tills[server].connections - len(idle))
+            self.backend_models[server].connections = max(
+                0, self.backend_models[server].connections - len(idle)
+            )
         self.pools[number] = {}
         for one in list(self.open[number].values()):
-            record = self.records.pop(one.ref)
+            record = self.records.pop(one.request_id)
             # Its connection breaks: the client sees a failure that tells nothing.
-            self.agenda.at(now + self.network.client.next(), self._client_told, record, one, "failed", 0.0)
+            self.agenda.schedule(
+                now + self.network.client_delay.next(), self._client_told, record, one, "failed", 0.0
+            )
         self.open[number] = {}
-        self.agenda.at(
-            now + self.day.figures["front_notice_ms"], self._front_sees, number, self.epochs[number]
+        self.agenda.schedule(
+            now + self.day.parameters["front_notice_ms"], self._front_sees, number, self.epochs[number]
         )
 
     def _front_sees(self, number: int, epoch: int) -> None:
         if self.epochs[number] == epoch and self.gateways[number] is None:
-            self.seen_down.add(number)
+            self.gateways_marked_down.add(number)
 
     def _revive(self, number: int) -> None:
-        self.seen_down.discard(number)
+        self.gateways_marked_down.discard(number)
         if self.gateways[number] is None:
             self._start_gateway(number)
 
     def _on_leave(self, fault: Fault) -> None:
-        for number in fault.who:
+        for number in fault.targets:
             stop = self.agenda.now + FRONT_TERM_NOTICE_MS
-            self.agenda.at(stop, self.seen_down.add, number)
-            self.agenda.at(stop + self.window, self._kill, number)
-            self.agenda.at(stop + self.window + fault.lasts, self._revive, number)
+            self.agenda.schedule(stop, self.gateways_marked_down.add, number)
+            self.agenda.schedule(stop + self.idempotency_window_ms, self._kill, number)
+            self.agenda.schedule(stop + self.idempotency_window_ms + fault.duration, self._revive, number)
 
 
 # The counter's call and its answer, which the decisions do not make yet; plain policies do.
--- a/mapleshunt/simulation/event_queue.py
+++ b/mapleshunt/simulation/event_queue.py
@@ -10,24 +10,24 @@
 class EventQueue:
     """A heap of (time in ms, number, call, arguments)."""
 
-    __slots__ = ("done", "heap", "now", "number")
+    __slots__ = ("processed", "heap", "now", "sequence")
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.number = self.done = 0
+        self.sequence = self.processed = 0
         self.now = 0.0
 
-    def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
-        self.number += 1
-        heapq.heappush(self.heap, (when, self.number, call, arguments))
+    def schedule(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+        self.sequence += 1
+        heapq.heappush(self.heap, (when, self.sequence, call, arguments))
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Do all that is due until then, and what comes of it."""
-        heap, pop, waiting = self.heap, heapq.heappop, self.number - len(self.heap)
+        heap, pop, waiting = self.heap, heapq.heappop, self.sequence - len(self.heap)
         while heap and heap[0][0] <= until:
             when, _, call, arguments = pop(heap)
             if when > self.now:
                 self.now = when
             call(*arguments)
-        self.done += self.number - len(heap) - waiting
+        self.processed += self.sequence - len(heap) - waiting
         self.now = max(self.now, until)
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -221,7 +221,7 @@
     def __call__(
         self, drawn: Parameters, scenario: Scenario, faults: tuple[Fault, ...], streams: RandomStreams
     ) -> Asked:
-        fit, rng = self.fit, streams.of("replay")
+        fit, rng = self.fit, streams.generator("replay")
         steps = max(1, math.ceil(fit.length / clients.RATE_STEP_MS))
         length = 1000 * scenario.seconds
         wanted = math.ceil(length / clients.RATE_STEP_MS)
@@ -256,18 +256,21 @@
         raise ValueError(f"a scale is above 0 and at most 100, by customers or rates, not {scale:g} by {by}")
     replay = Replay(fit, scale, by)
     return replace(
-        base, gateways=fit.gateways, servers=fit.servers, make=lambda s, seed: day_from(fit, s, seed, replay)
+        base,
+        gateways=fit.gateways,
+        servers=fit.servers,
+        day_factory=lambda s, seed: day_from(fit, s, seed, replay),
     )
 
 
 def day_from(fit: Fit, scenario: Scenario, seed: int, replay: Replay, draw: int | None = None) -> Day:
     """A day of the fitted fleet: the seed chooses among the draws too, unless one is named."""
     streams = RandomStreams(seed)
-    rng = streams.of("fitted")
+    rng = streams.generator("fitted")
     number = int(rng.integers(len(fit.draws))) if draw is None else draw
     drawn = shape(fit, fit.draws[number], rng)
-    drawn = replace(drawn, value={**drawn.value, **scenario.fixed})
-    troubles = world_faults.sorted_by_time(scenario.troubles(streams.of("troubles"), scenario))
+    drawn = replace(drawn, values={**drawn.values, **scenario.fixed_parameters})
+    troubles = world_faults.sorted_by_time(scenario.fault_plan(streams.generator("troubles"), scenario))
     asked = replay(drawn, scenario, troubles, streams)
     return Day(scenario, seed, streams, drawn, asked, troubles)
 
@@ -301,9 +304,9 @@
 
 def of_tries(tries: Sequence[ClientAttempt]) -> Summary:
     return summary([
-        (str(t.answer or "failed"), t.answered - t.sent, t.number > 1,
+        (str(t.result or "failed"), t.answered_at - t.sent_at, t.number > 1,
          [str(a.status or "out") for a in t.attempts])
-        for t in tries if t.taken
+        for t in tries if t.accepted
     ])  # fmt: skip
 
 
@@ -317,7 +320,7 @@
     day = day_from(one, scenario, seed, Replay(one, aligned=True), 0)
     engine = Engine(day, Gateway)
     engine.run()
-    return value, of_tries(engine.watchman.tries)
+    return value, of_tries(engine.rule_checker.client_attempts)
 
 
 def fit(
@@ -333,7 +336,7 @@
     progress: Callable[[int], None] | None = None,
 ) -> Fit:
     """Fit a world to recordings. `known`: figures that the operator knows. Raises ValueError."""
-    rng = RandomStreams(seed).of("fit")
+    rng = RandomStreams(seed).generator("fit")
     cores = (known or {}).get("cores", figures.PARAMETER_RANGES["cores"].low)
     got = received(traffic, cores)
     classes, speed_cv = classes_of(traffic, got, worths)
@@ -396,8 +399,8 @@
 def plans_of(day: Day) -> list[FittedPlan]:
     """The plans that a day's gateways are told, for a fit of its recording."""
     return [
-        FittedPlan(p.name, p.share, p.rate, p.burst, p.price, p.over_cost, p.spread)
-        for p in day.figures.plans
+        FittedPlan(p.name, p.share, p.rate, p.burst, p.price, p.over_quota_cost, p.gateway_share)
+        for p in day.parameters.plans
     ]
 
 
--- a/mapleshunt/simulation/fleet_host.py
+++ b/mapleshunt/simulation/fleet_host.py
@@ -29,41 +29,43 @@
     """A day's world, drawn. Times in ms since the day began; a subclass has the clock and the wire."""
 
     def __init__(self, day: Day, words: Any = interface) -> None:
-        f, streams = day.figures, day.streams
+        f, streams = day.parameters, day.streams
         self.day = day
         self.network, self.counter = Network(f, streams), SharedCounter(f)
-        self.discovery = Discovery(f, streams.of("discovery"))
+        self.discovery = Discovery(f, streams.generator("discovery"))
         self.settings = day.settings(words)
-        self.habits = ClientBehaviour(f, self.settings[0].max_retry_after)
-        self.watchman, self.books = RuleChecker(day, self.settings[0]), QuotaLedger(day)
-        self.books.passed = self.watchman.ceiling
+        self.client_behaviour = ClientBehaviour(f, self.settings[0].max_retry_after)
+        self.rule_checker, self.quota_ledger = RuleChecker(day, self.settings[0]), QuotaLedger(day)
+        self.quota_ledger.on_ceiling_exceeded = self.rule_checker.ceiling_exceeded
         self.classes = [shape.name for shape in f.classes]
         self.effects = [CLASSES[name].get("effect", "safe") for name in self.classes]
         self.deadlines = [CLASSES[name]["deadline"] for name in self.classes]
-        self.window = max(self.deadlines)
-        self.handshake = f["handshake_work"]
-        noise, spread = streams.of("noise"), [shape.noise for shape in f.classes]
-        self.noise = [
+        self.idempotency_window_ms = max(self.deadlines)
+        self.handshake_work = f["handshake_work"]
+        noise, spread = streams.generator("noise"), [shape.noise for shape in f.classes]
+        self.noise_tables = [
             lognormal(noise, 1.0, cv, NOISE_TABLE_SIZE).tolist() if cv else [1.0] * NOISE_TABLE_SIZE
             for cv in spread
         ]
-        self.asks = [RequestRecord(ask) for ask in day.traffic.asks]
-        self.refs = 0
-        self.seen_down: set[int] = set()  # gateways that the front sends nothing to
+        self.requests = [RequestRecord(ask) for ask in day.traffic.requests]
+        self.last_request_id = 0
+        self.gateways_marked_down: set[int] = set()  # gateways that the front sends nothing to
         count = day.scenario.gateways
-        self.intakes = [MessageRateLimiter(self.settings[0].mail_per_s) for _ in range(count)]
+        self.peer_rate_limiters = [MessageRateLimiter(self.settings[0].mail_per_s) for _ in range(count)]
         # What the score asks for, besides the records.
-        self.message_bytes = self.probes = self.counts = self.events = 0
-        self.cpu_ns = self.gateway_ns = 0
-        self.tills: dict[int, Backend] = {}
-        self.cells: list[IdempotencyStore] = []
-        speeds, size = streams.of("speeds"), max(1, round(f["cell_size"]))
+        self.message_bytes = self.health_checks = self.counter_calls = self.events = 0
+        self.total_cpu_ns = self.gateway_cpu_ns = 0
+        self.backend_models: dict[int, Backend] = {}
+        self.idempotency_stores: list[IdempotencyStore] = []
+        speeds, size = streams.generator("speeds"), max(1, round(f["cell_size"]))
         for number in range(day.scenario.servers):
             if number % size == 0:
-                self.cells.append(IdempotencyStore(self.window))
+                self.idempotency_stores.append(IdempotencyStore(self.idempotency_window_ms))
             self._add_till(number, speeds)
         self.next_server = day.scenario.servers
-        self.lists: list[dict[int, EndpointEntry]] = [dict(self.discovery.entries) for _ in range(count)]
+        self.endpoint_lists: list[dict[int, EndpointEntry]] = [
+            dict(self.discovery.entries) for _ in range(count)
+        ]
 
     # The subclass's clock and wire
 
@@ -103,49 +105,53 @@
 
     def _add_till(self, number: int, speeds: Rng) -> Backend:
         """A till server of the newest cell, its speed drawn."""
-        f, rules, cell = self.day.figures, self.day.rules, len(self.cells) - 1
+        f, rules, cell = self.day.parameters, self.day.rules, len(self.idempotency_stores) - 1
         speed = max(MIN_BACKEND_SPEED, f["speed"] * (1 + f["speed_cv"] * float(speeds.standard_normal())))
-        errors = BufferedDraws(self.day.streams.of("errors", number).random)
-        keys = self.cells[cell]
-        till = Backend(number, f, speed, cell, keys, errors, rules.tip_after, rules.fall_multiple)
-        self.tills[number] = till
+        errors = BufferedDraws(self.day.streams.generator("errors", number).random)
+        keys = self.idempotency_stores[cell]
+        till = Backend(
+            number, f, speed, cell, keys, errors, rules.overload_window_ms, rules.overload_multiple
+        )
+        self.backend_models[number] = till
         self._take_in(till)
         self.discovery.entries[number] = EndpointEntry(number, cell)
         return till
 
-    def work(self, one: ClientAttempt, number: int, until: float) -> BackendRequest:
+    def backend_request(self, one: ClientAttempt, number: int, until: float) -> BackendRequest:
         """An attempt's work at a till server; its gateway waits until then."""
-        ask = one.ask
-        amount = ask.work * self.noise[ask.cls][(ask.noise + number) % NOISE_TABLE_SIZE]
-        key = ask if self.effects[ask.cls] == "keyed" else None
-        return BackendRequest((one.ref, number), amount, until, key, ask.units, one.gateway)
-
-    def new_try(self, record: RequestRecord, number: int) -> ClientAttempt | None:
+        ask = one.request
+        amount = (
+            ask.work_ms * self.noise_tables[ask.class_index][(ask.noise_offset + number) % NOISE_TABLE_SIZE]
+        )
+        key = ask if self.effects[ask.class_index] == "keyed" else None
+        return BackendRequest((one.request_id, number), amount, until, key, ask.units, one.gateway)
+
+    def start_attempt(self, record: RequestRecord, number: int) -> ClientAttempt | None:
         """A client's try as the front sends it now; None if no patience is left for it."""
-        ask, now = record.ask, self.now()
-        deadline = self.deadlines[ask.cls]
-        patience = min(ask.patience * deadline, ask.at + deadline - now)
+        ask, now = record.request, self.now()
+        deadline = self.deadlines[ask.class_index]
+        patience = min(ask.timeout_share * deadline, ask.arrives_at + deadline - now)
         if patience <= 1:
             return None
-        pick = ask.pick if number == 1 else self.habits.elsewhere_pick(ask, number)
-        count = len(self.lists)
-        gateway = self.day.traffic.gateway(ask.customer, now, pick, count, self.seen_down)
-        self.refs += 1
-        record.tries = number
-        one = ClientAttempt(self.refs, ask, number, gateway, now, patience)
-        self.watchman.tries.append(one)
+        pick = ask.gateway_draw if number == 1 else self.client_behaviour.retry_gateway_draw(ask, number)
+        count = len(self.endpoint_lists)
+        gateway = self.day.traffic.pick_gateway(ask.customer, now, pick, count, self.gateways_marked_down)
+        self.last_request_id += 1
+        record.attempt_count = number
+        one = ClientAttempt(self.last_request_id, ask, number, gateway, now, patience)
+        self.rule_checker.client_attempts.append(one)
         return one
 
-    def client_told(
+    def notify_client(
         self, record: RequestRecord, one: ClientAttempt, told: ClientResult, wait: float
     ) -> float | None:
         """A client has its end of a try: after how long it comes again, if it does."""
-        one.known = True
-        record.last, record.ended = told, self.now()
-        if told == "served" and record.served is None:
-            record.served, record.inside = record.ended, bool(one.inside)
-        safe = self.effects[one.ask.cls] == "safe"
-        return self.habits.next_try(one.ask, one.number, told, wait, safe)
+        one.client_notified = True
+        record.last_result, record.ended_at = told, self.now()
+        if told == "served" and record.served_at is None:
+            record.served_at, record.inside_quota = record.ended_at, bool(one.inside_quota)
+        safe = self.effects[one.request.class_index] == "safe"
+        return self.client_behaviour.retry_delay(one.request, one.number, told, wait, safe)
 
     # Faults
 
@@ -153,62 +159,67 @@
         getattr(self, f"_on_{fault.kind}")(fault)
 
     def _change(self, entry: EndpointEntry, silent: bool = False) -> None:
-        for at, gateway in self.discovery.change(self.now(), entry, len(self.lists), silent):
+        for at, gateway in self.discovery.apply_change(self.now(), entry, len(self.endpoint_lists), silent):
             self.at(at, self._news, gateway, entry)
 
     def _news(self, gateway: int, entry: EndpointEntry) -> None:
         if entry.state == "gone":
-            self.lists[gateway].pop(entry.server, None)
+            self.endpoint_lists[gateway].pop(entry.server, None)
         else:
-            self.lists[gateway][entry.server] = entry
+            self.endpoint_lists[gateway][entry.server] = entry
         self._told(gateway, entry)
 
     def _gone(self, number: int) -> None:
         self._die(number)
-        self._change(EndpointEntry(number, self.tills[number].cell, "gone"))
+        self._change(EndpointEntry(number, self.backend_models[number].cell, "gone"))
 
     def _on_crash(self, fault: Fault) -> None:
         # The list knows whether a process runs: it is told that this one is gone, and then of its start.
-        for number in fault.who:
+        for number in fault.targets:
             self._gone(number)
-            if fault.lasts:
+            if fault.duration:
                 self.at(fault.end, self._come_back, number)
 
     def _come_back(self, number: int) -> None:
-        till = self.tills[number]
-        if not till.fallen:
+        till = self.backend_models[number]
+        if not till.collapsed:
             self._start_again(number)
             self._change(EndpointEntry(number, till.cell, "ready", self.now()))
 
-    def fell(self, till: Backend) -> None:
+    def backend_collapsed(self, till: Backend) -> None:
         """Pushed over while cold: it stays down."""
-        self.watchman.pushed_over(till)
+        self.rule_checker.backend_collapsed(till)
         self._gone(till.number)
 
     def _on_silent(self, fault: Fault) -> None:
-        for number in fault.who:
+        for number in fault.targets:
             self._fall_silent(number)
-            self._change(EndpointEntry(number, self.tills[number].cell, "gone"), silent=True)
-            if fault.lasts:
+            self._change(EndpointEntry(number, self.backend_models[number].cell, "gone"), silent=True)
+            if fault.duration:
                 self.at(fault.end, self._come_back, number)
 
     def _on_drain(self, fault: Fault) -> None:
-        for number in fault.who:
+        for number in fault.targets:
             self._change(
-                EndpointEntry(number, self.tills[number].cell, "draining", self.tills[number].started)
+                EndpointEntry(
+                    number,
+                    self.backend_models[number].cell,
+                    "draining",
+                    self.backend_models[number].started_at,
+                )
             )
-            self.at(fault.end + 2 * self.window, self._gone, number)
+            self.at(fault.end + 2 * self.idempotency_window_ms, self._gone, number)
 
     def _on_add(self, fault: Fault) -> None:
-        speeds = self.day.streams.of("added", int(fault.at))
-        for _ in range(int(fault.size)):
+        speeds = self.day.streams.generator("added", int(fault.at))
+        for _ in range(int(fault.magnitude)):
             till = self._add_till(self.next_server, speeds)
             self.next_server += 1
             till.start(self.now())
             self._change(EndpointEntry(till.number, till.cell, "ready", self.now()))
 
     def _on_restart(self, fault: Fault) -> None:
-        for number in fault.who:
+        for number in fault.targets:
             self._kill(number)
             self.at(fault.end, self._revive, number)
 
@@ -216,29 +227,29 @@
         """Drawn into the traffic."""
 
     def _on_counter_down(self, fault: Fault, how: Any = "refusing") -> None:
-        self.counter.down = how
-        self.at(fault.end, self._counter_back, fault.size > 0.5)
+        self.counter.outage = how
+        self.at(fault.end, self._counter_back, fault.magnitude > 0.5)
 
     def _on_counter_silent(self, fault: Fault) -> None:
         self._on_counter_down(fault, "silent")
 
     def _counter_back(self, empty: bool) -> None:
-        self.counter.down = ""
+        self.counter.outage = ""
         if empty:
             self.counter.empty()
 
     def _on_counter_slow(self, fault: Fault) -> None:
-        self.counter.slower = fault.size
-        self.at(fault.end, setattr, self.counter, "slower", 1.0)
+        self.counter.slowdown = fault.magnitude
+        self.at(fault.end, setattr, self.counter, "slowdown", 1.0)
 
     def _on_counter_split(self, fault: Fault) -> None:
-        self.counter.split(frozenset(fault.who))
+        self.counter.split(frozenset(fault.targets))
         self.at(fault.end, self.counter.split, frozenset())
 
     def _on_cut(self, fault: Fault) -> None:
-        self.network.split = frozenset(fault.who)
-        self.at(fault.end, setattr, self.network, "split", frozenset())
+        self.network.partition = frozenset(fault.targets)
+        self.at(fault.end, setattr, self.network, "partition", frozenset())
 
     def _on_loss(self, fault: Fault) -> None:
-        before, self.network.loss = self.network.loss, fault.size
-        self.at(fault.end, setattr, self.network, "loss", before)
+        before, self.network.loss_rate = self.network.loss_rate, fault.magnitude
+        self.at(fault.end, setattr, self.network, "loss_rate", before)
--- a/mapleshunt/simulation/history_checker.py
+++ b/mapleshunt/simulation/history_checker.py
@@ -23,9 +23,9 @@
     session: str
     number: int
     operation: Any
-    begun: float  # s
+    started_at: float  # s
     result: Any = None
-    ended: float = 0.0
+    ended_at: float = 0.0
 
 
 def find_violations(history: Iterable[HistoryEvent], final: Mapping[str, Any], burst: float) -> list[str]:
@@ -33,7 +33,7 @@
     read when all was calm again; `burst`: of all stores.
     """
     events = list(history)
-    found = [f"{e.session} {e.number} was never answered: {e.operation}" for e in events if not e.ended]
+    found = [f"{e.session} {e.number} was never answered: {e.operation}" for e in events if not e.ended_at]
     found += (
         check_counts(events, final)
         + check_leases(events, burst)
@@ -74,11 +74,11 @@
         if lease in seen:
             found.append(f"lease {lease} was granted to {seen[lease].session} and {event.session}")
         seen[lease] = event
-        end = event.begun + event.operation.term / 1000
+        end = event.started_at + event.operation.term / 1000
         if lease in back:
-            end = min(end, back[lease].begun)
-        if end > event.ended:
-            changes[lease[0]] += [(event.ended, event.result.units), (end, -event.result.units)]
+            end = min(end, back[lease].started_at)
+        if end > event.ended_at:
+            changes[lease[0]] += [(event.ended_at, event.result.units), (end, -event.result.units)]
     for customer, some in changes.items():
         held = 0.0
         for when, units in sorted(some, key=lambda one: (one[0], one[1])):
@@ -109,12 +109,16 @@
     """Reads of use: at least all acknowledged before they began, at most all begun before they ended."""
     found = []
     for read in events:
-        if not isinstance(read.operation, str) or not read.operation.startswith("store ") or not read.ended:
+        if (
+            not isinstance(read.operation, str)
+            or not read.operation.startswith("store ")
+            or not read.ended_at
+        ):
             continue
         customer = read.operation.partition(" ")[2]
         counts = [e for e in events if isinstance(e.operation, w.Count) and e.operation.customer == customer]
-        least = sum(e.operation.units for e in counts if e.ended and e.ended < read.begun)
-        most = sum(e.operation.units for e in counts if e.begun < read.ended)
+        least = sum(e.operation.units for e in counts if e.ended_at and e.ended_at < read.started_at)
+        most = sum(e.operation.units for e in counts if e.started_at < read.ended_at)
         held = read.result.counted if read.result is not None else 0.0
         if not least - RELATIVE_TOLERANCE * max(1, least) <= held <= most + RELATIVE_TOLERANCE * max(1, most):
             found.append(f"a read of {customer} says {held:g}, not between {least:g} and {most:g}")
--- a/mapleshunt/simulation/policies.py
+++ b/mapleshunt/simulation/policies.py
@@ -119,8 +119,8 @@
         if store is None:
             plan, parts = self.set.plans[request.plan], request.spread if self.part else 1
             store = TokenBucket(plan.rate / parts, max(plan.burst / parts, self.set.largest))
-            store.at, self.stores[request.customer] = self.now, store
-        if store.take(self.now, request.units):
+            store.refilled_at, self.stores[request.customer] = self.now, store
+        if store.try_take(self.now, request.units):
             self.send(request.ref)
         else:
             self.finish(request.ref)
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -224,7 +224,7 @@
                 one.disk.pending.clear()
                 one.holdings = Holdings()
                 one.holdings.thaw(one.disk.stored.snapshot.data)
-                seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
+                seed = self.day.streams.seed_for("copies", one.group * 100_000 + number * 100 + one.life)
                 one.node = Node(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
         self.leasing[number] = GatewayLeases(self, number)
@@ -250,7 +250,7 @@
         wake = max(1000 * one.node.wake(), self.agenda.now + 1)
         if wake < one.due - 1:
             one.due = wake
-            self.agenda.at(wake, self._tick, one, one.life, wake)
+            self.agenda.schedule(wake, self._tick, one, one.life, wake)
 
     def _tick(self, one: SimulatedReplica, life: int, due: float) -> None:
         if one.life != life or one.node is None or one.due != due:
@@ -259,7 +259,7 @@
         wake = 1000 * one.node.wake()
         if wake > self.agenda.now + 1:
             one.due = wake
-            self.agenda.at(wake, self._tick, one, life, wake)
+            self.agenda.schedule(wake, self._tick, one, life, wake)
         else:
             self._step(one, m.Tick())
 
@@ -269,7 +269,7 @@
                 self._post(one.gateway, int(m.gateway_of(to)[1:]), one.group, message)
             case m.Write():
                 one.disk.pending.append(output)
-                self.agenda.at(self.agenda.now + DISK, self._written, one, output.number, one.life)
+                self.agenda.schedule(self.agenda.now + DISK, self._written, one, output.number, one.life)
             case m.Apply(entry, call):
                 result: w.Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else w.Done()
                 self._reply(one, call, result, "")
@@ -279,7 +279,7 @@
                 one.holdings.thaw(snapshot.data)
             case m.WantSnapshot(index):
                 data = msgspec.msgpack.encode(one.holdings.freeze())
-                self.agenda.at(self.agenda.now, self._snapped, one, one.life, index, data)
+                self.agenda.schedule(self.agenda.now, self._snapped, one, one.life, index, data)
             case m.Role(role, _, _, _) if role == "leader":
                 self.elections += 1
 
@@ -296,18 +296,18 @@
     # Wires
 
     def _cut(self, a: int, b: int) -> bool:
-        return (a in self.network.split) != (b in self.network.split)
+        return (a in self.network.partition) != (b in self.network.partition)
 
     def _carry(self, a: int, b: int, what: Callable[..., None], *arguments: Any) -> None:
         if a == b:
-            self.agenda.at(self.agenda.now, what, *arguments)
+            self.agenda.schedule(self.agenda.now, what, *arguments)
         elif not self._cut(a, b) and self.gateways[b] is not None:
-            self.agenda.at(self.agenda.now + self.network.peer.next(), what, *arguments)
+            self.agenda.schedule(self.agenda.now + self.network.peer_delay.next(), what, *arguments)
 
     def _post(self, a: int, b: int, group: int, message: m.Message) -> None:
         waiting = self.outbox.setdefault((a, b), [])
         if not waiting:
-            self.agenda.at(self.agenda.now, self._flush, a, b)
+            self.agenda.schedule(self.agenda.now, self._flush, a, b)
         waiting.append((group, message))
 
     def _flush(self, a: int, b: int) -> None:
@@ -338,13 +338,13 @@
             to = self.leaders.get(call.group, -1)
             if to < 0 or self.gateways[to] is None or self._cut(call.gateway, to):
                 here = [n for n in self.holders[call.group] if self.gateways[n] is not None]
-                to = self.day.streams.integer("asks", self.numbers) % len(here) if here else -1
+                to = self.day.streams.seed_for("asks", self.numbers) % len(here) if here else -1
                 to = here[to] if here else call.gateway
         self.numbers += 1
         self.frames += call.gateway != to
         self.bytes += (len(call.command) + 16) * (call.gateway != to)
         self._carry(call.gateway, to, self._asked, self.numbers, call, to)
-        self.agenda.at(self.agenda.now + AGAIN, self.call, call, -1)
+        self.agenda.schedule(self.agenda.now + AGAIN, self.call, call, -1)
 
     def _asked(self, number: int, call: PendingCall, at: int) -> None:
         one = self.copies.get((call.group, at))
@@ -402,7 +402,7 @@
     def troubles(rng: Rng, scenario: Scenario) -> list[Fault]:
         length = 1000 * scenario.seconds
         who, begin = sample_machines(rng, scenario.gateways, part), 0.3 * length
-        burst = Fault(0.2 * length, "burst", 0.6 * length, size=3.0, plan="standard")
+        burst = Fault(0.2 * length, "burst", 0.6 * length, magnitude=3.0, plan="standard")
         match what:
             case "none":
                 return [burst]
--- a/mapleshunt/simulation/scenarios.py
+++ b/mapleshunt/simulation/scenarios.py
@@ -26,7 +26,9 @@
 def _burst(rng: Rng, scenario: Scenario) -> list[Fault]:
     lasts = _scaled(scenario, float(rng.uniform(5000, 20000)))
     plan = ("basic", "standard", "enterprise")[int(rng.integers(3))]
-    return [Fault(_when(rng, scenario, lasts), "burst", lasts, size=float(rng.uniform(2.3, 5.5)), plan=plan)]
+    return [
+        Fault(_when(rng, scenario, lasts), "burst", lasts, magnitude=float(rng.uniform(2.3, 5.5)), plan=plan)
+    ]
 
 
 def _crash(rng: Rng, scenario: Scenario) -> list[Fault]:
@@ -49,8 +51,8 @@
     slow = _scaled(scenario, float(rng.uniform(5100, 20000)))
     begin = _when(rng, scenario, lasts)
     return [
-        Fault(begin, "counter_down", lasts, size=1.0),
-        Fault(begin + lasts, "counter_slow", slow, size=float(rng.uniform(2.3, 6.8))),
+        Fault(begin, "counter_down", lasts, magnitude=1.0),
+        Fault(begin + lasts, "counter_slow", slow, magnitude=float(rng.uniform(2.3, 6.8))),
     ]
 
 
@@ -59,7 +61,7 @@
     drained = faults.sample_machines(rng, scenario.servers, 0.15)
     begin = 0.2 * 1000 * scenario.seconds
     return [
-        Fault(begin, "add", size=max(1, round(scenario.servers / 3))),
+        Fault(begin, "add", magnitude=max(1, round(scenario.servers / 3))),
         Fault(begin + 2000, "drain", 3000, drained),
     ]
 
@@ -85,7 +87,7 @@
     releases = []
     for n in range(4):
         group, at = tuple(sorted(who[n::8])), begin + n * within / 4
-        releases += [Fault(at, "drain", 2000, group), Fault(at + 1000, "add", size=max(1, len(group)))]
+        releases += [Fault(at, "drain", 2000, group), Fault(at + 1000, "add", magnitude=max(1, len(group)))]
     killed = faults.sample_machines(rng, scenario.gateways, 0.7)
     return [*releases, Fault(begin + within / 3, "restart", float(rng.uniform(310, 1100)), killed)]
 
@@ -108,7 +110,7 @@
     steps = []
     for n in range(2):
         group, at = tuple(sorted(who[n * size : (n + 1) * size])), begin + n * within / 2
-        steps += [Fault(at, "drain", within / 2, group), Fault(at + within / 4, "add", size=len(group))]
+        steps += [Fault(at, "drain", within / 2, group), Fault(at + within / 4, "add", magnitude=len(group))]
     return steps
 
 
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -24,15 +24,15 @@
     """What a day leaves behind, in the model or on sockets."""
 
     day: Day
-    asks: list[RequestRecord]
-    watchman: RuleChecker
-    tills: dict[int, Backend]
+    requests: list[RequestRecord]
+    rule_checker: RuleChecker
+    backend_models: dict[int, Backend]
     message_bytes: int
-    probes: int
-    counts: int
+    health_checks: int
+    counter_calls: int
     events: int
-    cpu_ns: int  # of the host and its gateways
-    gateway_ns: int  # of the gateways
+    total_cpu_ns: int  # of the host and its gateways
+    gateway_cpu_ns: int  # of the gateways
 
 
 @dataclass(slots=True)
@@ -72,43 +72,44 @@
     """Which first tries one gateway that saw them all would let in."""
     stores: dict[int, TokenBucket] = {}
     inside = []
-    for ask in day.traffic.asks:
+    for ask in day.traffic.requests:
         store = stores.get(ask.customer)
         if store is None:
-            plan = day.figures.plans[day.traffic.customers[ask.customer].plan]
+            plan = day.parameters.plans[day.traffic.customers[ask.customer].plan]
             store = stores[ask.customer] = TokenBucket(plan.rate, plan.burst)
-        good = store.take(ask.at, ask.guess)
+        good = store.try_take(ask.arrives_at, ask.estimated_units)
         if good:
-            store.settle(ask.at, ask.units - ask.guess)
+            store.settle(ask.arrives_at, ask.units - ask.estimated_units)
         inside.append(good)
     return inside
 
 
 def request_values(day: Day) -> list[float]:
     """Class worth x plan price x true units, for each first try."""
-    classes, plans, customers = day.figures.classes, day.figures.plans, day.traffic.customers
+    classes, plans, customers = day.parameters.classes, day.parameters.plans, day.traffic.customers
     return [
-        classes[a.cls].worth * plans[customers[a.customer].plan].price * a.units for a in day.traffic.asks
+        classes[a.class_index].priority_weight * plans[customers[a.customer].plan].price * a.units
+        for a in day.traffic.requests
     ]
 
 
 def score_day(engine: PlayedDay) -> Score:
     """Judge a day that has been played."""
-    day, records, tries = engine.day, engine.asks, engine.watchman.tries
+    day, records, tries = engine.day, engine.requests, engine.rule_checker.client_attempts
     inside, worth = requests_inside_quota(day), request_values(day)
-    aims = [CLASSES[shape.name]["aim"] for shape in day.figures.classes]
-    customers, plans = day.traffic.customers, day.figures.plans
-    at = np.array([r.ask.at for r in records]) / 1000 if records else np.zeros(0)
+    aims = [CLASSES[shape.name]["aim"] for shape in day.parameters.classes]
+    customers, plans = day.traffic.customers, day.parameters.plans
+    at = np.array([r.request.arrives_at for r in records]) / 1000 if records else np.zeros(0)
     weight = np.array(worth)
     asked = weight * np.array(inside, dtype=float)
     earned = np.zeros(len(records))
     took, late = [], 0.0
     for n, record in enumerate(records):
-        if record.served is not None:
-            took.append(record.served - record.ask.at)
-            if took[-1] <= aims[record.ask.cls] and record.inside:
+        if record.served_at is not None:
+            took.append(record.served_at - record.request.arrives_at)
+            if took[-1] <= aims[record.request.class_index] and record.inside_quota:
                 earned[n] = worth[n]
-        elif inside[n] and record.ended - record.ask.at > aims[record.ask.cls]:
+        elif inside[n] and record.ended_at - record.request.arrives_at > aims[record.request.class_index]:
             late += worth[n]
     total = float(asked.sum()) or 1.0
 
@@ -117,7 +118,7 @@
         return min(1.0, float(earned[mask].sum()) / there) if there else 1.0
 
     everything = np.ones(len(records), dtype=bool)
-    plan_of = np.array([customers[r.ask.customer].plan for r in records], dtype=int)
+    plan_of = np.array([customers[r.request.customer].plan for r in records], dtype=int)
     by_plan = {shape.name: share(plan_of == n) for n, shape in enumerate(plans)}
     begins = np.arange(
         0, max(WINDOW_STEP_S, day.scenario.seconds - WINDOW_S + WINDOW_STEP_S / 2), WINDOW_STEP_S
@@ -133,49 +134,60 @@
     )
 
     first = max(1, len(records))
-    offered_work = sum(r.ask.work for r in records) or 1.0
-    spent = sum(till.spent for till in engine.tills.values())
-    useful = sum(a.work.done for t in tries if t.answer == "served" for a in t.attempts if a.status == "ok")
+    offered_work = sum(r.request.work_ms for r in records) or 1.0
+    spent = sum(till.work_done_ms for till in engine.backend_models.values())
+    useful = sum(
+        a.backend_request.work_done_ms
+        for t in tries
+        if t.result == "served"
+        for a in t.attempts
+        if a.status == "ok"
+    )
     over = units = over_units = 0.0
     room = refused_room = 0
     shadows: dict[int, TokenBucket] = {}
     for one in tries:
-        if not one.taken:
+        if not one.accepted:
             continue
-        plan = plans[customers[one.ask.customer].plan]
-        if one.inside is not None:
-            units += one.ask.units
-            if not one.inside:
-                over_units += one.ask.units
-                over += plan.over_cost * plan.price * day.figures.classes[one.ask.cls].worth * one.ask.units
+        plan = plans[customers[one.request.customer].plan]
+        if one.inside_quota is not None:
+            units += one.request.units
+            if not one.inside_quota:
+                over_units += one.request.units
+                over += (
+                    plan.over_quota_cost
+                    * plan.price
+                    * day.parameters.classes[one.request.class_index].priority_weight
+                    * one.request.units
+                )
         # A store that takes what was sent on inside the quota says which refused tries had room.
-        store = shadows.get(one.ask.customer)
+        store = shadows.get(one.request.customer)
         if store is None:
-            store = shadows[one.ask.customer] = TokenBucket(plan.rate, plan.burst)
-        if store.fill(one.sent) >= max(one.ask.guess, store.burst / 2):
+            store = shadows[one.request.customer] = TokenBucket(plan.rate, plan.burst)
+        if store.refill(one.sent_at) >= max(one.request.estimated_units, store.burst / 2):
             room += 1
-            refused_room += one.answer == "refused"
-        if one.inside:
-            store.take(one.sent, one.ask.units)
+            refused_room += one.result == "refused"
+        if one.inside_quota:
+            store.try_take(one.sent_at, one.request.units)
     penalties = {
         "waste": PENALTY_WEIGHTS["waste"] * max(0.0, spent - useful) / offered_work,
         "late_fail": PENALTY_WEIGHTS["late_fail"] * late / total,
         "messages": PENALTY_WEIGHTS["messages"] * engine.message_bytes / MESSAGE_UNIT_BYTES / first,
-        "probes": PENALTY_WEIGHTS["probes"] * engine.probes / first,
-        "counter": PENALTY_WEIGHTS["counter"] * engine.counts / first,
+        "probes": PENALTY_WEIGHTS["probes"] * engine.health_checks / first,
+        "counter": PENALTY_WEIGHTS["counter"] * engine.counter_calls / first,
         "over_quota": over / total,
     }
-    final = [t.answer for t in tries]
+    final = [t.result for t in tries]
     quantiles = np.quantile(took, [0.5, 0.99]) if took else np.zeros(2)
-    cpu, gateway_cpu = engine.cpu_ns / 1e9, engine.gateway_ns / 1e9
+    cpu, gateway_cpu = engine.total_cpu_ns / 1e9, engine.gateway_cpu_ns / 1e9
     return Score(
         scenario=day.scenario.name, seed=day.seed, service=service, whole=whole, worst_window=worst_window,
         worst_plan=worst_plan, g=service - sum(penalties.values()), plans=by_plan, penalties=penalties,
-        rules={name: engine.watchman.breaks[name] for name in RULE_NAMES}, requests=len(records),
+        rules={name: engine.rule_checker.violations[name] for name in RULE_NAMES}, requests=len(records),
         tries=len(tries),
         served=final.count("served"), refused=final.count("refused"), failed=final.count("failed"),
         over_quota=over_units / units if units else 0.0,
         refused_with_room=refused_room / room if room else 0.0,
         p50_ms=float(quantiles[0]), p99_ms=float(quantiles[1]), events=engine.events,
-        gateway_cpu_s=gateway_cpu, model_cpu_s=max(0.0, cpu - gateway_cpu), stories=engine.watchman.stories,
+        gateway_cpu_s=gateway_cpu, model_cpu_s=max(0.0, cpu - gateway_cpu), stories=engine.rule_checker.descriptions,
     )  # fmt: skip
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -52,9 +52,9 @@
     def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         result = one.state.apply(entry.stamp, entry.data) if entry.data else None
         event = self.by_call.pop(call, None) if call is not None else None
-        if event is None or event.ended or result is None:
+        if event is None or event.ended_at or result is None:
             return
-        event.result, event.ended = result, self.now
+        event.result, event.ended_at = result, self.now
         self.open.pop(event.session, None)
         if isinstance(result, w.Granted) and isinstance(event.operation, w.Lease):
             self.leases.append((event.operation.customer, result.lease, result.units))
@@ -84,7 +84,7 @@
         self.ask(event)
 
     def ask(self, event: HistoryEvent) -> None:
-        if event.ended:
+        if event.ended_at:
             return
         alive = [one for one in self.machines.values() if one.node is not None]
         leaders = [one for one in alive if one.node is not None and one.node.role == "leader"]
--- a/mapleshunt/simulation/validation.py
+++ b/mapleshunt/simulation/validation.py
@@ -94,7 +94,9 @@
     say: Callable[[str], None] = lambda line: None,
 ) -> ValidationReport:
     """Record, fit, foretell and compare. `at_once`: rigs that run side by side."""
-    base = replace(resized(SCENARIOS[RECORDED_SCENARIO], gateways, servers, seconds=seconds), world=seed)
+    base = replace(
+        resized(SCENARIOS[RECORDED_SCENARIO], gateways, servers, seconds=seconds), installation_seed=seed
+    )
     first = seed * 1000
     folder.mkdir(parents=True, exist_ok=True)
     say(f"playing and recording a {RECORDED_SCENARIO} day")
@@ -105,9 +107,9 @@
     fit = fits.fit(
         traffic,
         fits.plans_of(day),
-        {c.name: c.worth for c in day.figures.classes},
+        {c.name: c.priority_weight for c in day.parameters.classes},
         servers,
-        {"cores": day.figures["cores"]},
+        {"cores": day.parameters["cores"]},
         draws,
         keep,
         seed,
@@ -122,7 +124,7 @@
                 gateways=gateways,
                 servers=servers,
                 seconds=seconds,
-                world=seed,
+                installation_seed=seed,
                 load=base.load,
             ),
             first + 1 + n,
@@ -137,7 +139,7 @@
             result.errors.append(f"{scenario.name}, seed {number}: {found}")
             continue
         known = draw_day(scenario, number).faults
-        told = fits.scenario_from(fit, replace(scenario, troubles=lambda rng, s, known=known: list(known)))  # type: ignore[misc]
+        told = fits.scenario_from(fit, replace(scenario, fault_plan=lambda rng, s, known=known: list(known)))  # type: ignore[misc]
         seeds = range(10**6 + 1000 * number, 10**6 + 1000 * number + foretold)
         model = [one.score for one in run_seeds(told, seeds, Variant("here", "here"), 0, jobs) if one.score]
         result.lines += compare_with_prediction(scenario.name, number, model, found)
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -45,7 +45,9 @@
     def scenario(self, scenario: Scenario) -> Scenario:
         """The scenario with this variant's settings and figures."""
         return replace(
-            scenario, settings={**scenario.settings, **self.settings}, fixed={**scenario.fixed, **self.world}
+            scenario,
+            settings={**scenario.settings, **self.settings},
+            fixed_parameters={**scenario.fixed_parameters, **self.world},
         )
 
 
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -84,7 +84,7 @@
 
     def fall_silent(self) -> None:
         self._ended(self.machine.advance(self.fleet.clock.now()))
-        self.machine.silent, self.machine.due = True, float("inf")
+        self.machine.silent, self.machine.next_event_at = True, float("inf")
 
     def come_back(self) -> None:
         if self.machine.silent:
@@ -96,12 +96,12 @@
 
     async def handle_stream(self, stream: IOStream) -> None:
         machine, clock = self.machine, self.fleet.clock
-        if len(self.streams) >= machine.conn_cap:
+        if len(self.streams) >= machine.max_connections:
             stream.close()
             return
         self.streams.add(stream)
         machine.connections = len(self.streams)
-        machine.extra(clock.now(), self.fleet.handshake)
+        machine.add_connection_work(clock.now(), self.fleet.handshake_work)
         self._plan()
         buffer, current = ReadBuffer(resp.MAX_MESSAGE), list[InFlightAttempt]()
         stream.set_close_callback(lambda: self._closed(stream, current))
@@ -124,9 +124,9 @@
         """Its gateway has ended the connection."""
         if out.attempt.status is None:
             out.attempt.status = "cancelled"
-            out.attempt.work.cancelled = True
-            self.machine.cancel(self.fleet.clock.now(), out.attempt.work)
-            self.held.pop(out.attempt.work, None)
+            out.attempt.backend_request.cancelled = True
+            self.machine.cancel(self.fleet.clock.now(), out.attempt.backend_request)
+            self.held.pop(out.attempt.backend_request, None)
             if not out.done.done():
                 out.done.set_result("cancelled")
 
@@ -145,27 +145,27 @@
             await stream.write(resp.error("SYNTAX no client sent this"))
             return
         one, now = found[0], clock.now()
-        for earlier in fleet.in_flight.get(one.ref, ()):
+        for earlier in fleet.in_flight.get(one.request_id, ()):
             if gone(earlier.stream):  # it has ended before this one came, though its end is not yet read
                 fleet.give_up(earlier)
-        work = fleet.work(one, len(one.attempts), one.sent + one.patience)
+        work = fleet.backend_request(one, len(one.attempts), one.sent_at + one.timeout_ms)
         attempt = UpstreamAttempt(self.machine.number, self.machine.cell, now, work, now)
-        fleet.watchman.sending(one, attempt, one.gateway, fleet.sent_at(now))
+        fleet.rule_checker.attempt_sent(one, attempt, one.gateway, fleet.sent_at(now))
         one.attempts.append(attempt)
-        fleet.books.arrived(one, now)
+        fleet.quota_ledger.record_arrival(one, now)
         out = InFlightAttempt(one, attempt, stream)
-        fleet.in_flight.setdefault(one.ref, []).append(out)
+        fleet.in_flight.setdefault(one.request_id, []).append(out)
         current[:] = [out]
         word: str | None
         if self.machine.silent:
             word = None
         else:
-            fallen = self.machine.fallen
-            told = fleet.watchman.knows_start(one.gateway, self.machine.number, self.machine.started)
+            fallen = self.machine.collapsed
+            told = fleet.rule_checker.knows_start(one.gateway, self.machine.number, self.machine.started_at)
             word, ended = self.machine.offer(now, work, told)
             self._ended(ended)
-            if self.machine.fallen and not fallen:
-                fleet.fell(self.machine)
+            if self.machine.collapsed and not fallen:
+                fleet.backend_collapsed(self.machine)
                 return
         if word is None:
             self.held[work] = out
@@ -181,14 +181,14 @@
         elif word == "error":
             await stream.write(resp.error("ERR failed"))
         else:
-            fleet.books.settled(one, clock.now())
+            fleet.quota_ledger.record_settlement(one, clock.now())
             await self._answer(stream, out, self._good_answer(one, bytes(words[2])))
 
     def _good_answer(self, one: ClientAttempt, name: bytes) -> bytes:
-        report = self.machine.report(self.fleet.clock.now())
+        report = self.machine.load_report(self.fleet.clock.now())
         load = f"qps={report.qps:.0f},latency_ms={report.latency:.0f},inflight={report.inflight:.0f}"
         value = b"%s by %d" % (name, self.machine.number)
-        cost = f"cost={one.ask.units:.0f}".encode()
+        cost = f"cost={one.request.units:.0f}".encode()
         return b"*3\r\n" + resp.bulk(value) + resp.bulk(cost) + resp.bulk(load.encode())
 
     async def _answer(self, stream: IOStream, out: InFlightAttempt, data: bytes) -> None:
@@ -199,19 +199,19 @@
 
     def _ended(self, works: list[BackendRequest]) -> None:
         for work in works:
-            if work.effect:
-                self.fleet.watchman.ran(work)
+            if work.took_effect:
+                self.fleet.rule_checker.effect_ran(work)
             out = self.held.pop(work, None)
             if out is not None and not work.cancelled and not out.done.done():
-                self.machine.took += self.fleet.clock.now() - (out.attempt.arrived or 0.0)
-                out.done.set_result(self.machine.answer(work))
+                self.machine.latency_since_report += self.fleet.clock.now() - (out.attempt.arrived_at or 0.0)
+                out.done.set_result(self.machine.draw_status(work))
 
     def _plan(self) -> None:
-        if self.machine.due < self.alarm_at:
+        if self.machine.next_event_at < self.alarm_at:
             if self.alarm is not None:
                 self.alarm.cancel()
-            self.alarm_at = self.machine.due
-            self.alarm = self.fleet.clock.at(self.machine.due, self._due)
+            self.alarm_at = self.machine.next_event_at
+            self.alarm = self.fleet.clock.at(self.machine.next_event_at, self._due)
 
     def _due(self) -> None:
         self.alarm, self.alarm_at = None, float("inf")
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -70,9 +70,9 @@
 
     async def run(self) -> None:
         """All asks, and on until each has its end."""
-        clock, asks = self.fleet.clock, self.fleet.asks
+        clock, asks = self.fleet.clock, self.fleet.requests
         for record in asks:
-            wait = record.ask.at - clock.now()
+            wait = record.request.arrives_at - clock.now()
             if wait > 0.5:
                 await asyncio.sleep(wait / 1000)
             self._go(record, 1)
@@ -95,13 +95,13 @@
 
     async def _try(self, record: RequestRecord, number: int) -> None:
         fleet, clock = self.fleet, self.fleet.clock
-        one = fleet.new_try(record, number)
+        one = fleet.start_attempt(record, number)
         if one is None:
             return
-        name = f"{fleet.request_id_base + one.ref:016x}"
+        name = f"{fleet.request_id_base + one.request_id:016x}"
         fleet.by_id[name] = (one, record)
         told, wait = await self._send(one, name)
-        pause = fleet.client_told(record, one, told, wait)
+        pause = fleet.notify_client(record, one, told, wait)
         if pause is not None:
             clock.at(clock.now() + pause, self._go, record, number + 1)
             # The day is not over while a client waits to come back.
@@ -116,19 +116,22 @@
         that stands still for some ms is no gateway that does not answer; such an answer earns nothing.
         """
         fleet = self.fleet
-        command, longer = fleet.command(one, name), fleet.day.rules.answer_slack - RuleLimits().answer_slack
+        command, longer = (
+            fleet.command(one, name),
+            fleet.day.rules.answer_slack_ms - RuleLimits().answer_slack_ms,
+        )
         for last in (False, True):
             link = self._link(one.gateway)
             try:
                 if not link.used:
-                    async with asyncio.timeout(one.patience / 1000):
+                    async with asyncio.timeout(one.timeout_ms / 1000):
                         await link.connect()
             except (StreamClosedError, TimeoutError):
                 link.stream.close()
                 return "unreachable", 0.0
-            one.taken, one.sent = True, fleet.clock.now()
+            one.accepted, one.sent_at = True, fleet.clock.now()
             try:
-                async with asyncio.timeout((one.patience + longer) / 1000):
+                async with asyncio.timeout((one.timeout_ms + longer) / 1000):
                     reply = await link.ask(command)
             except TimeoutError:
                 link.stream.close()
@@ -140,34 +143,34 @@
                     continue  # it was closed between two requests: once more on a new one
                 if fleet.unwell(one.gateway) or not link.used:
                     return "failed", 0.0
-                fleet.watchman.lost(one)
+                fleet.rule_checker.request_lost(one)
                 return "failed", 0.0
             except (resp.ProtocolError, TooLong):
                 link.stream.close()
                 self.strange += 1
-                fleet.watchman.lost(one)
+                fleet.rule_checker.request_lost(one)
                 return "failed", 0.0
             link.used, link.at = True, asyncio.get_running_loop().time()
             self.idle[one.gateway].append(link)
             told, wait = self._read(one, name, reply)
-            return (told, wait) if one.answered - one.sent <= one.patience else ("late", 0.0)
+            return (told, wait) if one.answered_at - one.sent_at <= one.timeout_ms else ("late", 0.0)
         return "failed", 0.0
 
     def _read(self, one: ClientAttempt, name: str, reply: resp.Reply) -> tuple[ClientResult, float]:
         fleet, now = self.fleet, self.fleet.clock.now()
-        one.answered = now
+        one.answered_at = now
         if isinstance(reply, memoryview):
-            one.answer = "served"
+            one.result = "served"
             if not bytes(reply).startswith(name.encode()) or not any(a.status == "ok" for a in one.attempts):
                 self.wrong_values += 1
-                fleet.watchman.lost(one)
+                fleet.rule_checker.request_lost(one)
         elif isinstance(reply, resp.ErrorLine) and reply.text.split(" ")[0] == "BUSY":
-            one.answer = "refused"
+            one.result = "refused"
         else:
-            one.answer = "failed"
-        fleet.watchman.answered(one, one.answer, now)
+            one.result = "failed"
+        fleet.rule_checker.client_answered(one, one.result, now)
         wait = 0.0
-        if one.answer == "refused" and isinstance(reply, resp.ErrorLine):
+        if one.result == "refused" and isinstance(reply, resp.ErrorLine):
             words = reply.text.split(" ")
             wait = float(words[1]) if len(words) > 1 and words[1].isdigit() else 0.0
-        return one.answer, wait
+        return one.result, wait
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -51,7 +51,9 @@
         self.news = asyncio.Event()
 
     def body(self, since: int | None) -> dict[str, Any]:
-        entries = list(self.fleet.lists[self.gateway].values()) if since is None else self.changes[since:]
+        entries = (
+            list(self.fleet.endpoint_lists[self.gateway].values()) if since is None else self.changes[since:]
+        )
         self._told(entries)
         return {
             "revision": self.revision,
@@ -62,10 +64,10 @@
     def _told(self, entries: list[EndpointEntry]) -> None:
         """These are being written to the gateway."""
         for entry in entries:
-            self.fleet.watchman.told(self.gateway, entry, self.fleet.clock.now())
+            self.fleet.rule_checker.endpoint_notified(self.gateway, entry, self.fleet.clock.now())
 
     def row(self, entry: EndpointEntry) -> dict[str, Any]:
-        started = round(self.fleet.clock.unix + entry.started) if entry.started else 0
+        started = round(self.fleet.clock.unix + entry.started_at) if entry.started_at else 0
         return {
             "id": f"s-{entry.server:08x}",
             "host_port": f"{HOST}:{self.fleet.backends[entry.server].port}",
@@ -120,7 +122,7 @@
 
     async def handle_stream(self, stream: IOStream, address: object) -> None:
         counter, clock = self.fleet.counter, self.fleet.clock
-        if counter.down == "refusing" or len(self.streams) >= 32:
+        if counter.outage == "refusing" or len(self.streams) >= 32:
             stream.close()
             return
         self.streams.add(stream)
@@ -135,7 +137,7 @@
                         await stream.write(b"+PONG\r\n")
                     elif words[0] == b"CNT.ADD" and len(words) == 4:
                         name, amount, life = words[1], float(words[2]), float(words[3])
-                        self.fleet.counts += 1
+                        self.fleet.counter_calls += 1
                         word, at, total = counter.call(clock.now(), hash(name), amount, life, self.gateway)
                         await asyncio.sleep(max(0.0, min(at - clock.now(), 1e6)) / 1000)
                         answer = resp.bulk(f"{total:.7g}".encode()) if word == "ok" else resp.error("BUSY")
@@ -188,12 +190,12 @@
         return read
 
     def _pass(self, sender: int, peer: int, data: bytes) -> None:
-        delay = self.fleet.network.message(sender, peer)
+        delay = self.fleet.network.peer_message_delay(sender, peer)
         if delay is not None:
             self.fleet.clock.at(self.fleet.clock.now() + delay, self._deliver, sender, peer, data)
 
     def _deliver(self, sender: int, peer: int, data: bytes) -> None:
-        if self.fleet.intakes[peer].take(self.fleet.clock.now()) and peer in self.home:
+        if self.fleet.peer_rate_limiters[peer].try_acquire(self.fleet.clock.now()) and peer in self.home:
             self.fleet.message_bytes += len(data)
             try:
                 self.sockets[peer, sender].sendto(data, self.home[peer])
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -207,7 +207,7 @@
 
     @property
     def answered(self) -> int:
-        return sum(bool(event.ended) for event in self.history)
+        return sum(bool(event.ended_at) for event in self.history)
 
     # What is seen from outside
 
@@ -391,7 +391,7 @@
             await asyncio.wait_for(asyncio.gather(*tasks), CALM)
             self.report.broken = find_violations(self.history, await read_final_state(some[0], CALM), BURST)
         except (GatewayError, TimeoutError) as error:
-            stuck = [f"{e.session} {e.number}" for e in self.history if not e.ended][:3]
+            stuck = [f"{e.session} {e.number}" for e in self.history if not e.ended_at][:3]
             self.report.broken.append(f"not mended in time: {error!r} {stuck}")
         finally:
             for task in tasks:
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -26,7 +26,9 @@
 from .discovery_agent import CounterServer, DiscoveryAgent, GossipRelay
 from .gateway_process import GatewayError, GatewayProcess
 
-SOCKET_RULES = RuleLimits(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
+SOCKET_RULES = RuleLimits(
+    answer_slack_ms=58.0, drain_grace_ms=550.0
+)  # every limit is 50 ms longer on sockets
 USAGE_SAMPLE_INTERVAL_S = 0.5  # s between looks at the gateways' CPU and memory
 CHECKOUT_ROOT = Path(__file__).parent.parent.parent
 
@@ -52,7 +54,7 @@
         self.by_id: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
         self.in_flight: dict[int, list[InFlightAttempt]] = {}
         self.timed_out: list[ClientAttempt] = []
-        self.request_id_base = day.streams.integer("ids") >> 8 << 8
+        self.request_id_base = day.streams.seed_for("ids") >> 8 << 8
         self.unknown_requests = self.oversized_datagrams = 0
         self.down: set[int] = set()
         self.exited_gateways: list[int] = []
@@ -84,13 +86,13 @@
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
         paths, count = self.paths, self.day.scenario.gateways
-        f = self.day.figures
+        f = self.day.parameters
         settings = wire_of(
             self.settings[number], DialTimeout=f["dial_ms"], ConnIdle=f["conn_idle_ms"], MaxOpen=20000
         )
         return {
             "name": f"n{number}", "discovery": f"{HOST}:{self.agents[number].port}",
-            "seed": self.day.streams.integer("gateway", number),
+            "seed": self.day.streams.seed_for("gateway", number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **limits},
             "peers": [paths.address(number, peer) for peer in range(count)],
             "peers_all": paths.address(number, -1), "counter": f"{HOST}:{self.counters[number].port}",
@@ -122,9 +124,9 @@
         finally:
             await self._stop_gateways()
             self.close()
-        self.gateway_ns = int(1e9 * sum(gateway.cpu_s for gateway in self.gateways))
-        self.cpu_ns = time.process_time_ns() - begun + self.gateway_ns
-        self.events = sum(len(one.attempts) + 1 for one in self.watchman.tries)
+        self.gateway_cpu_ns = int(1e9 * sum(gateway.cpu_s for gateway in self.gateways))
+        self.total_cpu_ns = time.process_time_ns() - begun + self.gateway_cpu_ns
+        self.events = sum(len(one.attempts) + 1 for one in self.rule_checker.client_attempts)
         if self.exited_gateways:
             raise GatewayError(f"gateways {self.exited_gateways} ended by themselves; see {self.folder}")
         found = score_day(self)
@@ -167,35 +169,37 @@
         self.paths.close()
 
     def _known(self, number: int) -> dict[str, Any]:
-        rows = [self.agents[number].row(entry) for entry in self.lists[number].values()]
+        rows = [self.agents[number].row(entry) for entry in self.endpoint_lists[number].values()]
         return {"revision": self.agents[number].revision, "complete": True, "members": rows}
 
     def _hand_list(self, number: int) -> None:
-        self.watchman.told_list(number, self.lists[number].values(), self.clock.now())
+        self.rule_checker.endpoint_list_delivered(
+            number, self.endpoint_lists[number].values(), self.clock.now()
+        )
 
     # What the parts ask
 
     def command(self, one: ClientAttempt, name: str) -> bytes:
-        ask = one.ask
+        ask = one.request
         who = self.day.traffic.customers[ask.customer]
         pairs = (
-            f"c={self.classes[ask.cls]},t={self.day.figures.plans[who.plan].name},d={one.patience:.3f},"
-            f"units={ask.guess:.0f},spread={who.spread},first={who.first}"
+            f"c={self.classes[ask.class_index]},t={self.day.parameters.plans[who.plan].name},d={one.timeout_ms:.3f},"
+            f"units={ask.estimated_units:.0f},spread={who.gateway_set_size},first={who.first_gateway}"
         )
         if one.number > 1:
             pairs += ",r=1"
-        safe = self.effects[ask.cls] == "safe"
+        safe = self.effects[ask.class_index] == "safe"
         if not safe:
-            pairs += f",k={abs(hash((ask.customer, ask.at, ask.work))) & (2**64 - 1):016x}"
+            pairs += f",k={abs(hash((ask.customer, ask.arrives_at, ask.work_ms))) & (2**64 - 1):016x}"
         words = [b"SVC.QUERY" if safe else b"SVC.SUBMIT", who.name.encode(), name.encode(), pairs.encode()]
         return resp.command(words)
 
     def ended(self, out: InFlightAttempt) -> None:
-        there = self.in_flight.get(out.one.ref, [])
+        there = self.in_flight.get(out.one.request_id, [])
         if out in there:
             there.remove(out)
         if not there:
-            self.in_flight.pop(out.one.ref, None)
+            self.in_flight.pop(out.one.request_id, None)
 
     def give_up(self, out: InFlightAttempt) -> None:
         self.backends[out.attempt.server].give_up(out)
@@ -223,11 +227,11 @@
         self.gateways[number].kill(wait=False)  # which would hold up all that this process plays
         self.kills.append((self.clock.now(), number))
         self.clients.drop(number)
-        self.clock.at(self.clock.now() + self.day.figures["front_notice_ms"], self._front_sees, number)
+        self.clock.at(self.clock.now() + self.day.parameters["front_notice_ms"], self._front_sees, number)
 
     def _front_sees(self, number: int) -> None:
         if number in self.down:
-            self.seen_down.add(number)
+            self.gateways_marked_down.add(number)
 
     def _revive(self, number: int) -> None:
         gateway = self.gateways[number]
@@ -241,20 +245,20 @@
                 self.exited_gateways.append(number)
                 return
             self.down.discard(number)
-            self.seen_down.discard(number)
+            self.gateways_marked_down.discard(number)
 
         task = asyncio.get_running_loop().create_task(take_in())
         self.clients.tasks.add(task)
         task.add_done_callback(self.clients.tasks.discard)
 
     def _on_leave(self, fault: Fault) -> None:
-        for number in fault.who:
+        for number in fault.targets:
             self.gateways[number].terminate()
-            self.clock.at(self.clock.now() + 300.0, self.seen_down.add, number)
+            self.clock.at(self.clock.now() + 300.0, self.gateways_marked_down.add, number)
             self.clock.at(self.clock.now() + 300.0, self.clients.drop, number)
-            stop = self.clock.now() + self.window + 1000.0
+            stop = self.clock.now() + self.idempotency_window_ms + 1000.0
             self.clock.at(stop, self._kill, number)
-            self.clock.at(stop + fault.lasts, self._revive, number)
+            self.clock.at(stop + fault.duration, self._revive, number)
             self.down.add(number)
 
     def _on_counter_down(self, fault: Fault, how: Any = "refusing") -> None:
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -138,7 +138,7 @@
         event = HistoryEvent(self.name, mine, operation, self.now())
         self.history.append(event)
         result = words.RESULT(await self._until(lambda n: wire.Call(n, self.group, data)))
-        event.result, event.ended = result, self.now()
+        event.result, event.ended_at = result, self.now()
         return result
 
     async def read(self, kind: str, name: str, type: Any = None) -> Any:
@@ -148,7 +148,7 @@
         self.history.append(event)
         data = await self._until(lambda n: wire.Call(n, self.group, read=f"{kind} {name}"))
         found = msgspec.msgpack.decode(data, type=type or (StoreState if kind == "store" else Record) | None)
-        event.result, event.ended = found, self.now()
+        event.result, event.ended_at = found, self.now()
         return found
 
     def close(self) -> None:
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -73,14 +73,18 @@
             return
         one, now = found[0], self.fleet.sent_at(self.fleet.clock.now())
         pairs = dict(pair.partition("=")[::2] for pair in bytes(words[3]).decode().split(","))
-        told, left = float(pairs["d"]), one.sent + one.patience - now
+        told, left = float(pairs["d"]), one.sent_at + one.timeout_ms - now
         if told > left + DEADLINE_SLACK_MS:
-            where = f"request {one.ref} at gateway {one.gateway}, sent at {one.sent:.0f}, now {now:.0f}"
+            where = (
+                f"request {one.request_id} at gateway {one.gateway}, sent at {one.sent_at:.0f}, now {now:.0f}"
+            )
             story = f"{where}, attempt {len(one.attempts)}: told {told:.0f} ms with {left:.0f} ms left"
             self.soak.break_rule("deadline", story)
-        if one.left is not None and now > one.left + CLIENT_LEFT_MS:
-            late = now - one.left
-            self.soak.break_rule("sent_after_leaving", f"request {one.ref}, {late:.0f} ms after its client")
+        if one.client_left_at is not None and now > one.client_left_at + CLIENT_LEFT_MS:
+            late = now - one.client_left_at
+            self.soak.break_rule(
+                "sent_after_leaving", f"request {one.request_id}, {late:.0f} ms after its client"
+            )
 
     async def _answer(self, stream: IOStream, out: InFlightAttempt, data: bytes) -> None:
         chance = self.random.random()
@@ -127,7 +131,7 @@
         """End a hang: what was taken is worked on, and answered if anybody still waits."""
         if self.machine.silent and self.machine.up:
             self.machine.silent = False
-            self.machine.at = self.fleet.clock.now()
+            self.machine.advanced_to = self.fleet.clock.now()
             self.machine._plan(self.fleet.clock.now())
             self._plan()
 
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -77,12 +77,12 @@
             used = link.used
             try:
                 if not used:
-                    async with asyncio.timeout(one.patience / 1000):
+                    async with asyncio.timeout(one.timeout_ms / 1000):
                         await link.connect()
             except (StreamClosedError, TimeoutError, OSError):
                 link.stream.close()
                 return "unreachable", 0.0
-            one.taken, one.sent = True, self.fleet.clock.now()
+            one.accepted, one.sent_at = True, self.fleet.clock.now()
             try:
                 reply = await self._exchange(link, one, name, habit)
             except TimeoutError:
@@ -91,7 +91,7 @@
                 return "late", 0.0
             except StreamClosedError:
                 link.stream.close()
-                if not one.attempts and not last and not self.soak.killed_since(one.gateway, one.sent):
+                if not one.attempts and not last and not self.soak.killed_since(one.gateway, one.sent_at):
                     # The close crossed it: once more on a new connection. Had the gateway read it, its own
                     # guard would have counted a violation, which fails the soak too.
                     self.resent += 1
@@ -106,14 +106,14 @@
             except (resp.ProtocolError, TooLong) as error:
                 link.stream.close()
                 self.strange += 1
-                self.soak.break_rule("strange_answer", f"request {one.ref}: {error}")
+                self.soak.break_rule("strange_answer", f"request {one.request_id}: {error}")
                 return "failed", 0.0
             if reply is None:  # it has left
                 return "failed", 0.0
             link.used, link.at = True, asyncio.get_running_loop().time()
             self.idle[one.gateway].append(link)
             told, wait = self._read(one, name, reply)
-            return (told, wait) if one.answered - one.sent <= one.patience else ("late", 0.0)
+            return (told, wait) if one.answered_at - one.sent_at <= one.timeout_ms else ("late", 0.0)
         return "failed", 0.0
 
     async def _exchange(
@@ -123,10 +123,10 @@
         command = self.fleet.command(one, name)
         if habit == "pieces":
             command = await self._write_first_pieces(link, command)
-            one.sent = self.fleet.clock.now()  # its time counts from its last byte
+            one.sent_at = self.fleet.clock.now()  # its time counts from its last byte
         if habit == "leaves":
             return await self._leave(link, one, command)
-        async with asyncio.timeout((one.patience + LATEST_MS) / 1000):
+        async with asyncio.timeout((one.timeout_ms + LATEST_MS) / 1000):
             if habit == "pipelines":
                 await link.stream.write(PING * PINGS + command)
                 for _ in range(PINGS):
@@ -145,11 +145,11 @@
 
     async def _leave(self, link: ClientConnection, one: ClientAttempt, command: bytes) -> resp.Reply | None:
         try:
-            async with asyncio.timeout(self.random.uniform(0.0, one.patience / 2000)):
+            async with asyncio.timeout(self.random.uniform(0.0, one.timeout_ms / 2000)):
                 return await link.ask(command)
         except TimeoutError:
             link.stream.close()
-            one.left = self.fleet.clock.now()
+            one.client_left_at = self.fleet.clock.now()
             self.left += 1
             return None
 
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -104,7 +104,7 @@
 
     def _until_kill(self) -> float:
         """ms from SIGTERM to SIGKILL."""
-        longest: float = min(self.window, LONGEST_MS)
+        longest: float = min(self.idempotency_window_ms, LONGEST_MS)
         return longest + LATE_START_MS
 
     def _tell_to_end(self, number: int) -> None:
@@ -112,7 +112,7 @@
         self.gateways[number].terminate()
         # The front sends no new connections to one that is drained.
         self._begin_absence(number, self.now() + (0.0 if number in self.drained else NEW_CONNECTIONS_MS))
-        self.at(self.now() + SEEN_DOWN_MS, self.seen_down.add, number)
+        self.at(self.now() + SEEN_DOWN_MS, self.gateways_marked_down.add, number)
         self.at(self.now() + self._until_kill(), self._end_leaving, number)
 
     def _end_leaving(self, number: int) -> None:
@@ -155,7 +155,7 @@
             absence.ended = min(absence.ended, self.now())
         self.down.discard(gateway.number)
         if gateway.number not in self.drained:
-            self.seen_down.discard(gateway.number)
+            self.gateways_marked_down.discard(gateway.number)
 
     def _trouble_upgrade(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
@@ -189,7 +189,7 @@
 
     def _known(self, number: int) -> dict[str, Any]:
         agent = self.current[number]
-        rows = [agent.row(entry) for entry in self.lists[number].values()]
+        rows = [agent.row(entry) for entry in self.endpoint_lists[number].values()]
         return {"revision": agent.revision, "complete": True, "members": rows}
 
     def _trouble_reload(self, trouble: ScheduledFault) -> None:
@@ -274,11 +274,11 @@
         number = int(name.removeprefix("n"))
         if not takes:
             self.drained.add(number)
-            self.seen_down.add(number)
+            self.gateways_marked_down.add(number)
         elif number in self.drained:
             self.drained.discard(number)
             if self._up(number):
-                self.seen_down.discard(number)
+                self.gateways_marked_down.discard(number)
 
     def _backends(self, trouble: ScheduledFault) -> list[SoakBackend]:
         there = (self.backends[number] for number in trouble.who if number in self.backends)
@@ -294,10 +294,10 @@
     def _trouble_backend_drain(self, trouble: ScheduledFault) -> None:
         who = self._numbers(trouble)
         self._on_drain(Fault(self.now(), "drain", 1000 * trouble.lasts, who))
-        self._on_add(Fault(self.now(), "add", size=len(who)))
+        self._on_add(Fault(self.now(), "add", magnitude=len(who)))
 
     def _trouble_backend_add(self, trouble: ScheduledFault) -> None:
-        self._on_add(Fault(self.now(), "add", size=min(3, len(trouble.who))))
+        self._on_add(Fault(self.now(), "add", magnitude=min(3, len(trouble.who))))
 
     def _trouble_backend_hang(self, trouble: ScheduledFault) -> None:
         for backend in self._backends(trouble):
@@ -385,7 +385,7 @@
         self._on_cut(Fault(self.now(), "cut", 1000 * trouble.lasts, trouble.who))
 
     def _trouble_peers_lose(self, trouble: ScheduledFault) -> None:
-        self._on_loss(Fault(self.now(), "loss", 1000 * trouble.lasts, size=0.5))
+        self._on_loss(Fault(self.now(), "loss", 1000 * trouble.lasts, magnitude=0.5))
 
     @property
     def _soak_clients(self) -> SoakClients:
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -38,7 +38,7 @@
 from .report import SoakReport
 from .schedule import ScheduledFault
 
-SOAK_RULES = RuleLimits(answer_slack=LATEST_MS + 8.0, drain_grace=550.0)
+SOAK_RULES = RuleLimits(answer_slack_ms=LATEST_MS + 8.0, drain_grace_ms=550.0)
 TOLD_MS = 6000.0  # after discovery has a change and can be reached, at which it counts as told
 MOVED_MS = 4000.0  # after a new configuration, at which what the new agent has counts as told
 CALM_S = 4.0  # of traffic without trouble at the end
@@ -131,16 +131,16 @@
 
     def unanswered(self, one: ClientAttempt, what: str) -> None:
         """A request that was taken has no answer."""
-        if self.killed_since(one.gateway, one.sent) or self.absent(one.gateway, one.sent):
+        if self.killed_since(one.gateway, one.sent_at) or self.absent(one.gateway, one.sent_at):
             return
         left = self.leaving.get(one.gateway)
-        since = f", {one.sent - left:.0f} ms after SIGTERM" if left is not None else ""
+        since = f", {one.sent_at - left:.0f} ms after SIGTERM" if left is not None else ""
         tried = " ".join(f"{a.server}:{a.status}" for a in one.attempts) or "none"
-        name = f"{self.request_id_base + one.ref:016x}"
+        name = f"{self.request_id_base + one.request_id:016x}"
         self.break_rule(
             "lost",
-            f"{what}: request {one.ref} ({name}) sent at {one.sent:.0f} to gateway {one.gateway}{since}, "
-            f"patience {one.patience:.0f}, now {self.clock.now():.0f}, attempts {tried}",
+            f"{what}: request {one.request_id} ({name}) sent at {one.sent_at:.0f} to gateway {one.gateway}{since}, "
+            f"patience {one.timeout_ms:.0f}, now {self.clock.now():.0f}, attempts {tried}",
         )
 
     # Discovery
@@ -149,7 +149,9 @@
         for agent in (cast(SoakDiscoveryAgent, self.agents[gateway]), self.spare[gateway]):
             agent.change(entry)
         if entry.state == "ready":
-            self.watchman.told(gateway, entry, self.now())  # it may be sent to as soon as anybody can know it
+            self.rule_checker.endpoint_notified(
+                gateway, entry, self.now()
+            )  # it may be sent to as soon as anybody can know it
         else:
             self._count_as_told(gateway, entry, self.now())
 
@@ -166,9 +168,9 @@
         due = max(since, moved + MOVED_MS, repaired + TOLD_MS if repaired >= since else since)
         if now < due:
             return self.at(due, self._count_as_told, gateway, entry, since)
-        held = self.lists[gateway].get(entry.server)
+        held = self.endpoint_lists[gateway].get(entry.server)
         if held is entry or (held is None and entry.state == "gone"):
-            self.watchman.told(gateway, entry, now)
+            self.rule_checker.endpoint_notified(gateway, entry, now)
 
     # Running
 
@@ -232,19 +234,19 @@
             await asyncio.sleep(0.05)
 
     def _judge(self) -> None:
-        report, tries = self.report, self.watchman.tries
+        report, tries = self.report, self.rule_checker.client_attempts
         report.requests = len(tries)
-        report.answers = dict(Counter(str(one.answer) for one in tries))
+        report.answers = dict(Counter(str(one.result) for one in tries))
         report.habits, report.left = self._soak_clients.habits, self._soak_clients.left
         report.resent = self._soak_clients.resent
-        report.broken += self.watchman.stories
+        report.broken += self.rule_checker.descriptions
         injected: Counter[str] = Counter()
         for counts in self.injected:
             injected.update(counts)
         report.injected = dict(injected)
         report.memory_mb = sum(gateway.peak_memory_kb for gateway in self.gateways) / 1024
-        calm = [one for one in self.asks if one.ask.at > self.day.length - 1000 * CALM_S]
-        report.calm_share = sum(one.served is not None for one in calm) / max(1, len(calm))
+        calm = [one for one in self.requests if one.request.arrives_at > self.day.length_ms - 1000 * CALM_S]
+        report.calm_share = sum(one.served_at is not None for one in calm) / max(1, len(calm))
         if report.calm_share < MIN_CALM_SHARE:
             self.break_rule(
                 "recovery", f"{report.calm_share:.2f} of {len(calm)} served in the calm at the end"
--- a/mapleshunt/testbed/soak/replicas.py
+++ b/mapleshunt/testbed/soak/replicas.py
@@ -101,7 +101,7 @@
             return found
         except TimeoutError:
             events = [one for history in self.histories.values() for one in history]
-            return [f"not answered: {one.session} {one.operation}" for one in events if not one.ended]
+            return [f"not answered: {one.session} {one.operation}" for one in events if not one.ended_at]
 
     async def close(self) -> None:
         for task in self.calls:
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -25,21 +25,21 @@
 from mapleshunt.simulation.validation import compare_with_prediction
 
 ROOT = Path(__file__).parent.parent
-BASE = replace(resized(SCENARIOS["quiet"], 3, 6, seconds=25), world=4, load=(0.45, 0.45))
+BASE = replace(resized(SCENARIOS["quiet"], 3, 6, seconds=25), installation_seed=4, load=(0.45, 0.45))
 
 
 def rows_of(engine: Engine) -> list[tuple[Row, int]]:
     """What gateways would have recorded of a played day."""
     day, out = engine.day, []
-    for one in engine.watchman.tries:
-        if one.taken:
-            who = day.traffic.customers[one.ask.customer]
+    for one in engine.rule_checker.client_attempts:
+        if one.accepted:
+            who = day.traffic.customers[one.request.customer]
             out.append((Row(
-                one.sent, engine.classes[one.ask.cls], day.figures.plans[who.plan].name, who.name.encode(),
-                one.ask.guess, one.ask.units if one.answer == "served" else 0.0, one.patience, who.spread,
-                who.first,
-                one.number > 1, str(one.answer or "gone"), one.answered - one.sent,
-                tuple(Attempt(a.server, a.status or "out", a.sent - one.sent, one.answered - a.sent)
+                one.sent_at, engine.classes[one.request.class_index], day.parameters.plans[who.plan].name, who.name.encode(),
+                one.request.estimated_units, one.request.units if one.result == "served" else 0.0, one.timeout_ms, who.gateway_set_size,
+                who.first_gateway,
+                one.number > 1, str(one.result or "gone"), one.answered_at - one.sent_at,
+                tuple(Attempt(a.server, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at)
                       for a in one.attempts),
             ), one.gateway))  # fmt: skip
     return out
@@ -72,20 +72,20 @@
 @pytest.fixture(scope="module")
 def fitted(day: Day, rows: list[tuple[Row, int]], tmp_path_factory: pytest.TempPathFactory) -> fit.Fit:
     traffic = recorded_traffic.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
-    worths = {c.name: c.worth for c in day.figures.classes}
+    worths = {c.name: c.priority_weight for c in day.parameters.classes}
     return fit.fit(traffic, fit.plans_of(day), worths, 6, {"cores": 3.0}, draws=16, keep=6, jobs=4)
 
 
 def test_work_units_and_customers_are_found_though_nobody_recorded_speeds(day: Day, fitted: fit.Fit) -> None:
-    slow = float(np.mean([1 / till.speed for till in Engine(day, Gateway).tills.values()]))
+    slow = float(np.mean([1 / till.speed for till in Engine(day, Gateway).backend_models.values()]))
     for found in fitted.classes:
-        true = next(c for c in day.figures.classes if c.name == found.name)
+        true = next(c for c in day.parameters.classes if c.name == found.name)
         # Within four standard errors, and a tenth for what the reckoning of shared cores leaves out.
         assert abs(found.work / (true.work * slow) - 1) < 4 * found.error + 0.1, found
         assert abs(found.share - true.share) < 0.05
-    assert 0.85 < fitted.unit_ms / (day.figures["unit_ms"] * slow) < 1.15
+    assert 0.85 < fitted.unit_ms / (day.parameters["unit_ms"] * slow) < 1.15
     assert len(fitted.customers) <= len(day.traffic.customers)
-    asked = len(day.traffic.asks) / day.length * 1000
+    asked = len(day.traffic.requests) / day.length_ms * 1000
     replayed = sum(fit.rates(c, 100).mean() for c in fitted.customers)
     assert abs(replayed / asked - 1) < 0.05
     assert len(fitted.draws) == 6 and len({draw["peer_ms"] for draw in fitted.draws}) == 6
@@ -95,15 +95,15 @@
     repeats = sum(row.retry for row, _ in rows)
     assert repeats > 100
     replayed = fit.day_from(fitted, BASE, 3, fit.Replay(fitted))
-    assert abs(len(replayed.traffic.asks) / len(day.traffic.asks) - 1) < 0.15
+    assert abs(len(replayed.traffic.requests) / len(day.traffic.requests) - 1) < 0.15
 
 
 def dispersion(day: Day, customers: int) -> float:
     """Variance over mean of a customer's requests in windows of 2 s, mean over those that ask often."""
     found = []
     for number in range(customers):
-        at = [a.at for a in day.traffic.asks if a.customer == number]
-        counts = np.bincount((np.array(at) / 2000).astype(int), minlength=int(day.length / 2000))
+        at = [a.arrives_at for a in day.traffic.requests if a.customer == number]
+        counts = np.bincount((np.array(at) / 2000).astype(int), minlength=int(day.length_ms / 2000))
         if counts.mean() > 1.5:
             found.append(counts.var(ddof=1) / counts.mean())
     return float(np.mean(found))
@@ -116,7 +116,7 @@
         return [fit.day_from(fitted, long, seed, fit.Replay(fitted, scale, by)) for seed in (1, 2, 3)]
 
     once, more, faster = days(1, "customers"), days(3, "customers"), days(3, "rates")
-    count: Callable[[list[Day]], float] = lambda held: float(np.mean([len(d.traffic.asks) for d in held]))  # noqa: E731
+    count: Callable[[list[Day]], float] = lambda held: float(np.mean([len(d.traffic.requests) for d in held]))  # noqa: E731
     assert 2.8 < count(more) / count(once) < 3.2 and 2.8 < count(faster) / count(once) < 3.2
     assert len(more[0].traffic.customers) == 3 * len(once[0].traffic.customers)
     assert len(faster[0].traffic.customers) == len(once[0].traffic.customers)
@@ -190,7 +190,7 @@
     files = write(rows, tmp_path, 3, (0, 1, 2))
     plans = [
         {"Name": p.name, "QuotaRate": p.rate, "Burst": p.burst, "ValueFactor": p.price, "ExcessCost": 1.0}
-        for p in day.figures.plans
+        for p in day.parameters.plans
     ]
     (tmp_path / "config.json").write_text(json.dumps({"settings": {"Packages": plans}}))
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -51,9 +51,9 @@
     assert found.g == pytest.approx(found.service - sum(found.penalties.values()))
     assert not any(engine.open), "requests were left open"
     assert not any(engine.attempts), "attempts were left out"
-    for one in engine.watchman.tries:
-        assert one.known, "a client was left without an end"
-    for till in engine.tills.values():
+    for one in engine.rule_checker.client_attempts:
+        assert one.client_notified, "a client was left without an end"
+    for till in engine.backend_models.values():
         assert till.connections >= 0 and not engine.held[till.number]
 
 
@@ -149,12 +149,14 @@
 def test_clients_of_a_killed_gateway_repeat_through_others() -> None:
     scenario = short("quiet", 10.0, troubles=lambda rng, scenario: [Fault(4000, "restart", 4000, (0,))])
     engine, found = played(scenario, 5)
-    broken = [t for t in engine.watchman.tries if t.gateway == 0 and t.taken and t.answer is None]
+    broken = [
+        t for t in engine.rule_checker.client_attempts if t.gateway == 0 and t.accepted and t.result is None
+    ]
     assert broken, "nothing was open at the kill"
-    repeated = {t.ask for t in engine.watchman.tries if t.number > 1 and t.gateway != 0}
-    safe = [t for t in broken if engine.effects[t.ask.cls] == "safe"]
-    assert any(t.ask in repeated for t in safe)
-    assert not any(t.ask in repeated for t in broken if t not in safe)
+    repeated = {t.request for t in engine.rule_checker.client_attempts if t.number > 1 and t.gateway != 0}
+    safe = [t for t in broken if engine.effects[t.request.class_index] == "safe"]
+    assert any(t.request in repeated for t in safe)
+    assert not any(t.request in repeated for t in broken if t not in safe)
     assert not any(found.rules.values()), found.stories
 
 
@@ -189,10 +191,10 @@
     scenario = short("worst")
     one, other = played(scenario, 6)[0], played(scenario, 6, POLICIES["let-all"])[0]
     assert one.day.faults == other.day.faults
-    assert [(a.at, a.work, a.units, a.customer) for a in one.day.traffic.asks] == [
-        (a.at, a.work, a.units, a.customer) for a in other.day.traffic.asks
+    assert [(a.arrives_at, a.work_ms, a.units, a.customer) for a in one.day.traffic.requests] == [
+        (a.arrives_at, a.work_ms, a.units, a.customer) for a in other.day.traffic.requests
     ]
-    assert [t.speed for t in one.tills.values()] == [t.speed for t in other.tills.values()]
+    assert [t.speed for t in one.backend_models.values()] == [t.speed for t in other.backends.values()]
 
 
 # Experiments
@@ -257,7 +259,7 @@
 def test_settings_constants_and_figures_can_be_set() -> None:
     one = parse("set:mail_per_s=10,TARGET=0.5,world.peer_loss=0.2,plan.basic.rate=9")
     day = draw_day(one.scenario(SCENARIOS["quiet"]), 1)
-    assert day.figures["peer_loss"] == 0.2
+    assert day.parameters["peer_loss"] == 0.2
     settings = day.settings()[0]
     assert settings.mail_per_s == 10 and settings.plans["basic"].rate == 9
     factory, _ = load(one)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -33,7 +33,7 @@
 
 def scenario(*faults: Fault, seconds: float = 4.0, **changes: Any) -> Scenario:
     base = resized(SCENARIOS["quiet"], gateways=2, servers=4, seconds=seconds)
-    return replace(base, troubles=lambda rng, scenario: list(faults), **changes)
+    return replace(base, fault_plan=lambda rng, scenario: list(faults), **changes)
 
 
 def test_demo_answers_every_request_exactly_once() -> None:
@@ -54,19 +54,21 @@
 def test_a_gateway_killed_with_requests_open_a_crash_and_a_drain_break_no_rule(tmp_path: Path) -> None:
     day = draw_day(scenario(
         Fault(800, "crash", 1200, (0,)), Fault(1000, "restart", 600, (1,)), Fault(1500, "drain", 300, (1,)),
-        Fault(1200, "add", size=1), Fault(500, "loss", 2000, size=0.5), Fault(600, "counter_down", 900),
+        Fault(1200, "add", magnitude=1), Fault(500, "loss", 2000, magnitude=0.5), Fault(600, "counter_down", 900),
         fixed={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
     ), 5)  # fmt: skip
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
-    tries = found.watchman.tries
-    assert any(t.gateway == 1 and t.taken and t.answer is None for t in tries), "nothing was open at the kill"
+    tries = found.rule_checker.client_attempts
+    assert any(t.gateway == 1 and t.accepted and t.result is None for t in tries), (
+        "nothing was open at the kill"
+    )
     # A machine that stands still may keep the gateway from a few answers until their clients have gone.
-    silent = [t for t in tries if t.taken and t.gateway == 0 and t.answer is None]
+    silent = [t for t in tries if t.accepted and t.gateway == 0 and t.result is None]
     assert all(t in found.timed_out for t in silent) and len(silent) <= len(tries) / 100
-    assert any(t.gateway == 1 and t.answer is not None and t.sent > 1700 for t in tries), "it is back"
+    assert any(t.gateway == 1 and t.result is not None and t.sent_at > 1700 for t in tries), "it is back"
     assert found.gateways[1].starts == 2 and found.unknown_requests == 0 and found.oversized_datagrams == 0
-    after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent > 1500 + 300 + 550 + 400]
+    after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent_at > 1500 + 300 + 550 + 400]
     assert not after, "sent to a draining server"
     assert any(a.server == 4 for t in tries for a in t.attempts), "the new server was not used"
     assert summary.exactly_once(found) is False  # the kill left some without an answer, and that shows
@@ -99,7 +101,7 @@
         heard: list[str] = []
         day: Any = SimpleNamespace(
             gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=Clock(), timed_out=[],
-            day=SimpleNamespace(rules=RuleLimits(answer_slack=2000.0)), command=lambda *_: b"PING\r\n",
+            day=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)), command=lambda *_: b"PING\r\n",
             watchman=SimpleNamespace(answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
         one: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
@@ -129,7 +131,7 @@
     day = draw_day(scenario(fault, seconds=5.0, fixed={"silent_notice_ms": 5000, "add_ms": 100}), 6)
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
-    at = [a.sent for t in found.watchman.tries for a in t.attempts if a.server == 0]
+    at = [a.sent_at for t in found.rule_checker.client_attempts for a in t.attempts if a.server == 0]
     assert sum(1200 < one < 2000 for one in at) < sum(one < 500 for one in at)
     assert any(one > 2500 for one in at)
 
@@ -138,7 +140,7 @@
     day = draw_day(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
-    assert all(t.answer is not None for t in found.watchman.tries if t.taken)
+    assert all(t.result is not None for t in found.rule_checker.client_attempts if t.accepted)
 
 
 def checkout(tmp_path: Path, *changes: tuple[str, str, str]) -> Path:
@@ -178,13 +180,13 @@
     # They arrive after the kill. The list was forgotten with the process: each such attempt broke the rule.
     day = draw_day(scenario(), 8)
     watchman = RuleChecker(day, day.settings()[0])
-    watchman.told_list(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
-    ask = RequestRecord(day.traffic.asks[0]).ask
+    watchman.endpoint_list_delivered(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
+    ask = RequestRecord(day.traffic.requests[0]).request
     for server, broken in (1, 0), (2, 1), (3, 2):
         one = ClientAttempt(server, ask, 1, 0, 2000.0, 1000.0)
         attempt = UpstreamAttempt(server, 0, 2000.0, BackendRequest((server, 0), 1.0, 3000.0, None, 1.0, 0))
-        watchman.sending(one, attempt, 0, 2000.0)
-        assert watchman.breaks["drain"] == broken, watchman.stories
+        watchman.attempt_sent(one, attempt, 0, 2000.0)
+        assert watchman.violations["drain"] == broken, watchman.descriptions
 
 
 @pytest.mark.parametrize("rule", BAD)
@@ -220,13 +222,13 @@
     day = draw_day(scenario(seconds=2.0, rate=60.0), 10)
     found, _ = fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
     rows = [row for n in range(2) for row in form.read((tmp_path / f"n{n}.rec").read_bytes()).rows]
-    tries = [t for t in found.watchman.tries if t.taken]
+    tries = [t for t in found.rule_checker.client_attempts if t.accepted]
     assert len(rows) == len(tries)
     for final in ("served", "refused", "failed"):
-        assert sum(r.final == final for r in rows) == sum(t.answer == final for t in tries)
+        assert sum(r.final == final for r in rows) == sum(t.result == final for t in tries)
     sent = [a for r in rows for a in r.attempts if a.status != "unsent"]
     assert abs(len(sent) - sum(len(t.attempts) for t in tries)) <= 2
-    assert sum(r.cost for r in rows) == sum(t.ask.units for t in tries if t.answer == "served")
+    assert sum(r.cost for r in rows) == sum(t.request.units for t in tries if t.result == "served")
 
 
 def test_an_operators_file_that_makes_no_sense_is_one_line_and_exit_status_2(tmp_path: Path) -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -27,7 +27,7 @@
 
 
 def world(**fixed: float) -> figures.Parameters:
-    return figures.draw_parameters(RandomStreams(1).of("figures"), {**STEADY, **fixed})
+    return figures.draw_parameters(RandomStreams(1).generator("figures"), {**STEADY, **fixed})
 
 
 def till(**fixed: float) -> Backend:
@@ -37,15 +37,15 @@
         1.0,
         0,
         IdempotencyStore(4000.0),
-        BufferedDraws(RandomStreams(1).of("errors").random),
+        BufferedDraws(RandomStreams(1).generator("errors").random),
     )
 
 
 def drain(server: Backend, until: float = math.inf) -> list[tuple[float, BackendRequest]]:
     """Run a server on its own; when each attempt ended."""
     ended = []
-    while server.due <= until and server.due < math.inf:
-        at = server.due
+    while server.next_event_at <= until and server.next_event_at < math.inf:
+        at = server.next_event_at
         ended += [(at, work) for work in server.advance(at)]
     return ended
 
@@ -87,10 +87,10 @@
     server = till()
     ran = []
     for at in (0.0, 1000.0, 6000.0):
-        work = BackendRequest(at, 50.0, key="sale")
+        work = BackendRequest(at, 50.0, idempotency_key="sale")
         server.offer(at, work)
         drain(server)
-        ran.append(work.effect)
+        ran.append(work.took_effect)
     assert ran == [True, False, True]
 
 
@@ -99,15 +99,15 @@
     server = till(warm_by_work=by_work)
     server.crash(0.0)
     server.start(1000.0)
-    assert server.ramp(1000.0) == 0.25
-    assert server.ramp(6000.0) == pytest.approx(0.625)
-    assert server.ramp(11000.0) == 1.0
+    assert server.capacity_share(1000.0) == 0.25
+    assert server.capacity_share(6000.0) == pytest.approx(0.625)
+    assert server.capacity_share(11000.0) == 1.0
     if by_work:
-        server.fall_multiple = 100.0
+        server.overload_multiple = 100.0
         for n in range(4):
             server.offer(1000.0, BackendRequest(n, 4000.0))
         drain(server, 6000.0)
-        assert server.ramp(6000.0) > 0.625
+        assert server.capacity_share(6000.0) > 0.625
 
 
 def test_a_cold_server_sent_too_much_falls_over_and_stays_down() -> None:
@@ -116,10 +116,10 @@
     server.crash(0.0)
     server.start(1000.0)
     sent = 0
-    while not server.fallen:
+    while not server.collapsed:
         server.offer(1000.0 + sent, BackendRequest(sent, 100.0), told=sent % 4 != 0)
         sent += 1
-    assert 2200 < 100 * sent < 2400 and server.fault
+    assert 2200 < 100 * sent < 2400 and server.collapse_was_avoidable
     assert server.offer(3000.0, BackendRequest("late", 1.0))[0] == "full"
 
 
@@ -129,16 +129,16 @@
     server.start(1000.0)
     for n in range(40):
         server.offer(1000.0, BackendRequest(n, 100.0), told=n % 2 == 0)
-    assert server.fallen and not server.fault
+    assert server.collapsed and not server.collapse_was_avoidable
 
 
 def test_reports_are_refreshed_now_and_then_and_come_late() -> None:
     server = till(report_period_ms=200, report_delay_ms=100, report_noise=0)
     server.offer(0.0, BackendRequest(0, 1000.0))
-    assert server.report(250.0).inflight == 0
-    assert server.report(351.0).inflight == 1
+    assert server.load_report(250.0).inflight == 0
+    assert server.load_report(351.0).inflight == 1
     server.advance(1500.0)
-    assert server.report(360.0).inflight == 1
+    assert server.load_report(360.0).inflight == 1
 
 
 class TillMachine(RuleBasedStateMachine):
@@ -153,21 +153,21 @@
 
     def ended(self, works: list[BackendRequest]) -> None:
         for work in works:
-            assert self.held.pop(work.token) is work and work.begun
-            self.work += work.done
+            assert self.held.pop(work.token) is work and work.started
+            self.work += work.work_done_ms
 
     @precondition(lambda self: self.server.up)
     @rule(work=st.floats(1, 500), key=st.sampled_from([None, "a", "b"]))
     def offer(self, work: float, key: str | None) -> None:
         self.sent += 1
-        one = BackendRequest(self.sent, work, key=key)
-        before = self.server.held()
+        one = BackendRequest(self.sent, work, idempotency_key=key)
+        before = self.server.in_flight()
         word, ended = self.server.offer(self.now, one)
         self.ended(ended)
         if word is None:
             self.held[self.sent] = one
         else:
-            assert word == "full" and not one.begun and before >= 8
+            assert word == "full" and not one.started and before >= 8
 
     @precondition(lambda self: self.held)
     @rule(pick=st.integers(0, 100))
@@ -179,7 +179,7 @@
         self.now += ms
         self.ended(self.server.advance(self.now))
         for token, work in list(self.held.items()):
-            if work.cancelled and not work.begun and work not in self.server.waiting:
+            if work.cancelled and not work.started and work not in self.server.queue:
                 del self.held[token]  # dropped
 
     @rule()
@@ -194,9 +194,9 @@
 
     @invariant()
     def bounded(self) -> None:
-        assert self.server.count <= 4 and len(self.server.waiting) <= 4
+        assert self.server.running_count <= 4 and len(self.server.queue) <= 4
         assert self.work <= 2 * self.now + 1e-6  # two cores at speed 1 do no more
-        assert (self.server.due < math.inf) == (self.server.count > 0)
+        assert (self.server.next_event_at < math.inf) == (self.server.running_count > 0)
 
 
 TestTillMachine = TillMachine.TestCase
@@ -209,11 +209,11 @@
     assert [word for word, _, _ in answers] == ["ok"] * 5 + ["full"] * 3  # a line of 40 ms
     assert [round(at) for _, at, _ in answers[:3]] == [11, 21, 31]
     assert answers[4][2] == 5.0
-    counter.down = "refusing"
+    counter.outage = "refusing"
     assert counter.call(100.0, 7, 1.0, 5000.0)[0] == "unreachable"
-    counter.down = "silent"
+    counter.outage = "silent"
     assert counter.call(100.0, 7, 1.0, 5000.0)[1] == math.inf
-    counter.down = ""
+    counter.outage = ""
     assert counter.call(200.0, 7, 0.0, 5000.0)[2] == 5.0
     assert counter.call(6000.0, 7, 0.0, 5000.0)[2] == 0.0  # its life is over
     counter.call(6000.0, 7, 3.0, 5000.0)
@@ -230,45 +230,48 @@
     counter = SharedCounter(world(counter_per_s=1e6, counter_ms=0.01))
     for name in range(20000):
         counter.call(float(name), name, 1.0, 10.0)
-    assert len(counter.halves[0]) <= 4096
+    assert len(counter.partitions[0]) <= 4096
 
 
 def test_messages_are_lost_and_not_all_taken_in() -> None:
     network = Network(world(peer_loss=0.25, peer_ms=10), RandomStreams(3))
-    delays = [network.message(0, 1) for _ in range(4000)]
+    delays = [network.peer_message_delay(0, 1) for _ in range(4000)]
     lost = sum(one is None for one in delays) / len(delays)
     assert abs(lost - 0.25) < 0.03  # four standard errors
     assert abs(np.mean([one for one in delays if one is not None]) - 10) < 0.5
-    network.split = frozenset({1})
-    assert network.message(0, 1) is None
+    network.partition = frozenset({1})
+    assert network.peer_message_delay(0, 1) is None
     intake = MessageRateLimiter(40)
-    assert sum(intake.take(n * 5.0) for n in range(400)) in range(88, 92)  # 2 s at 200 a second, 10 at once
+    assert sum(intake.try_acquire(n * 5.0) for n in range(400)) in range(
+        88, 92
+    )  # 2 s at 200 a second, 10 at once
 
 
 def test_news_reaches_each_gateway_late_and_in_order() -> None:
     discovery = Discovery(
-        world(notice_ms=2000, add_ms=300, silent_notice_ms=9000), RandomStreams(1).of("discovery")
+        world(notice_ms=2000, add_ms=300, silent_notice_ms=9000), RandomStreams(1).generator("discovery")
     )
-    gone = discovery.change(0.0, EndpointEntry(1, 0, "gone"), 3)
-    back = discovery.change(100.0, EndpointEntry(1, 0, "ready", 100.0), 3)
+    gone = discovery.apply_change(0.0, EndpointEntry(1, 0, "gone"), 3)
+    back = discovery.apply_change(100.0, EndpointEntry(1, 0, "ready", 100.0), 3)
     assert all(2000 <= at < 6000 for at, _ in gone)
     assert all(b >= g for (g, _), (b, _) in zip(gone, back, strict=True))
     assert (
-        min(at for at, _ in discovery.change(20000.0, EndpointEntry(2, 0, "gone"), 3, silent=True)) >= 29000
+        min(at for at, _ in discovery.apply_change(20000.0, EndpointEntry(2, 0, "gone"), 3, silent=True))
+        >= 29000
     )
 
 
 def test_a_fixed_figure_moves_no_other() -> None:
-    free = figures.draw_parameters(RandomStreams(5).of("figures"))
-    fixed = figures.draw_parameters(RandomStreams(5).of("figures"), {"speed": 0.5})
+    free = figures.draw_parameters(RandomStreams(5).generator("figures"))
+    fixed = figures.draw_parameters(RandomStreams(5).generator("figures"), {"speed": 0.5})
     assert fixed["speed"] == 0.5
-    assert {k: v for k, v in free.value.items() if k != "speed"} == {
-        k: v for k, v in fixed.value.items() if k != "speed"
+    assert {k: v for k, v in free.values.items() if k != "speed"} == {
+        k: v for k, v in fixed.values.items() if k != "speed"
     }
     assert free.classes == fixed.classes and free.plans == fixed.plans
     assert "event_ms" in figures.guessed_parameters() and "speed" not in figures.guessed_parameters()
     with pytest.raises(figures.ParameterError):
-        figures.draw_parameters(RandomStreams(5).of("figures"), {"spede": 1.0})
+        figures.draw_parameters(RandomStreams(5).generator("figures"), {"spede": 1.0})
 
 
 def test_traffic_has_the_load_asked_for_and_a_burst_multiplies_one_plan() -> None:
@@ -276,20 +279,25 @@
     calm = clients.draw_traffic(drawn, 3, 400.0, 60000.0, (), RandomStreams(9))
     inside = 0.0
     stores: dict[int, TokenBucket] = {}
-    for ask in calm.asks:
+    for ask in calm.requests:
         plan = drawn.plans[calm.customers[ask.customer].plan]
         store = stores.setdefault(ask.customer, TokenBucket(plan.rate, plan.burst))
-        if store.take(ask.at, ask.units):
+        if store.try_take(ask.arrives_at, ask.units):
             inside += ask.units
     assert 0.8 * 400 < inside / 60 < 1.2 * 400
     burst = clients.draw_traffic(
-        drawn, 3, 400.0, 60000.0, (Fault(20000, "burst", 20000, size=4, plan="standard"),), RandomStreams(9)
+        drawn,
+        3,
+        400.0,
+        60000.0,
+        (Fault(20000, "burst", 20000, magnitude=4, plan="standard"),),
+        RandomStreams(9),
     )
 
     def count(traffic: clients.Traffic, plan: str) -> int:
         return sum(
-            20000 <= a.at < 40000 and drawn.plans[traffic.customers[a.customer].plan].name == plan
-            for a in traffic.asks
+            20000 <= a.arrives_at < 40000 and drawn.plans[traffic.customers[a.customer].plan].name == plan
+            for a in traffic.requests
         )
 
     assert 3 < count(burst, "standard") / count(calm, "standard") < 4.5
@@ -299,32 +307,32 @@
 def test_requests_stay_in_the_set_and_avoid_gateways_seen_down() -> None:
     drawn = world()
     traffic = clients.draw_traffic(drawn, 5, 300.0, 20000.0, (), RandomStreams(2))
-    for ask in traffic.asks[:500]:
+    for ask in traffic.requests[:500]:
         who = traffic.customers[ask.customer]
-        members = {(who.first + n) % 5 for n in range(who.spread)}
-        chosen = traffic.gateway(ask.customer, ask.at, ask.pick, 5, set())
+        members = {(who.first_gateway + n) % 5 for n in range(who.gateway_set_size)}
+        chosen = traffic.pick_gateway(ask.customer, ask.arrives_at, ask.gateway_draw, 5, set())
         assert chosen in members
-        other = traffic.gateway(ask.customer, ask.at, ask.pick, 5, {chosen})
-        assert other in members and (other != chosen or who.spread == 1)
+        other = traffic.pick_gateway(ask.customer, ask.arrives_at, ask.gateway_draw, 5, {chosen})
+        assert other in members and (other != chosen or who.gateway_set_size == 1)
 
 
 def test_clients_repeat_by_effect_and_heed_the_advice_they_are_given() -> None:
     habits = clients.ClientBehaviour(world(retries=2, backoff_ms=100, honour=0.5), 500.0)
     ask = clients.ClientRequest(0, 0, 0, 1, 1, 1, 0.5, 1, 0.4, 12)
-    assert habits.next_try(ask, 1, "served", 0, True) is None
-    assert habits.next_try(ask, 1, "failed", 0, False) is None
-    assert habits.next_try(ask, 1, "late", 0, False) is None
-    assert habits.next_try(ask, 1, "unreachable", 0, False) is not None
-    assert habits.next_try(ask, 3, "refused", 0, True) is None
-    assert habits.next_try(ask, 1, "refused", 400, True) == 400
-    assert habits.next_try(ask, 1, "refused", 4000, True) == 500
-    ask.heeds = 0.6
-    assert (habits.next_try(ask, 1, "refused", 400, True) or 0) < 200
+    assert habits.retry_delay(ask, 1, "served", 0, True) is None
+    assert habits.retry_delay(ask, 1, "failed", 0, False) is None
+    assert habits.retry_delay(ask, 1, "late", 0, False) is None
+    assert habits.retry_delay(ask, 1, "unreachable", 0, False) is not None
+    assert habits.retry_delay(ask, 3, "refused", 0, True) is None
+    assert habits.retry_delay(ask, 1, "refused", 400, True) == 400
+    assert habits.retry_delay(ask, 1, "refused", 4000, True) == 500
+    ask.retry_after_draw = 0.6
+    assert (habits.retry_delay(ask, 1, "refused", 400, True) or 0) < 200
 
 
 def test_a_roll_restarts_each_gateway_once() -> None:
-    faults = rolling_restart(RandomStreams(1).of("x"), 10, 1000, 10000, 0.8, 0.2, 500)
-    who = [number for fault in faults for number in fault.who]
+    faults = rolling_restart(RandomStreams(1).generator("x"), 10, 1000, 10000, 0.8, 0.2, 500)
+    who = [number for fault in faults for number in fault.targets]
     assert len(who) == len(set(who)) == 8 and len(faults) == 4
 
 
@@ -334,7 +342,7 @@
     store, now, granted = TokenBucket(10.0, 20.0), 0.0, 0.0
     for gap, units, more in steps:
         now += gap
-        if store.take(now, units):
+        if store.try_take(now, units):
             more = max(more, -units)
             store.settle(now, more)
             granted += units + more
