--- a/mapleshunt/simulation/history_checker.py
+++ b/mapleshunt/simulation/history_checker.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from ..replicated_state import commands as w
+from ..replicated_state.results import Applied, LeaseGranted
 
 RELATIVE_TOLERANCE = 1e-6
 
@@ -47,7 +48,7 @@
     """Use: the sum of what was counted, neither lost nor doubled."""
     sums: dict[str, float] = defaultdict(float)
     for event in events:
-        if isinstance(event.operation, w.Count) and isinstance(event.result, w.Done):
+        if isinstance(event.operation, w.CountUsage) and isinstance(event.result, Applied):
             sums[event.operation.customer] += event.operation.units
     found = []
     for customer, sum_ in sums.items():
@@ -66,9 +67,11 @@
     """
     found, seen = [], dict[tuple[str, int], HistoryEvent]()
     changes: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    back = {(e.operation.customer, e.operation.lease): e for e in events if isinstance(e.operation, w.Return)}
+    back = {
+        (e.operation.customer, e.operation.lease): e for e in events if isinstance(e.operation, w.ReturnLease)
+    }
     for event in events:
-        if not isinstance(event.operation, w.Lease) or not isinstance(event.result, w.Granted):
+        if not isinstance(event.operation, w.AcquireLease) or not isinstance(event.result, LeaseGranted):
             continue
         lease = event.operation.customer, event.result.lease
         if lease in seen:
@@ -94,7 +97,7 @@
     found = []
     versions: dict[str, dict[float, HistoryEvent]] = defaultdict(dict)
     for event in events:
-        if isinstance(event.operation, w.Put) and isinstance(event.result, w.Done):
+        if isinstance(event.operation, w.SetRecord) and isinstance(event.result, Applied):
             known = versions[event.operation.key].setdefault(event.result.value, event)
             if known is not event:
                 found.append(f"record {event.operation.key}: version {event.result.value:g} was set twice")
@@ -116,7 +119,9 @@
         ):
             continue
         customer = read.operation.partition(" ")[2]
-        counts = [e for e in events if isinstance(e.operation, w.Count) and e.operation.customer == customer]
+        counts = [
+            e for e in events if isinstance(e.operation, w.CountUsage) and e.operation.customer == customer
+        ]
         least = sum(e.operation.units for e in counts if e.ended_at and e.ended_at < read.started_at)
         most = sum(e.operation.units for e in counts if e.started_at < read.ended_at)
         held = read.result.counted if read.result is not None else 0.0
