--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -127,9 +127,9 @@
     scenario = short(
         "quiet",
         8.0,
-        troubles=lambda rng, scenario: list(fault),
+        fault_plan=lambda rng, scenario: list(fault),
         rate=20.0,
-        fixed={"cold_from": 1, "add_ms": 1},
+        fixed_parameters={"cold_from": 1, "add_ms": 1},
     )
     found = played(scenario, 1, factory)[1]
     assert found.rules[rule] > 0
@@ -140,7 +140,11 @@
 def test_a_policy_without_a_ramp_pushes_cold_servers_over_and_the_module_does_not() -> None:
     begin = Fault(3000, "crash", 2000, (0, 1))
     scenario = short(
-        "overload", 15.0, troubles=lambda rng, scenario: [begin], load=(1.6, 1.6), fixed={"cold_from": 0.25}
+        "overload",
+        15.0,
+        fault_plan=lambda rng, scenario: [begin],
+        load=(1.6, 1.6),
+        fixed_parameters={"cold_from": 0.25},
     )
     careful, careless = played(scenario, 4)[1], played(scenario, 4, POLICIES["let-all"])[1]
     assert careful.rules["pushed_over"] == 0
@@ -148,7 +152,7 @@
 
 
 def test_clients_of_a_killed_gateway_repeat_through_others() -> None:
-    scenario = short("quiet", 10.0, troubles=lambda rng, scenario: [Fault(4000, "restart", 4000, (0,))])
+    scenario = short("quiet", 10.0, fault_plan=lambda rng, scenario: [Fault(4000, "restart", 4000, (0,))])
     engine, found = played(scenario, 5)
     broken = [
         t for t in engine.rule_checker.client_attempts if t.gateway == 0 and t.accepted and t.result is None
@@ -172,7 +176,7 @@
 def test_a_ceiling_is_one_store_over_all_gateways_that_no_restart_fills() -> None:
     changes = {"plan.standard.ceiling_rate": 9, "plan.standard.ceiling_burst": 30}
     fault = Fault(4000, "restart", 500, (0,))
-    scenario = short("busy", 10.0, rate=150.0, settings=changes, troubles=lambda rng, scenario: [fault])
+    scenario = short("busy", 10.0, rate=150.0, settings=changes, fault_plan=lambda rng, scenario: [fault])
     whole, module = played(scenario, 5, POLICIES["whole-quota"])[1], played(scenario, 5)[1]
     assert whole.rules["ceiling"] > 0
     assert module.rules["ceiling"] == 0, module.stories
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -56,7 +56,7 @@
         Fault(800, "crash", 1200, (0,)), Fault(1000, "restart", 600, (1,)), Fault(1500, "drain", 300, (1,)),
         Fault(1200, "add", magnitude=1), Fault(500, "loss", 2000, magnitude=0.5),
         Fault(600, "counter_down", 900),
-        fixed={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
+        fixed_parameters={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
     ), 5)  # fmt: skip
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
@@ -129,7 +129,9 @@
 
 def test_a_silent_machine_is_left_alone_and_found_again(tmp_path: Path) -> None:
     fault = Fault(500, "silent", 1500, (0,))
-    day = draw_day(scenario(fault, seconds=5.0, fixed={"silent_notice_ms": 5000, "add_ms": 100}), 6)
+    day = draw_day(
+        scenario(fault, seconds=5.0, fixed_parameters={"silent_notice_ms": 5000, "add_ms": 100}), 6
+    )
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     at = [a.sent_at for t in found.rule_checker.client_attempts for a in t.attempts if a.server == 0]
