--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -90,7 +90,7 @@
         number, to = self.number, self.copies.leads(self.group)
         self.call = self.copies.call(self.group, self.command, to, lambda one: self._replied(number, one))
 
-    def _replied(self, number: int, reply: wire.Reply) -> None:
+    def _replied(self, number: int, reply: wire.ClientResponse) -> None:
         if number != self.number or not self.command:
             return
         now = self.copies.now()
@@ -196,7 +196,7 @@
         read = f"place {self.copies.name}"
         self.call = self.copies.call(0, b"", self.copies.leads(0), lambda one: self._told(now, one), read)
 
-    def _told(self, asked: float, reply: wire.Reply) -> None:
+    def _told(self, asked: float, reply: wire.ClientResponse) -> None:
         if reply.how != "done":
             self.copies.learn(0, reply)
             self.asked = min(self.asked, self.copies.now() - IDLE + EVERY / 2)  # soon again
@@ -230,7 +230,7 @@
             case "hand_over":
                 for host in self.copies.hosts.values():
                     if host.leads():
-                        host.step(m.Transfer())
+                        host.step(m.TransferLeadership())
                 if act.what == "copies":
                     self._mark(BY_WORK, "")
             case "take_back":
@@ -249,7 +249,7 @@
                     f"record {key}",
                 )  # fmt: skip
 
-        def read(group: int, reply: wire.Reply) -> None:
+        def read(group: int, reply: wire.ClientResponse) -> None:
             if reply.how == "done" and not self.line(group).busy():
                 known: Record | None = msgspec.msgpack.decode(reply.data, type=Record | None)
                 if (known.value if known is not None else "") == before:
@@ -281,6 +281,6 @@
             self.said = works.blocked
             log.log_event("maintenance_waits", why=works.blocked or "no more")
 
-    def _status(self, peer: str, reply: wire.Reply) -> None:
+    def _status(self, peer: str, reply: wire.ClientResponse) -> None:
         if reply.how == "done":
             self.statuses[peer] = (self.copies.now(), msgspec.msgpack.decode(reply.data))
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -11,8 +11,23 @@
 
 from .. import invariants
 from ..invariants import Guard
-from ..policy import interface as i
-from ..policy import slow_start
+from ..policy import (
+    Action,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
+    Event,
+    FailRequest,
+    RejectRequest,
+    RequestReceived,
+    SendGossip,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+    WatchEndpoints,
+    slow_start,
+)
 from ..policy.gateway import Gateway
 from . import log
 from .counters import Counters
@@ -47,7 +62,7 @@
 
 
 class PolicyDriver:
-    def __init__(self, settings: i.Settings, seed: int, group: EndpointGroup, counters: Counters) -> None:
+    def __init__(self, settings: Settings, seed: int, group: EndpointGroup, counters: Counters) -> None:
         self.settings, self.group, self.counters = settings, group, counters
         self.trace = counters.trace
         self.now = UnixClock()
@@ -56,23 +71,23 @@
         self.loop = asyncio.get_running_loop()
         self.open_requests: dict[int, RequestContext] = {}  # requests that are owed an answer
         self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}  # tries that have not ended
-        self.pending_events: deque[i.Event] = deque()
+        self.pending_events: deque[Event] = deque()
         self.applying = False
         self.on_request_released: Callable[[RequestContext], None] | None = (
             None  # told of requests that are over, if any is
         )
-        self.on_first_attempt: Callable[[i.Request], None] | None = (
+        self.on_first_attempt: Callable[[RequestReceived], None] | None = (
             None  # told of requests' first tries, if any is
         )
         # Told of requests before the decisions are: does one wait until `resume`?
-        self.delay_admission: Callable[[i.Request], bool] | None = None
+        self.delay_admission: Callable[[RequestReceived], bool] | None = None
         self._execute(self.gateway.start())
 
     # Events
 
     def submit(self, context: RequestContext) -> None:
         self.open_requests[context.request_id] = context
-        self.trace.add(context.client_request_id, "taken", context.request.cls)
+        self.trace.add(context.client_request_id, "taken", context.request.request_class)
         left = context.deadline - RESPONSE_GUARD_MS - self.now()
         context.deadline_timer = self.loop.call_later(left / 1000, self._answer_overdue, context)
         if self.delay_admission is None or not self.delay_admission(context.request):
@@ -81,7 +96,7 @@
     def resume(self, ref: int) -> None:
         """What it waited for has come, or is not waited for any longer."""
         if (context := self.open_requests.get(ref)) is not None:
-            self.apply_event(replace(context.request, patience=max(0.0, context.deadline - self.now())))
+            self.apply_event(replace(context.request, remaining_time=max(0.0, context.deadline - self.now())))
 
     def client_disconnected(self, context: RequestContext) -> None:
         """The client has left: nothing is owed to it any more."""
@@ -90,7 +105,7 @@
             self.trace.add(context.client_request_id, "client_gone")
             self._log_request("client_gone", context)
             self.apply_event(
-                i.ClientGone(context.request_id)
+                ClientDisconnected(context.request_id)
             )  # forgotten as it is handled: what was decided comes first
             self.release(context)
 
@@ -101,8 +116,8 @@
             f"{one.server}:{one.status or 'out'}:{now - one.sent_at:.0f}" for one in context.attempts
         )
         log.log_event(
-            event, id=context.client_request_id, cls=context.request.cls, patience=context.request.patience,
-            after=now - context.received_at, tries=tries,
+            event, id=context.client_request_id, cls=context.request.request_class,
+            patience=context.request.remaining_time, after=now - context.received_at, tries=tries,
         )  # fmt: skip
 
     def remove(self, context: RequestContext) -> None:
@@ -120,7 +135,7 @@
                 self.counters.add("exceptions")
                 log.log_exception("record_exception", ref=context.request_id)
 
-    def apply_event(self, event: i.Event) -> None:
+    def apply_event(self, event: Event) -> None:
         """Handle an event and what it leads to. Events that come up meanwhile follow in their order."""
         self.pending_events.append(event)
         if self.applying:
@@ -132,17 +147,17 @@
         finally:
             self.applying = False
 
-    def _handle(self, event: i.Event) -> None:
-        if isinstance(event, i.ClientGone):
-            self.open_requests.pop(event.ref, None)
+    def _handle(self, event: Event) -> None:
+        if isinstance(event, ClientDisconnected):
+            self.open_requests.pop(event.request_id, None)
         try:
             actions = self.gateway.handle(self.now(), event)
         except Exception:
             # One bad event must not end the program: its request is answered, the others go on.
             self.counters.add("exceptions")
             log.log_exception("decision_exception", kind=type(event).__name__)
-            if isinstance(event, i.Request | i.Outcome) and (
-                context := self.open_requests.pop(event.ref, None)
+            if isinstance(event, RequestReceived | AttemptEnded) and (
+                context := self.open_requests.pop(event.request_id, None)
             ):
                 respond.fail(context, self.counters)
                 self.release(context)
@@ -157,12 +172,12 @@
             self._log_request("guard_answer", context)
             self.remove(context)
             respond.fail(context, self.counters)
-            self.apply_event(i.ClientGone(context.request_id))
+            self.apply_event(ClientDisconnected(context.request_id))
             self.release(context)
 
     # Actions
 
-    def _execute(self, actions: list[i.Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             try:
                 self._execute_action(action)
@@ -170,30 +185,30 @@
                 self.counters.add("exceptions")
                 log.log_exception("action_exception", kind=type(action).__name__)
 
-    def _execute_action(self, action: i.Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self._start_attempt(action)
-            case i.Refuse(ref, wait):
+            case RejectRequest(ref, wait):
                 if context := self.open_requests.pop(ref, None):
-                    self.counters.add(f"rejected_{action.why}")
-                    self.trace.add(context.client_request_id, "refused", action.why)
+                    self.counters.add(f"rejected_{action.reason}")
+                    self.trace.add(context.client_request_id, "refused", action.reason)
                     respond.reject(context, wait, self.counters)
                     self.release(context)
-            case i.Fail(ref):
+            case FailRequest(ref):
                 if context := self.open_requests.pop(ref, None):
                     self.trace.add(context.client_request_id, "failed")
                     self._log_request("request_failed", context)
                     respond.fail(context, self.counters)
                     self.release(context)
-            case i.Cancel(ref, number):
+            case CancelAttempt(ref, number):
                 if attempt := self.attempts_in_flight.get((ref, number)):
                     attempt.cancel("cancelled")
-            case i.SetTimer(at, token):
+            case SetTimer(at, token):
                 self._set_timer(at, token)
-            case i.Tell(peer, data):
+            case SendGossip(peer, data):
                 self.send_gossip(peer, data)
-            case i.Watch():
+            case WatchEndpoints():
                 pass  # discovery is always watched
 
     def _set_timer(self, at: float, token: int) -> None:
@@ -206,10 +221,10 @@
         if self.now() < at:
             self._set_timer(at, token)
         else:
-            self.apply_event(i.Timer(token))
+            self.apply_event(TimerFired(token))
 
-    def _start_attempt(self, action: i.Send) -> None:
-        if (context := self.open_requests.get(action.ref)) is None:
+    def _start_attempt(self, action: StartAttempt) -> None:
+        if (context := self.open_requests.get(action.request_id)) is None:
             self.counters.add("sends_too_late")
             return
         attempt = route(context, action, self.now())
@@ -260,7 +275,7 @@
         if server is not None:
             cold = slow_start.capacity(server, self.settings, self.now()) < 1
             broken = invariants.broken_by_slow_start(cold, server.allowance.level)
-            self.trace.check(Guard.START, broken, context.client_request_id)
+            self.trace.report_violations(Guard.START, broken, context.client_request_id)
 
     def _check_send(
         self, context: RequestContext, attempt: Attempt, connection: UpstreamConnection, passed_on: float
@@ -276,13 +291,15 @@
             None if context.awaiting_response else 1000 * (time.monotonic() - context.response_claimed_at)
         )
         facts = invariants.SendFacts(since_end, ready, passed_on, context.deadline - now)
-        self.trace.check(Guard.SEND, invariants.broken_by_sending(facts), context.client_request_id)
+        self.trace.report_violations(
+            Guard.SEND, invariants.broken_by_sending(facts), context.client_request_id
+        )
         if attempt.number:
             earlier = [
                 invariants.EarlierAttempt(one.sent_at, one.status, one.zone, one.cell)
                 for one in context.attempts[: attempt.number]
             ]
             repeat = invariants.RepeatFacts(now, member.zone, member.cell, earlier)
-            cls = self.settings.classes[context.request.cls]
+            cls = self.settings.classes[context.request.request_class]
             broken = invariants.broken_by_repeating(repeat, cls, self.settings)
-            self.trace.check(Guard.REPEAT, broken, context.client_request_id)
+            self.trace.report_violations(Guard.REPEAT, broken, context.client_request_id)
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -6,14 +6,14 @@
 import math
 from dataclasses import dataclass
 
-from ...policy import interface as i
+from ...policy import QuotaLeaseGranted, RequestReceived
 from ...policy.gossip_codec import tag_of
 from ...policy.state import Customer
 from ...replicated_state import commands as w
 from ...replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from ...replicated_state.results import Applied, Denied, Result, decode_result
 from ...replication import wire
-from ...replication.placement import group_of
+from ...replication.placement import group_of_customer
 from .. import log
 from ..counters import Counters
 from ..periodic import PeriodicTask
@@ -79,7 +79,7 @@
         self.hint = ""
         one.call = copies.call(self.group, one.command, to, lambda reply: self._replied(number, reply))
 
-    def _replied(self, number: int, reply: wire.Reply) -> None:
+    def _replied(self, number: int, reply: wire.ClientResponse) -> None:
         one = self.operations.get(number)
         if one is None:
             return
@@ -170,20 +170,20 @@
 
     # Requests, answers, time
 
-    def _asked(self, request: i.Request) -> bool:
+    def _asked(self, request: RequestReceived) -> bool:
         """Draw what it needs; it waits while the copies answer and its answer is on the way."""
         plan = self.driver.settings.plans[request.plan]
         if plan.rate and (len(self.plans) < 100_000 or request.customer in self.plans):
             self.plans[request.customer] = request.plan
             now, burst = self.driver.now(), plan.burst
             actions = self.leaser.demand(
-                now, request.customer, plan.rate, burst, request.spread, request.units
+                now, request.customer, plan.rate, burst, request.gateway_set_size, request.units
             )
             self._do(actions)
-            if self.sound and request.patience > 2 * HOLD:
+            if self.sound and request.remaining_time > 2 * HOLD:
                 waiting = self.waiting.get(request.customer)
                 if waiting is not None or self.leaser.waits(now, request.customer, request.units):
-                    one = (now + HOLD, request.ref, request.units)
+                    one = (now + HOLD, request.request_id, request.units)
                     self.waiting.setdefault(request.customer, []).append(one)
                     return True
         return False
@@ -221,10 +221,10 @@
                 if plan is not None:
                     self.counters.add("leases_had", int(action.lease > 0))
                     self.driver.apply_event(
-                        i.Leased(action.customer, plan, action.lease, action.units, action.until)
+                        QuotaLeaseGranted(action.customer, plan, action.lease, action.units, action.until)
                     )
             else:
-                group = group_of(action.customer, self.copies.section.groups)
+                group = group_of_customer(action.customer, self.copies.section.groups)
                 if group not in self.sessions:
                     self.sessions[group] = Session(self, group)
                 self.sessions[group].do(action)
--- a/mapleshunt/net/request/parse.py
+++ b/mapleshunt/net/request/parse.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...policy import interface as i
+from ...policy import RequestReceived, Settings
 from .context import ParsedRequest, RequestContext, ResponseSink
 
 
@@ -11,7 +11,7 @@
 
 
 def parse(
-    intake: ParsedRequest, answer: ResponseSink, settings: i.Settings, ref: int, now: float, ids: set[str]
+    intake: ParsedRequest, answer: ResponseSink, settings: Settings, ref: int, now: float, ids: set[str]
 ) -> RequestContext:
     """`ids` are those of the open requests; the new one's is added to them.
 
@@ -27,22 +27,22 @@
         raise UnacceptableRequestError("this class goes by the other command")
     if cls.effect == "keyed" and not intake.has_idempotency_key:
         raise UnacceptableRequestError("this class needs a key")
-    if not 0 < intake.units <= settings.largest:
+    if not 0 < intake.units <= settings.max_request_units:
         raise UnacceptableRequestError("units are out of range")
-    if not (1 <= intake.spread <= settings.instances and 0 <= intake.first < settings.instances):
+    if not (1 <= intake.spread <= settings.gateway_count and 0 <= intake.first < settings.gateway_count):
         raise UnacceptableRequestError("the customer's set is out of range")
     if intake.request_id in ids:
         raise UnacceptableRequestError("a request of this id is open")
-    request = i.Request(
-        ref=ref,
-        cls=intake.cls,
+    request = RequestReceived(
+        request_id=ref,
+        request_class=intake.cls,
         plan=intake.plan,
         customer=intake.customer,
-        patience=intake.timeout_ms,
+        remaining_time=intake.timeout_ms,
         units=intake.units,
-        spread=intake.spread,
-        first=intake.first,
-        retry=intake.is_retry,
+        gateway_set_size=intake.spread,
+        gateway_set_offset=intake.first,
+        is_retry=intake.is_retry,
     )
     ids.add(intake.request_id)
     return RequestContext(ref, request, intake.message, answer, now, intake.request_id, ids)
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -16,13 +16,13 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ...policy import interface as i
+from ...policy import EndpointInfo, EndpointState, EndpointUpdate, UpdateKind
 from .. import log
-from ..config import Address, family_of
+from ..config import Address, address_family
 from ..counters import Counters
 from ..protocol import command_protocol as svc
 from ..protocol import resp
-from ..protocol.read_buffer import ReadBuffer, TooLong
+from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..request.context import AttemptResult
 
 REPLY_STALL_TIMEOUT_S = 0.1  # s that a reply that has begun may stand still
@@ -81,7 +81,7 @@
     address: Address
     zone: str
     cell: int
-    state: i.ServerState
+    state: EndpointState
     started_at_ms: float  # ms, Unix time; 0 for long ago
 
     @property
@@ -95,8 +95,10 @@
 
     def __init__(self, server: EndpointPool, group: EndpointGroup) -> None:
         self.pool, self.endpoint, self.group = server, server.endpoint, group
-        self.stream = IOStream(socket.socket(family_of(server.address)), max_buffer_size=4 * resp.MAX_MESSAGE)
-        self.buffer = ReadBuffer(resp.MAX_MESSAGE)
+        self.stream = IOStream(
+            socket.socket(address_family(server.address)), max_buffer_size=4 * resp.MAX_MESSAGE_BYTES
+        )
+        self.buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         self.pending_result: asyncio.Future[AttemptResult] | None = None
         self.attempts, self.close_reason = 0, ""
         self.idle_since = 0.0
@@ -173,7 +175,7 @@
                 self._take_reply()
         except StreamClosedError as closed:
             reason = "server_reset" if closed.real_error else reason
-        except (resp.ProtocolError, TooLong) as error:
+        except (resp.ProtocolError, MessageTooLongError) as error:
             return self._reply_malformed(error)
         except Exception:
             reason = "exception"
@@ -196,7 +198,7 @@
             return
         self.buffer.consume(found[1])
         self._stop_stall()
-        self.pending_result.set_result(svc.ending(found[0]))
+        self.pending_result.set_result(svc.parse_attempt_result(found[0]))
         if self.buffer.start != self.buffer.end:  # the answer is good; what follows would spoil the next one
             raise resp.ProtocolError("bytes behind a reply")
 
@@ -227,7 +229,7 @@
         self.stream.close()
         if self.pending_result is not None and not self.pending_result.done():
             self.pending_result.set_exception(StreamClosedError())
-        self.group.counters.trace.closed("server_connections", reason)
+        self.group.counters.trace.count_close("server_connections", reason)
         log.log_event(
             "server_connection_ended", server=self.pool.endpoint.id, reason=reason, tries=self.attempts
         )
@@ -258,10 +260,10 @@
 
     def apply_endpoint_list(
         self,
-        kind: i.ListKind,
+        kind: UpdateKind,
         members: Sequence[Endpoint],
         age: Callable[[float], float | None] = lambda started: None,
-    ) -> i.Members:
+    ) -> EndpointUpdate:
         """Take over a list or a change of it, and word it for the decisions. `age` tells for how many ms a
         server that started then, in Unix ms, has been up.
         """
@@ -280,10 +282,10 @@
                 self._drop_idle(server, "server_gone")
                 del self.pools[number]  # new ones come under new ids all day
         entries = tuple(
-            i.ServerEntry(m.number, m.zone, m.cell, m.state, m.started_at_ms, age(m.started_at_ms))
+            EndpointInfo(m.number, m.zone, m.cell, m.state, m.started_at_ms, age(m.started_at_ms))
             for m in members
         )
-        return i.Members(kind, entries)
+        return EndpointUpdate(kind, entries)
 
     # Connections
 
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+from .. import policy
 from ..fleet.backend import Backend, BackendRequest
 from ..fleet.discovery import EndpointEntry
 from ..fleet.faults import Fault
-from ..policy import interface
 from .day import Day
 from .event_queue import EventQueue
 from .fleet_host import FleetHost
@@ -40,7 +40,7 @@
 class Engine(FleetHost):
     """Plays one day with one kind of gateway. `words` holds the types that the gateways speak."""
 
-    def __init__(self, day: Day, factory: PolicyFactory, words: Any = interface) -> None:
+    def __init__(self, day: Day, factory: PolicyFactory, words: Any = policy) -> None:
         self.factory, self.words = factory, words
         self.agenda = EventQueue()
         self.wakes: dict[int, float] = {}
@@ -63,9 +63,9 @@
         self.event_ms, self.dial_ms, self.rtts = f["event_ms"], f["dial_ms"], f["handshake_rtts"]
         self.idle_ms = f["conn_idle_ms"] / 3  # the program gives idle ones up well before till servers do
         self.acts: dict[Any, Callable[[int, Any, float], None]] = {
-            words.Send: self._send, words.Refuse: self._refuse, words.Fail: self._fail,
-            words.Cancel: self._cancel, words.SetTimer: self._timer, words.Tell: self._tell,
-            words.Watch: lambda gateway, action, at: None, CounterCall: self._count,
+            words.StartAttempt: self._send, words.RejectRequest: self._refuse, words.FailRequest: self._fail,
+            words.CancelAttempt: self._cancel, words.SetTimer: self._timer, words.SendGossip: self._tell,
+            words.WatchEndpoints: lambda gateway, action, at: None, CounterCall: self._count,
         }  # fmt: skip
         for fault in day.faults:
             self.agenda.schedule(fault.at, self._strike, fault)
@@ -111,10 +111,10 @@
         self._carry_out(number, gateway.start())
         rows = tuple(self._row(entry) for entry in self.endpoint_lists[number].values())
         self.rule_checker.endpoint_list_delivered(number, self.endpoint_lists[number].values(), now)
-        self._feed(number, self.words.Members("persisted", rows))
+        self._feed(number, self.words.EndpointUpdate("persisted", rows))
 
     def _row(self, entry: EndpointEntry) -> Any:
-        return self.words.ServerEntry(
+        return self.words.EndpointInfo(
             entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started_at
         )
 
@@ -144,7 +144,7 @@
 
     def _fire(self, gateway: int, epoch: int, token: int) -> None:
         if self.epochs[gateway] == epoch:
-            self._feed(gateway, self.words.Timer(token))
+            self._feed(gateway, self.words.TimerFired(token))
 
     # Messages and the counter
 
@@ -157,7 +157,7 @@
     def _hear(self, sender: int, peer: int, data: str) -> None:
         if self.gateways[peer] is not None and self.peer_rate_limiters[peer].try_acquire(self.agenda.now):
             self.message_bytes += len(data)
-            self._feed(peer, self.words.PeerMessage(sender, data))
+            self._feed(peer, self.words.GossipReceived(sender, data))
 
     def _count(self, gateway: int, action: Any, at: float) -> None:
         self.counter_calls += 1
@@ -206,16 +206,16 @@
         self.records[one.request_id] = record
         self._feed(
             one.gateway,
-            self.words.Request(
-                ref=one.request_id,
-                cls=self.classes[ask.class_index],
+            self.words.RequestReceived(
+                request_id=one.request_id,
+                request_class=self.classes[ask.class_index],
                 plan=self.day.parameters.plans[who.plan].name,
                 customer=who.name,
-                patience=one.sent_at + one.timeout_ms - now,
+                remaining_time=one.sent_at + one.timeout_ms - now,
                 units=ask.estimated_units,
-                spread=who.gateway_set_size,
-                first=who.first_gateway,
-                retry=one.number > 1,
+                gateway_set_size=who.gateway_set_size,
+                gateway_set_offset=who.first_gateway,
+                is_retry=one.number > 1,
             ),
         )
 
@@ -234,7 +234,7 @@
     def _overdue(self, one: ClientAttempt) -> None:
         if one.result is None and self.open[one.gateway].pop(one.request_id, None) is not None:
             self.rule_checker.request_lost(one)
-            self._feed(one.gateway, self.words.ClientGone(one.request_id))
+            self._feed(one.gateway, self.words.ClientDisconnected(one.request_id))
 
     def _client_told(
         self, record: RequestRecord, one: ClientAttempt, told: ClientResult, wait: float
@@ -260,19 +260,19 @@
         )
 
     def _refuse(self, gateway: int, action: Any, at: float) -> None:
-        self._answer(gateway, action.ref, "refused", action.wait, at)
+        self._answer(gateway, action.request_id, "refused", action.retry_after, at)
 
     def _fail(self, gateway: int, action: Any, at: float) -> None:
-        self._answer(gateway, action.ref, "failed", 0.0, at)
+        self._answer(gateway, action.request_id, "failed", 0.0, at)
 
     # Attempts
 
     def _send(self, gateway: int, action: Any, at: float) -> None:
-        one = self.open[gateway].get(action.ref)
+        one = self.open[gateway].get(action.request_id)
         if one is None:
-            self.rule_checker.sent_after_end(action.ref)
+            self.rule_checker.sent_after_end(action.request_id)
             return
-        server = action.server
+        server = action.endpoint
         number = len(one.attempts)
         till = self.backend_models[server]
         until = one.sent_at + one.timeout_ms
@@ -396,19 +396,19 @@
                 self._answer(gateway, one.request_id, "served", 0.0, at)
         self._feed(
             gateway,
-            self.words.Outcome(
-                ref=one.request_id,
+            self.words.AttemptEnded(
+                request_id=one.request_id,
                 status=status,
-                closed=one.result is not None or one.request_id not in self.open[gateway],
+                request_completed=one.result is not None or one.request_id not in self.open[gateway],
                 attempt=number,
-                server=server,
+                endpoint=server,
                 latency=now - attempt.sent_at,
                 cost=cost,
             ),
         )
 
     def _cancel(self, gateway: int, action: Any, at: float) -> None:
-        found = self.attempts[gateway].get((action.ref, action.attempt))
+        found = self.attempts[gateway].get((action.request_id, action.attempt))
         if found is not None and found[1].status is None:
             one, attempt = found
             attempt.backend_request.cancelled = True
@@ -428,7 +428,7 @@
     def _told(self, gateway: int, entry: EndpointEntry) -> None:
         if self.gateways[gateway] is not None:
             self.rule_checker.endpoint_notified(gateway, entry, self.agenda.now)
-            self._feed(gateway, self.words.Members("partial", (self._row(entry),)))
+            self._feed(gateway, self.words.EndpointUpdate("partial", (self._row(entry),)))
 
     def _lose(self, till: Backend, held: Iterable[BackendRequest]) -> None:
         """All connections to a till server break; attempts at it end as resets."""
--- a/mapleshunt/simulation/rule_checker.py
+++ b/mapleshunt/simulation/rule_checker.py
@@ -59,7 +59,7 @@
             state = f"{held[1].state} since {held[0]:.0f}" if held is not None else "not listed"
             sender = f"request {one.request_id} sent at {at:.0f} by gateway {gateway}"
             self._break("drain", f"{sender} to server {attempt.server}: {state}")
-        if not self.settings.second_copies and any(a.status is None for a in one.attempts):
+        if not self.settings.allow_hedging and any(a.status is None for a in one.attempts):
             self._break("two_out", f"request {one.request_id}")
         cls = self.classes[one.request.class_index]
         effect = cls.get("effect", "safe")
@@ -69,8 +69,8 @@
                 "doubled", f"request {one.request_id} of a class that is never repeated was sent again"
             )
         elif risky and effect == "keyed":
-            outside = any(a.cell != attempt.cell for a in risky) and cls["group"] == "cell"
-            if outside or at > risky[0].sent_at + cls["window"]:
+            outside = any(a.cell != attempt.cell for a in risky) and cls["retry_scope"] == "cell"
+            if outside or at > risky[0].sent_at + cls["idempotency_window"]:
                 self._break("doubled", f"request {one.request_id} sent again outside its cell or window")
 
     def sent_after_end(self, ref: int) -> None:
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -97,7 +97,7 @@
     """Judge a day that has been played."""
     day, records, tries = engine.day, engine.requests, engine.rule_checker.client_attempts
     inside, worth = requests_inside_quota(day), request_values(day)
-    aims = [CLASSES[shape.name]["aim"] for shape in day.parameters.classes]
+    aims = [CLASSES[shape.name]["latency_objective"] for shape in day.parameters.classes]
     customers, plans = day.traffic.customers, day.parameters.plans
     at = np.array([r.request.arrives_at for r in records]) / 1000 if records else np.zeros(0)
     weight = np.array(worth)
