--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -234,7 +234,7 @@
         print_json(
             {
                 **answers,
-                "requests": len(fleet.watchman.tries),
+                "requests": len(fleet.rule_checker.client_attempts),
                 "exactly_one": good,
                 "reasons": counts,
                 "service": found.service,
@@ -244,7 +244,7 @@
     else:
         click.echo(
             f"{gateways} gateways, {servers} till servers, {len(fleet.day.traffic.customers)} customers, "
-            f"{seconds:g} s: {len(fleet.watchman.tries)} requests\n"
+            f"{seconds:g} s: {len(fleet.rule_checker.client_attempts)} requests\n"
         )
         table(
             ["answer", "why", "requests"],
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -132,7 +132,7 @@
         (Careless, "drain", (Fault(3000, "drain", 1000, (0,)),)),
     ],
 )
-def test_the_watchman_sees_each_rule_broken(factory: Any, rule: str, fault: tuple[Fault, ...]) -> None:
+def test_rule_checker_reports_each_violated_rule(factory: Any, rule: str, fault: tuple[Fault, ...]) -> None:
     scenario = short(
         "quiet",
         8.0,
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -103,7 +103,7 @@
         day: Any = SimpleNamespace(
             gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=Clock(), timed_out=[],
             day=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)), command=lambda *_: b"PING\r\n",
-            watchman=SimpleNamespace(answered=lambda one, final, at: heard.append(final)),
+            rule_checker=SimpleNamespace(client_answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
         one: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
         found = clients.SocketClients(day)
