--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -237,7 +237,7 @@
                 one.disk.pending.clear()
                 one.holdings = ReplicatedState()
                 one.holdings.restore(one.disk.stored.snapshot.data)
-                seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
+                seed = self.day.streams.seed_for("copies", one.group * 100_000 + number * 100 + one.life)
                 one.node = RaftNode(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
         self.leasing[number] = GatewayLeases(self, number)
