--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -68,7 +68,7 @@
             words.WatchEndpoints: lambda gateway, action, at: None, CounterCall: self._count,
         }  # fmt: skip
         for fault in day.faults:
-            self.agenda.schedule(fault.at, self._strike, fault)
+            self.agenda.schedule(fault.at, self._inject_fault, fault)
         for number in range(count):
             self._start_gateway(number)
         if self.requests:
@@ -80,7 +80,7 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         self.agenda.schedule(when, call, *arguments)
 
-    def _take_in(self, till: Backend) -> None:
+    def _backend_added(self, till: Backend) -> None:
         self.held[till.number], self.wakes[till.number] = {}, float("inf")
 
     # Running
@@ -425,7 +425,7 @@
 
     # Faults
 
-    def _told(self, gateway: int, entry: EndpointEntry) -> None:
+    def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
         if self.gateways[gateway] is not None:
             self.rule_checker.endpoint_notified(gateway, entry, self.agenda.now)
             self._feed(gateway, self.words.EndpointUpdate("partial", (self._row(entry),)))
@@ -444,23 +444,23 @@
             if not work.cancelled:
                 self._back(*found, "reset")
 
-    def _die(self, number: int) -> None:
+    def _crash_backend(self, number: int) -> None:
         till = self.backend_models[number]
         self._finished(till, till.advance(self.agenda.now))
         self._lose(till, till.crash(self.agenda.now))
 
-    def _fall_silent(self, number: int) -> None:
+    def _silence_backend(self, number: int) -> None:
         till = self.backend_models[number]
         self._finished(till, till.advance(self.agenda.now))
         till.silent, till.next_event_at = True, float("inf")
 
-    def _start_again(self, number: int) -> None:
+    def _restart_backend(self, number: int) -> None:
         till = self.backend_models[number]
         if till.silent:
             self._lose(till, till.crash(self.agenda.now))
         till.start(self.agenda.now)
 
-    def _kill(self, number: int) -> None:
+    def _kill_gateway(self, number: int) -> None:
         if self.gateways[number] is None:
             return
         now = self.agenda.now
@@ -486,14 +486,14 @@
             )
         self.open[number] = {}
         self.agenda.schedule(
-            now + self.day.parameters["front_notice_ms"], self._front_sees, number, self.epochs[number]
+            now + self.day.parameters["front_notice_ms"], self._mark_gateway_down, number, self.epochs[number]
         )
 
-    def _front_sees(self, number: int, epoch: int) -> None:
+    def _mark_gateway_down(self, number: int, epoch: int) -> None:
         if self.epochs[number] == epoch and self.gateways[number] is None:
             self.gateways_marked_down.add(number)
 
-    def _revive(self, number: int) -> None:
+    def _restart_gateway(self, number: int) -> None:
         self.gateways_marked_down.discard(number)
         if self.gateways[number] is None:
             self._start_gateway(number)
@@ -502,8 +502,10 @@
         for number in fault.targets:
             stop = self.agenda.now + FRONT_TERM_NOTICE_MS
             self.agenda.schedule(stop, self.gateways_marked_down.add, number)
-            self.agenda.schedule(stop + self.idempotency_window_ms, self._kill, number)
-            self.agenda.schedule(stop + self.idempotency_window_ms + fault.duration, self._revive, number)
+            self.agenda.schedule(stop + self.idempotency_window_ms, self._kill_gateway, number)
+            self.agenda.schedule(
+                stop + self.idempotency_window_ms + fault.duration, self._restart_gateway, number
+            )
 
 
 # The counter's call and its answer, which the decisions do not make yet; plain policies do.
--- a/mapleshunt/simulation/fleet_host.py
+++ b/mapleshunt/simulation/fleet_host.py
@@ -63,7 +63,7 @@
         for number in range(day.scenario.servers):
             if number % size == 0:
                 self.idempotency_stores.append(IdempotencyStore(self.idempotency_window_ms))
-            self._add_till(number, speeds)
+            self._add_backend(number, speeds)
         self.next_server = day.scenario.servers
         self.endpoint_lists: list[dict[int, EndpointEntry]] = [
             dict(self.discovery.entries) for _ in range(count)
@@ -77,35 +77,35 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         raise NotImplementedError
 
-    def _take_in(self, till: Backend) -> None:
+    def _backend_added(self, till: Backend) -> None:
         """A till server is there, and has its number."""
         raise NotImplementedError
 
-    def _told(self, gateway: int, entry: EndpointEntry) -> None:
+    def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
         """News of the list reach a gateway."""
         raise NotImplementedError
 
-    def _die(self, number: int) -> None:
+    def _crash_backend(self, number: int) -> None:
         """A till server's process ends, and all connections to it break."""
         raise NotImplementedError
 
-    def _fall_silent(self, number: int) -> None:
+    def _silence_backend(self, number: int) -> None:
         raise NotImplementedError
 
-    def _start_again(self, number: int) -> None:
+    def _restart_backend(self, number: int) -> None:
         """A till server that was down or silent is back, cold."""
         raise NotImplementedError
 
-    def _kill(self, number: int) -> None:
+    def _kill_gateway(self, number: int) -> None:
         """A gateway dies with all it holds."""
         raise NotImplementedError
 
-    def _revive(self, number: int) -> None:
+    def _restart_gateway(self, number: int) -> None:
         raise NotImplementedError
 
     # Machines and requests
 
-    def _add_till(self, number: int, speeds: Rng) -> Backend:
+    def _add_backend(self, number: int, speeds: Rng) -> Backend:
         """A till server of the newest cell, its speed drawn."""
         f, rules, cell = self.day.parameters, self.day.rules, len(self.idempotency_stores) - 1
         speed = max(MIN_BACKEND_SPEED, f["speed"] * (1 + f["speed_cv"] * float(speeds.standard_normal())))
@@ -115,7 +115,7 @@
             number, f, speed, cell, keys, errors, rules.overload_window_ms, rules.overload_multiple
         )
         self.backend_models[number] = till
-        self._take_in(till)
+        self._backend_added(till)
         self.discovery.entries[number] = EndpointEntry(number, cell)
         return till
 
@@ -157,52 +157,54 @@
 
     # Faults
 
-    def _strike(self, fault: Fault) -> None:
+    def _inject_fault(self, fault: Fault) -> None:
         getattr(self, f"_on_{fault.kind}")(fault)
 
-    def _change(self, entry: EndpointEntry, silent: bool = False) -> None:
+    def _publish_endpoint(self, entry: EndpointEntry, silent: bool = False) -> None:
         for at, gateway in self.discovery.apply_change(self.now(), entry, len(self.endpoint_lists), silent):
-            self.at(at, self._news, gateway, entry)
+            self.at(at, self._deliver_endpoint, gateway, entry)
 
-    def _news(self, gateway: int, entry: EndpointEntry) -> None:
+    def _deliver_endpoint(self, gateway: int, entry: EndpointEntry) -> None:
         if entry.state == "gone":
             self.endpoint_lists[gateway].pop(entry.server, None)
         else:
             self.endpoint_lists[gateway][entry.server] = entry
-        self._told(gateway, entry)
+        self._endpoint_delivered(gateway, entry)
 
-    def _gone(self, number: int) -> None:
-        self._die(number)
-        self._change(EndpointEntry(number, self.backend_models[number].cell, "gone"))
+    def _remove_backend(self, number: int) -> None:
+        self._crash_backend(number)
+        self._publish_endpoint(EndpointEntry(number, self.backend_models[number].cell, "gone"))
 
     def _on_crash(self, fault: Fault) -> None:
         # The list knows whether a process runs: it is told that this one is gone, and then of its start.
         for number in fault.targets:
-            self._gone(number)
+            self._remove_backend(number)
             if fault.duration:
-                self.at(fault.end, self._come_back, number)
+                self.at(fault.end, self._recover_backend, number)
 
-    def _come_back(self, number: int) -> None:
+    def _recover_backend(self, number: int) -> None:
         till = self.backend_models[number]
         if not till.collapsed:
-            self._start_again(number)
-            self._change(EndpointEntry(number, till.cell, "ready", self.now()))
+            self._restart_backend(number)
+            self._publish_endpoint(EndpointEntry(number, till.cell, "ready", self.now()))
 
     def backend_collapsed(self, till: Backend) -> None:
         """Pushed over while cold: it stays down."""
         self.rule_checker.backend_collapsed(till)
-        self._gone(till.number)
+        self._remove_backend(till.number)
 
     def _on_silent(self, fault: Fault) -> None:
         for number in fault.targets:
-            self._fall_silent(number)
-            self._change(EndpointEntry(number, self.backend_models[number].cell, "gone"), silent=True)
+            self._silence_backend(number)
+            self._publish_endpoint(
+                EndpointEntry(number, self.backend_models[number].cell, "gone"), silent=True
+            )
             if fault.duration:
-                self.at(fault.end, self._come_back, number)
+                self.at(fault.end, self._recover_backend, number)
 
     def _on_drain(self, fault: Fault) -> None:
         for number in fault.targets:
-            self._change(
+            self._publish_endpoint(
                 EndpointEntry(
                     number,
                     self.backend_models[number].cell,
@@ -210,20 +212,20 @@
                     self.backend_models[number].started_at,
                 )
             )
-            self.at(fault.end + 2 * self.idempotency_window_ms, self._gone, number)
+            self.at(fault.end + 2 * self.idempotency_window_ms, self._remove_backend, number)
 
     def _on_add(self, fault: Fault) -> None:
         speeds = self.day.streams.generator("added", int(fault.at))
         for _ in range(int(fault.magnitude)):
-            till = self._add_till(self.next_server, speeds)
+            till = self._add_backend(self.next_server, speeds)
             self.next_server += 1
             till.start(self.now())
-            self._change(EndpointEntry(till.number, till.cell, "ready", self.now()))
+            self._publish_endpoint(EndpointEntry(till.number, till.cell, "ready", self.now()))
 
     def _on_restart(self, fault: Fault) -> None:
         for number in fault.targets:
-            self._kill(number)
-            self.at(fault.end, self._revive, number)
+            self._kill_gateway(number)
+            self.at(fault.end, self._restart_gateway, number)
 
     def _on_burst(self, fault: Fault) -> None:
         """Drawn into the traffic."""
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -249,8 +249,8 @@
         super()._start_gateway(number)
         self._start_copies(number)
 
-    def _kill(self, number: int) -> None:
-        super()._kill(number)
+    def _kill_gateway(self, number: int) -> None:
+        super()._kill_gateway(number)
         for one in self.copies.values():
             if one.gateway == number and one.node is not None:
                 one.node, one.life, one.due = None, one.life + 1, float("inf")
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -81,7 +81,7 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         self.clock.at(when, call, *arguments)
 
-    def _take_in(self, till: Backend) -> None:
+    def _backend_added(self, till: Backend) -> None:
         self.backends[till.number] = self.backend_class(till, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
@@ -114,7 +114,7 @@
             for number in range(len(self.gateways)):
                 self._hand_list(number)
             for fault in self.day.faults:
-                self.clock.at(fault.at, self._strike, fault)
+                self.clock.at(fault.at, self._inject_fault, fault)
             self._begun()
             looking = asyncio.get_running_loop().create_task(self._look())
             await self.clients.run()
@@ -210,30 +210,32 @@
 
     # Faults
 
-    def _told(self, gateway: int, entry: EndpointEntry) -> None:
+    def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
         self.agents[gateway].change(entry)
 
-    def _die(self, number: int) -> None:
+    def _crash_backend(self, number: int) -> None:
         self.backends[number].die()
 
-    def _fall_silent(self, number: int) -> None:
+    def _silence_backend(self, number: int) -> None:
         self.backends[number].fall_silent()
 
-    def _start_again(self, number: int) -> None:
+    def _restart_backend(self, number: int) -> None:
         self.backends[number].come_back()
 
-    def _kill(self, number: int) -> None:
+    def _kill_gateway(self, number: int) -> None:
         self.down.add(number)
         self.gateways[number].kill(wait=False)  # which would hold up all that this process plays
         self.kills.append((self.clock.now(), number))
         self.clients.drop(number)
-        self.clock.at(self.clock.now() + self.day.parameters["front_notice_ms"], self._front_sees, number)
+        self.clock.at(
+            self.clock.now() + self.day.parameters["front_notice_ms"], self._mark_gateway_down, number
+        )
 
-    def _front_sees(self, number: int) -> None:
+    def _mark_gateway_down(self, number: int) -> None:
         if number in self.down:
             self.gateways_marked_down.add(number)
 
-    def _revive(self, number: int) -> None:
+    def _restart_gateway(self, number: int) -> None:
         gateway = self.gateways[number]
         gateway.spawn(self._known(number))
         self._hand_list(number)
@@ -257,8 +259,8 @@
             self.clock.at(self.clock.now() + 300.0, self.gateways_marked_down.add, number)
             self.clock.at(self.clock.now() + 300.0, self.clients.drop, number)
             stop = self.clock.now() + self.idempotency_window_ms + 1000.0
-            self.clock.at(stop, self._kill, number)
-            self.clock.at(stop + fault.duration, self._revive, number)
+            self.clock.at(stop, self._kill_gateway, number)
+            self.clock.at(stop + fault.duration, self._restart_gateway, number)
             self.down.add(number)
 
     def _on_counter_down(self, fault: Fault, how: Any = "refusing") -> None:
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -122,14 +122,14 @@
             self.deaths.setdefault(number, []).append((self.now(), told))
         self.gateways[number].kill(wait=False)
         self.clients.drop(number)
-        self._later(0.3, self._revive, number)
+        self._later(0.3, self._restart_gateway, number)
 
     def _trouble_kill(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
             self.deaths.setdefault(number, []).append((self.now(), None))
             self._begin_absence(number, self.now() - KILL_TAKES_MS)
-            self._kill(number)
-            self._later(trouble.lasts, self._revive, number)
+            self._kill_gateway(number)
+            self._later(trouble.lasts, self._restart_gateway, number)
 
     def _spawn(self, number: int) -> GatewayProcess:
         """Start a process of the gateway, with the agent and the list that it would have now."""
@@ -139,7 +139,7 @@
         self._hand_list(number)
         return gateway
 
-    def _revive(self, number: int) -> None:
+    def _restart_gateway(self, number: int) -> None:
         self.report.starts += 1
         self._task(self._take_in_again(self._spawn(number), time.monotonic()))
 
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -145,7 +145,7 @@
 
     # Discovery
 
-    def _told(self, gateway: int, entry: EndpointEntry) -> None:
+    def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
         for agent in (cast(SoakDiscoveryAgent, self.agents[gateway]), self.spare[gateway]):
             agent.change(entry)
         if entry.state == "ready":
