--- a/mapleshunt/net/client/listener.py
+++ b/mapleshunt/net/client/listener.py
@@ -54,16 +54,23 @@
     def __init__(
         self,
         listener: socket.socket,
-        take: Callable[[socket.socket], None],
+        on_accept: Callable[[socket.socket], None],
         counters: Counters,
         counter_prefix: str = "",
         on_descriptors_exhausted: Callable[[], object] = lambda: None,
         inherited: bool = False,
     ) -> None:
-        """`on_descriptors_exhausted` is called when this process may open no further descriptor. `inherited`:
-        the socket listened before this process began, and connections may wait in its backlog since.
+        """Prepare to accept.
+
+        Args:
+            listener: a non-blocking socket that listens, or will by `start`.
+            on_accept: called with each connection.
+            counters: the gateway's counters.
+            counter_prefix: of the names of counters and log events.
+            on_descriptors_exhausted: called when this process may open no further descriptor.
+            inherited: the socket listened before this process began, and connections may wait in its backlog.
         """
-        self.listener, self.on_accept, self.counters = listener, take, counters
+        self.listener, self.on_accept, self.counters = listener, on_accept, counters
         self.counter_prefix = counter_prefix
         self.on_descriptors_exhausted = on_descriptors_exhausted
         self.running = False
@@ -73,11 +80,13 @@
         self.blocked_since: float | None = -math.inf if inherited else None
 
     def start(self) -> None:
+        """Accept connections as they come."""
         if not self.running:
             self.running = True
             IOLoop.current().add_handler(self.listener, lambda *_: self._ready(), IOLoop.READ)
 
     def stop(self) -> None:
+        """Accept no further connection; they wait in the backlog."""
         self._block()
         if self.running and self.retry_timer is None:
             IOLoop.current().remove_handler(self.listener)
@@ -139,14 +148,15 @@
             if result is AcceptResult.EMPTY:
                 return
             if result is AcceptResult.NO_RESOURCES:
-                return self._pause()
+                self._pause()
+                return
 
     def _block(self) -> None:
         if self.blocked_since is None:
             self.blocked_since = asyncio.get_running_loop().time()
 
     def max_backlog_wait_s(self) -> float:
-        """s for which a connection that is accepted now may have waited, with its request, at most."""
+        """Return the s that a connection accepted now may have waited in the backlog, at most."""
         return 0.0 if self.blocked_since is None else asyncio.get_running_loop().time() - self.blocked_since
 
     def _pause(self) -> None:
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -173,7 +173,7 @@
         """Log what became of a request that was not served, with the id that its client knows it by."""
         now = self.now()
         attempts = " ".join(
-            f"{one.server}:{one.status or 'out'}:{now - one.sent_at:.0f}" for one in context.attempts
+            f"{one.endpoint}:{one.status or 'out'}:{now - one.sent_at:.0f}" for one in context.attempts
         )
         log.log_event(
             event,
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -25,7 +25,7 @@
     """One attempt of a request at one endpoint. Times are ms on the driver's clock."""
 
     number: int
-    server: int
+    endpoint: int
     sent_at: float
     deadline: float  # when the gateway stops waiting
     send_before: float = math.inf  # from then on none of its bytes may go out
--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -55,14 +55,14 @@
         time = now()
         is_wanted = context.awaiting_response and attempt.cancel_status is None
         in_time = attempt.deadline - time >= MIN_TIMEOUT_MS and time < attempt.send_before
-        return is_wanted and in_time and group.may_send(attempt.server)
+        return is_wanted and in_time and group.may_send(attempt.endpoint)
 
     try:
         if not may_send():
             return AttemptResult(AttemptStatus.UNSENT)
-        connection = group.take_idle(attempt.server)
+        connection = group.take_idle(attempt.endpoint)
         if connection is None:
-            connection = group.new_connection(attempt.server)
+            connection = group.new_connection(attempt.endpoint)
             attempt.connection = connection
             await connection.connect()
         attempt.connection = connection
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -55,10 +55,10 @@
 
     def _check_decision(self, context: RequestContext, attempt: Attempt) -> None:
         client_id = context.client_request_id
-        self.trace.add(client_id, "attempt_decided", f"{attempt.number} to {attempt.server}")
+        self.trace.add(client_id, "attempt_decided", f"{attempt.number} to {attempt.endpoint}")
         if attempt.number:
             self.counters.add(f"retries_after_{context.attempts[attempt.number - 1].status or 'out'}")
-        server = self.find_server(attempt.server)
+        server = self.find_server(attempt.endpoint)
         if server is not None:
             is_cold = slow_start.capacity(server, self.settings, self.now()) < 1
             broken = invariants.broken_by_slow_start(is_cold, server.allowance.level)
@@ -71,7 +71,7 @@
         attempt.zone, attempt.cell = endpoint.zone, endpoint.cell
         client_id = context.client_request_id
         self.trace.add(client_id, "attempt_written", f"{attempt.number} for {timeout_ms:.0f} ms")
-        is_ready = self.group.may_send(attempt.server) and self.group.is_current(connection)
+        is_ready = self.group.may_send(attempt.endpoint) and self.group.is_current(connection)
         since_end = None
         if not context.awaiting_response:
             since_end = 1000 * (time.monotonic() - context.response_claimed_at)
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -31,7 +31,7 @@
         ),  # the policy's literals are the values of AttemptStatus
         request_completed=not context.awaiting_response,
         attempt=attempt.number,
-        endpoint=attempt.server,
+        endpoint=attempt.endpoint,
         latency=attempt.latency_ms,
         cost=attempt.cost,
     )
--- a/mapleshunt/net/request/route.py
+++ b/mapleshunt/net/request/route.py
@@ -11,7 +11,7 @@
     deadline = min(now + action.timeout, context.deadline) if action.timeout else context.deadline
     attempt = Attempt(
         number=len(context.attempts),
-        server=action.endpoint,
+        endpoint=action.endpoint,
         sent_at=now,
         deadline=deadline,
         send_before=action.send_before,
--- a/mapleshunt/net/trace.py
+++ b/mapleshunt/net/trace.py
@@ -13,6 +13,7 @@
 
 from ..invariants import Guard
 from . import log
+from .reasons import ClientCloseReason, UpstreamCloseReason
 
 MAX_KEPT_STEPS = 2048  # some 0.5 MB, for memory is limited and its growth is priced
 MAX_LOGGED_STEPS = 64  # of the request that violates an invariant
@@ -39,7 +40,7 @@
         """Keep a step; the oldest makes room for it."""
         self.steps.append(Step(time.monotonic(), subject, event, detail))
 
-    def count_close(self, kind: str, reason: str) -> None:
+    def count_close(self, kind: str, reason: ClientCloseReason | UpstreamCloseReason) -> None:
         """Count the end of a connection of that kind by its reason."""
         self.count(f"{kind}_closed_{reason}")
 
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -93,7 +93,7 @@
                 round(context.released_at - context.received_at, 2),
                 tuple(
                     Attempt(
-                        one.server,
+                        one.endpoint,
                         one.status or "out",
                         round(one.sent_at - context.received_at, 2),
                         round(one.latency_ms, 2),
--- a/mapleshunt/server/client_admission.py
+++ b/mapleshunt/server/client_admission.py
@@ -13,7 +13,7 @@
 
 from ..lifecycle.lifecycle import Lifecycle
 from ..net import log
-from ..net.client.connection import ClientConnections
+from ..net.client.connections import ClientConnections
 from ..net.client.listener import Acceptor
 from ..net.counters import Counters
 from .descriptor_budget import DescriptorBudget
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -18,13 +18,15 @@
 from ..invariants import Guard, broken_by_starting
 from ..lifecycle.lifecycle import DrainRequester, Lifecycle
 from ..net import log
-from ..net.client.connection import MAX_UNWRITTEN_BYTES, ClientConnections
+from ..net.client.connections import ClientConnections
+from ..net.client.limits import MAX_UNWRITTEN_BYTES
 from ..net.client.listener import bind_socket
 from ..net.config import Config, ConfigError, format_address
 from ..net.counters import Counters
 from ..net.periodic import PeriodicTask
 from ..net.policy_driver import PolicyDriver
 from ..net.protocol import resp
+from ..net.reasons import ClientCloseReason
 from ..net.startup import StartupSteps
 from ..net.upstream.endpoint_group import EndpointGroup
 from .client_admission import ClientAdmission
@@ -282,7 +284,7 @@
             left = len(self.connections.connections)
             log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
             for connection in list(self.connections.connections):
-                connection.close("stopped")
+                connection.close(ClientCloseReason.PROCESS_STOPPED)
 
     async def _close(self, sweeps: list[PeriodicTask]) -> None:
         await self.endpoint_watch.close()
--- a/mapleshunt/server/lifecycle_controller.py
+++ b/mapleshunt/server/lifecycle_controller.py
@@ -7,7 +7,7 @@
 
 from ..lifecycle.lifecycle import DrainRequester, Lifecycle
 from ..net import log
-from ..net.client.connection import ClientConnections
+from ..net.client.connections import ClientConnections
 from ..net.counters import Counters
 from ..net.periodic import PeriodicTask
 from ..net.policy_driver import PolicyDriver
--- a/mapleshunt/server/monitoring.py
+++ b/mapleshunt/server/monitoring.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..net import log
-from ..net.client.connection import ClientConnections
+from ..net.client.connections import ClientConnections
 from ..net.counters import Counters
 from ..net.policy_driver import PolicyDriver
 from ..net.upstream.endpoint_group import EndpointGroup
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -17,10 +17,13 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net.client import connection as client
+from mapleshunt.net.client import limits
+from mapleshunt.net.client.connections import ClientConnections
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.policy_driver import PolicyDriver
 from mapleshunt.net.protocol import command_protocol as svc
 from mapleshunt.net.protocol import resp
+from mapleshunt.net.reasons import ClientCloseReason
 from mapleshunt.net.request.context import RequestContext
 from mapleshunt.net.request.parse import parse
 from mapleshunt.policy import Settings
@@ -65,17 +68,21 @@
     async def run() -> None:
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
-        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
-        service.add(IOStream(ours, max_write_buffer_size=client.MAX_UNWRITTEN_BYTES))
+        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service.add(IOStream(ours, max_write_buffer_size=limits.MAX_UNWRITTEN_BYTES))
         (connection,) = service.connections
         await steps(connection, theirs)
-        connection.close("test over")
+        connection.close(ClientCloseReason.PROCESS_STOPPED)
         theirs.close()
 
     asyncio.run(run())
     return decisions
 
 
+def registry_of(connection: client.ClientConnection) -> ClientConnections:
+    return cast(ClientConnections, connection.registry)
+
+
 async def rest() -> None:
     for _ in range(20):
         await asyncio.sleep(0)
@@ -99,7 +106,7 @@
         held = connection.command_count
         await rest()
         assert (
-            held == connection.command_count < 1000 and len(connection.slots) <= client.MAX_PIPELINED_COMMANDS
+            held == connection.command_count < 1000 and len(connection.slots) <= limits.MAX_PIPELINED_COMMANDS
         )
         sending.cancel()
 
@@ -122,9 +129,9 @@
         assert connection.closing and connection.is_writing()
         connection.close_if_overdue(connection.loop.time())
         assert connection in connection.registry.connections
-        monkeypatch.setattr(client, "RESPONSE_READ_TIMEOUT_S", -1.0)
+        monkeypatch.setattr(limits, "RESPONSE_READ_TIMEOUT_S", -1.0)
         connection.close_if_overdue(connection.loop.time())
-        assert connection not in connection.registry.connections and connection.close_reason != ""
+        assert connection not in connection.registry.connections and connection.close_reason is not None
 
     play(steps)
 
@@ -155,22 +162,22 @@
             await asyncio.sleep(0)
         assert theirs.recv(100) == b"-ERR a command begins with *\r\n" and theirs.recv(1) == b""
 
-    monkeypatch.setattr(client, "LINGER_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(limits, "LINGER_TIMEOUT_S", 0.01)
     assert play(steps).counters.counts["malformed_commands"] == 1
 
 
 def test_idle_connection_makes_room_and_a_busy_one_does_not() -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         ours, other = socket.socketpair()
-        connection.registry.add(IOStream(ours))
+        registry_of(connection).add(IOStream(ours))
         theirs.send(query())
         await rest()
-        assert not connection.registry.evict_idle()
+        assert not registry_of(connection).evict_idle()
         (context,) = cast(Decisions, connection.registry.driver).open_requests.values()
         context.response_sink.fail()
-        assert connection.registry.evict_idle() and not connection.stream.closed()
+        assert registry_of(connection).evict_idle() and not connection.stream.closed()
         assert theirs.recv(100) == b"-ERR failed\r\n" and theirs.recv(1) == b""
-        assert not connection.registry.evict_idle()  # the newest stays: its request may be on its way
+        assert not registry_of(connection).evict_idle()  # the newest stays: its request may be on its way
         theirs.close()
         await rest()
         assert connection.stream.closed() and connection.close_reason == "made_room"
@@ -182,14 +189,14 @@
 def test_silent_connections_make_room_before_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
     # Hundreds connect and say nothing: the oldest went first, and it was the usual clients that lost theirs.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        monkeypatch.setattr(client, "EVICT_SILENT_AFTER_S", -1.0)
+        monkeypatch.setattr(limits, "EVICT_SILENT_AFTER_S", -1.0)
         theirs.send(resp.encode_command([b"PING"]))
         await rest()
         pairs = [socket.socketpair() for _ in range(3)]
         for ours, _ in pairs:
-            connection.registry.add(IOStream(ours))
-        assert connection.registry.evict_idle() and connection.registry.evict_idle()
-        assert connection.registry.evict_idle() and connection.linger_timer is not None
+            registry_of(connection).add(IOStream(ours))
+        assert registry_of(connection).evict_idle() and registry_of(connection).evict_idle()
+        assert registry_of(connection).evict_idle() and connection.linger_timer is not None
         assert len(connection.registry.connections) == 2  # it, which was answered, and the newest
         for _, other in pairs:
             other.close()
@@ -202,13 +209,13 @@
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         pairs = [socket.socketpair() for _ in range(4)]
         for ours, other in pairs:
-            connection.registry.add(IOStream(ours))
+            registry_of(connection).add(IOStream(ours))
             other.send(resp.encode_command([b"PING"]))
         theirs.send(query())
         await rest()
-        connection.registry.reap_overdue(2, 3600.0)
+        registry_of(connection).reap_overdue(2, 3600.0)
         assert len(connection.registry.connections) == 5
-        connection.registry.reap_overdue(2, 0.0)
+        registry_of(connection).reap_overdue(2, 0.0)
         assert (
             len(connection.registry.connections) - connection.registry.lingering_count == 2
             and not connection.closing
@@ -226,14 +233,14 @@
 def test_connection_with_bytes_not_read_yet_is_not_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     # Ending it lost the request that had come and lay unread.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        monkeypatch.setattr(client, "IDLE_TIMEOUT_S", -1.0)
+        monkeypatch.setattr(limits, "IDLE_TIMEOUT_S", -1.0)
         ours, other = socket.socketpair()
-        connection.registry.add(IOStream(ours))
+        registry_of(connection).add(IOStream(ours))
         await rest()
         theirs.send(query())
-        assert not connection.registry.evict_idle()
-        connection.registry.reap_overdue(9, 0.5)
-        connection.registry.close_idle(draining=True, rejecting_new_requests=False)
+        assert not registry_of(connection).evict_idle()
+        registry_of(connection).reap_overdue(9, 0.5)
+        registry_of(connection).close_idle(draining=True, rejecting_new_requests=False)
         await rest()
         assert not connection.stream.closed() and len(connection.slots) == 1
         other.close()
@@ -246,13 +253,13 @@
     # of the loop later. A search for an idle connection in between raised AttributeError in the acceptor.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         ours, other = socket.socketpair()
-        connection.registry.add(IOStream(ours))
+        registry_of(connection).add(IOStream(ours))
         await rest()
         connection.stream.close()
         assert not connection.has_unread_bytes()
-        connection.registry.evict_idle()
+        registry_of(connection).evict_idle()
         connection.last_write_at = 1.0  # an answer has gone out: finish would shut the socket down
-        connection.start_close("drained")
+        connection.start_close(ClientCloseReason.DRAINED)
         await rest()
         assert connection not in connection.registry.connections
         other.close()
@@ -270,10 +277,10 @@
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         theirs.send(sent)
         await rest()
-        connection.registry.reap_overdue(9, 0.5)
+        registry_of(connection).reap_overdue(9, 0.5)
         assert not connection.stream.closed()
-        monkeypatch.setattr(client, "IDLE_TIMEOUT_S", -1.0)
-        connection.registry.reap_overdue(9, 0.5)
+        monkeypatch.setattr(limits, "IDLE_TIMEOUT_S", -1.0)
+        registry_of(connection).reap_overdue(9, 0.5)
         await rest()
         assert theirs.recv(100) == got
         assert got == b"" or theirs.recv(1) == b""
@@ -296,12 +303,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        monkeypatch.setattr(client, "UNACCEPTABLE_COMMAND_DELAY_S", 0.0)
+        monkeypatch.setattr(limits, "UNACCEPTABLE_COMMAND_DELAY_S", 0.0)
         theirs.send(600 * query(b"c=odd,t=wide,d=9"))
         while not connection.closing:
             await asyncio.sleep(0)
         assert (
-            connection.command_count == client.MAX_UNACCEPTABLE_COMMANDS
+            connection.command_count == limits.MAX_UNACCEPTABLE_COMMANDS
             and connection.close_reason == "malformed_command"
         )
 
@@ -351,35 +358,35 @@
     # While it waited for room nothing read the connection: 32 requests of one that had left were served on.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         decisions = cast(Decisions, connection.registry.driver)
-        theirs.send(b"".join(query() for _ in range(client.MAX_PIPELINED_COMMANDS + 9)))
-        await until(lambda: connection.pause_reason == "room")
+        theirs.send(b"".join(query() for _ in range(limits.MAX_PIPELINED_COMMANDS + 9)))
+        await until(lambda: connection.pause_reason is client.PauseReason.PIPELINE_FULL)
         theirs.close()
         await until(lambda: connection not in connection.registry.connections)
-        assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS
+        assert len(decisions.left) == limits.MAX_PIPELINED_COMMANDS
 
     play(steps)
 
 
 def test_flood_beyond_what_is_read_ahead_whose_client_goes_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its end stood in the kernel behind what nobody read.
-    monkeypatch.setattr(client, "HANG_UP_CHECK_INTERVAL_S", 0.0)
+    monkeypatch.setattr(limits, "HANG_UP_CHECK_INTERVAL_S", 0.0)
 
     async def steps(_: client.ClientConnection, __: socket.socket) -> None:
         decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.add(IOStream(ours))
         (connection,) = service.connections
         flood = b"".join(query() for _ in range(3 * resp.MAX_MESSAGE_BYTES // len(query())))
         await asyncio.get_running_loop().sock_sendall(theirs, flood)
         buffer = connection.buffer
         await until(lambda: connection.consumed_bytes + buffer.end - buffer.start == len(flood))
-        assert not decisions.left and len(decisions.open_requests) == client.MAX_PIPELINED_COMMANDS < len(
+        assert not decisions.left and len(decisions.open_requests) == limits.MAX_PIPELINED_COMMANDS < len(
             connection.slots
         )
         assert connection.buffer.max_bytes >= buffer.end - buffer.start
         theirs.close()
         await until(lambda: connection not in connection.registry.connections)
-        assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS
+        assert len(decisions.left) == limits.MAX_PIPELINED_COMMANDS
 
     play(steps)
 
@@ -405,10 +412,10 @@
             slept.append(delay)
             await rested(0)
 
-        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.add(IOStream(ours))
         theirs.setblocking(True)
-        flood = b"".join(query() for _ in range(3 * client.MAX_REFUSED_COMMANDS // 2)) + bytes(1 << 22)
+        flood = b"".join(query() for _ in range(3 * limits.MAX_REJECTED_COMMANDS // 2)) + bytes(1 << 22)
 
         def send() -> None:
             theirs.sendall(flood)
@@ -420,7 +427,7 @@
         await until(lambda: not service.connections)
         monkeypatch.undo()
         sending.join()
-        assert len(decisions.left) == client.MAX_PIPELINED_COMMANDS == len(decisions.open_requests)
+        assert len(decisions.left) == limits.MAX_PIPELINED_COMMANDS == len(decisions.open_requests)
         assert sum(slept) <= 0.2, "that is how long it went on beside what the reading takes"
 
     play(steps)
@@ -430,7 +437,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Its patience was counted from when it was taken.
-    monkeypatch.setattr(client, "UNACCEPTABLE_COMMAND_DELAY_S", 3600.0)
+    monkeypatch.setattr(limits, "UNACCEPTABLE_COMMAND_DELAY_S", 3600.0)
 
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         theirs.send(query(b"c=odd,t=wide,d=9") + query())
@@ -450,7 +457,7 @@
         connection.registry.is_ready = lambda: False
         theirs.send(query())
         await until(lambda: decisions.open_requests)
-        connection.registry.close_idle(draining=True, rejecting_new_requests=True)
+        registry_of(connection).close_idle(draining=True, rejecting_new_requests=True)
         theirs.send(query() + ping + query())
         await until(lambda: connection.command_count == 4)
         (context,) = decisions.open_requests.values()  # none of the others was put before the decisions
@@ -475,7 +482,7 @@
 
     async def steps(_: client.ClientConnection, __: socket.socket) -> None:
         decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = client.ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
         service.add(IOStream(ours))
         (connection,) = service.connections
         long = resp.encode_bulk(memoryview(bytes(resp.MAX_VALUE_BYTES)))
@@ -498,7 +505,7 @@
                 service.add(IOStream(pair[0]))
                 assert service.evict_idle()
             case "idle":
-                connection.close_if_overdue(connection.last_activity_at + client.IDLE_TIMEOUT_S)
+                connection.close_if_overdue(connection.last_activity_at + limits.IDLE_TIMEOUT_S)
         assert connection.close_reason == how and connection.linger_timer is not None
         theirs.sendall(query())
         await rest()
@@ -513,7 +520,7 @@
     # Its time for a command was counted from the opening of the connection.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         connection.last_activity_at = connection.command_started_at = (
-            connection.last_activity_at - 100 * client.IDLE_TIMEOUT_S
+            connection.last_activity_at - 100 * limits.IDLE_TIMEOUT_S
         )
         whole, rests = query(), list[float]()
         for at in range(0, len(whole) - 1, 20):
@@ -522,10 +529,10 @@
             await until(lambda: connection.last_activity_at > rests[-1])
             connection.close_if_overdue(asyncio.get_running_loop().time())
             assert not connection.closing
-        connection.close_if_overdue(connection.last_activity_at + client.IDLE_TIMEOUT_S / 2)
+        connection.close_if_overdue(connection.last_activity_at + limits.IDLE_TIMEOUT_S / 2)
         assert not connection.closing
-        connection.command_started_at -= client.COMMAND_READ_TIMEOUT_S  # but not for ever
-        connection.close_if_overdue(connection.last_activity_at + client.IDLE_TIMEOUT_S / 2)
+        connection.command_started_at -= limits.COMMAND_READ_TIMEOUT_S  # but not for ever
+        connection.close_if_overdue(connection.last_activity_at + limits.IDLE_TIMEOUT_S / 2)
         assert connection.close_reason == "half_a_command"
 
     play(steps)
@@ -537,16 +544,16 @@
     def __init__(self) -> None:
         super().__init__()
         self.kept = (
-            client.LINGER_TIMEOUT_S,
-            client.UNACCEPTABLE_COMMAND_DELAY_S,
-            client.MAX_UNACCEPTABLE_COMMANDS,
-            client.EVICT_SILENT_AFTER_S,
+            limits.LINGER_TIMEOUT_S,
+            limits.UNACCEPTABLE_COMMAND_DELAY_S,
+            limits.MAX_UNACCEPTABLE_COMMANDS,
+            limits.EVICT_SILENT_AFTER_S,
         )  # no step rests on time
         (
-            client.LINGER_TIMEOUT_S,
-            client.UNACCEPTABLE_COMMAND_DELAY_S,
-            client.MAX_UNACCEPTABLE_COMMANDS,
-            client.EVICT_SILENT_AFTER_S,
+            limits.LINGER_TIMEOUT_S,
+            limits.UNACCEPTABLE_COMMAND_DELAY_S,
+            limits.MAX_UNACCEPTABLE_COMMANDS,
+            limits.EVICT_SILENT_AFTER_S,
         ) = 3600.0, 0.0, 1000, -1.0
         self.loop = asyncio.new_event_loop()
         self.decisions = Decisions()
@@ -584,7 +591,7 @@
         self.theirs.setblocking(False)
 
         def start() -> None:
-            self.service = client.ClientConnections(cast(PolicyDriver, self.decisions), Counters(), 1, 1000)
+            self.service = ClientConnections(cast(PolicyDriver, self.decisions), Counters(), 1, 1000)
             self.service.add(IOStream(ours))
             (self.connection,) = self.service.connections
 
@@ -713,14 +720,14 @@
 
     def teardown(self) -> None:
         if hasattr(self, "connection"):
-            self.do(lambda: self.connection.close("test over"))
+            self.do(lambda: self.connection.close(ClientCloseReason.PROCESS_STOPPED))
             self.theirs.close()
         self.loop.close()
         (
-            client.LINGER_TIMEOUT_S,
-            client.UNACCEPTABLE_COMMAND_DELAY_S,
-            client.MAX_UNACCEPTABLE_COMMANDS,
-            client.EVICT_SILENT_AFTER_S,
+            limits.LINGER_TIMEOUT_S,
+            limits.UNACCEPTABLE_COMMAND_DELAY_S,
+            limits.MAX_UNACCEPTABLE_COMMANDS,
+            limits.EVICT_SILENT_AFTER_S,
         ) = self.kept
 
 
