--- a/mapleshunt/policy/slow_start.py
+++ b/mapleshunt/policy/slow_start.py
@@ -1,5 +1,4 @@
-"""Slow start: how much of its full capacity an endpoint that has just started is sure to have, and may be
-sent.
+"""Slow start: how much of its full capacity an endpoint that has just started is sure to have, and may be sent.
 
 All gateways send to the same endpoint, so each sends its part of what warm endpoints answer.
 """
