--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -196,7 +196,7 @@
             query_operator_port(_addresses(section)[name], section.fleet, "recover", group, confirm)
         )
         end = time.monotonic() + PATIENCE
-        while reply is not None and reply.how == "done" and time.monotonic() < end:
+        while reply is not None and reply.status == "done" and time.monotonic() < end:
             if (leads := leader_status(_statuses(section), group)) is not None:
                 click.echo(f"group {group} goes on at {leads['leader']}; other copies follow")
                 return
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -94,7 +94,7 @@
         if number != self.number or not self.command:
             return
         now = self.copies.now()
-        if reply.how != "done":
+        if reply.status != "done":
             self.copies.learn(self.group, reply)
             self.next = min(self.next, now + EVERY / 2)
             return
@@ -197,7 +197,7 @@
         self.call = self.copies.call(0, b"", self.copies.leads(0), lambda one: self._told(now, one), read)
 
     def _told(self, asked: float, reply: wire.ClientResponse) -> None:
-        if reply.how != "done":
+        if reply.status != "done":
             self.copies.learn(0, reply)
             self.asked = min(self.asked, self.copies.now() - IDLE + EVERY / 2)  # soon again
             return
@@ -250,7 +250,7 @@
                 )  # fmt: skip
 
         def read(group: int, reply: wire.ClientResponse) -> None:
-            if reply.how == "done" and not self.line(group).busy():
+            if reply.status == "done" and not self.line(group).busy():
                 known: Record | None = msgspec.msgpack.decode(reply.data, type=Record | None)
                 if (known.value if known is not None else "") == before:
                     put = h.SetRecord(key, value, known.version if known is not None else 0)
@@ -282,5 +282,5 @@
             log.log_event("maintenance_waits", why=works.blocked or "no more")
 
     def _status(self, peer: str, reply: wire.ClientResponse) -> None:
-        if reply.how == "done":
+        if reply.status == "done":
             self.statuses[peer] = (self.copies.now(), msgspec.msgpack.decode(reply.data))
--- a/mapleshunt/net/replication/connections.py
+++ b/mapleshunt/net/replication/connections.py
@@ -191,7 +191,7 @@
     async def _run(self, link: PeerConnection) -> None:
         reason = await link.run()
         self.strangers.pop(link, None)
-        peer = link.hello.name if link.hello is not None and link.hello.incarnation else ""
+        peer = link.hello.gateway if link.hello is not None and link.hello.incarnation else ""
         if self.links.get(peer) is link:
             del self.links[peer]
         if peer or reason != "closed":
@@ -202,13 +202,13 @@
         assert hello is not None
         if not hello.incarnation:
             return  # a client
-        if hello.name not in self.peers or (link.dialled and link.dialled != hello.name):
-            raise wire.ProtocolError(f"{hello.name!r} is not expected here")
+        if hello.gateway not in self.peers or (link.dialled and link.dialled != hello.gateway):
+            raise wire.ProtocolError(f"{hello.gateway!r} is not expected here")
         self.strangers.pop(link, None)
-        if (before := self.links.get(hello.name)) is not None:
+        if (before := self.links.get(hello.gateway)) is not None:
             before.stream.close()  # the other end has begun anew
-        self.links[hello.name] = link
-        log.log_event("link_up", peer=hello.name, incarnation=hello.incarnation, boot=hello.boot)
+        self.links[hello.gateway] = link
+        log.log_event("link_up", peer=hello.gateway, incarnation=hello.incarnation, boot=hello.boot)
         self.told_met(hello)
 
     def here(self, peer: str) -> wire.Handshake | None:
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -143,7 +143,7 @@
 
     def _answer(self, call: int, how: str, hint: str) -> None:
         if how == "read" and call in self.calls:
-            self._reply(call, "done", "", self._read(self.calls[call][1].read))
+            self._reply(call, "done", "", self._read(self.calls[call][1].query))
         else:
             self._reply(call, how, m.gateway_of(hint), b"")
 
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
+from ...replication import boots, generations, wire
 from ...replication import messages as m
-from ...replication import wire
 from ...replication.config import RaftConfig
 from ...replication.membership import GatewayPresence, ReplacementDelays, next_membership_step
 from ...replication.pace import SnapshotPacer
@@ -200,7 +200,7 @@
         host = self.hosts.get(group)
         if host is None or not host.begun or host.leads() or told != host.state() or self.quorum(host):
             return "refused", "", b""
-        generation = wire.next_generation(self.generations.get(group, 0), self.chance.getrandbits(16))
+        generation = generations.next_generation(self.generations.get(group, 0), self.chance.getrandbits(16))
         log.log_event("copies_recovered", group=group, last=host.node.log.last_index(),
                 commit=host.node.commit_index,
                 without=",".join(host.node.members().all()), generation=generation)  # fmt: skip
@@ -234,7 +234,7 @@
 
     def send(self, group: int, to: m.Replica, message: m.Message) -> None:
         gateway, _, incarnation = to.rpartition("/")
-        channel = wire.channel_of(group, self.generations.get(group, 0))
+        channel = generations.channel_of(group, self.generations.get(group, 0))
         self.links.send(gateway, incarnation, channel, message)
 
     def send_pieces(self) -> None:
@@ -256,16 +256,16 @@
         )  # fmt: skip
 
     def _met(self, hello: wire.Handshake) -> None:
-        told = dict(hello.known)
+        told = dict(hello.known_boots)
         mine = told.pop(self.disk.incarnation, 0)
-        known = wire.remember_boot(wire.merge_known_boots(self.known, told), hello.incarnation, hello.boot)
-        changed = known != self.known or hello.formed | self.formed != self.formed
-        self.known, self.formed = known, self.formed | hello.formed  # the order of `known` counts too
+        known = boots.remember_boot(boots.merge_known_boots(self.known, told), hello.incarnation, hello.boot)
+        changed = known != self.known or hello.formed_groups | self.formed != self.formed
+        self.known, self.formed = known, self.formed | hello.formed_groups  # the order of `known` counts too
         if changed:
             self._keep_known()
-        self.since[hello.name] = self.now()
-        if wire.is_store_outdated(self.disk.boot, mine):
-            self._older(hello.name, mine)
+        self.since[hello.gateway] = self.now()
+        if boots.is_store_outdated(self.disk.boot, mine):
+            self._older(hello.gateway, mine)
         for group, generation in hello.generations.items():
             if 0 <= group < self.section.groups and generation > self.generations.get(group, 0):
                 self._superseded(group, generation)
@@ -295,7 +295,7 @@
         self.writer.call(renew)
 
     def _heard(self, hello: wire.Handshake, channel: int, message: m.Message) -> None:
-        group, generation = wire.group_and_generation(channel)
+        group, generation = generations.group_and_generation(channel)
         if not 0 <= group < self.section.groups:
             raise wire.ProtocolError(f"there is no group {group}")
         if generation < self.generations.get(group, 0):
@@ -306,7 +306,7 @@
         if host is None:  # it is to become a copy, or its vote is wanted: it has none, and says so
             self._create(group, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
         else:
-            host.step(m.MessageReceived(f"{hello.name}/{hello.incarnation}", message))
+            host.step(m.MessageReceived(f"{hello.gateway}/{hello.incarnation}", message))
 
     def _called(
         self, link: PeerConnection | LocalConnection, frame: wire.ClientRequest | wire.AdminRequest
@@ -356,8 +356,8 @@
 
     def learn(self, group: int, reply: wire.ClientResponse) -> None:
         """A call was refused: go where the reply points, or anywhere."""
-        if reply.hint:
-            self.led[group] = reply.hint
+        if reply.leader_hint:
+            self.led[group] = reply.leader_hint
         else:
             self.led.pop(group, None)
 
@@ -373,16 +373,16 @@
         return self.chance.choice(here) if here else self.name
 
     def _asked(self, ask: wire.AdminRequest) -> tuple[str, str, bytes]:
-        if ask.what == "status":
+        if ask.operation == "status":
             return "done", "", msgspec.msgpack.encode(self.status())
-        if ask.what == "recover":
-            return self._recover(ask.group, ask.copy)
+        if ask.operation == "recover":
+            return self._recover(ask.group, ask.replica)
         host = self.hosts.get(ask.group)
         if host is None or host.node.role is not Role.LEADER:
             hint = m.gateway_of(host.node.leader) if host is not None else ""
             return "refused", hint, b""
-        if ask.what == "transfer":
-            host.step(m.TransferLeadership(ask.copy))
+        if ask.operation == "transfer":
+            host.step(m.TransferLeadership(ask.replica))
             return "done", "", b""
         return "refused", "", b""
 
@@ -444,7 +444,9 @@
         here = {one: hello for one, hello in hellos.items() if hello is not None}
         if holders[0] != self.name or not all(one == self.name or one in here for one in holders):
             return
-        if 2 * (len(here) + 1) <= len(self.zones) or any(one.formed >> group & 1 for one in here.values()):
+        if 2 * (len(here) + 1) <= len(self.zones) or any(
+            one.formed_groups >> group & 1 for one in here.values()
+        ):
             return
         copies = tuple(self.me if one == self.name else f"{one}/{here[one].incarnation}" for one in holders)
         log.log_event("copies_formed", group=group, voters=",".join(copies))
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -84,8 +84,8 @@
         if one is None:
             return
         now = asyncio.get_running_loop().time()
-        if reply.how != "done":
-            self.hint = reply.hint
+        if reply.status != "done":
+            self.hint = reply.leader_hint
             one.next = min(one.next, now + EVERY / 1000)
             return
         result = decode_result(reply.data)
--- a/mapleshunt/replication/election.py
+++ b/mapleshunt/replication/election.py
@@ -33,7 +33,7 @@
         self.leader: Replica = ""
         self.leader_heard_at = NEVER
         self.deadline = NEVER  # when the election timeout runs out; the node sets it as it begins
-        self.on_elected: Callable[[float], None] = lambda now: None
+        self.on_elected: Callable[[float], None] = lambda _now: None
         self.on_step_down: Callable[[], None] = lambda: None
         self._log = log
         self._outbox = outbox
@@ -50,7 +50,7 @@
         """Make the term and the vote durable."""
         self._outbox.write(self._log.last_index(), self.term, self.voted_for)
 
-    def follow(self, now: float, term: int, leader: Replica, reason: RoleChangeReason) -> None:
+    def follow(self, term: int, leader: Replica, reason: RoleChangeReason) -> None:
         """Become a follower in that term, of that leader if it is known."""
         if term > self.term:
             self.term = term
@@ -66,7 +66,7 @@
         if term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
             newer = term > self.term
             self.follow(
-                now, term, sender, RoleChangeReason.HIGHER_TERM if newer else RoleChangeReason.LEADER_HEARD
+                term, sender, RoleChangeReason.HIGHER_TERM if newer else RoleChangeReason.LEADER_HEARD
             )
         self.leader_heard_at = now
         self.reset_timeout(now)
@@ -130,7 +130,7 @@
                 self._count_vote(now, sender)
         elif response.term > self.term:
             # Else a replica of a longer log and a lower term would ask in vain for ever.
-            self.follow(now, response.term, "", RoleChangeReason.HIGHER_TERM)
+            self.follow(response.term, "", RoleChangeReason.HIGHER_TERM)
         elif self.role is Role.CANDIDATE and response.granted and response.term == self.term:
             self._count_vote(now, sender)
 
@@ -162,7 +162,7 @@
             self._outbox.send_when_durable(sender, VoteResponse(term, granted, True))
             return
         if request.term > self.term:
-            self.follow(now, request.term, "", RoleChangeReason.HIGHER_TERM)
+            self.follow(request.term, "", RoleChangeReason.HIGHER_TERM)
         free = self.voted_for in ("", sender) and self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
         granted = request.term == self.term and up_to_date and free
         if granted and self.voted_for != sender:
--- a/mapleshunt/replication/leader.py
+++ b/mapleshunt/replication/leader.py
@@ -122,7 +122,7 @@
             return
         self.applier.commit_to(index)
         if self.me not in self.log.members.voters and not self.log.has_uncommitted_change():
-            self.election.follow(now, self.election.term, "", RoleChangeReason.REMOVED)
+            self.election.follow(self.election.term, "", RoleChangeReason.REMOVED)
             return
         self.reads.on_commit(now)
 
@@ -181,7 +181,7 @@
     def tick(self, now: float) -> None:
         """Step down without a quorum; else send heartbeats in time."""
         if now >= self.progress.quorum_deadline():
-            self.election.follow(now, self.election.term, "", RoleChangeReason.QUORUM_LOST)
+            self.election.follow(self.election.term, "", RoleChangeReason.QUORUM_LOST)
             self.election.reset_timeout(now)
             return
         if self._transfer_to and now >= self._transfer_deadline:
--- a/mapleshunt/replication/node.py
+++ b/mapleshunt/replication/node.py
@@ -186,7 +186,7 @@
         self, now: float, sender: Replica, message: AppendEntriesResponse | SnapshotChunkAck
     ) -> None:
         if message.term > self.term:
-            self.election.follow(now, message.term, "", RoleChangeReason.HIGHER_TERM)
+            self.election.follow(message.term, "", RoleChangeReason.HIGHER_TERM)
         elif self.leadership is None or message.term != self.term:
             return
         elif isinstance(message, AppendEntriesResponse):
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -125,12 +125,12 @@
         while True:
             number += 1
             reply = await self._once(make(number + 1000 * self.number))
-            if reply is not None and reply.how == "done":
+            if reply is not None and reply.status == "done":
                 return reply.data
             self.repeats += 1
-            if reply is not None and reply.hint in self.gateways:
+            if reply is not None and reply.leader_hint in self.gateways:
                 self._leave()
-                self.at = reply.hint
+                self.at = reply.leader_hint
             elif reply is not None:
                 self._leave()
             await asyncio.sleep(self.chance.uniform(0.01, 0.1))
@@ -151,7 +151,7 @@
         self.number += 1
         event = HistoryEvent(self.name, self.number, f"{kind} {name}", self.now())
         self.history.append(event)
-        data = await self._until(lambda n: wire.ClientRequest(n, self.group, read=f"{kind} {name}"))
+        data = await self._until(lambda n: wire.ClientRequest(n, self.group, query=f"{kind} {name}"))
         found = msgspec.msgpack.decode(data, type=type or (TokenBucket if kind == "store" else Record) | None)
         event.result, event.ended = found, self.now()
         return found
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -22,8 +22,8 @@
 from mapleshunt.net.replication.connections import PeerConnection
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.results import Applied
+from mapleshunt.replication import boots, wire
 from mapleshunt.replication import messages as m
-from mapleshunt.replication import wire
 from mapleshunt.replication.placement import group_of_customer, place_replicas, rank_gateways
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import SettingsError
@@ -281,23 +281,23 @@
 
 def test_a_disk_that_was_put_back_is_known_by_its_boot() -> None:
     first, second, again = (1 << 32) + 5, (2 << 32) + 9, (2 << 32) + 11
-    assert not wire.is_store_outdated(second, second) and not wire.is_store_outdated(second, first)
-    assert wire.is_store_outdated(first, second)
-    assert wire.is_store_outdated(again, second) and not wire.is_store_outdated(second, 0)
-    assert wire.merge_known_boots({"a": second}, {"a": again, "b": 1}) == {"a": second, "b": 1}
-    assert wire.merge_known_boots({"a": first}, {"a": second}) == {"a": second}
+    assert not boots.is_store_outdated(second, second) and not boots.is_store_outdated(second, first)
+    assert boots.is_store_outdated(first, second)
+    assert boots.is_store_outdated(again, second) and not boots.is_store_outdated(second, 0)
+    assert boots.merge_known_boots({"a": second}, {"a": again, "b": 1}) == {"a": second, "b": 1}
+    assert boots.merge_known_boots({"a": first}, {"a": second}) == {"a": second}
 
 
 def test_the_boot_of_whoever_is_met_is_remembered_however_many_incarnations_are_gone() -> None:
     """Each disk that was lost leaves one behind. Without its boot a disk that is put back is not known."""
-    gone = {f"gone-{number}": 1 << 32 for number in range(2 * wire.MAX_KNOWN_INCARNATIONS)}
-    known = wire.merge_known_boots({}, gone)
-    known = wire.remember_boot(known, "here", 2 << 32)
-    assert known["here"] == 2 << 32 and len(known) <= wire.MAX_KNOWN_INCARNATIONS
-    for number in range(wire.MAX_KNOWN_INCARNATIONS // 2):
-        known = wire.remember_boot(wire.merge_known_boots(known, gone), f"new-{number}", 1 << 32)
-    assert known["here"] == 2 << 32 and len(known) <= wire.MAX_KNOWN_INCARNATIONS
-    assert wire.remember_boot(known, "here", 1 << 32)["here"] == 2 << 32  # its disk was put back
+    gone = {f"gone-{number}": 1 << 32 for number in range(2 * boots.MAX_KNOWN_INCARNATIONS)}
+    known = boots.merge_known_boots({}, gone)
+    known = boots.remember_boot(known, "here", 2 << 32)
+    assert known["here"] == 2 << 32 and len(known) <= boots.MAX_KNOWN_INCARNATIONS
+    for number in range(boots.MAX_KNOWN_INCARNATIONS // 2):
+        known = boots.remember_boot(boots.merge_known_boots(known, gone), f"new-{number}", 1 << 32)
+    assert known["here"] == 2 << 32 and len(known) <= boots.MAX_KNOWN_INCARNATIONS
+    assert boots.remember_boot(known, "here", 1 << 32)["here"] == 2 << 32  # its disk was put back
 
 
 def test_too_long_a_frame_is_told_from_its_head() -> None:
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -167,15 +167,15 @@
         await lead(host, "g1/1")
         reader, writer = Client(), Client()
         monkeypatch.setattr(host, "_read", lambda what: bytes(2 * wire.MAX_FRAME_BYTES))
-        host.called(reader, wire.ClientRequest(1, 0, read="works"))
+        host.called(reader, wire.ClientRequest(1, 0, query="works"))
         host.called(
             writer, wire.ClientRequest(2, 0, words.encode(words.Command("s", 1, 1, words.OpenSession())))
         )
         with contextlib.suppress(ValueError):  # as the follower's link contains it
             await follow(host, "g1/1")
         assert "s" in host.holdings.sessions
-        assert [one.how for one in writer.replies] == ["done"]
-        assert [one.how for one in reader.replies[-1:]] == ["unknown"]
+        assert [one.status for one in writer.replies] == ["done"]
+        assert [one.status for one in reader.replies[-1:]] == ["unknown"]
         for one in (reader, writer):
             one.close()
         copies.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -71,11 +71,14 @@
     "snapshot part taken": (replication.SnapshotChunkAck, "term index next_offset round"),
     "timeout now": (replication.TimeoutNow, "term"),
     # Frames
-    "hello": (wire.Handshake, "fleet lowest highest name incarnation boot known formed generations"),
+    "hello": (
+        wire.Handshake,
+        "fleet min_version max_version gateway incarnation boot known_boots formed_groups generations",
+    ),
     "packet": (wire.MessageBatch, "messages"),
-    "call": (wire.ClientRequest, "number group command read"),
-    "reply": (wire.ClientResponse, "number how hint data"),
-    "question": (wire.AdminRequest, "number what group copy"),
+    "call": (wire.ClientRequest, "number group command query"),
+    "reply": (wire.ClientResponse, "number status leader_hint data"),
+    "question": (wire.AdminRequest, "number operation group replica"),
     # Commands and their results
     "command": (words.Command, "session number answered operation"),
     "open": (words.OpenSession, ""),
