--- a/mapleshunt/testbed/maintenance_work.py
+++ b/mapleshunt/testbed/maintenance_work.py
@@ -17,7 +17,7 @@
     """Return the state of maintenance as the group's leader has it; repeats its call until it is answered."""
     works = MaintenanceJobs()
     _, frozen = await client.read("works", "", tuple[float, MaintenanceSnapshot])
-    works.thaw(frozen)
+    works.restore(frozen)
     return works
 
 
@@ -29,10 +29,10 @@
     `restart` gets the machine's name and returns once its gateway is back. A cancelled call leaves the
     machine out.
     """
-    result = await client.do(w.ReportProgress(place.machine, place.fence, "out"))
+    result = await client.do(w.ReportProgress(place.machine, place.fencing_token, "out"))
     if isinstance(result, Applied):
         await restart(place.machine)
-        await client.do(w.ReportProgress(place.machine, place.fence, "returning"))
+        await client.do(w.ReportProgress(place.machine, place.fencing_token, "returning"))
 
 
 def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
