--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -143,7 +143,7 @@
         event = HistoryEvent(self.name, mine, operation, self.now())
         self.history.append(event)
         result = decode_result(await self._until(lambda n: wire.ClientRequest(n, self.group, data)))
-        event.result, event.ended = result, self.now()
+        event.result, event.ended_at = result, self.now()
         return result
 
     async def read(self, kind: str, name: str, type: Any = None) -> Any:
@@ -153,7 +153,7 @@
         self.history.append(event)
         data = await self._until(lambda n: wire.ClientRequest(n, self.group, query=f"{kind} {name}"))
         found = msgspec.msgpack.decode(data, type=type or (TokenBucket if kind == "store" else Record) | None)
-        event.result, event.ended = found, self.now()
+        event.result, event.ended_at = found, self.now()
         return found
 
     def close(self) -> None:
