--- a/mapleshunt/testbed/faults/schedule.py
+++ b/mapleshunt/testbed/faults/schedule.py
@@ -88,7 +88,7 @@
             await self.fleet.wait_for_answers(CALLS_BETWEEN_FAULTS, SETTLE_TIMEOUT_S)
 
     def _unanswered_calls(self) -> list[str]:
-        unanswered = [f"{event.session} {event.number}" for event in self.fleet.history if not event.ended]
+        unanswered = [f"{event.session} {event.number}" for event in self.fleet.history if not event.ended_at]
         return unanswered[:MAX_LISTED_CALLS]
 
 
--- a/mapleshunt/testbed/soak/maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -49,4 +49,4 @@
 
     async def _open_places(self, request: str) -> list[MachineJob]:
         works = await read_maintenance_state(self.caller)
-        return [one for one in works.open() if one.request == request]
+        return [one for one in works.open_jobs() if one.request_id == request]
