--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -14,12 +14,13 @@
 
 import msgspec
 
+from ...replication import boots, generations, wire
 from ...replication import messages as m
-from ...replication import wire
+from ...replication.config import RaftConfig
 from ...replication.membership import GatewayPresence, ReplacementDelays, next_membership_step
-from ...replication.node import RaftConfig
 from ...replication.pace import SnapshotPacer
 from ...replication.placement import place_replicas
+from ...replication.roles import Role
 from ...settings.operators import Copies as Section
 from ...storage.durable_store import DurableStore, StoreError, StoreInUseError, StoreUnavailableError
 from ...storage.writer import StoreWriter
@@ -74,7 +75,7 @@
         self.zones = {one.name: one.zone for one in section.peer}
         addresses = self.check(section, name)
         election = section.election_ms / 1000
-        self.timing = RaftConfig(election=election, heartbeat=election / 5)
+        self.timing = RaftConfig(election_timeout_s=election, heartbeat_interval_s=election / 5)
         self.disk = disk
         if self.disk.set_aside:
             log.log_event(
@@ -190,7 +191,7 @@
         if (host := self.hosts.pop(group, None)) is not None:
             host.end()
             log.log_event(
-                "copies_superseded", group=group, last=host.node.last_index(), generation=generation
+                "copies_superseded", group=group, last=host.node.log.last_index(), generation=generation
             )
         self.writer.call(lambda: self.disk.forget(group, generation))
 
@@ -199,8 +200,9 @@
         host = self.hosts.get(group)
         if host is None or not host.begun or host.leads() or told != host.state() or self.quorum(host):
             return "refused", "", b""
-        generation = wire.next_generation(self.generations.get(group, 0), self.chance.getrandbits(16))
-        log.log_event("copies_recovered", group=group, last=host.node.last_index(), commit=host.node.commit,
+        generation = generations.next_generation(self.generations.get(group, 0), self.chance.getrandbits(16))
+        log.log_event("copies_recovered", group=group, last=host.node.log.last_index(),
+                commit=host.node.commit_index,
                 without=",".join(host.node.members().all()), generation=generation)  # fmt: skip
         host.end()
         del self.hosts[group]
@@ -221,7 +223,7 @@
         """Are most of a group's voters there, or has it heard of a leader of late?"""
         members = host.node.members()
         here = sum(one == self.me or self._copy_of(m.gateway_of(one)) == one for one in members.voters)
-        heard = host.node.heard_leader > self.now() - 2 * self.timing.election
+        heard = host.node.election.leader_heard_at > self.now() - 2 * self.timing.election_timeout_s
         return host.leads() or heard or here >= members.majority()
 
     def _keep_known(self) -> None:
@@ -232,7 +234,7 @@
 
     def send(self, group: int, to: m.Replica, message: m.Message) -> None:
         gateway, _, incarnation = to.rpartition("/")
-        channel = wire.channel_of(group, self.generations.get(group, 0))
+        channel = generations.channel_of(group, self.generations.get(group, 0))
         self.links.send(gateway, incarnation, channel, message)
 
     def send_pieces(self) -> None:
@@ -254,16 +256,16 @@
         )  # fmt: skip
 
     def _met(self, hello: wire.Handshake) -> None:
-        told = dict(hello.known)
+        told = dict(hello.known_boots)
         mine = told.pop(self.disk.incarnation, 0)
-        known = wire.remember_boot(wire.merge_known_boots(self.known, told), hello.incarnation, hello.boot)
-        changed = known != self.known or hello.formed | self.formed != self.formed
-        self.known, self.formed = known, self.formed | hello.formed  # the order of `known` counts too
+        known = boots.remember_boot(boots.merge_known_boots(self.known, told), hello.incarnation, hello.boot)
+        changed = known != self.known or hello.formed_groups | self.formed != self.formed
+        self.known, self.formed = known, self.formed | hello.formed_groups  # the order of `known` counts too
         if changed:
             self._keep_known()
-        self.since[hello.name] = self.now()
-        if wire.is_store_outdated(self.disk.boot, mine):
-            self._older(hello.name, mine)
+        self.since[hello.gateway] = self.now()
+        if boots.is_store_outdated(self.disk.boot, mine):
+            self._older(hello.gateway, mine)
         for group, generation in hello.generations.items():
             if 0 <= group < self.section.groups and generation > self.generations.get(group, 0):
                 self._superseded(group, generation)
@@ -293,7 +295,7 @@
         self.writer.call(renew)
 
     def _heard(self, hello: wire.Handshake, channel: int, message: m.Message) -> None:
-        group, generation = wire.group_and_generation(channel)
+        group, generation = generations.group_and_generation(channel)
         if not 0 <= group < self.section.groups:
             raise wire.ProtocolError(f"there is no group {group}")
         if generation < self.generations.get(group, 0):
@@ -304,7 +306,7 @@
         if host is None:  # it is to become a copy, or its vote is wanted: it has none, and says so
             self._create(group, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
         else:
-            host.step(m.MessageReceived(f"{hello.name}/{hello.incarnation}", message))
+            host.step(m.MessageReceived(f"{hello.gateway}/{hello.incarnation}", message))
 
     def _called(
         self, link: PeerConnection | LocalConnection, frame: wire.ClientRequest | wire.AdminRequest
@@ -354,8 +356,8 @@
 
     def learn(self, group: int, reply: wire.ClientResponse) -> None:
         """A call was refused: go where the reply points, or anywhere."""
-        if reply.hint:
-            self.led[group] = reply.hint
+        if reply.leader_hint:
+            self.led[group] = reply.leader_hint
         else:
             self.led.pop(group, None)
 
@@ -371,16 +373,16 @@
         return self.chance.choice(here) if here else self.name
 
     def _asked(self, ask: wire.AdminRequest) -> tuple[str, str, bytes]:
-        if ask.what == "status":
+        if ask.operation == "status":
             return "done", "", msgspec.msgpack.encode(self.status())
-        if ask.what == "recover":
-            return self._recover(ask.group, ask.copy)
+        if ask.operation == "recover":
+            return self._recover(ask.group, ask.replica)
         host = self.hosts.get(ask.group)
-        if host is None or host.node.role != "leader":
+        if host is None or host.node.role is not Role.LEADER:
             hint = m.gateway_of(host.node.leader) if host is not None else ""
             return "refused", hint, b""
-        if ask.what == "transfer":
-            host.step(m.TransferLeadership(ask.copy))
+        if ask.operation == "transfer":
+            host.step(m.TransferLeadership(ask.replica))
             return "done", "", b""
         return "refused", "", b""
 
@@ -424,12 +426,12 @@
         except Exception:
             self.counters.add("exceptions")
             log.log_exception("copies_exception")
-        asyncio.get_running_loop().call_later(TEND * self.timing.election, self._tend)
+        asyncio.get_running_loop().call_later(TEND * self.timing.election_timeout_s, self._tend)
 
     def _may_begin(self, host: GroupHost) -> None:
         """A copy takes part once every other voter's gateway has greeted, or has had the time to."""
         others = {m.gateway_of(one) for one in host.node.members().voters} - {self.name}
-        waited = self.now() - self.begun > GRACE * self.timing.election
+        waited = self.now() - self.begun > GRACE * self.timing.election_timeout_s
         if waited or all(self.links.here(one) for one in others):
             host.begin()
 
@@ -442,7 +444,9 @@
         here = {one: hello for one, hello in hellos.items() if hello is not None}
         if holders[0] != self.name or not all(one == self.name or one in here for one in holders):
             return
-        if 2 * (len(here) + 1) <= len(self.zones) or any(one.formed >> group & 1 for one in here.values()):
+        if 2 * (len(here) + 1) <= len(self.zones) or any(
+            one.formed_groups >> group & 1 for one in here.values()
+        ):
             return
         copies = tuple(self.me if one == self.name else f"{one}/{here[one].incarnation}" for one in holders)
         log.log_event("copies_formed", group=group, voters=",".join(copies))
@@ -455,10 +459,10 @@
             host.group, self.section.size, self.me, host.node.members(), fleet, host.away(), self.patience,
             begun < MOST_MOVES,
         )  # fmt: skip
-        if step is not None and step.how == "transfer":
-            host.step(m.TransferLeadership(step.copy))
+        if step is not None and step.action is m.MembershipAction.TRANSFER_LEADERSHIP:
+            host.step(m.TransferLeadership(step.replica))
         elif step is not None:
-            host.step(m.ChangeMembership(self.local_calls.number(), step.how, step.copy))
+            host.step(m.ChangeMembership(self.local_calls.number(), step.action, step.replica))
 
     def _copy_of(self, gateway: str) -> m.Replica | None:
         hello = self.links.here(gateway)
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -24,8 +24,10 @@
 from ..replicated_state.results import Applied, Result
 from ..replicated_state.state_machine import ReplicatedState
 from ..replication import messages as m
-from ..replication.node import RaftConfig, RaftNode
+from ..replication.config import RaftConfig
+from ..replication.node import RaftNode
 from ..replication.placement import group_of_customer, place_replicas
+from ..replication.roles import Role
 from .day import Day, Scenario
 from .engine import Engine
 from .replication_plays import VirtualDisk
@@ -112,9 +114,11 @@
             return False
         self.plans[customer] = plan.name
         self.do(
-            self.leaser.demand(now, customer, plan.rate, plan.burst, request.gateway_set_size, request.units)
+            self.leaser.request_units(
+                now, customer, plan.rate, plan.burst, request.gateway_set_size, request.units
+            )
         )
-        there = customer in self.waiting or self.leaser.waits(now, customer, request.units)
+        there = customer in self.waiting or self.leaser.is_waiting(now, customer, request.units)
         if there and self.sound and request.remaining_time > 2 * HOLD:
             self.waiting.setdefault(customer, []).append((now + HOLD, request, now))
             return True
@@ -125,8 +129,8 @@
         while waiting:
             end, request, since = waiting[0]
             if now < end and self._level(customer, now) < request.units:
-                self.do(self.leaser.more(now, customer, request.units))
-                if self.leaser.waits(now, customer, request.units):
+                self.do(self.leaser.request_more(now, customer, request.units))
+                if self.leaser.is_waiting(now, customer, request.units):
                     self.waiting[customer] = waiting + self.waiting.pop(customer, [])
                     return
             del waiting[0]
@@ -148,7 +152,7 @@
             if isinstance(action, LeaseUpdate):
                 if (plan := self.plans.get(action.customer)) is not None:
                     leased = QuotaLeaseGranted(
-                        action.customer, plan, action.lease, action.units, action.until
+                        action.customer, plan, action.lease_id, action.units, action.usable_until
                     )
                     self.engine._feed(self.number, leased)
             else:
@@ -181,7 +185,7 @@
                 self.propose(ask)
             return
         self.sound = result is not None
-        self.do(self.leaser.answered(self.engine.now(), call.ask, result))
+        self.do(self.leaser.apply_result(self.engine.now(), call.ask, result))
         if isinstance(call.ask.operation, w.AcquireLease):
             self.resume(call.ask.customer)
 
@@ -229,8 +233,8 @@
                 one.life += 1
                 one.disk.pending.clear()
                 one.holdings = ReplicatedState()
-                one.holdings.thaw(one.disk.stored.snapshot.data)
-                seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
+                one.holdings.restore(one.disk.stored.snapshot.data)
+                seed = self.day.streams.seed_for("copies", one.group * 100_000 + number * 100 + one.life)
                 one.node = RaftNode(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
         self.leasing[number] = GatewayLeases(self, number)
@@ -242,8 +246,8 @@
         super()._start_gateway(number)
         self._start_copies(number)
 
-    def _kill(self, number: int) -> None:
-        super()._kill(number)
+    def _kill_gateway(self, number: int) -> None:
+        super()._kill_gateway(number)
         for one in self.copies.values():
             if one.gateway == number and one.node is not None:
                 one.node, one.life, one.due = None, one.life + 1, float("inf")
@@ -253,19 +257,19 @@
             return
         for output in one.node.step(self._s(), event):
             self._out(one, output)
-        wake = max(1000 * one.node.wake(), self.agenda.now + 1)
+        wake = max(1000 * one.node.wake_time(), self.agenda.now + 1)
         if wake < one.due - 1:
             one.due = wake
-            self.agenda.at(wake, self._tick, one, one.life, wake)
+            self.agenda.schedule(wake, self._tick, one, one.life, wake)
 
     def _tick(self, one: SimulatedReplica, life: int, due: float) -> None:
         if one.life != life or one.node is None or one.due != due:
             return
         one.due = float("inf")
-        wake = 1000 * one.node.wake()
+        wake = 1000 * one.node.wake_time()
         if wake > self.agenda.now + 1:
             one.due = wake
-            self.agenda.at(wake, self._tick, one, life, wake)
+            self.agenda.schedule(wake, self._tick, one, life, wake)
         else:
             self._step(one, m.Tick())
 
@@ -275,18 +279,18 @@
                 self._post(one.gateway, int(m.gateway_of(to)[1:]), one.group, message)
             case m.Write():
                 one.disk.pending.append(output)
-                self.agenda.at(self.agenda.now + DISK, self._written, one, output.number, one.life)
+                self.agenda.schedule(self.agenda.now + DISK, self._written, one, output.number, one.life)
             case m.Apply(entry, call):
                 result: Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else Applied()
                 self._reply(one, call, result, "")
             case m.RequestResult(call, _, _, hint):
                 self._reply(one, call, None, hint)
             case m.RestoreSnapshot(snapshot):
-                one.holdings.thaw(snapshot.data)
+                one.holdings.restore(snapshot.data)
             case m.CreateSnapshot(index):
-                data = msgspec.msgpack.encode(one.holdings.freeze())
-                self.agenda.at(self.agenda.now, self._snapped, one, one.life, index, data)
-            case m.RoleChanged(role, _, _, _) if role == "leader":
+                data = msgspec.msgpack.encode(one.holdings.snapshot())
+                self.agenda.schedule(self.agenda.now, self._snapped, one, one.life, index, data)
+            case m.RoleChanged(role, _, _, _) if role is Role.LEADER:
                 self.elections += 1
 
     def _snapped(self, one: SimulatedReplica, life: int, index: int, data: bytes) -> None:
@@ -302,18 +306,18 @@
     # Wires
 
     def _cut(self, a: int, b: int) -> bool:
-        return (a in self.network.split) != (b in self.network.split)
+        return (a in self.network.partition) != (b in self.network.partition)
 
     def _carry(self, a: int, b: int, what: Callable[..., None], *arguments: Any) -> None:
         if a == b:
-            self.agenda.at(self.agenda.now, what, *arguments)
+            self.agenda.schedule(self.agenda.now, what, *arguments)
         elif not self._cut(a, b) and self.gateways[b] is not None:
-            self.agenda.at(self.agenda.now + self.network.peer.next(), what, *arguments)
+            self.agenda.schedule(self.agenda.now + self.network.peer_delay.next(), what, *arguments)
 
     def _post(self, a: int, b: int, group: int, message: m.Message) -> None:
         waiting = self.outbox.setdefault((a, b), [])
         if not waiting:
-            self.agenda.at(self.agenda.now, self._flush, a, b)
+            self.agenda.schedule(self.agenda.now, self._flush, a, b)
         waiting.append((group, message))
 
     def _flush(self, a: int, b: int) -> None:
@@ -344,13 +348,13 @@
             to = self.leaders.get(call.group, -1)
             if to < 0 or self.gateways[to] is None or self._cut(call.gateway, to):
                 here = [n for n in self.holders[call.group] if self.gateways[n] is not None]
-                to = self.day.streams.integer("asks", self.numbers) % len(here) if here else -1
+                to = self.day.streams.seed_for("asks", self.numbers) % len(here) if here else -1
                 to = here[to] if here else call.gateway
         self.numbers += 1
         self.frames += call.gateway != to
         self.bytes += (len(call.command) + 16) * (call.gateway != to)
         self._carry(call.gateway, to, self._asked, self.numbers, call, to)
-        self.agenda.at(self.agenda.now + AGAIN, self.call, call, -1)
+        self.agenda.schedule(self.agenda.now + AGAIN, self.call, call, -1)
 
     def _asked(self, number: int, call: PendingCall, at: int) -> None:
         one = self.copies.get((call.group, at))
@@ -408,7 +412,7 @@
     def troubles(rng: Rng, scenario: Scenario) -> list[Fault]:
         length = 1000 * scenario.seconds
         who, begin = sample_machines(rng, scenario.gateways, part), 0.3 * length
-        burst = Fault(0.2 * length, "burst", 0.6 * length, size=3.0, plan="standard")
+        burst = Fault(0.2 * length, "burst", 0.6 * length, magnitude=3.0, plan="standard")
         match what:
             case "none":
                 return [burst]
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -13,8 +13,10 @@
 from ..replicated_state.results import Applied, Denied, LeaseGranted, Result
 from ..replicated_state.state_machine import ReplicatedState, StateSnapshot
 from ..replication import messages as m
+from ..replication.leader import Leader
 from ..replication.messages import gateway_of
 from ..replication.node import RaftNode
+from ..replication.roles import Role
 from .history_checker import HistoryEvent, find_violations
 from .replication_plays import (
     InvariantViolationError,
@@ -44,21 +46,21 @@
 
     def thaw(self, data: bytes) -> Any:
         state = self.holdings()
-        state.thaw(data)
+        state.restore(data)
         return state
 
     def freeze(self, state: Any) -> bytes:
-        return msgspec.msgpack.encode(state.freeze())
+        return msgspec.msgpack.encode(state.snapshot())
 
     def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         result = one.state.apply(entry.stamp, entry.data) if entry.data else None
         event = self.by_call.pop(call, None) if call is not None else None
-        if event is None or event.ended or result is None:
+        if event is None or event.ended_at or result is None:
             return
-        event.result, event.ended = result, self.now
+        event.result, event.ended_at = result, self.now
         self.open.pop(event.session, None)
         if isinstance(result, LeaseGranted) and isinstance(event.operation, w.AcquireLease):
-            self.leases.append((event.operation.customer, result.lease, result.units))
+            self.leases.append((event.operation.customer, result.lease_id, result.units))
 
     def operation(self) -> w.Operation:
         chance, customer = self.random, f"c{self.random.randrange(CUSTOMERS)}"
@@ -87,10 +89,10 @@
         self.ask(event)
 
     def ask(self, event: HistoryEvent) -> None:
-        if event.ended:
+        if event.ended_at:
             return
         alive = [one for one in self.machines.values() if one.node is not None]
-        leaders = [one for one in alive if one.node is not None and one.node.role == "leader"]
+        leaders = [one for one in alive if one.node is not None and one.node.role is Role.LEADER]
         if alive:
             self.next_call += 1
             self.by_call[self.next_call] = event
@@ -107,7 +109,7 @@
         self.run(self.now + 20.0)
         nodes = [one for one in self.machines.values() if one.node is not None]
         state = max(nodes, key=lambda one: one.last).state
-        final = {f"store c{n}": state.stores.get(f"c{n}") for n in range(CUSTOMERS)}
+        final = {f"store c{n}": state.buckets.get(f"c{n}") for n in range(CUSTOMERS)}
         if said := find_violations(self.history, final, BURST):
             raise InvariantViolationError(said[0])
 
@@ -118,8 +120,8 @@
 class Forgetful(ReplicatedState):
     """A snapshot leaves the sessions' answers out."""
 
-    def freeze(self) -> StateSnapshot:
-        whole = super().freeze()
+    def snapshot(self) -> StateSnapshot:
+        whole = super().snapshot()
         bare = [(name, msgspec.structs.replace(one, results=())) for name, one in whole.sessions]
         return msgspec.structs.replace(whole, sessions=bare)
 
@@ -128,13 +130,19 @@
     holdings = Forgetful
 
 
-class JumpedClock(RaftNode):
-    """Entries are stamped by a wall clock, which jumps ahead at one copy in two now and then."""
+class JumpedClockLeader(Leader):
+    """A leader that stamps entries by a wall clock, which jumps ahead at one replica in two now and then."""
 
-    def _stamp(self, now: float) -> float:
+    def stamp(self, now: float) -> float:
         odd = int(gateway_of(self.me)[1:]) % 2
         ahead = 5000.0 if odd and now % 8 > 4 else 0.0
-        return max(self.last_stamp(), 1000 * now + ahead)
+        return max(self.log.last_stamp(), 1000 * now + ahead)
+
+
+class JumpedClock(RaftNode):
+    """Entries are stamped by a wall clock."""
+
+    leader_type = JumpedClockLeader
 
 
 class NoSessions(ReplicatedState):
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -135,10 +135,10 @@
 
 async def lead(host: GroupHost, follower: str) -> None:
     """Let the replica lead its group, with the votes and the word of one follower."""
-    host.begun, host.node.deadline = True, 0.0
+    host.begun, host.node.election.deadline = True, 0.0
     host.step(m.Tick())
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term + 1, True, True)))
-    await until(lambda: host.node.written == host.node.numbered)
+    await until(lambda: host.node.outbox.durable_write == host.node.outbox.last_write)
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term, True, False)))
     assert host.leads()
     await follow(host, follower)
@@ -147,9 +147,11 @@
 async def follow(host: GroupHost, follower: str) -> None:
     """The follower has all that the leader has, and says so."""
     node = host.node
-    await until(lambda: node.written == node.numbered)
+    await until(lambda: node.outbox.durable_write == node.outbox.last_write)
     host.step(
-        m.MessageReceived(follower, m.AppendEntriesResponse(node.term, True, node.last_index(), node.round))
+        m.MessageReceived(
+            follower, m.AppendEntriesResponse(node.term, True, node.log.last_index(), node.round)
+        )
     )
 
 
@@ -165,15 +167,15 @@
         await lead(host, "g1/1")
         reader, writer = Client(), Client()
         monkeypatch.setattr(host, "_read", lambda what: bytes(2 * wire.MAX_FRAME_BYTES))
-        host.called(reader, wire.ClientRequest(1, 0, read="works"))
+        host.called(reader, wire.ClientRequest(1, 0, query="works"))
         host.called(
             writer, wire.ClientRequest(2, 0, words.encode(words.Command("s", 1, 1, words.OpenSession())))
         )
         with contextlib.suppress(ValueError):  # as the follower's link contains it
             await follow(host, "g1/1")
         assert "s" in host.holdings.sessions
-        assert [one.how for one in writer.replies] == ["done"]
-        assert [one.how for one in reader.replies[-1:]] == ["unknown"]
+        assert [one.status for one in writer.replies] == ["done"]
+        assert [one.status for one in reader.replies[-1:]] == ["unknown"]
         for one in (reader, writer):
             one.close()
         copies.close()
