--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -1,6 +1,6 @@
 """The host of a gateway's copies: its groups, their disk, their links, and who answers calls.
 
-Decisions are those of `copies.node` and `holdings.state`; here are clock, timers, disk and sockets.
+Decisions are those of `replication.node` and `replicated_state.state_machine`; here are clock, timers, disk and sockets.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from ...replication import messages as m
 from ...replication.config import RaftConfig
 from ...replication.membership import GatewayPresence, ReplacementDelays, next_membership_step
-from ...replication.pace import SnapshotPacer
 from ...replication.placement import place_replicas
 from ...replication.roles import Role
+from ...replication.snapshot_pacer import SnapshotPacer
 from ...settings.operators import Copies as Section
 from ...storage.durable_store import DurableStore, StoreError, StoreInUseError, StoreUnavailableError
 from ...storage.writer import StoreWriter
@@ -239,9 +239,9 @@
 
     def send_pieces(self) -> None:
         """Of snapshots, as fast as they may go."""
-        for (group, to), piece in self.pace.take(self.now()):
+        for (group, to), piece in self.pace.take_ready(self.now()):
             self.send(group, to, piece)
-        wait = self.pace.wait()
+        wait = self.pace.delay_s()
         if wait is not None and self.pacing is None and not self.ended:
             self.pacing = asyncio.get_running_loop().call_later(wait + 0.001, self._more_pieces)
 
--- a/mapleshunt/replication/__init__.py
+++ b/mapleshunt/replication/__init__.py
@@ -1,4 +1,4 @@
-"""Copies of what gateways promise, kept alike on several of them: replication without I/O.
+"""Replication of quotas and records over several gateways: Raft without I/O.
 
 Nothing here is loaded unless the operators' file has a section `(copies ...)`.
 """
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,9 +14,9 @@
     next_membership_step,
 )
 from mapleshunt.replication.node import RaftNode
-from mapleshunt.replication.pace import SnapshotPacer
 from mapleshunt.replication.placement import place_replicas
 from mapleshunt.replication.roles import Role
+from mapleshunt.replication.snapshot_pacer import SnapshotPacer
 
 SIZE, PATIENCE = 3, ReplacementDelays(60.0, 30.0)
 NAMES = [f"g{n}" for n in range(6)]
@@ -105,13 +105,13 @@
     for number in range(20):
         pace.offer(f"to {number}", 250, number)
     pace.offer("to 19", 250, 99)
-    went = [(key, at / 10) for at in range(100) for key, _ in pace.take(at / 10)]
+    went = [(key, at / 10) for at in range(100) for key, _ in pace.take_ready(at / 10)]
     assert [key for key, _ in went] == [f"to {n}" for n in range(20)]  # none is passed over
     last = went[-1][1]
-    assert 4.0 <= last <= 5.0 and pace.wait() is None  # 5000 bytes, 500 at once
+    assert 4.0 <= last <= 5.0 and pace.delay_s() is None  # 5000 bytes, 500 at once
     pace.offer("a", 100, 1)
-    pace.drop("a")
-    assert pace.take(20.0) == []
+    pace.discard("a")
+    assert pace.take_ready(20.0) == []
 
 
 def leader(timing: RaftConfig) -> RaftNode:
