--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -74,7 +74,7 @@
         # Called with each request before the policy is; True keeps it from the policy until `resume`.
         self.delay_admission: Callable[[RequestReceived], bool] | None = None
         self.guards = AttemptGuards(
-            settings, group, counters, self.now, lambda number: self.gateway.servers.get(number)
+            settings, group, counters, self.now, lambda number: self.gateway.endpoints.by_number.get(number)
         )
         self._execute(self.gateway.start())
 
@@ -173,7 +173,7 @@
         """Log what became of a request that was not served, with the id that its client knows it by."""
         now = self.now()
         attempts = " ".join(
-            f"{one.server}:{one.status or 'out'}:{now - one.sent_at:.0f}" for one in context.attempts
+            f"{one.endpoint}:{one.status or 'out'}:{now - one.sent_at:.0f}" for one in context.attempts
         )
         log.log_event(
             event,
