--- a/mapleshunt/maintenance/agent.py
+++ b/mapleshunt/maintenance/agent.py
@@ -1,99 +1,118 @@
-"""A machine's side of its grant: when it empties itself, is safe to work on, and takes back. Pure.
+"""The machine's side of its grant: when it drains, is safe to work on, and serves again.
 
-It acts only on a grant that it can show to be valid by its own clock: from before it asked, for what the log
-says is left, less what clocks may drift. One that slept past the end takes back what it began before it does
-anything else, whatever the log says by then.
+It acts only on a grant that it can show to be valid by its own clock: counted from before it asked, for what
+the log says is left, less the drift of clocks. A machine that slept past the end first undoes what it began
+under the grant, whatever the log says by then.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
-from .records import MachineJob
+from .commands import Progress
+from .records import GRANT_STATES, JobState, MachineJob
 
 MAX_CLOCK_DRIFT = 0.01  # part of a grant by which two clocks may differ
+WITH_REPLICAS = "copies"  # of a hand-over: replicas move too, not just leadership
 
 
 @dataclass(slots=True, frozen=True)
 class RemainingWork:
     """What a gateway has to be rid of before it is safe."""
 
-    open_requests: int  # requests that are owed an answer
+    open_requests: int
     clients: int
-    groups_led: int  # groups
+    groups_led: int
     replicas: int
-    drained: bool  # it takes no clients
+    drained: bool  # it accepts no clients
 
-    def waits_for(self, long: bool) -> str:
+    def describe(self, move_replicas: bool) -> str:
+        """What is left, by name and number; empty if nothing is."""
         left = {"requests": self.open_requests, "clients": self.clients, "groups led": self.groups_led}
-        if long:
+        if move_replicas:
             left["copies"] = self.replicas
         return ", ".join(f"{name} {number}" for name, number in left.items() if number)
 
 
+class AgentActionKind(StrEnum):
+    """What the host of an agent is to do."""
+
+    DRAIN = "drain"
+    RESUME = "resume"
+    HAND_OVER = "hand_over"  # leadership and, if the action's state is `WITH_REPLICAS`, replicas
+    TAKE_BACK = "take_back"  # replicas
+    REPORT = "tell"  # the action's state, to the log
+
+
 @dataclass(slots=True, frozen=True)
 class AgentAction:
-    """`how`: drain, resume, hand_over (leadership, and with `long` copies), take_back (copies), or tell."""
+    """An action of an agent, for its host to carry out."""
 
-    kind: str
+    kind: AgentActionKind
     state: str = ""
     reason: str = ""
     fencing_token: int = 0
 
 
 class MaintenanceAgent:
+    """Drains its gateway under a valid grant, and undoes that when the grant ends."""
+
     def __init__(self) -> None:
-        self.fencing_token, self.deadline = 0, float("-inf")
-        self.drained = self.replicas_moved = False  # by its grant; operators may have drained it besides
+        self.fencing_token = 0
+        self.deadline = float("-inf")  # s, by its own clock
+        self.drained = False  # by its grant; operators may have drained it besides
+        self.replicas_moved = False
 
-    def update_grant(self, asked: float, stamp: float, place: MachineJob | None) -> None:
-        """What the log says of it: asked for at `asked` (s, own clock), at the log's time `stamp` (ms)."""
-        if place is not None and place.state in ("granted", "draining", "safe"):
-            self.fencing_token = place.fencing_token
-            self.deadline = asked + (place.expires_at - stamp) / 1000 * (1 - MAX_CLOCK_DRIFT)
+    def update_grant(self, requested_at: float, stamp: float, job: MachineJob | None) -> None:
+        """What the log says at its time `stamp`, ms; it was asked at `requested_at`, s by the own clock."""
+        if job is not None and job.state in GRANT_STATES:
+            self.fencing_token = job.fencing_token
+            self.deadline = requested_at + (job.expires_at - stamp) / 1000 * (1 - MAX_CLOCK_DRIFT)
 
     def step(
-        self, now: float, place: MachineJob | None, long: bool, sees: RemainingWork
+        self, now: float, job: MachineJob | None, move_replicas: bool, remaining: RemainingWork
     ) -> list[AgentAction]:
-        state = place.state if place is not None else ""
-        if (
-            place is not None
-            and state in ("granted", "draining", "safe")
-            and place.fencing_token == self.fencing_token
-        ):
+        """What to do at `now` (s of the own clock), given the latest that is known of the job."""
+        if job is None:
+            return self._undo()
+        if job.state in GRANT_STATES and job.fencing_token == self.fencing_token:
             if now >= self.deadline:
-                return [
-                    *self._undo(),
-                    AgentAction("tell", "undone", "too late by its own clock", place.fencing_token),
-                ]
-            return self._empty(place, long, sees)
-        if state == "recalled" and place is not None:
-            # It has taken back what it began, if this life began anything, and takes clients again.
-            tell = AgentAction("tell", "undone", "called back", place.fencing_token)
-            return self._undo() or ([tell] if not sees.drained else [])
-        if state in ("out", "overdue"):
-            return []  # whoever works on it ends it
+                report = _report(job, Progress.UNDONE, "too late by its own clock")
+                return [*self._undo(), report]
+            return self._empty(job, move_replicas, remaining)
+        if job.state == JobState.RECALLED:
+            # Reported once it accepts clients again, after it has undone what this process began.
+            report = _report(job, Progress.UNDONE, "called back")
+            return self._undo() or ([report] if not remaining.drained else [])
+        if job.state in (JobState.OUT, JobState.OVERDUE):
+            return []  # the operator who works on it ends this
         return self._undo()
 
-    def _empty(self, place: MachineJob, long: bool, sees: RemainingWork) -> list[AgentAction]:
+    def _empty(self, job: MachineJob, move_replicas: bool, remaining: RemainingWork) -> list[AgentAction]:
+        hand_over = AgentAction(AgentActionKind.HAND_OVER, WITH_REPLICAS if move_replicas else "")
         if not self.drained:
-            self.drained, self.replicas_moved = True, long
-            acts = [AgentAction("drain"), AgentAction("hand_over", "copies" if long else "")]
-            return (
-                [*acts, AgentAction("tell", "draining", "", place.fencing_token)]
-                if place.state == "granted"
-                else acts
-            )
-        if place.state == "granted":
-            return [AgentAction("tell", "draining", "", place.fencing_token)]
-        left = sees.waits_for(long)
-        if place.state == "draining" and not left and sees.drained:
-            return [AgentAction("tell", "safe", "", place.fencing_token)]
-        return [AgentAction("hand_over", "copies" if long else "", left)] if sees.groups_led else []
+            self.drained = True
+            self.replicas_moved = move_replicas
+            actions = [AgentAction(AgentActionKind.DRAIN), hand_over]
+            return [*actions, _report(job, Progress.DRAINING)] if job.state == JobState.GRANTED else actions
+        if job.state == JobState.GRANTED:
+            return [_report(job, Progress.DRAINING)]
+        left = remaining.describe(move_replicas)
+        if job.state == JobState.DRAINING and not left and remaining.drained:
+            return [_report(job, Progress.SAFE)]
+        return [AgentAction(hand_over.kind, hand_over.state, left)] if remaining.groups_led else []
 
     def _undo(self) -> list[AgentAction]:
         if not self.drained:
             return []
-        acts = [AgentAction("resume"), *([AgentAction("take_back")] if self.replicas_moved else [])]
-        self.drained = self.replicas_moved = False
-        return acts
+        actions = [AgentAction(AgentActionKind.RESUME)]
+        if self.replicas_moved:
+            actions.append(AgentAction(AgentActionKind.TAKE_BACK))
+        self.drained = False
+        self.replicas_moved = False
+        return actions
+
+
+def _report(job: MachineJob, progress: Progress, reason: str = "") -> AgentAction:
+    return AgentAction(AgentActionKind.REPORT, progress, reason, job.fencing_token)
--- a/mapleshunt/maintenance/budget.py
+++ b/mapleshunt/maintenance/budget.py
@@ -6,31 +6,39 @@
 
 
 class Budget(msgspec.Struct, array_like=True, frozen=True):
-    """How many may be out, planned and unplanned together, and when nobody is to go. Times in s."""
+    """Limits on machines that are out, planned and unplanned together. Times in s."""
 
     max_out: int = 1
-    max_out_per_zone: int = 1  # of one zone
-    max_load: float = 0.8  # the most that those left may be loaded, 1 being all they can do
-    load_slack: float = 0.1  # below that by so much before grants go on again
+    max_out_per_zone: int = 1
+    max_load: float = 0.8  # of those left, 1 being all they can do
+    load_slack: float = 0.1  # below `max_load` by so much before grants go on again
     pause_s: float = 10.0  # after a machine is back, before the next goes
-    drain_s: float = 60.0  # that a machine has to be safe: how long a grant holds
+    drain_s: float = 60.0  # that a machine has to become safe: how long a grant holds
     max_failures: int = 2  # machines that failed, after which nobody goes until an operator resumes
     closed_windows: tuple[tuple[float, float], ...] = ()  # from and to, Unix time
 
 
 def budget_error(budget: Budget) -> str:
-    """Why a budget can never let anyone go, or makes no sense; nothing if it does."""
-    durations_and_loads = (
+    """Why a budget makes no sense or lets nobody go, by the keys of the settings; empty if it is valid."""
+    return _range_error(budget) or _contradiction(budget)
+
+
+def _range_error(budget: Budget) -> str:
+    numbers = (
         ("load", budget.max_load),
         ("slack", budget.load_slack),
         ("pause", budget.pause_s),
         ("drain", budget.drain_s),
     )
-    for name, value in durations_and_loads:
+    for key, value in numbers:
         if not 0 <= value < float("inf"):
-            return f"{name} must be 0 or more, not {value}"
+            return f"{key} must be 0 or more, not {value}"
     if budget.max_out < 1 or budget.max_out_per_zone < 1:
         return "most and zone must be 1 or more: with 0 nobody ever goes (hold stops all for a while)"
+    return ""
+
+
+def _contradiction(budget: Budget) -> str:
     if budget.max_out_per_zone > budget.max_out:
         return f"zone ({budget.max_out_per_zone}) is more than most ({budget.max_out})"
     if budget.max_load <= budget.load_slack:
--- a/mapleshunt/maintenance/commands.py
+++ b/mapleshunt/maintenance/commands.py
@@ -1,35 +1,37 @@
-"""Records about machines that are to be taken out: what goes through the log, and what it comes to."""
+"""Commands of maintenance, as they go through the log."""
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 from .budget import Budget
 
-# States of a machine within a request, each entered by an entry of the log.
-
 
 class RequestMaintenance(msgspec.Struct, array_like=True, tag=30, frozen=True):
-    """A request for work; the same `id` again changes nothing."""
+    """Ask that machines be taken out; the same `request_id` again changes nothing."""
 
     request_id: str
     machines: tuple[str, ...]
     reason: str
     author: str
-    expected_s: float = 600.0  # s that a machine is out
+    expected_s: float = 600.0  # that a machine is out
     earliest_time: float = 0.0  # Unix time
     urgency: int = 0  # 0 to 9
-    move_replicas: bool = False  # copies are to be moved off first
-    target_version: str = ""  # that a machine is to have when it is back
+    move_replicas: bool = False  # replicas are moved to other machines first
+    target_version: str = ""  # that a machine must have when it is back
 
 
 class WithdrawRequest(msgspec.Struct, array_like=True, tag=31, frozen=True):
+    """Take a request back: what is queued does not go, what drains is recalled."""
+
     request_id: str
     author: str
 
 
 class SetHold(msgspec.Struct, array_like=True, tag=32, frozen=True):
-    """No grants from now on, or again."""
+    """Stop all grants from now on, or resume them."""
 
     held: bool
     author: str
@@ -37,7 +39,7 @@
 
 
 class ForceGrant(msgspec.Struct, array_like=True, tag=33, frozen=True):
-    """That machine goes now, whatever the budget says; a majority of each group stays all the same."""
+    """Grant that machine whatever the budget says; each group still keeps a majority."""
 
     machine: str
     author: str
@@ -45,6 +47,8 @@
 
 
 class SetBudget(msgspec.Struct, array_like=True, tag=34, frozen=True):
+    """Replace the budget."""
+
     budget: Budget
     author: str
 
@@ -55,13 +59,13 @@
     name: str
     zone: str
     available: bool
-    groups_led: int = 0  # groups
+    groups_led: int = 0
     load: float = 0.0
     version: str = ""
 
 
 class GroupView(msgspec.Struct, array_like=True, frozen=True):
-    """Gateways that decide in a group, and those of them whose copies are there and not far behind."""
+    """Gateways that vote in a group, and those of them whose replicas are reachable and up to date."""
 
     voters: tuple[str, ...]
     up_to_date: tuple[str, ...]
@@ -75,12 +79,23 @@
     groups: tuple[GroupView, ...]
 
 
+class Progress(StrEnum):
+    """What may be reported of a machine that has a grant. The values are stored and sent."""
+
+    DRAINING = "draining"
+    SAFE = "safe"
+    OUT = "out"
+    RETURNING = "returning"
+    UNDONE = "undone"  # it serves again as before the grant
+    FAILED = "failed"
+
+
 class ReportProgress(msgspec.Struct, array_like=True, tag=36, frozen=True):
-    """A machine, or whoever works on it, tells how far it is, under its grant's number."""
+    """A machine, or the operator who works on it, reports its progress under its grant's fencing token."""
 
     machine: str
     fencing_token: int
-    state: str  # draining, safe, out, returning, undone, failed
+    state: str  # a `Progress`
     reason: str = ""
 
 
--- a/mapleshunt/maintenance/fleet_view.py
+++ b/mapleshunt/maintenance/fleet_view.py
@@ -1,57 +1,76 @@
-"""What is seen of the fleet, worked out from what its gateways tell of themselves. Pure."""
+"""The coordinator's view of the fleet, built from the status of its gateways."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-from . import commands as w
+from .commands import FleetView, GroupView, MachineView
 from .jobs import MaintenanceJobs
+from .records import GRANT_STATES, JobState
 
-MAX_REPLICA_LAG_ENTRIES = 1000  # entries by which a copy may be behind and still be sound
+MAX_REPLICA_LAG_ENTRIES = 1000  # by which a replica may be behind and still count as up to date
 
-GatewayStatus = Mapping[str, Any]  # as `net.copies.Copies.status` has it
+# The status of a gateway as the host of its replicas sends it: plain JSON values by key.
+GatewayStatus = Mapping[str, Any]
 
 
 def build_fleet_view(
-    wall: float,
+    wall_time: float,
     zones: Mapping[str, str],
     groups: int,
-    told: Mapping[str, GatewayStatus | None],
-    works: MaintenanceJobs,
-) -> w.FleetView:
-    """`told` holds what each gateway that was heard of late told; those that are missing are not here.
+    statuses: Mapping[str, GatewayStatus | None],
+    jobs: MaintenanceJobs,
+) -> FleetView:
+    """The fleet at `wall_time` (Unix time, s), from the zone and the latest status of each gateway.
 
-    One that takes no clients and has no grant is out, whoever drained it.
+    A machine is available if its gateway answers and accepts clients, or if a grant is why it does not.
     """
-    heard = {name: status for name, status in told.items() if status is not None}
-    busy = {
-        one.machine for one in works.open_jobs() if one.state in ("granted", "draining", "safe", "recalled")
-    }
-    leads: dict[int, tuple[int, Mapping[str, Any]]] = {}
-    copies: dict[int, dict[str, int]] = {}
-    for name, status in heard.items():
-        for one in status["groups"]:
-            copies.setdefault(one["group"], {})[f"{name}/{status['incarnation']}"] = one["commit"]
-            if one["role"] == "leader" and one["term"] >= leads.get(one["group"], (0, {}))[0]:
-                leads[one["group"]] = (one["term"], one)
+    answering = {name: status for name, status in statuses.items() if status is not None}
+    leaders = _leaders(answering)
+    granted = {job.machine for job in jobs.open_jobs() if job.state in (*GRANT_STATES, JobState.RECALLED)}
     machines = []
     for name, zone in sorted(zones.items()):
-        status = heard.get(name, {})
-        here = name in heard and (bool(status.get("takes", True)) or name in busy)
-        mine = sum(one["leader"] == name for _, one in leads.values())
+        status = answering.get(name, {})
+        available = name in answering and (bool(status.get("takes", True)) or name in granted)
+        groups_led = sum(group["leader"] == name for group in leaders.values())
         load, version = float(status.get("load", 0.0)), str(status.get("version", ""))
-        machines.append(w.MachineView(name, zone, here, mine, load, version))
-    found = []
-    for number in range(groups):
-        if number not in leads:  # nobody can tell: none of its machines may go
-            found.append(w.GroupView(tuple(sorted(zones)), ()))
-            continue
-        one = leads[number][1]
-        sound = [
-            c for c in one["voters"] if copies[number].get(c, -1) >= one["commit"] - MAX_REPLICA_LAG_ENTRIES
-        ]
-        found.append(w.GroupView(
-            tuple(c.rpartition("/")[0] for c in one["voters"]), tuple(c.rpartition("/")[0] for c in sound)
-        ))  # fmt: skip
-    return w.FleetView(wall, tuple(machines), tuple(found))
+        machines.append(MachineView(name, zone, available, groups_led, load, version))
+    commits = _commits(answering)
+    views = [
+        _group_view(leaders[number], commits[number])
+        if number in leaders
+        else GroupView(tuple(sorted(zones)), ())  # nobody knows its voters: no machine may go
+        for number in range(groups)
+    ]
+    return FleetView(wall_time, tuple(machines), tuple(views))
+
+
+def _leaders(statuses: Mapping[str, GatewayStatus]) -> dict[int, Mapping[str, Any]]:
+    """By group, the status of its leader; of two the one with the higher term, of equals the later."""
+    leaders: dict[int, Mapping[str, Any]] = {}
+    for status in statuses.values():
+        for group in status["groups"]:
+            known = leaders.get(group["group"])
+            if group["role"] == "leader" and (known is None or group["term"] >= known["term"]):
+                leaders[group["group"]] = group
+    return leaders
+
+
+def _commits(statuses: Mapping[str, GatewayStatus]) -> dict[int, dict[str, int]]:
+    """By group and replica, the last entry that it knows to be committed."""
+    commits: dict[int, dict[str, int]] = {}
+    for name, status in statuses.items():
+        for group in status["groups"]:
+            commits.setdefault(group["group"], {})[f"{name}/{status['incarnation']}"] = group["commit"]
+    return commits
+
+
+def _group_view(leader: Mapping[str, Any], commits: Mapping[str, int]) -> GroupView:
+    lowest = leader["commit"] - MAX_REPLICA_LAG_ENTRIES
+    up_to_date = [replica for replica in leader["voters"] if commits.get(replica, -1) >= lowest]
+    return GroupView(_gateways(leader["voters"]), _gateways(up_to_date))
+
+
+def _gateways(replicas: list[str]) -> tuple[str, ...]:
+    return tuple(replica.rpartition("/")[0] for replica in replicas)
--- a/mapleshunt/maintenance/jobs.py
+++ b/mapleshunt/maintenance/jobs.py
@@ -1,69 +1,101 @@
-"""Who goes out when: a state machine that every gateway applies to the same log, and so settles alike. Pure.
+"""The state machine of maintenance: who goes out when. Every gateway applies the same log and so agrees.
 
-Grants are made where an entry is applied, from the state and what the coordinator saw, which is in the entry
-too: whoever coordinates next goes on from there, and nobody acts on a view of its own. A grant has a number
-that only grows, and an end in the log's time; a machine tells what it does under its number, and whatever is
-told under an older one is refused.
+Grants are made where an entry is applied, from the state and from what the coordinator saw, which is in the
+entry too: the next coordinator goes on from there, and nobody acts on a view of its own. A grant has a
+fencing token that only grows, and an end in the log's time; progress that is reported under an older token
+is rejected.
 
-The order: the most urgent first, a step of urgency being worth `AGING` of waiting, so that nobody waits for
-ever; then the zone that has fewest of its machines out or done, whoever leads fewest groups, the name.
+The order: the most urgent first, a step of urgency being worth `URGENCY_STEP_MS` of waiting, so that nobody
+waits for ever; then the zone with the fewest machines out or done, the fewest groups led, the name.
 
-What is out is counted: machines from their grant until they are back and checked, also those whose grant ran
-out (they count as out until they have proved to be back), and all that are not seen though nobody took them
-out. A grant goes out only if with it at most `most`, and `zone` of a zone, are out, each group keeps a
-majority of sound copies, those left are not overloaded, and no pause, window, hold or stop forbids it.
+Machines count as out from their grant until they are back and checked, also those whose grant expired (until
+they have proved to be back), and so do all that are unavailable without a grant. A grant is made only if with
+it at most `max_out`, and `max_out_per_zone` of a zone, are out, each group keeps a majority of replicas that
+are up to date, those left are not overloaded, and no pause, closed window, hold or failure forbids it.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 
 import msgspec
 
-from . import commands as w
 from .budget import Budget, budget_error
+from .commands import (
+    FleetView,
+    ForceGrant,
+    MachineView,
+    Operation,
+    Progress,
+    ReportProgress,
+    RequestMaintenance,
+    SetBudget,
+    SetHold,
+    WithdrawRequest,
+)
+from .grant_limits import why_no_majority, why_too_many
 from .records import (
     FINAL_STATES,
+    FORCED,
+    GRANT_STATES,
     OUT_STATES,
     HistoryEntry,
+    JobState,
     MachineJob,
     MaintenanceRequest,
     MaintenanceSnapshot,
 )
 
-URGENCY_STEP_MS = 600_000.0  # ms of waiting that a step of urgency is worth
+URGENCY_STEP_MS = 600_000.0  # of waiting that a step of urgency is worth
+MAX_URGENCY = 9
 MAX_REQUESTS = 256
 MAX_OPEN_JOBS = 1024
-MAX_HISTORY_ENTRIES = 64  # steps of a machine's story, the oldest go first
-MAX_TEXT_CHARS = 500  # characters of a reason
+MAX_HISTORY_ENTRIES = 64  # of a job; the oldest are dropped
+MAX_TEXT_CHARS = 500  # of a reason
+NEVER_RETURNED = -1e18  # ms, as it is stored
+
+# What may be reported in a state.
+ALLOWED_PROGRESS: dict[str, tuple[Progress, ...]] = {
+    JobState.GRANTED: (Progress.DRAINING, Progress.UNDONE, Progress.FAILED),
+    JobState.DRAINING: (Progress.SAFE, Progress.UNDONE, Progress.FAILED),
+    JobState.SAFE: (Progress.OUT, Progress.UNDONE),
+    JobState.OUT: (Progress.RETURNING,),
+    JobState.OVERDUE: (Progress.RETURNING, Progress.UNDONE),
+    JobState.RECALLED: (Progress.UNDONE,),
+    JobState.RETURNING: (Progress.FAILED,),
+}
 
 
 class MaintenanceError(Exception):
-    """The operation changes nothing; its text is why."""
+    """The operation changes nothing; its text is the reason, which is stored and sent."""
 
 
 class MaintenanceJobs:
+    """Requests, the job of each machine, and the budget."""
+
     def __init__(self) -> None:
         self.budget = Budget()
-        self.hold_reason = ""  # why, if operators hold all grants
-        self.last_fencing_token = self.failures = 0
-        self.last_return_at = float("-inf")  # when a machine was last back
-        self.overloaded = False  # those left would be overloaded: grants wait for some slack
+        self.hold_reason = ""  # empty unless operators hold all grants
+        self.last_fencing_token = 0
+        self.failures = 0  # since an operator resumed
+        self.last_return_at = float("-inf")  # ms of the log's time
+        self.overloaded = False  # with one more out: grants wait for some slack
         self.requests: dict[str, MaintenanceRequest] = {}
         self.jobs: dict[tuple[str, str], MachineJob] = {}  # by request and machine
-        self.blocked_reason = ""  # why nobody who waits may go, as of the last look
-        self.budget_was_set = False  # somebody set the budget
+        self.blocked_reason = ""  # why no queued machine may go, as of the last fleet view
+        self.budget_was_set = False
 
     # Snapshots
 
     def snapshot(self) -> MaintenanceSnapshot:
+        """The stored form of the state."""
         return MaintenanceSnapshot(
             self.budget,
             self.hold_reason,
             self.last_fencing_token,
             self.failures,
-            max(self.last_return_at, -1e18),
+            max(self.last_return_at, NEVER_RETURNED),
             self.overloaded,
             tuple(self.requests.values()),
             tuple(self.jobs.values()),
@@ -71,285 +103,292 @@
             self.budget_was_set,
         )
 
-    def restore(self, frozen: MaintenanceSnapshot) -> None:
-        self.budget, self.hold_reason, self.last_fencing_token = (
-            frozen.budget,
-            frozen.hold_reason,
-            frozen.last_fencing_token,
-        )
-        self.failures, self.last_return_at = frozen.failures, frozen.last_return_at
-        self.overloaded, self.blocked_reason, self.budget_was_set = (
-            frozen.overloaded,
-            frozen.blocked_reason,
-            frozen.budget_was_set,
-        )
-        self.requests = {one.details.request_id: one for one in frozen.requests}
-        self.jobs = {(one.request_id, one.machine): one for one in frozen.jobs}
-
-    # What is asked
-
-    def apply(self, now: float, operation: w.Operation) -> float:
-        """Raises `Refused`. A number: of a grant, or of what is in the state."""
+    def restore(self, snapshot: MaintenanceSnapshot) -> None:
+        """Replace the state by that of a snapshot."""
+        self.budget = snapshot.budget
+        self.hold_reason = snapshot.hold_reason
+        self.last_fencing_token = snapshot.last_fencing_token
+        self.failures = snapshot.failures
+        self.last_return_at = snapshot.last_return_at
+        self.overloaded = snapshot.overloaded
+        self.blocked_reason = snapshot.blocked_reason
+        self.budget_was_set = snapshot.budget_was_set
+        self.requests = {request.details.request_id: request for request in snapshot.requests}
+        self.jobs = {(job.request_id, job.machine): job for job in snapshot.jobs}
+
+    # Commands
+
+    def apply(self, now: float, operation: Operation) -> float:
+        """Apply a command at the log's time `now`, ms; returns the last fencing token.
+
+        Raises:
+            MaintenanceError: the command changes nothing.
+        """
         match operation:
-            case w.RequestMaintenance():
+            case RequestMaintenance():
                 self._request_maintenance(now, operation)
-            case w.WithdrawRequest(id, author):
-                self._withdraw(now, id, author)
-            case w.SetHold(on, author, reason):
-                self.hold_reason = f"{reason or 'held'} ({author})"[:MAX_TEXT_CHARS] if on else ""
-                self.failures = self.failures if on else 0
-            case w.ForceGrant(machine, author, reason):
+            case WithdrawRequest(request_id, author):
+                self._withdraw(now, request_id, author)
+            case SetHold():
+                self._set_hold(operation)
+            case ForceGrant(machine, author, reason):
                 self._force(now, machine, author, reason)
-            case w.SetBudget(budget, _):
-                if why := budget_error(budget):
-                    raise MaintenanceError(why)
-                self.budget, self.budget_was_set = budget, True
-            case w.FleetView():
-                self._seen(now, operation)
-            case w.ReportProgress():
-                self._told(now, operation)
+            case SetBudget(budget, _):
+                self._set_budget(budget)
+            case FleetView():
+                self._apply_fleet_view(now, operation)
+            case ReportProgress():
+                self._report_progress(now, operation)
         return float(self.last_fencing_token)
 
     def open_jobs(self) -> list[MachineJob]:
-        """Places that are not over, in the order of their requests."""
-        return [one for one in self.jobs.values() if one.state not in FINAL_STATES]
+        """Jobs that are not over, in the order of their requests."""
+        return [job for job in self.jobs.values() if job.state not in FINAL_STATES]
 
     def job_of(self, machine: str) -> MachineJob | None:
-        """Where a machine is: at work if it is anywhere, else waiting."""
-        mine = [one for one in self.open_jobs() if one.machine == machine]
-        return next((one for one in mine if one.state in OUT_STATES), mine[0] if mine else None)
+        """The open job of a machine: the one that counts as out, if any, else the first that is queued."""
+        mine = [job for job in self.open_jobs() if job.machine == machine]
+        return next((job for job in mine if job.state in OUT_STATES), mine[0] if mine else None)
 
-    def _request_maintenance(self, now: float, ask: w.RequestMaintenance) -> None:
-        if ask.request_id in self.requests:
+    def _request_maintenance(self, now: float, details: RequestMaintenance) -> None:
+        if details.request_id in self.requests:
             return
-        if not ask.machines or len(set(ask.machines)) != len(ask.machines):
+        self._check_request(details)
+        self.requests[details.request_id] = MaintenanceRequest(details, now)
+        for machine in details.machines:
+            entry = HistoryEntry(now, JobState.QUEUED, details.reason, details.author)
+            job = MachineJob(machine, details.request_id, state_since=now, history=(entry,))
+            self.jobs[details.request_id, machine] = job
+
+    def _check_request(self, details: RequestMaintenance) -> None:
+        if not details.machines or len(set(details.machines)) != len(details.machines):
             raise MaintenanceError("no machine, or one twice")
-        if (
-            not ask.request_id
-            or len(ask.reason) > MAX_TEXT_CHARS
-            or not 0 <= ask.urgency <= 9
-            or not ask.expected_s > 0
-        ):
+        is_named = details.request_id and len(details.reason) <= MAX_TEXT_CHARS
+        if not is_named or not 0 <= details.urgency <= MAX_URGENCY or not details.expected_s > 0:
             raise MaintenanceError("an id, a reason, an expected time and an urgency of 0 to 9 are needed")
-        if taken := next((one for one in self.open_jobs() if one.machine in ask.machines), None):
-            raise MaintenanceError(f"{taken.machine} is asked for already, by {taken.request_id}")
-        if len(self.open_jobs()) + len(ask.machines) > MAX_OPEN_JOBS or not self._room():
+        open_jobs = self.open_jobs()
+        for job in open_jobs:
+            if job.machine in details.machines:
+                raise MaintenanceError(f"{job.machine} is asked for already, by {job.request_id}")
+        if len(open_jobs) + len(details.machines) > MAX_OPEN_JOBS or not self._make_room():
             raise MaintenanceError("too much is asked for already")
-        self.requests[ask.request_id] = MaintenanceRequest(ask, now)
-        for machine in ask.machines:
-            step = HistoryEntry(now, "queued", ask.reason, ask.author)
-            self.jobs[ask.request_id, machine] = MachineJob(
-                machine, ask.request_id, state_since=now, history=(step,)
-            )
-
-    def _room(self) -> bool:
-        """Requests that are over make room, the oldest first."""
-        busy = {one.request_id for one in self.open_jobs()}
-        for id in [one for one in self.requests if one not in busy]:
+
+    def _make_room(self) -> bool:
+        """Whether a request may be added; finished ones are dropped, the oldest first."""
+        open_requests = {job.request_id for job in self.open_jobs()}
+        for request_id in [known for known in self.requests if known not in open_requests]:
             if len(self.requests) < MAX_REQUESTS:
                 break
-            for key in [key for key in self.jobs if key[0] == id]:
+            for key in [key for key in self.jobs if key[0] == request_id]:
                 del self.jobs[key]
-            del self.requests[id]
+            del self.requests[request_id]
         return len(self.requests) < MAX_REQUESTS
 
     def _enter(
-        self, now: float, place: MachineJob, state: str, why: str = "", author: str = "", **more: object
+        self, now: float, job: MachineJob, state: str, reason: str = "", author: str = "", **changes: object
     ) -> None:
-        story = (*place.history, HistoryEntry(now, state, why[:MAX_TEXT_CHARS], author))[
-            -MAX_HISTORY_ENTRIES:
-        ]
-        changed = msgspec.structs.replace(place, state=state, state_since=now, history=story, **more)
-        self.jobs[place.request_id, place.machine] = changed
-
-    def _withdraw(self, now: float, id: str, author: str) -> None:
-        if id not in self.requests:
-            raise MaintenanceError(f"there is no request {id}")
-        for place in [one for one in self.open_jobs() if one.request_id == id]:
-            if place.state == "queued":
-                self._enter(now, place, "withdrawn", author=author)
-            elif place.state in ("granted", "draining", "safe"):
-                self._enter(now, place, "recalled", "withdrawn", author, outcome="withdrawn")
-            # What is out comes back as any other.
+        """Let a job enter a state; `changes` are other fields of it, by name."""
+        entry = HistoryEntry(now, state, reason[:MAX_TEXT_CHARS], author)
+        history = (*job.history, entry)[-MAX_HISTORY_ENTRIES:]
+        changed = msgspec.structs.replace(job, state=state, state_since=now, history=history, **changes)
+        self.jobs[job.request_id, job.machine] = changed
+
+    def _withdraw(self, now: float, request_id: str, author: str) -> None:
+        if request_id not in self.requests:
+            raise MaintenanceError(f"there is no request {request_id}")
+        for job in [job for job in self.open_jobs() if job.request_id == request_id]:
+            if job.state == JobState.QUEUED:
+                self._enter(now, job, JobState.WITHDRAWN, author=author)
+            elif job.state in GRANT_STATES:
+                withdrawn = JobState.WITHDRAWN
+                self._enter(now, job, JobState.RECALLED, withdrawn, author, outcome=withdrawn)
+            # A machine that is out comes back as any other.
+
+    def _set_hold(self, hold: SetHold) -> None:
+        if hold.held:
+            self.hold_reason = f"{hold.reason or 'held'} ({hold.author})"[:MAX_TEXT_CHARS]
+        else:
+            self.hold_reason = ""
+            self.failures = 0
 
     def _force(self, now: float, machine: str, author: str, reason: str) -> None:
-        place = self.job_of(machine)
-        if place is None or place.state != "queued":
-            raise MaintenanceError(
-                f"{machine} does not wait" if place is None else f"{machine} is {place.state}"
-            )
+        job = self.job_of(machine)
+        if job is None:
+            raise MaintenanceError(f"{machine} does not wait")
+        if job.state != JobState.QUEUED:
+            raise MaintenanceError(f"{machine} is {job.state}")
         if not reason:
             raise MaintenanceError("a reason is needed")
-        self._enter(now, place, "queued", f"forced: {reason}", author, outcome="forced")
+        self._enter(now, job, JobState.QUEUED, f"{FORCED}: {reason}", author, outcome=FORCED)
 
-    # What machines tell
+    def _set_budget(self, budget: Budget) -> None:
+        error = budget_error(budget)
+        if error:
+            raise MaintenanceError(error)
+        self.budget = budget
+        self.budget_was_set = True
 
-    NEXT = {  # noqa: RUF012 - what may be told in a state
-        "granted": ("draining", "undone", "failed"), "draining": ("safe", "undone", "failed"),
-        "safe": ("out", "undone"), "out": ("returning",), "overdue": ("returning", "undone"),
-        "recalled": ("undone",), "returning": ("failed",),
-    }  # fmt: skip
+    # Progress
 
-    def _told(self, now: float, told: w.ReportProgress) -> None:
-        place = self.job_of(told.machine)
-        if place is None or place.fencing_token != told.fencing_token:
+    def _report_progress(self, now: float, report: ReportProgress) -> None:
+        job = self.job_of(report.machine)
+        if job is None or job.fencing_token != report.fencing_token:
             raise MaintenanceError("fence")
-        if place.state == told.state:
-            return  # told again
-        if told.state not in self.NEXT.get(place.state, ()):
-            raise MaintenanceError(f"{told.machine} is {place.state}")
-        if (
-            place.state in ("granted", "draining", "safe")
-            and told.state != "undone"
-            and now > place.expires_at
-        ):
+        if job.state == report.state:
+            return  # reported again
+        if report.state not in ALLOWED_PROGRESS.get(job.state, ()):
+            raise MaintenanceError(f"{report.machine} is {job.state}")
+        if job.state in GRANT_STATES and report.state != Progress.UNDONE and now > job.expires_at:
             raise MaintenanceError("the grant has run out")
-        match told.state:
-            case "undone":
-                self._undone(now, place, told.reason)
-            case "failed":
+        match Progress(report.state):
+            case Progress.UNDONE:
+                self._undo(now, job, report.reason)
+            case Progress.FAILED:
                 self.failures += 1
-                self._enter(now, place, "recalled", told.reason, outcome="failed")
-            case "safe":
-                # It waits for whoever works on it, as long as a drain may take.
-                self._enter(now, place, "safe", told.reason, expires_at=now + 1000 * self.budget.drain_s)
-            case what:
-                self._enter(now, place, what, told.reason)
-
-    def _undone(self, now: float, place: MachineJob, why: str) -> None:
-        """It works again as before: what was begun was taken back."""
-        if place.outcome in ("withdrawn", "failed"):
-            self._enter(now, place, place.outcome, why, fencing_token=0, expires_at=0.0)
+                self._enter(now, job, JobState.RECALLED, report.reason, outcome=JobState.FAILED)
+            case Progress.SAFE:
+                # It waits for the operator who works on it, as long as a drain may take.
+                expires_at = now + 1000 * self.budget.drain_s
+                self._enter(now, job, JobState.SAFE, report.reason, expires_at=expires_at)
+            case progress:
+                self._enter(now, job, progress.value, report.reason)
+
+    def _undo(self, now: float, job: MachineJob, reason: str) -> None:
+        """The machine serves again as before its grant."""
+        if job.outcome in (JobState.WITHDRAWN, JobState.FAILED):
+            self._enter(now, job, job.outcome, reason, fencing_token=0, expires_at=0.0)
         else:
-            self._enter(now, place, "queued", why, fencing_token=0, expires_at=0.0, outcome="")
-
-    # What the coordinator sees
-
-    def _seen(self, now: float, seen: w.FleetView) -> None:
-        sights = {one.name: one for one in seen.machines}
-        self._run_out(now, sights)
-        self._back(now, sights)
-        out = self._out(sights)
-        self._call_back(now, out)
-        waiting = [one for one in self.open_jobs() if one.state == "queued"]
-        self.blocked_reason = "" if waiting else self.blocked_reason
-        while waiting:
-            place = self._order(now, waiting, sights)[0]
-            waiting.remove(place)
-            if (sight := sights.get(place.machine)) is not None and not sight.available:
+            self._enter(now, job, JobState.QUEUED, reason, fencing_token=0, expires_at=0.0, outcome="")
+
+    # Grants
+
+    def _apply_fleet_view(self, now: float, fleet: FleetView) -> None:
+        views = {view.name: view for view in fleet.machines}
+        self._expire_grants(now)
+        self._finish_returned(now, views)
+        self._recall_above_budget(now, self._machines_out(views))
+        queued = [job for job in self.open_jobs() if job.state == JobState.QUEUED]
+        if queued:
+            self.blocked_reason = ""
+        while queued:
+            job = self._in_order(now, queued, views)[0]
+            queued.remove(job)
+            view = views.get(job.machine)
+            if view is not None and not view.available:
                 continue  # it is out without a grant, and could not drain; others go meanwhile
-            self.blocked_reason = self._why_not(now, place, seen, sights, self._out(sights))
-            if self.blocked_reason:
-                if place.outcome == "forced":
-                    continue
-                break  # nobody overtakes: whoever is first goes first
-            self.last_fencing_token += 1
-            until = now + 1000 * self.budget.drain_s
-            self._enter(
-                now,
-                place,
-                "granted",
-                place.outcome,
-                fencing_token=self.last_fencing_token,
-                expires_at=until,
-                outcome="",
-            )
-
-    def _run_out(self, now: float, sights: dict[str, w.MachineView]) -> None:
-        """Grants that ended: what was begun under them is taken back, and counts as out until it is."""
-        for place in self.open_jobs():
-            if place.state in ("granted", "draining", "safe") and now > place.expires_at:
-                self._enter(now, place, "recalled", "the grant ran out")
-            expected = 1000 * self.requests[place.request_id].details.expected_s
-            if place.state == "out" and now > place.state_since + expected:
-                self._enter(now, place, "overdue", "not back in the time expected")
-
-    def _back(self, now: float, sights: dict[str, w.MachineView]) -> None:
-        for place in self.open_jobs():
-            sight = sights.get(place.machine)
-            if place.state != "returning" or sight is None or not sight.available:
+            self.blocked_reason = self._why_not(now, job, fleet, views, self._machines_out(views))
+            if not self.blocked_reason:
+                self._grant(now, job)
+            elif job.outcome != FORCED:
+                break  # nobody overtakes the first in order
+
+    def _grant(self, now: float, job: MachineJob) -> None:
+        self.last_fencing_token += 1
+        self._enter(
+            now,
+            job,
+            JobState.GRANTED,
+            job.outcome,
+            fencing_token=self.last_fencing_token,
+            expires_at=now + 1000 * self.budget.drain_s,
+            outcome="",
+        )
+
+    def _expire_grants(self, now: float) -> None:
+        """Recall machines whose grant ended; they count as out until they have undone what they began."""
+        for job in self.open_jobs():
+            if job.state in GRANT_STATES and now > job.expires_at:
+                self._enter(now, job, JobState.RECALLED, "the grant ran out")
+            expected_ms = 1000 * self.requests[job.request_id].details.expected_s
+            if job.state == JobState.OUT and now > job.state_since + expected_ms:
+                self._enter(now, job, JobState.OVERDUE, "not back in the time expected")
+
+    def _finish_returned(self, now: float, views: Mapping[str, MachineView]) -> None:
+        for job in self.open_jobs():
+            view = views.get(job.machine)
+            if job.state != JobState.RETURNING or view is None or not view.available:
                 continue
-            wanted = self.requests[place.request_id].details.target_version
-            if wanted and sight.version != wanted:
+            wanted = self.requests[job.request_id].details.target_version
+            if wanted and view.version != wanted:
                 self.failures += 1
-                why = f"it is back with version {sight.version or 'unknown'}, not {wanted}"
-                self._enter(now, place, "failed", why, fencing_token=0)
+                reason = f"it is back with version {view.version or 'unknown'}, not {wanted}"
+                self._enter(now, job, JobState.FAILED, reason, fencing_token=0)
             else:
-                self._enter(now, place, "done", fencing_token=0)
+                self._enter(now, job, JobState.DONE, fencing_token=0)
             self.last_return_at = now
 
-    def _out(self, sights: dict[str, w.MachineView]) -> set[str]:
-        """All that count as out: planned, and not seen though nobody took them out."""
-        planned = {one.machine for one in self.open_jobs() if one.state in OUT_STATES}
-        return planned | {name for name, one in sights.items() if not one.available}
+    def _machines_out(self, views: Mapping[str, MachineView]) -> set[str]:
+        """All that count as out: planned, or unavailable without a grant."""
+        planned = {job.machine for job in self.open_jobs() if job.state in OUT_STATES}
+        return planned | {name for name, view in views.items() if not view.available}
 
-    def _call_back(self, now: float, out: Iterable[str]) -> None:
-        """Unplanned losses use the budget up: who still drains is called back, the last granted first."""
-        over = len(set(out)) - self.budget.max_out
-        draining = [one for one in self.open_jobs() if one.state in ("granted", "draining")]
-        called = [one for one in draining if not self._forced(one)]
-        for place in sorted(called, key=lambda one: -one.fencing_token)[: max(0, over)]:
-            self._enter(now, place, "recalled", "others were lost meanwhile")
+    def _recall_above_budget(self, now: float, out: Iterable[str]) -> None:
+        """Recall machines that still drain where unplanned losses use the budget, the last granted first."""
+        excess = len(set(out)) - self.budget.max_out
+        draining = [job for job in self.open_jobs() if job.state in (JobState.GRANTED, JobState.DRAINING)]
+        recallable = [job for job in draining if not self._is_forced(job)]
+        for job in sorted(recallable, key=lambda job: -job.fencing_token)[: max(0, excess)]:
+            self._enter(now, job, JobState.RECALLED, "others were lost meanwhile")
 
     @staticmethod
-    def _forced(place: MachineJob) -> bool:
-        return any(step.reason.startswith("forced") for step in place.history)
+    def _is_forced(job: MachineJob) -> bool:
+        return any(entry.reason.startswith(FORCED) for entry in job.history)
 
-    def _order(
-        self, now: float, waiting: list[MachineJob], sights: dict[str, w.MachineView]
+    def _in_order(
+        self, now: float, queued: list[MachineJob], views: Mapping[str, MachineView]
     ) -> list[MachineJob]:
-        zones = {name: one.zone for name, one in sights.items()}
-        went = [one for one in self.jobs.values() if one.state in OUT_STATES or one.state == "done"]
-        busy = Counter(zones.get(one.machine, "") for one in went)
+        zones = {name: view.zone for name, view in views.items()}
+        went = [job for job in self.jobs.values() if job.state in OUT_STATES or job.state == JobState.DONE]
+        went_by_zone = Counter(zones.get(job.machine, "") for job in went)
 
-        def key(place: MachineJob) -> tuple[bool, float, int, int, str]:
-            request = self.requests[place.request_id]
+        def key(job: MachineJob) -> tuple[bool, float, int, int, str]:
+            request = self.requests[job.request_id]
             rank = request.details.urgency * URGENCY_STEP_MS + now - request.submitted_at
-            sight = sights.get(place.machine)
-            zone, leads = zones.get(place.machine, ""), sight.groups_led if sight is not None else 0
-            return place.outcome != "forced", -rank, busy[zone], leads, place.machine
+            view = views.get(job.machine)
+            groups_led = view.groups_led if view is not None else 0
+            in_zone = went_by_zone[zones.get(job.machine, "")]
+            return job.outcome != FORCED, -rank, in_zone, groups_led, job.machine
 
-        return sorted(waiting, key=key)
+        return sorted(queued, key=key)
 
     def _why_not(
         self,
         now: float,
-        place: MachineJob,
-        seen: w.FleetView,
-        sights: dict[str, w.MachineView],
+        job: MachineJob,
+        fleet: FleetView,
+        views: Mapping[str, MachineView],
         out: set[str],
     ) -> str:
-        """Why a machine may not go now; nothing if it may."""
-        budget, machine = self.budget, place.machine
-        sight = sights.get(machine)
-        if sight is None:
-            return f"{machine} is no machine of this fleet"
-        for number, group in enumerate(seen.groups):
-            left = [one for one in group.up_to_date if one not in out and one != machine]
-            if machine in group.voters and 2 * len(left) <= len(group.voters):
-                return f"group {number} would have no majority without {machine}"
-        if place.outcome == "forced":
-            return ""
+        """Why a machine may not go now; empty if it may."""
+        if job.machine not in views:
+            return f"{job.machine} is no machine of this fleet"
+        lost_majority = why_no_majority(job.machine, fleet, out)
+        if lost_majority or job.outcome == FORCED:
+            return lost_majority
+        return (
+            self._why_stopped(now, job, fleet.wall_time)
+            or why_too_many(self.budget, job.machine, views, out)
+            or self._why_overloaded(job.machine, views, out)
+        )
+
+    def _why_stopped(self, now: float, job: MachineJob, wall_time: float) -> str:
         if self.hold_reason:
             return f"held: {self.hold_reason}"
-        if self.failures >= budget.max_failures:
+        if self.failures >= self.budget.max_failures:
             return f"{self.failures} machines failed: resume to go on"
-        request = self.requests[place.request_id].details
-        if seen.wall_time < request.earliest_time:
-            return f"{machine} not before its earliest time"
-        if any(begin <= seen.wall_time < end for begin, end in budget.closed_windows):
+        if wall_time < self.requests[job.request_id].details.earliest_time:
+            return f"{job.machine} not before its earliest time"
+        if any(begin <= wall_time < end for begin, end in self.budget.closed_windows):
             return "a closed window"
-        if now < self.last_return_at + 1000 * budget.pause_s:
+        if now < self.last_return_at + 1000 * self.budget.pause_s:
             return "a pause after the last return"
-        if len(out | {machine}) > budget.max_out:
-            return f"{len(out)} of {budget.max_out} are out: {', '.join(sorted(out)[:5])}"
-        zone = sum(sights[one].zone == sight.zone for one in out if one in sights and one != machine)
-        if zone + 1 > budget.max_out_per_zone:
-            return f"{zone} of {budget.max_out_per_zone} of zone {sight.zone or 'none'} are out"
-        left = [name for name in sights if name not in out and name != machine]
-        whole = sum(one.load for name, one in sights.items() if name not in out)
-        load = whole / len(left) if left else float("inf")
-        limit = budget.max_load - (budget.load_slack if self.overloaded else 0.0)
+        return ""
+
+    def _why_overloaded(self, machine: str, views: Mapping[str, MachineView], out: set[str]) -> str:
+        left = [name for name in views if name not in out and name != machine]
+        total_load = sum(view.load for name, view in views.items() if name not in out)
+        load = total_load / len(left) if left else float("inf")
+        limit = self.budget.max_load - (self.budget.load_slack if self.overloaded else 0.0)
         self.overloaded = load > limit
         if self.overloaded:
             return f"those left would be loaded to {load:.2f} of {limit:.2f}"
--- a/mapleshunt/maintenance/records.py
+++ b/mapleshunt/maintenance/records.py
@@ -1,24 +1,41 @@
-"""What the replicated state holds about maintenance: requests, and one job for each of their machines."""
+"""What the replicated state holds of maintenance: requests, and one job for each of their machines."""
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 from .budget import Budget
 from .commands import RequestMaintenance
 
-# States of a machine within a request, each entered by an entry of the log.
-WAITING_STATES = ("queued",)
 
+class JobState(StrEnum):
+    """States of a machine within a request, each entered by an entry of the log. The values are stored."""
+
+    QUEUED = "queued"
+    GRANTED = "granted"
+    DRAINING = "draining"
+    SAFE = "safe"
+    OUT = "out"
+    RETURNING = "returning"
+    RECALLED = "recalled"
+    OVERDUE = "overdue"
+    DONE = "done"
+    WITHDRAWN = "withdrawn"
+    FAILED = "failed"
 
-OUT_STATES = ("granted", "draining", "safe", "out", "returning", "recalled", "overdue")  # counts as out
 
+WAITING_STATES = (JobState.QUEUED,)
+GRANT_STATES = (JobState.GRANTED, JobState.DRAINING, JobState.SAFE)  # the machine acts under its grant
+OUT_STATES = (*GRANT_STATES, JobState.OUT, JobState.RETURNING, JobState.RECALLED, JobState.OVERDUE)
+FINAL_STATES = (JobState.DONE, JobState.WITHDRAWN, JobState.FAILED)
 
-FINAL_STATES = ("done", "withdrawn", "failed")
+FORCED = "forced"  # an outcome that is stored, and the begin of the reason in the job's history
 
 
 class HistoryEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A line of a machine's story."""
+    """A change of a job's state."""
 
     at: float  # ms of the log's time
     state: str
@@ -27,25 +44,27 @@
 
 
 class MachineJob(msgspec.Struct, array_like=True, frozen=True):
-    """A machine within a request."""
+    """A machine within a request. Times are ms of the log's time."""
 
     machine: str
     request_id: str
-    state: str = "queued"
+    state: str = JobState.QUEUED
     fencing_token: int = 0
-    state_since: float = 0.0  # ms of the log's time
+    state_since: float = 0.0
     expires_at: float = 0.0  # when the grant ends
-    outcome: str = ""  # how it ends once it is undone: withdrawn or failed; else it is queued again
+    outcome: str = ""  # once it is undone: withdrawn or failed, else it is queued again; or `FORCED`
     history: tuple[HistoryEntry, ...] = ()
 
 
 class MaintenanceRequest(msgspec.Struct, array_like=True, frozen=True):
+    """A request that was accepted."""
+
     details: RequestMaintenance
     submitted_at: float  # ms of the log's time
 
 
 class MaintenanceSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """A snapshot's form."""
+    """The stored form of `MaintenanceJobs`."""
 
     budget: Budget
     hold_reason: str
--- a/mapleshunt/maintenance/summary.py
+++ b/mapleshunt/maintenance/summary.py
@@ -1,4 +1,4 @@
-"""The state of maintenance as it is told to those who read it: within the size of one reply. Pure."""
+"""A summary of the state of maintenance, within the size of one reply."""
 
 from __future__ import annotations
 
@@ -6,40 +6,41 @@
 
 from .records import FINAL_STATES, MaintenanceSnapshot
 
-MIN_HISTORY_ENTRIES = 4  # of each machine's story that are told where even what is not over is too much
+MIN_HISTORY_ENTRIES = 4  # of each job, kept even where the open requests alone are too large
 
 
-def summarize(frozen: MaintenanceSnapshot, most: int) -> MaintenanceSnapshot:
-    """All that is not over, and of what is over the latest, in at most `most` bytes as far as that can be.
+def summarize(snapshot: MaintenanceSnapshot, max_bytes: int) -> MaintenanceSnapshot:
+    """All open requests, and the latest of the others, in at most `max_bytes` as far as that is possible.
 
-    Requests that are over go first, the oldest first; then the older steps of each machine's story.
+    Finished requests are left out first, the oldest first; then the older history of each job.
     """
-    while _size(frozen) > most:
-        over = _over(frozen)
-        if not over:
-            return _with_few_steps(frozen)
-        frozen = _without(frozen, set(over[: (len(over) + 1) // 2]))
-    return frozen
+    while _size(snapshot) > max_bytes:
+        finished = _finished_requests(snapshot)
+        if not finished:
+            return _with_short_history(snapshot)
+        snapshot = _without(snapshot, set(finished[: (len(finished) + 1) // 2]))
+    return snapshot
 
 
-def _size(frozen: MaintenanceSnapshot) -> int:
-    return len(msgspec.msgpack.encode(frozen))
+def _size(snapshot: MaintenanceSnapshot) -> int:
+    return len(msgspec.msgpack.encode(snapshot))
 
 
-def _over(frozen: MaintenanceSnapshot) -> list[str]:
-    """Requests of which no place is open, the oldest first."""
-    open_requests = {one.request_id for one in frozen.jobs if one.state not in FINAL_STATES}
-    return [one.details.request_id for one in frozen.requests if one.details.request_id not in open_requests]
+def _finished_requests(snapshot: MaintenanceSnapshot) -> list[str]:
+    """Requests without an open job, the oldest first."""
+    open_requests = {job.request_id for job in snapshot.jobs if job.state not in FINAL_STATES}
+    request_ids = [request.details.request_id for request in snapshot.requests]
+    return [request_id for request_id in request_ids if request_id not in open_requests]
 
 
-def _without(frozen: MaintenanceSnapshot, ids: set[str]) -> MaintenanceSnapshot:
-    requests = tuple(one for one in frozen.requests if one.details.request_id not in ids)
-    places = tuple(one for one in frozen.jobs if one.request_id not in ids)
-    return msgspec.structs.replace(frozen, requests=requests, jobs=places)
+def _without(snapshot: MaintenanceSnapshot, request_ids: set[str]) -> MaintenanceSnapshot:
+    requests = tuple(one for one in snapshot.requests if one.details.request_id not in request_ids)
+    jobs = tuple(job for job in snapshot.jobs if job.request_id not in request_ids)
+    return msgspec.structs.replace(snapshot, requests=requests, jobs=jobs)
 
 
-def _with_few_steps(frozen: MaintenanceSnapshot) -> MaintenanceSnapshot:
-    places = tuple(
-        msgspec.structs.replace(one, history=one.history[-MIN_HISTORY_ENTRIES:]) for one in frozen.jobs
+def _with_short_history(snapshot: MaintenanceSnapshot) -> MaintenanceSnapshot:
+    jobs = tuple(
+        msgspec.structs.replace(job, history=job.history[-MIN_HISTORY_ENTRIES:]) for job in snapshot.jobs
     )
-    return msgspec.structs.replace(frozen, jobs=places)
+    return msgspec.structs.replace(snapshot, jobs=jobs)
--- a/mapleshunt/replicated_state/state_machine.py
+++ b/mapleshunt/replicated_state/state_machine.py
@@ -16,6 +16,7 @@
 import msgspec
 from immutables import Map
 
+from ..maintenance import commands as maintenance_commands
 from ..maintenance.jobs import MaintenanceError, MaintenanceJobs
 from ..maintenance.records import MaintenanceSnapshot
 from . import commands
@@ -173,24 +174,30 @@
         self.sessions = self.sessions.set(name, Session(0, stamp))
         return Applied()
 
-    def _execute(self, stamp: float, session: str, operation: commands.Operation) -> Result:  # noqa: PLR0911 - one return a kind of operation
+    def _execute(self, stamp: float, session: str, operation: commands.Operation) -> Result:
+        result: Result
         match operation:
             case commands.AcquireLease():
-                return self._acquire_lease(stamp, session, operation)
+                result = self._acquire_lease(stamp, session, operation)
             case commands.ReturnLease():
-                return self._return_lease(stamp, operation)
+                result = self._return_lease(stamp, operation)
             case commands.SettleUsage(customer, units):
-                return self._settle_usage(stamp, customer, units)
+                result = self._settle_usage(stamp, customer, units)
             case commands.CountUsage(customer, units):
-                return self._count_usage(stamp, customer, units)
+                result = self._count_usage(stamp, customer, units)
             case commands.ReserveUnits():
-                return self._reserve_units(stamp, session, operation)
+                result = self._reserve_units(stamp, session, operation)
             case commands.ReleaseReservation(customer, name):
-                return self._release_reservation(stamp, customer, name)
+                result = self._release_reservation(stamp, customer, name)
             case commands.SetRecord():
-                return self._set_record(stamp, session, operation)
+                result = self._set_record(stamp, session, operation)
             case commands.OpenSession():
-                return Denied(DenialReason.ORDER)
+                result = Denied(DenialReason.ORDER)
+            case _:
+                result = self._apply_maintenance(stamp, operation)
+        return result
+
+    def _apply_maintenance(self, stamp: float, operation: maintenance_commands.Operation) -> Result:
         try:
             return Applied(self.maintenance.apply(stamp, operation))
         except MaintenanceError as error:
--- a/mapleshunt/simulation/maintenance_plays.py
+++ b/mapleshunt/simulation/maintenance_plays.py
@@ -7,11 +7,11 @@
 
 import copy
 import random
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
 from ..maintenance import commands as w
-from ..maintenance.agent import AgentAction, MaintenanceAgent, RemainingWork
+from ..maintenance.agent import AgentAction, AgentActionKind, MaintenanceAgent, RemainingWork
 from ..maintenance.budget import Budget
 from ..maintenance.jobs import MaintenanceError, MaintenanceJobs
 from ..maintenance.records import MachineJob
@@ -276,14 +276,14 @@
     ) -> list[AgentAction]:
         if place is not None and place.state == "queued":
             self.drained = True
-            return [AgentAction("drain")]
+            return [AgentAction(AgentActionKind.DRAIN)]
         return super().step(now, place, long, sees)
 
 
 class ForgetsUnplanned(MaintenanceJobs):
     """The budget counts what it took out, and nothing else; and so do majorities."""
 
-    def _out(self, sights: dict[str, w.MachineView]) -> set[str]:
+    def _machines_out(self, views: Mapping[str, w.MachineView]) -> set[str]:
         return {
             one.machine for one in self.open_jobs() if one.state in ("granted", "draining", "safe", "out")
         }
@@ -292,8 +292,8 @@
 class ReturnTakenForGranted(MaintenanceJobs):
     """What was worked on for as long as was expected is taken to be back."""
 
-    def _run_out(self, now: float, sights: dict[str, w.MachineView]) -> None:
-        super()._run_out(now, sights)
+    def _expire_grants(self, now: float) -> None:
+        super()._expire_grants(now)
         for place in self.open_jobs():
             if place.state == "out" and now > place.state_since:
                 self._enter(now, place, "done", fencing_token=0)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mapleshunt.maintenance import commands as w
-from mapleshunt.maintenance.agent import AgentAction, MaintenanceAgent, RemainingWork
+from mapleshunt.maintenance.agent import AgentAction, AgentActionKind, MaintenanceAgent, RemainingWork
 from mapleshunt.maintenance.budget import Budget, budget_error
 from mapleshunt.maintenance.jobs import URGENCY_STEP_MS, MaintenanceError, MaintenanceJobs
 from mapleshunt.maintenance.records import OUT_STATES, HistoryEntry, MachineJob, MaintenanceSnapshot
@@ -225,22 +225,26 @@
     place = MachineJob("g3", "r", "granted", fencing_token=4, expires_at=10_000.0)
     holder.update_grant(100.0, 0.0, place)
     acts = holder.step(100.1, place, False, RemainingWork(2, 1, 1, 1, False))
-    assert acts == [AgentAction("drain"), AgentAction("hand_over"), AgentAction("tell", "draining", "", 4)]
+    assert acts == [
+        AgentAction(AgentActionKind.DRAIN),
+        AgentAction(AgentActionKind.HAND_OVER),
+        AgentAction(AgentActionKind.REPORT, "draining", "", 4),
+    ]
     place = msgspec.structs.replace(place, state="draining")
     assert holder.step(101.0, place, False, BUSY) == [
-        AgentAction("hand_over", "", "requests 2, clients 1, groups led 1")
+        AgentAction(AgentActionKind.HAND_OVER, "", "requests 2, clients 1, groups led 1")
     ]
     slept = MaintenanceAgent()
     slept.update_grant(100.0, 0.0, place)
     slept.step(100.1, place, True, BUSY)
     assert slept.step(109.95, place, True, EMPTY) == [  # SIGSTOP until then: it may be another's turn
-        AgentAction("resume"),
-        AgentAction("take_back"),
-        AgentAction("tell", "undone", "too late by its own clock", 4),
+        AgentAction(AgentActionKind.RESUME),
+        AgentAction(AgentActionKind.TAKE_BACK),
+        AgentAction(AgentActionKind.REPORT, "undone", "too late by its own clock", 4),
     ]
-    assert holder.step(102.0, place, False, EMPTY) == [AgentAction("tell", "safe", "", 4)]
+    assert holder.step(102.0, place, False, EMPTY) == [AgentAction(AgentActionKind.REPORT, "safe", "", 4)]
     recalled = msgspec.structs.replace(place, state="recalled")
-    assert holder.step(103.0, recalled, False, EMPTY) == [AgentAction("resume")]
+    assert holder.step(103.0, recalled, False, EMPTY) == [AgentAction(AgentActionKind.RESUME)]
     assert holder.step(103.1, recalled, False, EMPTY) == []  # told once it takes clients again
     assert holder.step(103.2, recalled, False, RemainingWork(0, 0, 0, 0, False))[0].state == "undone"
 
