--- a/mapleshunt/invariants.py
+++ b/mapleshunt/invariants.py
@@ -1,8 +1,8 @@
-"""Invariants of a gateway: what holds whenever it sends, repeats, closes or starts.
+"""Invariants of a gateway: what holds whenever it sends, retries, closes or starts.
 
 The guards restate the rules of the protocol from facts alone and share no code with the decisions, so that a
 defect there does not hide itself here. No I/O and no clock: times are ms, facts are handed in. Each guard
-returns the rules that are broken, by name; none is the usual answer.
+returns the violations, by the names that counters and log lines have; none is the usual answer.
 """
 
 from __future__ import annotations
@@ -15,48 +15,56 @@
 
 # ms after its client has left, or has its answer, for which an attempt of a request may still begin.
 MAX_SEND_AFTER_END_MS = 100.0
-# ms by which the time that an attempt passes on may exceed what its client has left.
+# ms by which the timeout that an attempt passes on may exceed what its client has left.
 DEADLINE_SLACK_MS = 150.0
 # ms that a start may take: nine in ten restarted processes are to be ready by then.
 MAX_START_MS = 10_000.0
+# Attempts by which the allowance of an endpoint in slow start may be exceeded: rounding errors.
+ALLOWANCE_TOLERANCE = 1e-6
 # Reasons for which a client connection may end with requests unanswered: all of them are its client's.
 CLIENT_REASONS = frozenset({"client_closed", "client_reset", "slow_client"})
 
 
 class Guard(enum.Enum):
-    """Where an invariant is checked."""
+    """Where an invariant is checked. The values are words of counters and log lines."""
 
     SEND = "send"
-    REPEAT = "repeat"
+    RETRY = "repeat"
     CLOSE = "close"
     START = "start"
 
 
 @dataclass(slots=True, frozen=True)
 class SendFacts:
-    """An attempt whose first byte is about to be written."""
+    """An attempt whose first byte is about to be written.
+
+    Attributes:
+        since_request_end: ms since its request ended, with an answer or its client's leaving; None while it
+            is open.
+        endpoint_ready: The list names the endpoint as ready, at this address and since this start.
+        timeout: ms that the endpoint is told to have.
+        remaining_time: ms that the client has left.
+    """
 
-    since_end: (
-        float | None
-    )  # since its request ended, with an answer or its client's leaving; None if it is open
-    server_ready: bool  # the list names the server as ready, at this address and since this start
-    passed_on: float  # the time that the server is told
-    left: float  # the time that the client has left
+    since_request_end: float | None
+    endpoint_ready: bool
+    timeout: float
+    remaining_time: float
 
 
 @dataclass(slots=True, frozen=True)
 class EarlierAttempt:
-    """An attempt of the same request before the one to be sent; `status` is None while it is out."""
+    """An attempt of the same request before the one to be sent; `status` is None while it is in flight."""
 
-    sent: float
+    sent_at: float
     status: AttemptStatus | None
     zone: str
     cell: int
 
 
 @dataclass(slots=True, frozen=True)
-class RepeatFacts:
-    """A further attempt that is about to be sent at `now`."""
+class RetryFacts:
+    """A retry that is about to be sent at `now`, to an endpoint in this zone and cell."""
 
     now: float
     zone: str
@@ -64,62 +72,71 @@
     earlier: Sequence[EarlierAttempt]
 
 
-def broken_by_sending(facts: SendFacts) -> list[str]:
-    """Rules that sending these bytes breaks."""
-    broken = []
-    if facts.since_end is not None and facts.since_end > MAX_SEND_AFTER_END_MS:
-        broken.append("sent_after_end")
-    if not facts.server_ready:
-        broken.append("sent_to_unavailable_server")
-    if facts.passed_on > facts.left + DEADLINE_SLACK_MS:
-        broken.append("deadline_exceeds_client")
-    return broken
+def violations_of_send(facts: SendFacts) -> list[str]:
+    """Return the rules that sending these bytes breaks."""
+    violations = []
+    if facts.since_request_end is not None and facts.since_request_end > MAX_SEND_AFTER_END_MS:
+        violations.append("sent_after_end")
+    if not facts.endpoint_ready:
+        violations.append("sent_to_unavailable_server")
+    if facts.timeout > facts.remaining_time + DEADLINE_SLACK_MS:
+        violations.append("deadline_exceeds_client")
+    return violations
 
 
-def broken_by_repeating(facts: RepeatFacts, cls: RequestClass, settings: Settings) -> list[str]:
-    """Rules that this further attempt breaks."""
-    broken = []
+def violations_of_retry(facts: RetryFacts, request_class: RequestClass, settings: Settings) -> list[str]:
+    """Return the rules that this retry breaks."""
+    violations = []
     if len(facts.earlier) >= settings.max_attempts:
-        broken.append("too_many_attempts")
+        violations.append("too_many_attempts")
     if not settings.allow_hedging and any(one.status is None for one in facts.earlier):
-        broken.append("two_attempts_out")
+        violations.append("two_attempts_out")
     may_have_run = [one for one in facts.earlier if one.status not in NEVER_RAN]
-    if may_have_run and cls.effect == "unsafe":
-        broken.append("unsafe_request_repeated")
-    if may_have_run and cls.effect == "keyed":
-        broken += _broken_by_keyed_repeat(facts, may_have_run, cls)
-    return broken
+    if may_have_run and request_class.effect == "unsafe":
+        violations.append("unsafe_request_repeated")
+    if may_have_run and request_class.effect == "keyed":
+        violations += _violations_of_keyed_retry(facts, may_have_run, request_class)
+    return violations
 
 
-def _broken_by_keyed_repeat(
-    facts: RepeatFacts, may_have_run: Sequence[EarlierAttempt], cls: RequestClass
+def _violations_of_keyed_retry(
+    facts: RetryFacts, may_have_run: Sequence[EarlierAttempt], request_class: RequestClass
 ) -> list[str]:
-    broken = []
-    if facts.now > may_have_run[0].sent + cls.idempotency_window:
-        broken.append("repeated_after_window")
-    if cls.retry_scope == "cell" and any(one.cell != facts.cell for one in may_have_run):
-        broken.append("repeated_outside_cell")
-    if cls.retry_scope == "zone" and any(one.zone != facts.zone for one in may_have_run):
-        broken.append("repeated_outside_zone")
-    return broken
-
-
-def broken_by_closing(reason: str, unanswered: int, unread: bool) -> list[str]:
-    """Rules that the end of a client connection breaks, with so many requests read and not answered, and
-    whether bytes that nobody has read are on it.
+    violations = []
+    if facts.now > may_have_run[0].sent_at + request_class.idempotency_window:
+        violations.append("repeated_after_window")
+    if request_class.retry_scope == "cell" and any(one.cell != facts.cell for one in may_have_run):
+        violations.append("repeated_outside_cell")
+    if request_class.retry_scope == "zone" and any(one.zone != facts.zone for one in may_have_run):
+        violations.append("repeated_outside_zone")
+    return violations
+
+
+def violations_of_close(reason: str, unanswered: int, has_unread_bytes: bool) -> list[str]:
+    """Return the rules that the end of a client connection breaks.
+
+    Args:
+        reason: Why it ends.
+        unanswered: Requests that were read from it and not answered.
+        has_unread_bytes: There are bytes on it that nobody has read.
     """
     if reason in CLIENT_REASONS:
         return []
-    broken = ["closed_with_requests_unanswered"] if unanswered else []
-    return [*broken, "closed_over_unread_bytes"] if unread else broken
+    violations = ["closed_with_requests_unanswered"] if unanswered else []
+    return [*violations, "closed_over_unread_bytes"] if has_unread_bytes else violations
+
 
+def violations_of_start(start_ms: float, has_accepted: bool) -> list[str]:
+    """Return the rules that a start breaks.
 
-def broken_by_starting(took: float, listening_before: bool) -> list[str]:
-    """Rules that a start breaks which took so long; `listening_before`: it had accepted connections."""
-    broken = ["start_took_too_long"] if took > MAX_START_MS else []
-    return [*broken, "accepted_before_start"] if listening_before else broken
+    Args:
+        start_ms: How long it took.
+        has_accepted: Connections were accepted before it was over.
+    """
+    violations = ["start_took_too_long"] if start_ms > MAX_START_MS else []
+    return [*violations, "accepted_before_start"] if has_accepted else violations
 
 
-def broken_by_slow_start(cold: bool, allowance: float) -> list[str]:
-    """Rules that an attempt breaks at a server, cold or not, that leaves it so much of its allowance."""
-    return ["slow_start_exceeded"] if cold and allowance < -1e-6 else []
+def violations_of_slow_start(is_warming_up: bool, allowance: float) -> list[str]:
+    """Return the rules that an attempt breaks at an endpoint whose allowance it leaves at this."""
+    return ["slow_start_exceeded"] if is_warming_up and allowance < -ALLOWANCE_TOLERANCE else []
--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -13,7 +13,7 @@
 
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
-from ...invariants import Guard, broken_by_closing
+from ...invariants import Guard, violations_of_close
 from .. import log
 from ..counters import Counters
 from ..messages import ParsedRequest
@@ -432,5 +432,5 @@
         # Where no response was written the reset can take none along: the request crossed the close unread.
         is_unread = bool(self.last_write_at) and self.linger_timer is None and self.has_unread_bytes()
         subject = contexts[0].client_request_id if contexts else "connection"
-        broken = broken_by_closing(reason, len(contexts), is_unread)
+        broken = violations_of_close(reason, len(contexts), is_unread)
         trace.report_violations(Guard.CLOSE, broken, subject)
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -61,7 +61,7 @@
         server = self.find_server(attempt.endpoint)
         if server is not None:
             is_cold = slow_start.capacity(server, self.settings, self.now()) < 1
-            broken = invariants.broken_by_slow_start(is_cold, server.allowance.level)
+            broken = invariants.violations_of_slow_start(is_cold, server.allowance.level)
             self.trace.report_violations(Guard.START, broken, client_id)
 
     def _check_write(
@@ -76,7 +76,7 @@
         if not context.awaiting_response:
             since_end = 1000 * (time.monotonic() - context.response_claimed_at)
         facts = invariants.SendFacts(since_end, is_ready, timeout_ms, context.deadline - now)
-        self.trace.report_violations(Guard.SEND, invariants.broken_by_sending(facts), client_id)
+        self.trace.report_violations(Guard.SEND, invariants.violations_of_send(facts), client_id)
         if attempt.number:
             self._check_retry(context, attempt, now)
 
@@ -88,7 +88,7 @@
             )
             for one in context.attempts[: attempt.number]
         ]
-        facts = invariants.RepeatFacts(now, attempt.zone, attempt.cell, earlier)
+        facts = invariants.RetryFacts(now, attempt.zone, attempt.cell, earlier)
         cls = self.settings.classes[context.request.request_class]
-        broken = invariants.broken_by_repeating(facts, cls, self.settings)
-        self.trace.report_violations(Guard.REPEAT, broken, context.client_request_id)
+        broken = invariants.violations_of_retry(facts, cls, self.settings)
+        self.trace.report_violations(Guard.RETRY, broken, context.client_request_id)
--- a/mapleshunt/policy/admission.py
+++ b/mapleshunt/policy/admission.py
@@ -2,22 +2,17 @@
 
 from __future__ import annotations
 
-import random
-
 from .actions import RejectReason
 from .concurrency_limit import ConcurrencyLimit
 from .customers import Customer, CustomerTable, PendingRequest
 from .events import RequestReceived
-from .gossip_codec import tag_of
 from .latency import LatencyEstimates
-from .owner_selection import choose_owners, member_ceiling_bucket, primary_owner_count
 from .quota_check import QuotaCheck
 from .requests import RequestTable
-from .retry import RETRY_AFTER_PART, Retries
+from .retry import RETRY_AFTER_PART
 from .scheduler import Scheduler
 from .settings import RequestClass, Settings
 from .timers import TimerKind, TimerQueue
-from .token_bucket import TokenBucket
 
 # Part of the latency objective that a client's retry has left: its first attempt used the rest.
 RETRY_OBJECTIVE_PART = 0.5
@@ -27,8 +22,6 @@
 MIN_REMAINING_MARGINS = 2
 # Expected latencies before the objective at which a request that waits for a slot is rejected.
 SEND_BY_LATENCIES = 1.5
-# Chance that a gateway with no peer to ask admits a new customer: more is beyond the quota.
-ADMIT_ALONE_CHANCE = 0.75
 
 
 class Admission:
@@ -40,9 +33,7 @@
         "_customers",
         "_latency",
         "_quota_check",
-        "_random",
         "_requests",
-        "_retries",
         "_scheduler",
         "_settings",
         "_timers",
@@ -53,25 +44,21 @@
         settings: Settings,
         customers: CustomerTable,
         requests: RequestTable,
-        retries: Retries,
         scheduler: Scheduler,
         quota_check: QuotaCheck,
         concurrency: ConcurrencyLimit,
         latency: LatencyEstimates,
         timers: TimerQueue,
-        chance: random.Random,
     ) -> None:
         self._settings, self._customers, self._requests = settings, customers, requests
-        self._retries, self._scheduler, self._quota_check = retries, scheduler, quota_check
+        self._scheduler, self._quota_check = scheduler, quota_check
         self._concurrency, self._latency = concurrency, latency
-        self._timers, self._random = timers, chance
+        self._timers = timers
         self._classes = tuple(settings.classes.values())
-        timers.on(TimerKind.REQUEST_UNSENT, self._end_if_unsent)
-        timers.on(TimerKind.REQUEST_DEADLINE, self._end_at_deadline)
 
     def admit(self, event: RequestReceived, now: float) -> None:
         """Admit or reject a request, or ask its quota's owner."""
-        customer = self.customer_of(event, now)
+        customer = self._customers.customer_of(event, now)
         request_class = self._settings.classes[event.request_class]
         objective = request_class.latency_objective * (RETRY_OBJECTIVE_PART if event.is_retry else 1.0)
         remaining, margin = event.remaining_time, self._requests.margin
@@ -107,35 +94,3 @@
         scheduler = self._scheduler
         ahead = min(scheduler.queued, (len(customer.queue) + 1) * max(1, len(scheduler)))
         return ahead * self._latency.mean / self._concurrency.slots(now)[1] if ahead else 0.0
-
-    def customer_of(self, event: RequestReceived, now: float) -> Customer:
-        """Return a request's customer; when it is first met its quota's owners are chosen."""
-        code = self._customers.plan_names.index(event.plan)
-        customer = self._customers.get_or_add(tag_of(event.customer), code, now)
-        if not customer.quota_owners:
-            size = min(max(event.gateway_set_size, 1), self._settings.gateway_count)
-            self._assign_owners(customer, size, event.gateway_set_offset, now)
-        return customer
-
-    def _assign_owners(self, customer: Customer, size: int, offset: int, now: float) -> None:
-        settings, plan = self._settings, customer.plan
-        customer.gateway_set_size = size
-        customer.quota_owners = choose_owners(customer.tag, plan, size, offset, settings)
-        share = plan.burst / size
-        burst = max(share, settings.max_request_units)  # an even share covers one request at least
-        alone = (not settings.gossip_enabled) * ADMIT_ALONE_CHANCE * burst
-        is_full = self._random.random() * burst < max(share, alone)
-        rate = customer.bucket.rate * primary_owner_count(plan, settings) / size
-        customer.fallback_bucket = TokenBucket(rate, burst, burst * is_full, now)
-        if customer.quota_owners[0] != settings.gateway_index:
-            customer.ceiling_bucket = member_ceiling_bucket(customer.ceiling_bucket, size)
-
-    def _end_if_unsent(self, request_id: int, now: float) -> None:
-        request = self._requests.open.get(request_id)
-        if request is not None and not request.attempts:
-            self._retries.reject_or_fail(request, now)
-
-    def _end_at_deadline(self, request_id: int, now: float) -> None:
-        request = self._requests.open.get(request_id)
-        if request is not None and not request.response_started:
-            self._retries.reject_or_fail(request, now)
--- a/mapleshunt/policy/attempt_results.py
+++ b/mapleshunt/policy/attempt_results.py
@@ -12,7 +12,6 @@
 from .quota import QuotaLedger
 from .requests import RequestTable
 from .retry import Retries
-from .settings import Settings
 from .slow_start import SlowStart
 
 # Weight of the newest latency in a customer's cost estimate (alpha in Figure 8 of the paper).
@@ -30,13 +29,11 @@
         "_quota",
         "_requests",
         "_retries",
-        "_settings",
         "_slow_start",
     )
 
     def __init__(
         self,
-        settings: Settings,
         requests: RequestTable,
         endpoints: EndpointTable,
         quota: QuotaLedger,
@@ -46,7 +43,7 @@
         slow_start: SlowStart,
         concurrency: ConcurrencyLimit,
     ) -> None:
-        self._settings, self._requests, self._endpoints = settings, requests, endpoints
+        self._requests, self._endpoints = requests, endpoints
         self._quota, self._retries, self._outliers = quota, retries, outliers
         self._latency, self._slow_start, self._concurrency = latency, slow_start, concurrency
 
@@ -56,13 +53,14 @@
         request = self._requests.open.get(event.request_id)
         endpoint.in_flight.pop((event.request_id, event.attempt), None)
         self._outliers.record_outcome(endpoint, event, now)
+        if event.status == "full":
+            self._concurrency.shrink(now)
         if request is None:
             return
         request.attempts[event.attempt].status = event.status
         if event.status == "ok":
             self._measure(request, event.latency, endpoint, now)
-            if event.cost and self._settings.cost_known_after:
-                self._quota.charge(request.customer, event.cost - request.units, now)
+            self._quota.settle(request.customer, request.units, event.cost, now)
         if event.request_completed:
             self._requests.release(request, now)
         elif not request.retry_pending and not request.has_attempt_in_flight():
--- a/mapleshunt/policy/customers.py
+++ b/mapleshunt/policy/customers.py
@@ -3,15 +3,17 @@
 from __future__ import annotations
 
 import math
+import random
 from collections import deque
 from dataclasses import dataclass, field
 
 from .endpoints import Endpoint
-from .events import NEVER_RAN, AttemptStatus
+from .events import NEVER_RAN, AttemptStatus, RequestReceived
 from .exponential_decay import ExponentialDecay
+from .gossip_codec import tag_of
 from .latency import LatencyEstimates
 from .leases import QuotaLeases
-from .owner_selection import ceiling_bucket, primary_owner_count
+from .owner_selection import ceiling_bucket, choose_owners, member_ceiling_bucket, primary_owner_count
 from .settings import Plan, RequestClass, Settings
 from .token_bucket import TokenBucket
 
@@ -131,6 +133,10 @@
         return may_have_run[0].sent_at + self.request_class.idempotency_window
 
 
+# Chance that a gateway with no peer to ask admits a new customer: more is beyond the quota.
+ADMIT_ALONE_CHANCE = 0.75
+
+
 class CustomerTable:
     """Customers by tag; those that are idle with a full bucket are forgotten, which refills nothing.
 
@@ -139,14 +145,36 @@
         plan_names: The plans' names, sorted; a plan's number in gossip is its place here.
     """
 
-    __slots__ = ("_after_sweep", "_latency", "_settings", "by_tag", "plan_names")
+    __slots__ = ("_after_sweep", "_latency", "_random", "_settings", "by_tag", "plan_names")
 
-    def __init__(self, settings: Settings, latency: LatencyEstimates) -> None:
-        self._settings, self._latency = settings, latency
+    def __init__(self, settings: Settings, latency: LatencyEstimates, rng: random.Random) -> None:
+        self._settings, self._latency, self._random = settings, latency, rng
         self.by_tag: dict[int, Customer] = {}
         self.plan_names = sorted(settings.plans)
         self._after_sweep = 0  # customers left when idle ones were last forgotten
 
+    def customer_of(self, event: RequestReceived, now: float) -> Customer:
+        """Return a request's customer; when it is first met its quota's owners are chosen."""
+        plan_code = self.plan_names.index(event.plan)
+        customer = self.get_or_add(tag_of(event.customer), plan_code, now)
+        if not customer.quota_owners:
+            size = min(max(event.gateway_set_size, 1), self._settings.gateway_count)
+            self._assign_owners(customer, size, event.gateway_set_offset, now)
+        return customer
+
+    def _assign_owners(self, customer: Customer, size: int, offset: int, now: float) -> None:
+        settings, plan = self._settings, customer.plan
+        customer.gateway_set_size = size
+        customer.quota_owners = choose_owners(customer.tag, plan, size, offset, settings)
+        share = plan.burst / size
+        burst = max(share, settings.max_request_units)  # an even share covers one request at least
+        alone = (not settings.gossip_enabled) * ADMIT_ALONE_CHANCE * burst
+        is_full = self._random.random() * burst < max(share, alone)
+        rate = customer.bucket.rate * primary_owner_count(plan, settings) / size
+        customer.fallback_bucket = TokenBucket(rate, burst, burst * is_full, now)
+        if customer.quota_owners[0] != settings.gateway_index:
+            customer.ceiling_bucket = member_ceiling_bucket(customer.ceiling_bucket, size)
+
     def get_or_add(self, tag: int, plan_code: int, now: float) -> Customer:
         """Return a customer, which is new if it is not known."""
         customer = self.by_tag.get(tag)
--- a/mapleshunt/policy/endpoint_watch.py
+++ b/mapleshunt/policy/endpoint_watch.py
@@ -32,11 +32,11 @@
         retries: Retries,
         latency: LatencyEstimates,
         timers: TimerQueue,
-        chance: random.Random,
+        rng: random.Random,
         actions: list[Action],
     ) -> None:
         self._settings, self._endpoints, self._retries = settings, endpoints, retries
-        self._latency, self._timers, self._random = latency, timers, chance
+        self._latency, self._timers, self._random = latency, timers, rng
         self._actions = actions
         timers.on(TimerKind.POLL_DISCOVERY, self._poll)
 
--- a/mapleshunt/policy/gateway.py
+++ b/mapleshunt/policy/gateway.py
@@ -54,42 +54,42 @@
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self._actions: list[Action] = []
-        actions, chance = self._actions, self.random
+        actions, rng = self._actions, self.random
         self.timers = TimerQueue(actions)
         self.endpoints = EndpointTable()
         self.latency = LatencyEstimates(settings.classes)
         self.slow_start = SlowStart(settings, self.endpoints, now)
         self.concurrency = ConcurrencyLimit(settings, self.endpoints, self.slow_start, self.latency)
-        self.customers = CustomerTable(settings, self.latency)
+        self.customers = CustomerTable(settings, self.latency, rng)
         self.gossip = GossipQueue(settings, self.timers, self.latency, actions, now)
-        self.quota = QuotaLedger(settings, self.gossip, chance)
+        self.quota = QuotaLedger(settings, self.gossip, rng)
         self.requests = RequestTable(settings, self.quota, actions)
         self.scheduler = Scheduler()
-        self.retries = Retries(settings, self.requests, self.latency, actions)
+        self.retries = Retries(settings, self.requests, self.latency, self.timers, actions)
         self.outliers = OutlierDetector(
-            settings, self.endpoints, self.timers, self.latency, self.slow_start, self.concurrency,
-            self.gossip, self.retries, chance, now,
+            settings, self.endpoints, self.timers, self.latency, self.slow_start, self.gossip, self.retries,
+            rng,
         )  # fmt: skip
-        self.load_balancer = LoadBalancer(settings, self.endpoints, self.slow_start, self.latency, chance)
+        self.load_balancer = LoadBalancer(settings, self.endpoints, self.slow_start, self.latency, rng)
         self.dispatcher = Dispatcher(
             self.requests, self.scheduler, self.retries, self.concurrency, self.load_balancer,
             self.slow_start, self.outliers, actions,
         )  # fmt: skip
         self.quota_check = QuotaCheck(
-            settings, self.customers, self.requests, self.quota, self.gossip, self.scheduler, self.timers,
-            chance, min(self.latency.mean_by_class.values()),
+            settings, self.requests, self.quota, self.gossip, self.scheduler, self.timers, rng,
+            min(self.latency.mean_by_class.values()),
         )  # fmt: skip
         self.quota_owner = QuotaOwner(self.customers, self.gossip)
         self.admission = Admission(
-            settings, self.customers, self.requests, self.retries, self.scheduler, self.quota_check,
-            self.concurrency, self.latency, self.timers, chance,
+            settings, self.customers, self.requests, self.scheduler, self.quota_check, self.concurrency,
+            self.latency, self.timers,
         )  # fmt: skip
         self.attempt_results = AttemptResults(
-            settings, self.requests, self.endpoints, self.quota, self.retries, self.outliers,
-            self.latency, self.slow_start, self.concurrency,
+            self.requests, self.endpoints, self.quota, self.retries, self.outliers, self.latency,
+            self.slow_start, self.concurrency,
         )  # fmt: skip
         self.endpoint_watch = EndpointWatch(
-            settings, self.endpoints, self.retries, self.latency, self.timers, chance, actions
+            settings, self.endpoints, self.retries, self.latency, self.timers, rng, actions
         )
         self.gossip_receiver = GossipReceiver(
             settings, self.customers, self.endpoints, self.latency, self.outliers, self.quota_check,
--- a/mapleshunt/policy/load_balancer.py
+++ b/mapleshunt/policy/load_balancer.py
@@ -30,10 +30,10 @@
         endpoints: EndpointTable,
         slow_start: SlowStart,
         latency: LatencyEstimates,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._settings, self._endpoints = settings, endpoints
-        self._slow_start, self._latency, self._random = slow_start, latency, chance
+        self._slow_start, self._latency, self._random = slow_start, latency, rng
 
     def choose(
         self, request: PendingRequest, endpoint_filter: tuple[tuple[str, object], ...], now: float
--- a/mapleshunt/policy/outlier_detection.py
+++ b/mapleshunt/policy/outlier_detection.py
@@ -4,7 +4,6 @@
 
 import random
 
-from .concurrency_limit import ConcurrencyLimit
 from .endpoints import Endpoint, EndpointTable
 from .events import AttemptEnded
 from .exponential_decay import ExponentialDecay
@@ -42,7 +41,6 @@
     """
 
     __slots__ = (
-        "_concurrency",
         "_endpoints",
         "_gossip",
         "_latency",
@@ -61,16 +59,14 @@
         timers: TimerQueue,
         latency: LatencyEstimates,
         slow_start: SlowStart,
-        concurrency: ConcurrencyLimit,
         gossip: GossipQueue,
         retries: Retries,
-        chance: random.Random,
-        now: float,
+        rng: random.Random,
     ) -> None:
         self._settings, self._endpoints, self._timers = settings, endpoints, timers
-        self._latency, self._slow_start, self._concurrency = latency, slow_start, concurrency
-        self._gossip, self._retries, self._random = gossip, retries, chance
-        self.ready_answers = ExponentialDecay(answer_span(settings), 0.0, now)
+        self._latency, self._slow_start = latency, slow_start
+        self._gossip, self._retries, self._random = gossip, retries, rng
+        self.ready_answers = ExponentialDecay(answer_span(settings), 0.0, 0.0)
         timers.on(TimerKind.CHECK_SILENCE, self._check_silence_again)
 
     def record_outcome(self, endpoint: Endpoint, event: AttemptEnded, now: float) -> None:
@@ -89,7 +85,6 @@
         if status == "full":
             # Nothing new until its queue has had time to shrink.
             endpoint.ejected_until = now + self._latency.mean
-            self._concurrency.shrink(now)
 
     def mark_healthy(self, endpoint: Endpoint, now: float) -> None:
         """Take note of an answer of an endpoint, here or at a peer."""
--- a/mapleshunt/policy/quota.py
+++ b/mapleshunt/policy/quota.py
@@ -19,8 +19,8 @@
 
     __slots__ = ("_coarse_units", "_gossip", "_random", "_settings")
 
-    def __init__(self, settings: Settings, gossip: GossipQueue, chance: random.Random) -> None:
-        self._settings, self._gossip, self._random = settings, gossip, chance
+    def __init__(self, settings: Settings, gossip: GossipQueue, rng: random.Random) -> None:
+        self._settings, self._gossip, self._random = settings, gossip, rng
         self._coarse_units = settings.max_request_units * COARSE_UNITS_PART
 
     def charge(self, customer: Customer, units: float, now: float) -> None:
@@ -35,6 +35,11 @@
         elif self._settings.gossip_enabled and customer.plan.rate and units:
             self._tell_owner(customer, units, now)
 
+    def settle(self, customer: Customer, units: float, cost: float, now: float) -> None:
+        """Charge the difference between a request's true cost, if it is known, and what was charged."""
+        if cost and self._settings.cost_known_after:
+            self.charge(customer, cost - units, now)
+
     def _tell_owner(self, customer: Customer, units: float, now: float) -> None:
         kind = EntryKind.NOTE
         if customer.gateway_set_size > WRITERS_PER_PEER + 1:
--- a/mapleshunt/policy/quota_check.py
+++ b/mapleshunt/policy/quota_check.py
@@ -7,7 +7,7 @@
 
 from .actions import RejectReason
 from .bounded_table import remember
-from .customers import Customer, CustomerTable, PendingRequest
+from .customers import Customer, PendingRequest
 from .gossip import GossipQueue
 from .gossip_codec import REQUEST_NUMBERS, EntryKind, GossipEntry, decode_use
 from .latency import ESTIMATE_SMOOTHING
@@ -50,7 +50,6 @@
     """
 
     __slots__ = (
-        "_customers",
         "_gossip",
         "_quota",
         "_random",
@@ -67,20 +66,19 @@
     def __init__(
         self,
         settings: Settings,
-        customers: CustomerTable,
         requests: RequestTable,
         quota: QuotaLedger,
         gossip: GossipQueue,
         scheduler: Scheduler,
         timers: TimerQueue,
-        chance: random.Random,
+        rng: random.Random,
         initial_latency: float,
     ) -> None:
-        self._settings, self._customers, self._requests = settings, customers, requests
+        self._settings, self._requests = settings, requests
         self._quota, self._gossip, self._scheduler = quota, gossip, scheduler
-        self._timers, self._random = timers, chance
+        self._timers, self._random = timers, rng
         self.reply_wait = initial_latency / INITIAL_REPLY_WAIT_PART
-        self.granted_parts = [INITIAL_GRANTED_PART] * len(customers.plan_names)
+        self.granted_parts = [INITIAL_GRANTED_PART] * len(settings.plans)
         self.silent_since: dict[int, float] = {}
         self.asked_units: dict[int, float] = {}
         timers.on(TimerKind.OWNER_REPLY_OVERDUE, self._reply_overdue)
@@ -142,7 +140,7 @@
         """Return the power of two that one of as many requests asks the owner: once to twice its rate."""
         fresh = now - customer.owner_replied_at < DEMAND_RATIO_MAX_AGE_MS
         ratio = max(1.0, customer.demand_ratio) if fresh else 1.0
-        most = ENTRY_CODES // len(self._customers.plan_names) - 1
+        most = ENTRY_CODES // len(self._settings.plans) - 1
         return min(int(math.log2(ratio)), most, MAX_THINNING)
 
     def _would_be_granted(self, customer: Customer, now: float) -> bool:
@@ -160,7 +158,7 @@
         self._requests.awaiting_owner[number] = request
         if owner == customer.quota_owners[0]:
             remember(self.asked_units, number, request.units)
-        code = customer.plan_code + thinning * len(self._customers.plan_names)
+        code = customer.plan_code + thinning * len(self._settings.plans)
         left = view / customer.bucket.burst
         entry = GossipEntry(EntryKind.ASK, customer.tag, number, request.units, left, code)
         self._gossip.queue(owner, entry, now)
--- a/mapleshunt/policy/retry.py
+++ b/mapleshunt/policy/retry.py
@@ -11,6 +11,7 @@
 from .latency import LatencyEstimates
 from .requests import RequestTable
 from .settings import Settings
+from .timers import TimerKind, TimerQueue
 
 # Attempts of a request after which none is taken back from an endpoint that fell silent.
 MAX_MIGRATED_ATTEMPTS = 3
@@ -45,11 +46,14 @@
         settings: Settings,
         requests: RequestTable,
         latency: LatencyEstimates,
+        timers: TimerQueue,
         actions: list[Action],
     ) -> None:
         self._settings, self._requests = settings, requests
         self._latency, self._actions = latency, actions
         self._waiting: deque[PendingRequest] = deque()
+        timers.on(TimerKind.REQUEST_UNSENT, self._end_if_unsent)
+        timers.on(TimerKind.REQUEST_DEADLINE, self._end_at_deadline)
 
     def permission(self, request: PendingRequest, now: float) -> AttemptPermission:
         """Return where the request may be sent now, and whether it may be rejected.
@@ -120,6 +124,16 @@
         wait = request.request_class.latency_objective * RETRY_AFTER_PART
         self._requests.reject(request.request_id, wait, reason, now)
 
+    def _end_if_unsent(self, request_id: int, now: float) -> None:
+        request = self._requests.open.get(request_id)
+        if request is not None and not request.attempts:
+            self.reject_or_fail(request, now)
+
+    def _end_at_deadline(self, request_id: int, now: float) -> None:
+        request = self._requests.open.get(request_id)
+        if request is not None and not request.response_started:
+            self.reject_or_fail(request, now)
+
     def migrate_attempts(self, endpoint: Endpoint, now: float) -> None:
         """Move what is in flight at an endpoint that is ejected or gone: hedge it, or take it back."""
         settings = self._settings
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ..invariants import Guard, broken_by_starting
+from ..invariants import Guard, violations_of_start
 from ..lifecycle.lifecycle import DrainRequester, Lifecycle
 from ..net import log
 from ..net.client.connections import ClientConnections
@@ -231,7 +231,7 @@
         if config.accept_fd is None:
             self.clients.start_listening()
         start_ms = 1000 * (time.monotonic() - PROCESS_STARTED_AT)
-        broken = broken_by_starting(start_ms, bool(self.connections.connections))
+        broken = violations_of_start(start_ms, bool(self.connections.connections))
         self.counters.trace.report_violations(Guard.START, broken, "process")
         self.clients.start_accepting()
         self.lifecycle.start_serving()
--- a/mapleshunt/simulator_adapter.py
+++ b/mapleshunt/simulator_adapter.py
@@ -1,9 +1,13 @@
-"""Adapter for the brook-b330 wire: translates, keeps instances apart, decides nothing."""
+"""Adapter for the simulator's wire: translates events and actions, keeps gateways apart, decides nothing.
+
+A line is a JSON array that begins with its message's name. Exit status 2 for a line that is malformed.
+"""
 
 from __future__ import annotations
 
 import json
 import sys
+from collections.abc import Callable
 from typing import Any, TextIO, cast
 
 from .platform_terms import LISTS, STATES, STATUSES, settings_of
@@ -18,6 +22,7 @@
     EndpointUpdate,
     Event,
     FailRequest,
+    Gateway,
     GossipReceived,
     RejectRequest,
     RequestReceived,
@@ -28,16 +33,18 @@
     StartAttempt,
     TimerFired,
     UpdateKind,
-    WatchEndpoints,
 )
-from .policy.gateway import Gateway
+
+# Answers to calls that the decisions never make.
+IGNORED_EVENTS = frozenset({"StatusBack", "Tallied"})
 
 
 class WireError(Exception):
     """A line that the wire does not allow."""
 
 
-def entry_of(row: list[Any]) -> EndpointInfo:
+def endpoint_of(row: list[Any]) -> EndpointInfo:  # Any: a row of JSON
+    """Return the endpoint of a row of a catalog."""
     server, zone, _kind, cell, mode, _size, started = row[:7]
     return EndpointInfo(
         endpoint=int(server),
@@ -48,122 +55,149 @@
     )
 
 
-def status_of(word: str) -> AttemptStatus:
-    return cast(AttemptStatus, STATUSES[word])
-
-
-def line_of(node: int, action: Action) -> list[Any]:
-    """The wire's words for an action."""
+def line_of(node: int, action: Action) -> list[Any]:  # Any: a line of JSON
+    """Return the line for an action of a gateway."""
     match action:
-        case StartAttempt(ref, server, timeout):
-            return ["SubmitTo", node, ref, timeout, server]
-        case RejectRequest(ref, wait):
-            return ["Shed", node, ref, wait]
-        case FailRequest(ref):
-            return ["RespondError", node, ref]
-        case CancelAttempt(ref, attempt):
-            return ["Withdraw", node, ref, attempt]
+        case StartAttempt(request_id, endpoint, timeout):
+            line = ["SubmitTo", node, request_id, timeout, endpoint]
+        case RejectRequest(request_id, retry_after):
+            line = ["Shed", node, request_id, retry_after]
+        case FailRequest(request_id):
+            line = ["RespondError", node, request_id]
+        case CancelAttempt(request_id, attempt):
+            line = ["Withdraw", node, request_id, attempt]
         case SetTimer(at, token):
-            return ["SetAlarm", node, at, token]
+            line = ["SetAlarm", node, at, token]
         case SendGossip(peer, data):
-            return ["Say", node, peer, data]
-        case WatchEndpoints():
-            return ["StreamChanges", node, True]
+            line = ["Say", node, peer, data]
+        case _:  # WatchEndpoints
+            line = ["StreamChanges", node, True]
+    return line
+
+
+def _request_of(values: list[Any]) -> RequestReceived:  # Any: values of JSON
+    return RequestReceived(
+        request_id=values[0],
+        request_class=values[1],
+        plan=values[2],
+        customer=values[3],
+        remaining_time=values[4],
+        units=values[5] or 1.0,
+        gateway_set_size=int(values[6] or 1),
+        gateway_set_offset=int(values[7] or 0),
+        is_retry=bool(values[8]),
+    )
+
+
+def _attempt_ended_of(values: list[Any]) -> AttemptEnded:  # Any: values of JSON
+    return AttemptEnded(
+        request_id=values[0],
+        status=cast(AttemptStatus, STATUSES[values[1]]),
+        request_completed=bool(values[2]),
+        attempt=values[4],
+        cost=values[5] or 0.0,
+        latency=values[6] or 0.0,
+        endpoint=values[7],
+    )
+
+
+# Events by their names on the wire, those left out that need a catalog; Any: values of JSON.
+EVENTS: dict[str, Callable[[list[Any]], Event]] = {
+    "Ingress": _request_of,
+    "Begun": lambda values: ResponseStarted(values[0], values[1], values[2]),
+    "Finished": _attempt_ended_of,
+    "ClientGone": lambda values: ClientDisconnected(values[0]),
+    "Fired": lambda values: TimerFired(values[0]),
+    "Memo": lambda values: GossipReceived(values[0], values[1]),
+}
 
 
 class Host:
-    """One gateway for each instance number, and the process-wide catalogs."""
+    """One gateway for each node, and the catalogs of endpoints that all of them share."""
 
     def __init__(self, out: TextIO) -> None:
-        self.out = out
-        self.now = 0.0
-        self.gateways: dict[int, Gateway] = {}
-        self.banks: dict[int, tuple[EndpointInfo, ...]] = {}
-        self.reply: list[list[Any]] = []
-
-    def line(self, message: list[Any]) -> None:
+        self._out = out
+        self._now = 0.0
+        self._gateways: dict[int, Gateway] = {}
+        self._catalogs: dict[int, tuple[EndpointInfo, ...]] = {}
+        self._reply: list[list[Any]] = []  # Any: lines of JSON
+
+    def handle(self, message: list[Any]) -> None:  # Any: a line of JSON
+        """Take a message.
+
+        Raises:
+            WireError: Its name is not known.
+        """
         name, values = message[0], message[1:]
-        if name == "BeginBatch":
-            self.now = float(values[0])
-        elif name == "Go":
-            lines = [json.dumps(one, separators=(",", ":")) for one in self.reply]
-            self.out.write("\n".join([*lines, '["Ready"]', ""]))
-            self.out.flush()
-            self.reply = []
-        elif name == "Catalog":
-            self.banks[values[0]] = tuple(entry_of(row) for row in values[1])
-        elif name == "Init":
-            node, seed, env = values[:3]
-            settings = settings_of(env)
-            self.act(node, lambda: self.start(node, settings, int(seed)))
-        elif name == "Destroy":
-            self.gateways.pop(values[0], None)
-        else:
-            event = self.event_of(name, values[1:])
-            if event is not None and (gateway := self.gateways.get(values[0])) is not None:
-                self.act(values[0], lambda: gateway.handle(self.now, event))
-
-    def start(self, node: int, settings: Settings, seed: int) -> list[Action]:
-        self.gateways[node] = Gateway(settings, seed, self.now)
-        return self.gateways[node].start()
-
-    def act(self, node: int, decide: Any) -> None:
+        match name:
+            case "BeginBatch":
+                self._now = float(values[0])
+            case "Go":
+                self._flush()
+            case "Catalog":
+                self._catalogs[values[0]] = tuple(endpoint_of(row) for row in values[1])
+            case "Init":
+                node, seed, environment = values[:3]
+                settings = settings_of(environment)
+                self._act(node, lambda: self._start(node, settings, int(seed)))
+            case "Destroy":
+                self._gateways.pop(values[0], None)
+            case _:
+                self._handle_event(name, values[0], values[1:])
+
+    def _flush(self) -> None:
+        lines = [json.dumps(one, separators=(",", ":")) for one in self._reply]
+        self._out.write("\n".join([*lines, '["Ready"]', ""]))
+        self._out.flush()
+        self._reply = []
+
+    def _start(self, node: int, settings: Settings, seed: int) -> list[Action]:
+        self._gateways[node] = Gateway(settings, seed, self._now)
+        return self._gateways[node].start()
+
+    def _handle_event(self, name: str, node: int, values: list[Any]) -> None:  # Any: values of JSON
+        event = self._event_of(name, values)
+        gateway = self._gateways.get(node)
+        if event is not None and gateway is not None:
+            self._act(node, lambda: gateway.handle(self._now, event))
+
+    def _event_of(self, name: str, values: list[Any]) -> Event | None:  # Any: values of JSON
+        if name == "Topology":
+            kind = cast(UpdateKind, LISTS[values[0]])
+            return EndpointUpdate(kind, () if kind == "error" else self._catalogs[values[2]])
+        if name in IGNORED_EVENTS:
+            return None
+        if name not in EVENTS:
+            raise WireError(f"unknown event {name!r}")
+        return EVENTS[name](values)
+
+    def _act(self, node: int, decide: Callable[[], list[Action]]) -> None:
+        """Reply with the actions of a decision, or with what it raised."""
         try:
-            self.reply.extend(line_of(node, action) for action in decide())
+            self._reply.extend(line_of(node, action) for action in decide())
         except Exception as error:
-            self.reply.append(["Broken", node, f"{type(error).__name__}: {error}"])
+            self._reply.append(["Broken", node, f"{type(error).__name__}: {error}"])
 
-    def event_of(self, name: str, v: list[Any]) -> Event | None:
-        match name:
-            case "Topology":
-                kind = cast(UpdateKind, LISTS[v[0]])
-                return EndpointUpdate(kind, () if kind == "error" else self.banks[v[2]])
-            case "Ingress":
-                return RequestReceived(
-                    request_id=v[0],
-                    request_class=v[1],
-                    plan=v[2],
-                    customer=v[3],
-                    remaining_time=v[4],
-                    units=v[5] or 1.0,
-                    gateway_set_size=int(v[6] or 1),
-                    gateway_set_offset=int(v[7] or 0),
-                    is_retry=bool(v[8]),
-                )
-            case "Begun":
-                return ResponseStarted(v[0], v[1], v[2])
-            case "Finished":
-                return AttemptEnded(
-                    request_id=v[0],
-                    status=status_of(v[1]),
-                    request_completed=bool(v[2]),
-                    attempt=v[4],
-                    cost=v[5] or 0.0,
-                    latency=v[6] or 0.0,
-                    endpoint=v[7],
-                )
-            case "ClientGone":
-                return ClientDisconnected(v[0])
-            case "Fired":
-                return TimerFired(v[0])
-            case "Memo":
-                return GossipReceived(v[0], v[1])
-            case "StatusBack" | "Tallied":
-                return None  # answers to what is never asked
-        raise WireError(f"unknown event {name!r}")
+
+def _message_of(text: str) -> list[Any]:  # Any: a line of JSON
+    message = json.loads(text)
+    if not isinstance(message, list) or not message or not isinstance(message[0], str):
+        raise WireError("a message is an array that begins with its name")
+    return message
 
 
 def main(source: TextIO | None = None, out: TextIO | None = None) -> int:
-    """Run until the end of input; 2 and a message on standard error for a line that is malformed."""
+    """Run until the end of input, and return the exit status.
+
+    Returns:
+        0; 2, with a message on standard error, for a line that is malformed.
+    """
     host = Host(out or sys.stdout)
     for number, text in enumerate(source or sys.stdin, 1):
         if not text.strip():
             continue
         try:
-            message = json.loads(text)
-            if not isinstance(message, list) or not message or not isinstance(message[0], str):
-                raise WireError("a message is an array that begins with its name")
-            host.line(message)
+            host.handle(_message_of(text))
         except json.JSONDecodeError as error:
             print(f"line {number}: not JSON: {error}", file=sys.stderr)
             return 2
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -882,7 +882,7 @@
     # Each let one in on a view that was true a second ago, and thirty of them passed the store together.
     def asked(spread: int) -> bool:
         driver = Driver(gateway_count=30, gossip_enabled=True, max_request_units=8)
-        c = driver.gateway.admission.customer_of(
+        c = driver.gateway.customers.customer_of(
             RequestReceived(0, "look", "thin", "c", 900.0, 1.0, spread, 5), driver.now
         )
         c.owner_replied_at = driver.now
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,13 +9,13 @@
 import pytest
 
 from mapleshunt import invariants
-from mapleshunt.invariants import EarlierAttempt, Guard, RepeatFacts, SendFacts
+from mapleshunt.invariants import EarlierAttempt, Guard, RetryFacts, SendFacts
 from mapleshunt.net.counters import Counters
 from mapleshunt.policy import RequestClass, Settings
 
 from .conftest import CLASSES, PLANS
 
-SOUND = SendFacts(since_end=None, server_ready=True, passed_on=400.0, left=400.0)
+SOUND = SendFacts(since_request_end=None, endpoint_ready=True, timeout=400.0, remaining_time=400.0)
 SETTINGS = Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS, max_attempts=3)
 CELL = RequestClass(
     "cell", latency_objective=1000, deadline=4000, effect="keyed", retry_scope="cell", idempotency_window=3000
@@ -23,53 +23,55 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "broken"),
+    ("change", "violations"),
     [
         ({}, []),
-        ({"since_end": 99.0}, []),
-        ({"since_end": 101.0}, ["sent_after_end"]),
-        ({"server_ready": False}, ["sent_to_unavailable_server"]),
-        ({"passed_on": 549.0}, []),
-        ({"passed_on": 551.0}, ["deadline_exceeds_client"]),
+        ({"since_request_end": 99.0}, []),
+        ({"since_request_end": 101.0}, ["sent_after_end"]),
+        ({"endpoint_ready": False}, ["sent_to_unavailable_server"]),
+        ({"timeout": 549.0}, []),
+        ({"timeout": 551.0}, ["deadline_exceeds_client"]),
     ],
 )
-def test_sending_is_judged_by_client_server_and_deadline(change: dict[str, Any], broken: list[str]) -> None:
-    assert invariants.broken_by_sending(replace(SOUND, **change)) == broken
+def test_send_is_judged_by_client_endpoint_and_deadline(
+    change: dict[str, Any], violations: list[str]
+) -> None:
+    assert invariants.violations_of_send(replace(SOUND, **change)) == violations
 
 
-def repeated(status: Any, now: float = 500.0, zone: str = "a", cell: int = 1, count: int = 1) -> RepeatFacts:
-    return RepeatFacts(now, zone, cell, [EarlierAttempt(100.0, status, "a", 1)] * count)
+def retried(status: Any, now: float = 500.0, zone: str = "a", cell: int = 1, count: int = 1) -> RetryFacts:
+    return RetryFacts(now, zone, cell, [EarlierAttempt(100.0, status, "a", 1)] * count)
 
 
 @pytest.mark.parametrize(
-    ("cls", "facts", "broken"),
+    ("cls", "facts", "violations"),
     [
-        (CLASSES["look"], repeated("reset"), []),
-        (CLASSES["look"], repeated(None), ["two_attempts_out"]),
-        (CLASSES["look"], repeated("reset", count=3), ["too_many_attempts"]),
-        (CLASSES["bind"], repeated("unreachable"), []),
-        (CLASSES["bind"], repeated("error"), ["unsafe_request_repeated"]),
-        (CLASSES["mark"], repeated("reset", 3099.0), []),
-        (CLASSES["mark"], repeated("reset", 3101.0), ["repeated_after_window"]),
-        (CLASSES["mark"], repeated("full", 3101.0), []),
-        (CLASSES["note"], repeated("timeout", zone="b"), ["repeated_outside_zone"]),
-        (CELL, repeated("timeout", cell=2), ["repeated_outside_cell"]),
-        (CELL, repeated("unsent", cell=2), []),
+        (CLASSES["look"], retried("reset"), []),
+        (CLASSES["look"], retried(None), ["two_attempts_out"]),
+        (CLASSES["look"], retried("reset", count=3), ["too_many_attempts"]),
+        (CLASSES["bind"], retried("unreachable"), []),
+        (CLASSES["bind"], retried("error"), ["unsafe_request_repeated"]),
+        (CLASSES["mark"], retried("reset", 3099.0), []),
+        (CLASSES["mark"], retried("reset", 3101.0), ["repeated_after_window"]),
+        (CLASSES["mark"], retried("full", 3101.0), []),
+        (CLASSES["note"], retried("timeout", zone="b"), ["repeated_outside_zone"]),
+        (CELL, retried("timeout", cell=2), ["repeated_outside_cell"]),
+        (CELL, retried("unsent", cell=2), []),
     ],
 )
-def test_a_repeat_is_judged_by_what_may_have_run(
-    cls: RequestClass, facts: RepeatFacts, broken: list[str]
+def test_retry_is_judged_by_what_may_have_run(
+    cls: RequestClass, facts: RetryFacts, violations: list[str]
 ) -> None:
-    assert invariants.broken_by_repeating(facts, cls, SETTINGS) == broken
+    assert invariants.violations_of_retry(facts, cls, SETTINGS) == violations
 
 
-def test_two_copies_may_be_out_where_the_settings_allow_them() -> None:
+def test_two_attempts_may_be_in_flight_where_hedging_is_allowed() -> None:
     allowed = replace(SETTINGS, allow_hedging=True)
-    assert invariants.broken_by_repeating(repeated(None), CLASSES["look"], allowed) == []
+    assert invariants.violations_of_retry(retried(None), CLASSES["look"], allowed) == []
 
 
 @pytest.mark.parametrize(
-    ("reason", "unanswered", "unread", "broken"),
+    ("reason", "unanswered", "unread", "violations"),
     [
         ("client_closed", 2, True, []),
         ("idle", 0, False, []),
@@ -77,21 +79,21 @@
         ("stopped", 1, False, ["closed_with_requests_unanswered"]),
     ],
 )
-def test_closing_is_judged_by_what_is_owed(
-    reason: str, unanswered: int, unread: bool, broken: list[str]
+def test_close_is_judged_by_unanswered_requests_and_unread_bytes(
+    reason: str, unanswered: int, unread: bool, violations: list[str]
 ) -> None:
-    assert invariants.broken_by_closing(reason, unanswered, unread) == broken
+    assert invariants.violations_of_close(reason, unanswered, unread) == violations
 
 
-def test_starts_and_slow_starts_are_judged() -> None:
-    assert invariants.broken_by_starting(9_999.0, False) == []
-    assert invariants.broken_by_starting(10_001.0, True) == ["start_took_too_long", "accepted_before_start"]
-    assert invariants.broken_by_slow_start(True, 0.0) == []
-    assert invariants.broken_by_slow_start(False, -math.inf) == []
-    assert invariants.broken_by_slow_start(True, -0.5) == ["slow_start_exceeded"]
+def test_start_and_slow_start_are_judged_by_duration_and_allowance() -> None:
+    assert invariants.violations_of_start(9_999.0, False) == []
+    assert invariants.violations_of_start(10_001.0, True) == ["start_took_too_long", "accepted_before_start"]
+    assert invariants.violations_of_slow_start(True, 0.0) == []
+    assert invariants.violations_of_slow_start(False, -math.inf) == []
+    assert invariants.violations_of_slow_start(True, -0.5) == ["slow_start_exceeded"]
 
 
-def test_a_violation_is_counted_and_logged_with_the_steps_of_its_request(
+def test_violation_is_counted_and_logged_with_the_steps_of_its_request(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     counters = Counters()
