--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -63,7 +63,7 @@
     await caller.do(w.OpenSession())
     while time.perf_counter() < until:
         begun = time.perf_counter()
-        await caller.do(w.CountUsage(f"{prefix}{caller.number}-{caller.name}", 1.0))
+        await caller.do(w.CountUsage(f"{prefix}{caller.operations}-{caller.name}", 1.0))
         took.append(time.perf_counter() - begun)
     return took
 
@@ -103,7 +103,7 @@
             async def fill(caller: ReplicaClient, count: int) -> None:
                 await caller.do(w.OpenSession())
                 for _ in range(count):
-                    await caller.do(w.CountUsage(f"{caller.name}-{caller.number}", 1.0))
+                    await caller.do(w.CountUsage(f"{caller.name}-{caller.operations}", 1.0))
 
             await asyncio.gather(*(fill(one, customers // AT_ONCE + 1) for one in some))
             leader = await fleet.wait_for_leader()
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -71,7 +71,7 @@
     fleet, found = _play(day, seed, logs, program)
     found.stories += [f"a client of request {one.ref} heard nothing in time" for one in fleet.timed_out[:5]]
     extra = {
-        "late_ms": fleet.clock.late,
+        "late_ms": fleet.clock.max_lateness_ms,
         "unanswered": len(fleet.timed_out),
         "strangers": fleet.unknown_requests,
         "memory_kb": [g.peak_memory_kb for g in fleet.gateways],
@@ -83,7 +83,7 @@
         *service_rows(found), ["first tries", found.requests],
         ["served", found.served], ["refused", found.refused], ["failed", found.failed],
         ["median answer, ms", found.p50_ms], ["99th percentile, ms", found.p99_ms],
-        ["CPU of the gateways, s", found.gateway_cpu_s], ["this process late at worst, ms", fleet.clock.late],
+        ["CPU of the gateways, s", found.gateway_cpu_s], ["this process late at worst, ms", fleet.clock.max_lateness_ms],
     ])  # fmt: skip
     for story in found.stories:
         click.echo(f"broken: {story}")
--- a/mapleshunt/testbed/clock.py
+++ b/mapleshunt/testbed/clock.py
@@ -1,4 +1,4 @@
-"""Real time in ms since the day began, and what is due when."""
+"""Real time in ms since a day began, and calls at times of that day."""
 
 from __future__ import annotations
 
@@ -8,25 +8,28 @@
 from typing import Any
 
 
-class Clock:
-    """`now()` is 0 when the day begins; before that it is below 0. `unix` is when that is, in Unix ms."""
+class DayClock:
+    """A monotonic clock that is at 0 when the day begins, and below 0 before; and the event loop's lateness."""
 
     def __init__(self) -> None:
-        self.origin = time.monotonic()
-        self.unix = time.time() * 1000
-        self.late = 0.0  # ms by which the loop was late at worst
+        self.unix_ms = time.time() * 1000  # Unix time at which the day began
+        self.max_lateness_ms = 0.0  # by which the event loop was late at worst
+        self._origin = time.monotonic()  # s
 
     def begin(self) -> None:
-        self.origin, self.unix = time.monotonic(), time.time() * 1000
+        """Let the day begin now."""
+        self._origin, self.unix_ms = time.monotonic(), time.time() * 1000
 
     def now(self) -> float:
-        return (time.monotonic() - self.origin) * 1000
+        """Return the time of the day, ms."""
+        return (time.monotonic() - self._origin) * 1000
 
+    # The arguments are those of any call: only the call knows their types.
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> asyncio.TimerHandle:
-        """Call at a time of the day, or at once if it has passed."""
+        """Call at a time of the day, ms, or at once if it has passed; the handle cancels the call."""
         loop = asyncio.get_running_loop()
-        return loop.call_later(max(0.0, when - self.now()) / 1000, self._due, when, call, arguments)
+        return loop.call_later(max(0.0, when - self.now()) / 1000, self._run, when, call, arguments)
 
-    def _due(self, when: float, call: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        self.late = max(self.late, self.now() - when)
+    def _run(self, when: float, call: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        self.max_lateness_ms = max(self.max_lateness_ms, self.now() - when)
         call(*arguments)
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -65,7 +65,7 @@
             self.fleet.watchman.told(self.gateway, entry, self.fleet.clock.now())
 
     def row(self, entry: EndpointEntry) -> dict[str, Any]:
-        started = round(self.fleet.clock.unix + entry.started) if entry.started else 0
+        started = round(self.fleet.clock.unix_ms + entry.started) if entry.started else 0
         return {
             "id": f"s-{entry.server:08x}",
             "host_port": f"{HOST}:{self.fleet.backends[entry.server].port}",
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -22,7 +22,7 @@
 from ..simulation.score import Score, score_day
 from .backends import HOST, InFlightAttempt, SocketBackend
 from .clients import SocketClients
-from .clock import Clock
+from .clock import DayClock
 from .discovery_agent import CounterServer, DiscoveryAgent, GossipRelay
 from .gateway_process import GatewayError, GatewayProcess
 
@@ -45,7 +45,7 @@
         env: Mapping[str, str] | None = None,
         limits: Mapping[str, float] | None = None,
     ) -> None:
-        self.folder, self.clock = folder, Clock()
+        self.folder, self.clock = folder, DayClock()
         self.backends: dict[int, SocketBackend] = {}
         super().__init__(day)
         self.zone = self.settings[0].zone
--- a/mapleshunt/testbed/recording.py
+++ b/mapleshunt/testbed/recording.py
@@ -1,4 +1,4 @@
-"""Days on loopback whose gateways record what they meet."""
+"""Days on loopback whose gateways record the requests that they handle."""
 
 from __future__ import annotations
 
@@ -10,12 +10,17 @@
 from .fleet import play_day
 
 
-def play_and_record(scenario: Scenario, seed: int, folder: Path | None) -> Score:
-    """Play a day; with a folder, each gateway leaves its recording there. Raises `GatewayError`."""
-    with tempfile.TemporaryDirectory() as place:
+def play_and_record(scenario: Scenario, seed: int, recordings: Path | None) -> Score:
+    """Play a day; each gateway leaves its recording in the folder, if one is given.
+
+    Raises:
+        GatewayError: a gateway did not start, or ended by itself.
+    """
+    with tempfile.TemporaryDirectory() as folder:
         env = {}
-        if folder is not None:
-            chosen = Path(place) / "operators.sexp"
-            chosen.write_text(f'(record (file "{folder}/{{name}}.rec") (size-mb 64) (salt "rig"))')
-            env["PROXY_OPERATORS"] = str(chosen)
-        return play_day(draw_day(scenario, seed), Path(place), env=env)[1]
+        if recordings is not None:
+            operators = Path(folder) / "operators.sexp"
+            operators.write_text(f'(record (file "{recordings}/{{name}}.rec") (size-mb 64) (salt "rig"))')
+            env["PROXY_OPERATORS"] = str(operators)
+        _, score = play_day(draw_day(scenario, seed), Path(folder), env=env)
+        return score
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -1,4 +1,4 @@
-"""Clients of the copies: they call until they are answered, through whichever gateway, and write it down."""
+"""Clients of the replicas: they call until they are answered, and record what they see."""
 
 from __future__ import annotations
 
@@ -10,151 +10,191 @@
 
 import msgspec
 
-from ..replicated_state import commands as words
+from ..replicated_state import commands
 from ..replicated_state.results import Result, decode_result
 from ..replicated_state.state_machine import Record, TokenBucket
 from ..replication import wire
 from ..simulation.history_checker import HistoryEvent
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host and port
 
-REPLY_TIMEOUT_S = 0.7  # s for an answer, after which another gateway is asked
+REPLY_TIMEOUT_S = 0.7  # after which another gateway is tried
+RETRY_PAUSE_RANGE_S = (0.01, 0.1)  # before a call is repeated
+READ_BYTES = 65536
+FRAMES_PER_CALL = 1000  # numbers that one operation's frames may use: its repeats never get near
 
 
 class ReplicaConnection:
-    """One connection to one gateway's port."""
+    """A connection to the replication port of one gateway."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
-        self.data = bytearray()
+        self._reader, self._writer = reader, writer
+        self._received = bytearray()
 
     @classmethod
-    async def open(cls, where: Address, fleet: str) -> ReplicaConnection:
-        reader, writer = await asyncio.open_connection(*where)
-        line = cls(reader, writer)
-        writer.write(
-            wire.encode_frame(
-                wire.Handshake(fleet, wire.MIN_VERSION, wire.MAX_VERSION, "client", "", 0, {}, 0)
-            )
+    async def open(cls, address: Address, fleet: str) -> ReplicaConnection:
+        """Connect and exchange handshakes.
+
+        Raises `OSError` and `wire.ProtocolError`. If it is cancelled, the socket is closed with its object.
+        """
+        connection = cls(*await asyncio.open_connection(*address))
+        connection.send(
+            wire.Handshake(fleet, wire.MIN_VERSION, wire.MAX_VERSION, "client", "", 0, {}, 0),
         )
-        await line.next(wire.Handshake)
-        return line
+        await connection.receive(wire.Handshake)
+        return connection
 
-    async def next(self, kind: type[Any]) -> Any:
+    def send(self, message: wire.Frame) -> None:
+        """Write a frame, without waiting until it has left."""
+        self._writer.write(wire.encode_frame(message))
+
+    async def receive(self, kind: type[Any]) -> Any:
+        """Return the next message of that type; others are dropped.
+
+        Raises `ConnectionResetError` at the stream's end and `wire.ProtocolError`. If it is cancelled, what
+        has arrived is kept for the next call.
+        """
         while True:
-            while found := wire.decode_frame(self.data, 0, len(self.data)):
-                self.data = self.data[found[1] :]
+            while found := wire.decode_frame(self._received, 0, len(self._received)):
+                self._received = self._received[found[1] :]
                 if isinstance(found[0], kind):
                     return found[0]
-            more = await self.reader.read(65536)
+            more = await self._reader.read(READ_BYTES)
             if not more:
                 raise ConnectionResetError
-            self.data += more
+            self._received += more
 
     def close(self) -> None:
-        self.writer.close()
+        """Close the connection, without waiting."""
+        self._writer.close()
 
 
 async def query_operator_port(
-    where: Address, fleet: str, what: str, group: int = -1, copy: str = ""
+    address: Address, fleet: str, what: str, group: int = -1, copy: str = ""
 ) -> wire.ClientResponse | None:
-    """An operator's question; None if nobody answers."""
+    """Send an operator's request; returns None if there is no answer within 0.7 s."""
     with contextlib.suppress(OSError, TimeoutError, wire.ProtocolError):
         async with asyncio.timeout(REPLY_TIMEOUT_S):
-            line = await ReplicaConnection.open(where, fleet)
+            connection = await ReplicaConnection.open(address, fleet)
             try:
-                line.writer.write(wire.encode_frame(wire.AdminRequest(1, what, group, copy)))
-                reply: wire.ClientResponse = await line.next(wire.ClientResponse)
-                return reply
+                connection.send(wire.AdminRequest(1, what, group, copy))
+                response: wire.ClientResponse = await connection.receive(wire.ClientResponse)
+                return response
             finally:
-                line.close()
+                connection.close()
     return None
 
 
-async def gateway_statuses(where: Mapping[str, Address], fleet: str) -> dict[str, dict[str, Any] | None]:
-    """What each gateway tells of itself; None of one that does not answer."""
-    replies = await asyncio.gather(*(query_operator_port(one, fleet, "status") for one in where.values()))
-    told = (msgspec.msgpack.decode(one.data) if one is not None else None for one in replies)
-    return dict(zip(where, told, strict=True))
+async def gateway_statuses(addresses: Mapping[str, Address], fleet: str) -> dict[str, dict[str, Any] | None]:
+    """Return the status (decoded msgpack) of each gateway by name; None for one that does not answer."""
+    queries = (query_operator_port(address, fleet, "status") for address in addresses.values())
+    responses = await asyncio.gather(*queries)
+    statuses = (msgspec.msgpack.decode(one.data) if one is not None else None for one in responses)
+    return dict(zip(addresses, statuses, strict=True))
 
 
-def leader_status(told: Mapping[str, dict[str, Any] | None], group: int) -> dict[str, Any] | None:
-    """The group as it is told by who leads it, in the highest term; None if nobody does."""
-    groups = (one for status in told.values() if status is not None for one in status["groups"])
-    leads = (one for one in groups if one["group"] == group and one["role"] == "leader")
-    return max(leads, key=lambda one: one["term"], default=None)
+def leader_status(statuses: Mapping[str, dict[str, Any] | None], group: int) -> dict[str, Any] | None:
+    """Return the group's status from its leader in the highest term; None if no gateway leads it."""
+    groups = (one for status in statuses.values() if status is not None for one in status["groups"])
+    led = (one for one in groups if one["group"] == group and one["role"] == "leader")
+    return max(led, key=lambda one: one["term"], default=None)
 
 
 class ReplicaClient:
-    """One session: its operations, each repeated until its answer has come."""
+    """A client of one group with a session of its own; each operation is repeated until it is answered."""
 
     def __init__(
-        self, name: str, gateways: Mapping[str, Address], fleet: str, group: int,
-        history: list[HistoryEvent], now: Callable[[], float], chance: random.Random,
-    ) -> None:  # fmt: skip
-        self.name, self.gateways, self.fleet, self.group = name, gateways, fleet, group
-        self.history, self.now, self.chance = history, now, chance
-        self.number = 0
-        self.line: ReplicaConnection | None = None
-        self.at = chance.choice(list(gateways))
+        self,
+        name: str,
+        gateways: Mapping[str, Address],
+        fleet: str,
+        group: int,
+        history: list[HistoryEvent],
+        now: Callable[[], float],
+        rng: random.Random,
+    ) -> None:
+        """`history` gets an event for each operation, with its times by `now`, s."""
+        self.name, self.rng = name, rng
+        self.history = history
+        self.operations = 0  # that were begun; also the number of the last one
         self.repeats = 0
+        self._gateways, self._fleet, self._group, self._now = gateways, fleet, group, now
+        self._connection: ReplicaConnection | None = None
+        self._gateway = rng.choice(list(gateways))
+
+    async def do(self, operation: commands.Operation) -> Result:
+        """Return the result of an operation, which is applied once, however often it is sent.
+
+        If it is cancelled, the operation may have been applied; the event in the history has no end.
+        """
+        self.operations += 1
+        number = self.operations
+        data = commands.encode(commands.Command(self.name, number, number, operation))
+        event = self._record(operation)
+        answer = await self._call_until_done(lambda frame: wire.ClientRequest(frame, self._group, data))
+        result = decode_result(answer)
+        event.result, event.ended = result, self._now()
+        return result
 
-    async def _once(self, call: wire.ClientRequest) -> wire.ClientResponse | None:
+    # Without `result_type` the result is a bucket or a record, or None if there is none of that name.
+    async def read(self, kind: str, name: str, result_type: Any = None) -> Any:
+        """Return what the group's leader has under that name, decoded as `result_type`.
+
+        If it is cancelled, the event in the history has no end.
+        """
+        self.operations += 1
+        read = f"{kind} {name}"
+        event = self._record(read)
+        answer = await self._call_until_done(lambda frame: wire.ClientRequest(frame, self._group, read=read))
+        default_type = TokenBucket if kind == "store" else Record
+        found = msgspec.msgpack.decode(answer, type=result_type or default_type | None)
+        event.result, event.ended = found, self._now()
+        return found
+
+    def close(self) -> None:
+        """Close the connection; the session stays open."""
+        self._disconnect()
+
+    def _record(self, operation: commands.Operation | str) -> HistoryEvent:
+        event = HistoryEvent(self.name, self.operations, operation, self._now())
+        self.history.append(event)
+        return event
+
+    async def _call_until_done(self, make: Callable[[int], wire.ClientRequest]) -> bytes:
+        """Send the same operation, in frames of different numbers, to one gateway after another."""
+        attempt = 0
+        while True:
+            attempt += 1
+            response = await self._call_once(make(attempt + FRAMES_PER_CALL * self.operations))
+            if response is not None and response.how == "done":
+                return response.data
+            self.repeats += 1
+            if response is not None:
+                self._disconnect()
+                if response.hint in self._gateways:
+                    self._gateway = response.hint
+            await asyncio.sleep(self.rng.uniform(*RETRY_PAUSE_RANGE_S))
+
+    async def _call_once(self, request: wire.ClientRequest) -> wire.ClientResponse | None:
+        """Return the response; None, and no connection, if there is none in time."""
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_S):
-                if self.line is None:
-                    self.line = await ReplicaConnection.open(self.gateways[self.at], self.fleet)
-                self.line.writer.write(wire.encode_frame(call))
+                if self._connection is None:
+                    self._connection = await ReplicaConnection.open(
+                        self._gateways[self._gateway], self._fleet
+                    )
+                self._connection.send(request)
                 while True:
-                    reply: wire.ClientResponse = await self.line.next(wire.ClientResponse)
-                    if reply.number == call.number:
-                        return reply
+                    response: wire.ClientResponse = await self._connection.receive(wire.ClientResponse)
+                    if response.number == request.number:
+                        return response
         except (OSError, TimeoutError, wire.ProtocolError):
-            self._leave()
+            self._disconnect()
             return None
 
-    def _leave(self) -> None:
-        if self.line is not None:
-            self.line.close()
-        self.line = None
-        self.at = self.chance.choice(list(self.gateways))
-
-    async def _until(self, make: Callable[[int], wire.ClientRequest]) -> bytes:
-        """Call until it is done: the same operation by the same number, wherever it goes."""
-        number = 0
-        while True:
-            number += 1
-            reply = await self._once(make(number + 1000 * self.number))
-            if reply is not None and reply.how == "done":
-                return reply.data
-            self.repeats += 1
-            if reply is not None and reply.hint in self.gateways:
-                self._leave()
-                self.at = reply.hint
-            elif reply is not None:
-                self._leave()
-            await asyncio.sleep(self.chance.uniform(0.01, 0.1))
-
-    async def do(self, operation: words.Operation) -> Result:
-        self.number += 1
-        mine = self.number
-        command = words.Command(self.name, mine, mine, operation)
-        data = words.encode(command)
-        event = HistoryEvent(self.name, mine, operation, self.now())
-        self.history.append(event)
-        result = decode_result(await self._until(lambda n: wire.ClientRequest(n, self.group, data)))
-        event.result, event.ended = result, self.now()
-        return result
-
-    async def read(self, kind: str, name: str, type: Any = None) -> Any:
-        """What the group's leader holds, of that type; a store or a record, or None, if none is named."""
-        self.number += 1
-        event = HistoryEvent(self.name, self.number, f"{kind} {name}", self.now())
-        self.history.append(event)
-        data = await self._until(lambda n: wire.ClientRequest(n, self.group, read=f"{kind} {name}"))
-        found = msgspec.msgpack.decode(data, type=type or (TokenBucket if kind == "store" else Record) | None)
-        event.result, event.ended = found, self.now()
-        return found
-
-    def close(self) -> None:
-        self._leave()
+    def _disconnect(self) -> None:
+        """Close the connection; the next goes to a gateway that is drawn."""
+        if self._connection is not None:
+            self._connection.close()
+        self._connection = None
+        self._gateway = self.rng.choice(list(self._gateways))
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -6,53 +6,83 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..replicated_state import commands as w
+from ..replicated_state import commands
 from ..replicated_state.results import LeaseGranted
 from .replica_client import ReplicaClient
 
 CUSTOMERS = 4
 RECORDS = 2
-RATE, BURST = 5.0, 40.0
-TERM = 1500.0  # ms of a lease
+RATE, BURST = 5.0, 40.0  # units a second and units, of each customer's token bucket
+LEASE_TERM_MS = 1500.0
+LEASE_UNITS = (1.0, 5.0, 15.0)
+MAX_COUNTED_UNITS = 9
 PAUSE_S = 0.002  # between two operations
-KINDS = ("lease", "lease", "return", "count", "count", "read", "put", "reserve")
-
-
-async def run_workload(caller: ReplicaClient, over: Callable[[], bool], pause: float = PAUSE_S) -> None:
-    """Operations as a gateway would have them, until it is over."""
-    chance = caller.chance
-    await caller.do(w.OpenSession())
-    leases: list[tuple[str, int, float]] = []
-    versions: dict[str, int] = {}
-    while not over():
-        customer = f"c{chance.randrange(CUSTOMERS)}"
-        match chance.choice(KINDS):
+KINDS = ("lease", "lease", "return", "count", "count", "read", "put", "reserve")  # drawn with these weights
+
+
+class ReplicaWorkload:
+    """The operations of one client, drawn from its own random numbers."""
+
+    def __init__(self, client: ReplicaClient) -> None:
+        self._client, self._rng = client, client.rng
+        self._leases: list[tuple[str, int, float]] = []  # customer, lease and units, not returned yet
+        self._versions: dict[str, int] = {}  # of records, as last known
+
+    async def run(self, ended: Callable[[], bool], pause_s: float) -> None:
+        """Open the session, then operate until the run has ended."""
+        await self._client.do(commands.OpenSession())
+        while not ended():
+            customer = f"c{self._rng.randrange(CUSTOMERS)}"
+            await self._operate(self._rng.choice(KINDS), customer)
+            await asyncio.sleep(pause_s)
+
+    async def _operate(self, kind: str, customer: str) -> None:
+        match kind:
             case "lease":
-                units = chance.choice([1.0, 5.0, 15.0])
-                got = await caller.do(w.AcquireLease(customer, RATE, BURST, units, 1.0, TERM))
-                if isinstance(got, LeaseGranted):
-                    leases.append((customer, got.lease, got.units))
-            case "return" if leases:
-                whose, lease, units = leases.pop(0)
-                await caller.do(w.ReturnLease(whose, lease, chance.uniform(0.0, units)))
+                await self._acquire_lease(customer)
+            case "return" if self._leases:
+                await self._return_oldest_lease()
             case "count":
-                await caller.do(w.CountUsage(customer, float(chance.randint(1, 9))))
+                units = float(self._rng.randint(1, MAX_COUNTED_UNITS))
+                await self._client.do(commands.CountUsage(customer, units))
             case "read":
-                await caller.read("store", customer)
+                await self._client.read("store", customer)
             case "put":
-                key, value = f"k{chance.randrange(RECORDS)}", f"{caller.name}-{caller.number}"
-                result = await caller.do(w.SetRecord(key, value, versions.get(key, 0)))
-                versions[key] = int(result.value) if not isinstance(result, LeaseGranted) else 0
+                await self._set_record()
             case "reserve":
-                await caller.do(w.ReserveUnits(customer, f"{caller.name}-{caller.number}", 1.0, TERM))
-        await asyncio.sleep(pause)
+                operation = commands.ReserveUnits(customer, self._unique_name(), 1.0, LEASE_TERM_MS)
+                await self._client.do(operation)
+
+    def _unique_name(self) -> str:
+        return f"{self._client.name}-{self._client.operations}"
+
+    async def _acquire_lease(self, customer: str) -> None:
+        units = self._rng.choice(LEASE_UNITS)
+        operation = commands.AcquireLease(customer, RATE, BURST, units, 1.0, LEASE_TERM_MS)
+        result = await self._client.do(operation)
+        if isinstance(result, LeaseGranted):
+            self._leases.append((customer, result.lease, result.units))
+
+    async def _return_oldest_lease(self) -> None:
+        customer, lease, units = self._leases.pop(0)
+        await self._client.do(commands.ReturnLease(customer, lease, self._rng.uniform(0.0, units)))
+
+    async def _set_record(self) -> None:
+        key, value = f"k{self._rng.randrange(RECORDS)}", self._unique_name()
+        result = await self._client.do(commands.SetRecord(key, value, self._versions.get(key, 0)))
+        self._versions[key] = int(result.value) if not isinstance(result, LeaseGranted) else 0
+
+
+async def run_workload(client: ReplicaClient, ended: Callable[[], bool], pause_s: float = PAUSE_S) -> None:
+    """Operate as gateways do until the run has ended. If it is cancelled, an operation may have no answer."""
+    await ReplicaWorkload(client).run(ended, pause_s)
 
 
-async def read_final_state(caller: ReplicaClient, patience: float) -> dict[str, Any]:
-    """What stores and records hold in the end. Raises TimeoutError if one is not told within `patience` s."""
+async def read_final_state(client: ReplicaClient, timeout_s: float) -> dict[str, Any]:
+    """Return what the token buckets and records hold; raises `TimeoutError` if a read takes longer."""
     found: dict[str, Any] = {}
     for number in range(CUSTOMERS):
-        found[f"store c{number}"] = await asyncio.wait_for(caller.read("store", f"c{number}"), patience)
+        found[f"store c{number}"] = await asyncio.wait_for(client.read("store", f"c{number}"), timeout_s)
     for number in range(RECORDS):
-        found[f"record k{number}"] = await asyncio.wait_for(caller.read("record", f"k{number}"), patience)
+        found[f"record k{number}"] = await asyncio.wait_for(client.read("record", f"k{number}"), timeout_s)
     return found
