--- a/benchmarks/copies_calm.py
+++ b/benchmarks/copies_calm.py
@@ -15,7 +15,7 @@
 from mapleshunt.simulation.day import draw_day
 from mapleshunt.simulation.score import Score
 from mapleshunt.testbed.fleet import play_day
-from mapleshunt.testbed.gateway_process import free_port
+from mapleshunt.testbed.ports import free_port
 
 GATEWAYS = 3
 
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -34,7 +34,7 @@
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
     from ..simulation.day import draw_day
     from ..testbed import fleet
-    from ..testbed.gateway_process import GatewayError
+    from ..testbed.errors import GatewayError
 
     try:
         return fleet.play_day(draw_day(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
@@ -83,7 +83,8 @@
         *service_rows(found), ["first tries", found.requests],
         ["served", found.served], ["refused", found.refused], ["failed", found.failed],
         ["median answer, ms", found.p50_ms], ["99th percentile, ms", found.p99_ms],
-        ["CPU of the gateways, s", found.gateway_cpu_s], ["this process late at worst, ms", fleet.clock.max_lateness_ms],
+        ["CPU of the gateways, s", found.gateway_cpu_s],
+        ["this process late at worst, ms", fleet.clock.max_lateness_ms],
     ])  # fmt: skip
     for story in found.stories:
         click.echo(f"broken: {story}")
@@ -170,10 +171,10 @@
     as_json: bool,
 ) -> None:
     """Real gateways under overlapping troubles, judged by the invariants; exit status 1 if one is broken."""
+    from ..testbed.errors import LibraryBuildError
     from ..testbed.fleet import CHECKOUT_ROOT
     from ..testbed.soak import fleet as soaks
     from ..testbed.soak.schedule import FAULT_WEIGHTS, REPLICATION_KINDS
-    from ..testbed.syscall_faults import LibraryBuildError
 
     if odd := [one for one in only if one not in FAULT_WEIGHTS]:
         raise Trouble(f"no trouble is named {odd[0]!r}; there are {', '.join(FAULT_WEIGHTS)}")
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -15,12 +15,11 @@
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..simulation.records import ClientAttempt, UpstreamAttempt
+from .ports import HOST
 
 if TYPE_CHECKING:
     from .fleet import LoopbackFleet
 
-HOST = "127.0.0.1"
-
 
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -12,7 +12,7 @@
 from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..simulation.day import RuleLimits
 from ..simulation.records import ClientAttempt, ClientResult, RequestRecord
-from .backends import HOST
+from .ports import HOST
 
 if TYPE_CHECKING:
     from .fleet import LoopbackFleet
--- a/mapleshunt/testbed/clock.py
+++ b/mapleshunt/testbed/clock.py
@@ -9,7 +9,7 @@
 
 
 class DayClock:
-    """A monotonic clock that is at 0 when the day begins, and below 0 before; and the event loop's lateness."""
+    """A monotonic clock that is at 0 when the day begins; it measures the event loop's lateness."""
 
     def __init__(self) -> None:
         self.unix_ms = time.time() * 1000  # Unix time at which the day began
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -18,7 +18,7 @@
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..platform_terms import STATES
-from .backends import HOST
+from .ports import HOST
 
 if TYPE_CHECKING:
     from .fleet import LoopbackFleet
--- a/mapleshunt/testbed/faults/gateway_machine.py
+++ b/mapleshunt/testbed/faults/gateway_machine.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..backends import HOST
-from ..gateway_process import free_port, launch_gateway
+from ..gateway_process import launch_gateway
+from ..ports import HOST, free_port
 from ..replica_client import Address
 from ..replication_settings import PeerAddress, ReplicationSettings
 from .process_faults import (
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -12,8 +12,8 @@
 from ...platform_terms import wire_of
 from ...policy import Plan, RequestClass, Settings
 from ...simulation.history_checker import HistoryEvent
+from ..errors import GatewayError
 from ..fault_proxy import Direction, FaultProxy
-from ..gateway_process import GatewayError
 from ..replica_client import ReplicaClient, gateway_statuses, leader_status
 from ..replica_workload import BURST, RATE
 from ..replication_settings import PeerAddress, ReplicationSettings
--- a/mapleshunt/testbed/faults/schedule.py
+++ b/mapleshunt/testbed/faults/schedule.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 
 from ...simulation.history_checker import HistoryEvent, find_violations
-from ..gateway_process import GatewayError
+from ..errors import GatewayError
 from ..replica_client import ReplicaClient
 from ..replica_workload import BURST, read_final_state, run_workload
 from .fault_injection import FaultInjector, FaultKind
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -20,11 +20,13 @@
 from ..simulation.fleet_host import FleetHost
 from ..simulation.records import ClientAttempt, RequestRecord
 from ..simulation.score import Score, score_day
-from .backends import HOST, InFlightAttempt, SocketBackend
+from .backends import InFlightAttempt, SocketBackend
 from .clients import SocketClients
 from .clock import DayClock
 from .discovery_agent import CounterServer, DiscoveryAgent, GossipRelay
-from .gateway_process import GatewayError, GatewayProcess
+from .errors import GatewayError
+from .gateway_process import GatewayProcess
+from .ports import HOST
 
 SOCKET_RULES = RuleLimits(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
 USAGE_SAMPLE_INTERVAL_S = 0.5  # s between looks at the gateways' CPU and memory
--- a/mapleshunt/testbed/gateway_process.py
+++ b/mapleshunt/testbed/gateway_process.py
@@ -1,63 +1,32 @@
-"""Real gateway processes: their configurations, starts, ends, logs and CPU."""
+"""A real gateway as a process: its configuration, starts, ends, log, and use of CPU and memory."""
 
 from __future__ import annotations
 
 import asyncio
-import fcntl
 import json
 import os
-import random
 import signal
 import socket
 import subprocess
 import sys
-import tempfile
 from collections.abc import Mapping, Sequence
 from pathlib import Path
-from typing import Any, TextIO
+from typing import Any
 
-from .backends import HOST
+from .errors import GatewayError
+from .ports import HOST, free_port
 
-BACKLOG = 512
-READY_CALL = b"GET /_ready HTTP/1.1\r\nHost: gateway\r\n\r\n"
-READY_TIMEOUT_S = 10.0  # s within which a gateway must answer PING
-
-
-class GatewayError(Exception):
-    """A gateway did not start, or ended by itself; its text is for the operator."""
-
-
-PORTS = range(20000, 32000)  # below those that the system gives to outgoing connections
-
-
-_drawn_ports: set[int] = set()  # by this process, whose own locks do not keep it away
-_lock_files: list[TextIO] = []
-
-
-def _lock_port(port: int) -> bool:
-    """Take it from all other rigs, for as long as this process lives: what is drawn is bound only later."""
-    if not _lock_files:
-        _lock_files.append((Path(tempfile.gettempdir()) / "mapleshunt-rig-ports").open("a"))
-    try:
-        fcntl.lockf(_lock_files[0], fcntl.LOCK_EX | fcntl.LOCK_NB, 1, port)
-    except OSError:
-        return False
-    return True
-
-
-def free_port(kind: socket.SocketKind) -> int:
-    """A port that nobody holds now, and no rig draws again. Raises `GatewayError`."""
-    for port in random.sample(PORTS, 1000):
-        if port in _drawn_ports or not _lock_port(port):
-            continue
-        with socket.socket(socket.AF_INET, kind) as probe:
-            try:
-                probe.bind((HOST, port))
-            except OSError:
-                continue
-            _drawn_ports.add(port)
-            return port
-    raise GatewayError("no port is free")
+BACKLOG = 512  # connections that wait to be accepted from a listener that is held here
+READY_REQUEST = b"GET /_ready HTTP/1.1\r\nHost: gateway\r\n\r\n"
+READY_RESPONSE = b"HTTP/1.1 200 OK\r\n"
+PING_REQUEST = b"*1\r\n$4\r\nPING\r\n"
+PING_RESPONSE = b"+PONG\r\n"
+READY_TIMEOUT_S = 10.0  # within which a gateway must be ready
+READY_CALL_TIMEOUT_S = 1.0
+STOP_TIMEOUT_S = 8.0  # after SIGTERM, until SIGKILL
+POLL_INTERVAL_S = 0.02
+SEED_STEP = 7919  # between the seeds of two processes of a gateway
+SEED_MASK = 2**63 - 1
 
 
 def launch_gateway(
@@ -67,13 +36,13 @@
     module: str = "mapleshunt",
     pass_fds: Sequence[int] = (),
 ) -> subprocess.Popen[bytes]:
-    """A gateway of that checkout; of the variables that it reads it has those of `env` alone."""
-    clean = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
+    """Start a gateway of that checkout; of the variables that it reads it has those of `env` alone."""
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
     with log.open("ab") as file:
         return subprocess.Popen(
             [sys.executable, "-m", module],
             cwd=program,
-            env={**clean, **env},
+            env={**inherited, **env},
             stdout=file,
             stderr=file,
             stdin=subprocess.DEVNULL,
@@ -82,7 +51,7 @@
 
 
 class GatewayProcess:
-    """One gateway: `program` is the checkout it runs, `folder` where its configuration and log are."""
+    """One gateway, from process to process; its ports stay the same."""
 
     def __init__(
         self,
@@ -92,25 +61,31 @@
         config: dict[str, Any],
         env: Mapping[str, str] | None = None,
     ) -> None:
+        """`program` is the checkout that it runs, `folder` where its configuration and log are.
+
+        `config` is the JSON of its configuration file, without its addresses.
+        """
         self.number, self.folder, self.program, self.config = number, folder, program, config
         self.env = dict(env or {})
         self.port = free_port(socket.SOCK_STREAM)
         self.peer_port = free_port(socket.SOCK_DGRAM)
         self.listener: socket.socket | None = None  # that its processes inherit
-        self.admin_port = 0  # of the process that was started last, where it inherits the listener
         self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
-        self.ended_cpu_s = 0.0  # s of CPU of processes that have ended
-        self.running_cpu_s = 0.0  # of the one that runs, as last read
-        self.peak_memory_kb = 0  # kB, the most seen
+        self.peak_memory_kb = 0
+        self._admin_port = 0  # of the process that was started last, if it inherits the listener
+        self._ended_cpu_s = 0.0  # of processes that have ended
+        self._running_cpu_s = 0.0  # of the one that runs, as last read
 
     @property
     def log(self) -> Path:
+        """The log of all its processes."""
         return self.folder / f"gateway-{self.number}.log"
 
     def inherit_listener(self) -> None:
-        """Hold the listening socket here from now on, as a platform does that starts a second process of a
-        gateway beside the first.
+        """Hold the listening socket here from now on, for its processes to inherit.
+
+        A platform does so that starts a second process of a gateway beside the first.
         """
         self.listener = socket.create_server((HOST, self.port), backlog=BACKLOG)
         shared = self.folder / f"shared-{self.number}"
@@ -118,24 +93,29 @@
         self.env |= {"TMPDIR": str(shared), "PROXY_ACCEPT_FD": str(self.listener.fileno())}
 
     def close_listener(self) -> None:
+        """Close the listening socket, if it is held here."""
         if self.listener is not None:
             self.listener.close()
 
     def detach(self) -> subprocess.Popen[bytes] | None:
-        """The process that runs, which is the caller's to end from now on."""
+        """Return the process that runs, which is the caller's to end from now on."""
         process, self.process = self.process, None
         return process
 
-    def spawn(self, known: Mapping[str, Any]) -> None:
+    def spawn(self, known_endpoints: Mapping[str, Any]) -> None:
+        """Start a process, with the endpoint list (JSON) that it is to know before discovery answers."""
         self.starts += 1
         config = {
-            **self.config, "listen": f"{HOST}:{self.port}", "peer_listen": f"{HOST}:{self.peer_port}",
-            "known": known, "seed": f"{(self.config['seed'] + 7919 * self.starts) & (2**63 - 1):016x}",
-        }  # fmt: skip
+            **self.config,
+            "listen": f"{HOST}:{self.port}",
+            "peer_listen": f"{HOST}:{self.peer_port}",
+            "known": known_endpoints,
+            "seed": f"{(self.config['seed'] + SEED_STEP * self.starts) & SEED_MASK:016x}",
+        }
         pass_fds: list[int] = []
         if self.listener is not None:
-            self.admin_port = free_port(socket.SOCK_STREAM)
-            config["management"] = f"{HOST}:{self.admin_port}"
+            self._admin_port = free_port(socket.SOCK_STREAM)
+            config["management"] = f"{HOST}:{self._admin_port}"
             pass_fds = [self.listener.fileno()]
         path = self.folder / f"gateway-{self.number}.json"
         path.write_text(json.dumps(config))
@@ -143,43 +123,47 @@
         self.process = launch_gateway(self.program, env, self.log, pass_fds=pass_fds)
 
     async def wait_until_ready(self) -> None:
-        """Wait until it takes clients: the process that was started last, where another may answer PING on
-        the same socket. Raises `GatewayError`.
+        """Wait until the process that was started last takes clients.
+
+        Another process may answer PING on an inherited socket: then its admin endpoint is called. Raises
+        `GatewayError`; a cancelled wait leaves the process as it is.
         """
-        deadline = asyncio.get_running_loop().time() + READY_TIMEOUT_S
-        while asyncio.get_running_loop().time() < deadline:
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + READY_TIMEOUT_S
+        while loop.time() < deadline:
             if self.process is None or self.process.poll() is not None:
-                last = self.log.read_text(errors="replace").strip().splitlines()[-1:]
-                raise GatewayError(f"gateway {self.number} ended at its start: {' '.join(last)}")
+                last_line = self.log.read_text(errors="replace").strip().splitlines()[-1:]
+                raise GatewayError(f"gateway {self.number} ended at its start: {' '.join(last_line)}")
             if await self._accepts_requests():
                 return
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(POLL_INTERVAL_S)
         raise GatewayError(f"gateway {self.number} does not answer PING")
 
     async def _accepts_requests(self) -> bool:
-        port, question, answer = self.port, b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
+        port, request, expected = self.port, PING_REQUEST, PING_RESPONSE
         if self.listener is not None:
-            port, question, answer = self.admin_port, READY_CALL, b"HTTP/1.1 200 OK\r\n"
+            port, request, expected = self._admin_port, READY_REQUEST, READY_RESPONSE
         try:
-            async with asyncio.timeout(1.0):
+            async with asyncio.timeout(READY_CALL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(HOST, port)
-                writer.write(question)
+                writer.write(request)
                 line = await reader.readline()
                 writer.close()
         except (OSError, TimeoutError):
             return False
-        return line == answer
+        return line == expected
 
     def is_running(self) -> bool:
+        """Whether it has a process that has not ended."""
         return self.process is not None and self.process.poll() is None
 
     def sample_usage(self) -> None:
-        """Read its CPU and memory."""
+        """Read the CPU and memory that its process uses; nothing if it ends meanwhile."""
         if not self.is_running() or self.process is None:
             return
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-            self.running_cpu_s = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+            self._running_cpu_s = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
             for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
                 if line.startswith("VmRSS"):
                     self.peak_memory_kb = max(self.peak_memory_kb, int(line.split()[1]))
@@ -188,14 +172,15 @@
 
     @property
     def cpu_s(self) -> float:
-        return self.ended_cpu_s + self.running_cpu_s
+        """CPU of all its processes, s, as last sampled."""
+        return self._ended_cpu_s + self._running_cpu_s
 
     def _forget_process(self) -> None:
-        self.ended_cpu_s, self.running_cpu_s = self.ended_cpu_s + self.running_cpu_s, 0.0
+        self._ended_cpu_s, self._running_cpu_s = self._ended_cpu_s + self._running_cpu_s, 0.0
         self.process = None
 
     def kill(self, wait: bool = True) -> None:
-        """SIGKILL, and wait for its end; else whoever starts the next process reaps it."""
+        """Send SIGKILL. With `wait` block until it has ended, else the start of the next process reaps it."""
         if self.process is not None:
             self.sample_usage()
             self.process.kill()
@@ -204,20 +189,29 @@
             self._forget_process()
 
     def terminate(self) -> None:
+        """Send SIGTERM: it is to drain and end."""
         if self.is_running() and self.process is not None:
             self.process.send_signal(signal.SIGTERM)
 
-    async def stop(self, grace_s: float = 8.0) -> None:
-        """SIGTERM, then SIGKILL if it has not ended by then."""
+    async def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
+        """Send SIGTERM, and SIGKILL if it has not ended in time or this is cancelled."""
         self.sample_usage()
         self.terminate()
-        deadline = asyncio.get_running_loop().time() + grace_s
-        while self.is_running() and asyncio.get_running_loop().time() < deadline:
-            await asyncio.sleep(0.02)
-        self.kill()
+        try:
+            await self._wait_for_end(timeout_s)
+        finally:
+            self.kill()
+
+    async def _wait_for_end(self, timeout_s: float) -> None:
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + timeout_s
+        while True:
+            if not self.is_running() or loop.time() >= deadline:
+                return
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def counters(self) -> dict[str, int]:
-        """The counters it last printed."""
+        """Return the counters that it last logged; none before it has logged any."""
         for line in reversed(self.log.read_text(errors="replace").splitlines()):
             if "event=counters" in line:
                 pairs = dict(item.partition("=")[::2] for item in line.split())
--- a/mapleshunt/testbed/replication_settings.py
+++ b/mapleshunt/testbed/replication_settings.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from .backends import HOST
+from .ports import HOST
 
 DEFAULT_REPLACE_AFTER_S = 600.0  # longer than any run: only a test that asks for it sees a replica replaced
 
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -18,9 +18,9 @@
 from ..maintenance.jobs import MaintenanceJobs
 from ..replicated_state import commands as h
 from ..replicated_state.results import Applied
+from .errors import GatewayError
 from .faults.gateway_machine import GatewayMachine
 from .faults.replicated_fleet import SETTLE_TIMEOUT_S, ReplicatedFleet
-from .gateway_process import GatewayError
 from .maintenance_work import grants_of_two_machines, read_maintenance_state, work_on_safe_machine
 from .replica_client import ReplicaClient
 
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -12,8 +12,9 @@
 
 from ...fleet.backend import Backend
 from ...net.protocol import resp
-from ..backends import HOST, InFlightAttempt, SocketBackend
+from ..backends import InFlightAttempt, SocketBackend
 from ..fault_proxy import RESET_ON_CLOSE
+from ..ports import HOST
 
 if TYPE_CHECKING:
     from .fleet import SoakFleet
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -16,8 +16,8 @@
 from ...net.protocol import resp
 from ...net.protocol.read_buffer import MessageTooLongError
 from ...simulation.records import ClientAttempt, ClientResult
-from ..backends import HOST
 from ..clients import ClientConnection, SocketClients
+from ..ports import HOST
 from .backends import MAX_LAG_S
 
 if TYPE_CHECKING:
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -14,10 +14,11 @@
 from typing import Any, cast
 
 from ...fleet.faults import Fault
-from ..backends import HOST
+from ..errors import GatewayError
 from ..fault_proxy import FaultProxy
 from ..fleet import LoopbackFleet
-from ..gateway_process import GatewayError, GatewayProcess
+from ..gateway_process import GatewayProcess
+from ..ports import HOST
 from ..syscall_faults import SyscallFaultControl, SyscallFaultRates
 from . import schedule
 from .backends import Misbehaviour, SoakBackend
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -23,11 +23,11 @@
 from ...fleet.discovery import EndpointEntry
 from ...simulation.day import Day, RuleLimits, Scenario, draw_day
 from ...simulation.records import ClientAttempt
-from ..backends import HOST
 from ..discovery_agent import DiscoveryAgent
+from ..errors import GatewayError
 from ..fleet import CHECKOUT_ROOT
-from ..gateway_process import GatewayError
 from ..maintenance_work import grants_of_two_machines
+from ..ports import HOST
 from ..syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 from . import schedule
 from .backends import SoakBackend
--- a/mapleshunt/testbed/soak/replicas.py
+++ b/mapleshunt/testbed/soak/replicas.py
@@ -11,9 +11,8 @@
 from pathlib import Path
 
 from ...simulation.history_checker import HistoryEvent, find_violations
-from ..backends import HOST
 from ..fault_proxy import FaultProxy
-from ..gateway_process import free_port
+from ..ports import HOST, free_port
 from ..replica_client import Address, ReplicaClient, gateway_statuses, leader_status
 from ..replica_workload import BURST, read_final_state, run_workload
 from ..replication_settings import PeerAddress, ReplicationSettings
--- a/mapleshunt/testbed/syscall_faults.py
+++ b/mapleshunt/testbed/syscall_faults.py
@@ -1,4 +1,4 @@
-"""System calls of a process that fail by chance: the library of syscall_faults.c, built and controlled.
+"""System calls of a process that fail by chance: builds and controls the library of `syscall_faults.c`.
 
 The library is preloaded (LD_PRELOAD) into one process at a time. It and this module map the same control
 file: this side writes the rates that hold, the library counts what it did.
@@ -15,14 +15,12 @@
 from dataclasses import astuple, dataclass, fields
 from pathlib import Path
 
+from .errors import LibraryBuildError
+
 SOURCE = Path(__file__).with_name("syscall_faults.c")
 COMPILERS = ("cc", "gcc", "clang")
 
 
-class LibraryBuildError(Exception):
-    """The library cannot be built here; the text says why."""
-
-
 @dataclass(frozen=True)
 class SyscallFaultRates:
     """Chance of each fault at one call, in the order of the library's `enum kind`."""
@@ -46,49 +44,51 @@
 
 
 def build_library(folder: Path) -> Path:
-    """Compile the library into the folder. Raises `LibraryBuildError`."""
+    """Compile the library into the folder and return its path. Raises `LibraryBuildError`."""
     compiler = next((found for name in COMPILERS if (found := shutil.which(name))), None)
     if compiler is None:
         raise LibraryBuildError(f"none of {', '.join(COMPILERS)} is installed")
     library = folder / "syscall_faults.so"
     command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
-    done = subprocess.run(command, capture_output=True, text=True)
-    if done.returncode:
-        raise LibraryBuildError(done.stderr.strip().splitlines()[-1])
+    compilation = subprocess.run(command, capture_output=True, text=True)
+    if compilation.returncode:
+        raise LibraryBuildError(compilation.stderr.strip().splitlines()[-1])
     return library
 
 
 class SyscallFaultControl:
-    """The rates that hold for one process, and what the library has done to it."""
+    """The rates that hold for one process, and the faults that the library has injected into it."""
 
     def __init__(self, library: Path, file: Path, seed: int, folder: Path | None = None) -> None:
-        """`folder` is the one whose files the disk faults are about."""
-        self.library, self.file, self.seed, self.folder = library, file, seed, folder
+        """The disk faults are about files in `folder`; without one there are none."""
+        self.folder = folder
+        self._library, self._file, self._seed = library, file, seed
         file.write_bytes(bytes(RATES.size + COUNTS.size))
         with file.open("r+b") as opened:
-            self.shared = mmap.mmap(opened.fileno(), 0)
+            self._shared = mmap.mmap(opened.fileno(), 0)
 
     def environment(self) -> dict[str, str]:
-        """The variables that load the library into a process."""
-        chosen = {
-            "LD_PRELOAD": str(self.library),
-            "MAPLESHUNT_FAULT_CONTROL": str(self.file),
-            "MAPLESHUNT_FAULT_SEED": str(self.seed),
+        """Return the environment variables that load the library into a process."""
+        variables = {
+            "LD_PRELOAD": str(self._library),
+            "MAPLESHUNT_FAULT_CONTROL": str(self._file),
+            "MAPLESHUNT_FAULT_SEED": str(self._seed),
         }
         if self.folder is not None:
-            chosen["MAPLESHUNT_FAULT_FOLDER"] = str(self.folder)
+            variables["MAPLESHUNT_FAULT_FOLDER"] = str(self.folder)
         if before := os.environ.get("LD_PRELOAD"):
-            chosen["LD_PRELOAD"] += f":{before}"
-        return chosen
+            variables["LD_PRELOAD"] += f":{before}"
+        return variables
 
     def set(self, rates: SyscallFaultRates) -> None:
         """Make these rates hold from now on."""
-        self.shared[: RATES.size] = RATES.pack(*astuple(rates))
+        self._shared[: RATES.size] = RATES.pack(*astuple(rates))
 
     def counts(self) -> Mapping[str, int]:
-        """Faults so far, by kind."""
-        values = COUNTS.unpack(self.shared[RATES.size :])
+        """Return the faults that were injected so far, by kind; none of 0."""
+        values = COUNTS.unpack(self._shared[RATES.size :])
         return {kind: count for kind, count in zip(KINDS, values, strict=True) if count}
 
     def close(self) -> None:
-        self.shared.close()
+        """Unmap the control file; the rates that hold stay."""
+        self._shared.close()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -23,7 +23,7 @@
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
 from mapleshunt.testbed.clock import DayClock
-from mapleshunt.testbed.gateway_process import GatewayError
+from mapleshunt.testbed.errors import GatewayError
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -98,7 +98,8 @@
         server = await asyncio.start_server(gateway, "127.0.0.1", 0)
         heard: list[str] = []
         day: Any = SimpleNamespace(
-            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=DayClock(), timed_out=[],
+            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])],
+            clock=DayClock(), timed_out=[],
             day=SimpleNamespace(rules=RuleLimits(answer_slack=2000.0)), command=lambda *_: b"PING\r\n",
             watchman=SimpleNamespace(answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
