--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -1,75 +1,97 @@
-"""Discovery, the counter and the paths between gateways, on sockets: one of each for every gateway."""
+"""Discovery's agent beside one gateway: the endpoint list over HTTP, and watches of its changes."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
-import socket
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Mapping
+from typing import Any
 
 from tornado.httpserver import HTTPServer
-from tornado.ioloop import IOLoop
-from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import bind_sockets
-from tornado.tcpserver import TCPServer
 from tornado.web import Application, RequestHandler
 
 from ..fleet.discovery import EndpointEntry
-from ..net.protocol import resp
-from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..platform_terms import STATES
+from .clock import DayClock
 from .ports import HOST
 
-if TYPE_CHECKING:
-    from .fleet import LoopbackFleet
-
-PHASES = {state: phase for phase, state in STATES.items()}
-DATAGRAM = 256
+PHASES = {state: phase for phase, state in STATES.items()}  # of an endpoint's state, as discovery names it
+MAX_WATCH_MS = 60_000.0  # for which a watch waits without a change
 
 
 class DiscoveryAgent:
-    """Discovery's agent beside one gateway: what it has been sent, and watches that wait for more."""
-
-    def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
-        self.fleet, self.gateway = fleet, gateway
-        self.changes: list[EndpointEntry] = []  # by revision, from 1
-        self.news = asyncio.Event()
+    """An agent with an HTTP server of its own; its revision counts the changes that it has had."""
+
+    def __init__(
+        self,
+        endpoints: Mapping[int, EndpointEntry],
+        zone: str,
+        clock: DayClock,
+        port_of: Callable[[int], int],
+        on_sent: Callable[[EndpointEntry], None],
+    ) -> None:
+        """`endpoints` is the list as the agent has it now, changed by its owner.
+
+        `port_of` returns a backend's port; `on_sent` is called with each entry that is sent to the gateway.
+        """
+        self._endpoints, self._zone, self._clock = endpoints, zone, clock
+        self._port_of, self._on_sent = port_of, on_sent
+        self._changes: list[EndpointEntry] = []
+        self._changed = asyncio.Event()  # set at the next change, and replaced
         (listener,) = bind_sockets(0, HOST)
         self.port: int = listener.getsockname()[1]
-        self.server = HTTPServer(
-            Application([("/catalog/members", CatalogHandler, {"agent": self})], log_function=quiet)
-        )
-        self.server.add_sockets([listener])
+        routes = [("/catalog/members", CatalogHandler, {"agent": self})]
+        self._server = HTTPServer(Application(routes, log_function=_log_nothing))
+        self._server.add_sockets([listener])
 
     @property
     def revision(self) -> int:
-        return len(self.changes)
+        """The revision of the list as it is now."""
+        return len(self._changes)
 
     def change(self, entry: EndpointEntry) -> None:
-        self.changes.append(entry)
-        self.news.set()
-        self.news = asyncio.Event()
+        """Add a change, which all watches that wait get."""
+        self._changes.append(entry)
+        self._changed.set()
+        self._changed = asyncio.Event()
+
+    def stop(self) -> None:
+        """Take no more connections."""
+        self._server.stop()
+
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Wait for the next change or the timeout, which is no error."""
+        changed = self._changed
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(timeout_s):
+                await changed.wait()
+
+    def response(self, since: int | None) -> dict[str, Any]:
+        """Return the response (JSON) with the whole list, or with the changes since that revision."""
+        entries = list(self._endpoints.values()) if since is None else self._changes[since:]
+        for entry in entries:
+            self._notify_sent(entry)
+        return self._list(entries, complete=since is None)
 
-    def body(self, since: int | None) -> dict[str, Any]:
-        entries = list(self.fleet.lists[self.gateway].values()) if since is None else self.changes[since:]
-        self._told(entries)
-        return {
-            "revision": self.revision,
-            "complete": since is None,
-            "members": [self.row(e) for e in entries],
-        }
+    def whole_list(self) -> dict[str, Any]:
+        """Return the whole list (JSON), as a gateway may know it from before its start."""
+        return self._list(list(self._endpoints.values()), complete=True)
 
-    def _told(self, entries: list[EndpointEntry]) -> None:
-        """These are being written to the gateway."""
-        for entry in entries:
-            self.fleet.watchman.told(self.gateway, entry, self.fleet.clock.now())
+    def _notify_sent(self, entry: EndpointEntry) -> None:
+        self._on_sent(entry)
 
-    def row(self, entry: EndpointEntry) -> dict[str, Any]:
-        started = round(self.fleet.clock.unix_ms + entry.started) if entry.started else 0
+    def _list(self, entries: list[EndpointEntry], *, complete: bool) -> dict[str, Any]:
+        members = [self._member(entry) for entry in entries]
+        return {"revision": self.revision, "complete": complete, "members": members}
+
+    def _member(self, entry: EndpointEntry) -> dict[str, Any]:
+        started = round(self._clock.unix_ms + entry.started) if entry.started else 0
         return {
             "id": f"s-{entry.server:08x}",
-            "host_port": f"{HOST}:{self.fleet.backends[entry.server].port}",
-            "locality": self.fleet.zone,
+            "host_port": f"{HOST}:{self._port_of(entry.server)}",
+            "locality": self._zone,
             "flavor": "std-3core",
             "cell": entry.cell,
             "phase": PHASES[entry.state],
@@ -79,132 +101,24 @@
 
 
 class CatalogHandler(RequestHandler):
+    """A call for the list, or a watch: with `index`, the revision that the gateway has, and `wait` in ms."""
+
     def initialize(self, agent: DiscoveryAgent) -> None:
+        """Called by tornado with the route's arguments."""
         self.agent = agent
 
     async def get(self) -> None:
+        """Answer with the whole list, or with the changes since a revision once there are any."""
         index = self.get_query_argument("index", "")
         if not index:
-            self.write(json.dumps(self.agent.body(None)))
+            self.write(json.dumps(self.agent.response(None)))
             return
         since = int(index)
         if since >= self.agent.revision:
-            wait = min(60000.0, float(self.get_query_argument("wait", "0"))) / 1000
-            news = self.agent.news
-            try:
-                async with asyncio.timeout(wait):
-                    await news.wait()
-            except TimeoutError:
-                pass
-        self.write(json.dumps(self.agent.body(min(since, self.agent.revision))))
+            wait_ms = min(MAX_WATCH_MS, float(self.get_query_argument("wait", "0")))
+            await self.agent.wait_for_change(wait_ms / 1000)
+        self.write(json.dumps(self.agent.response(min(since, self.agent.revision))))
 
 
-def quiet(handler: RequestHandler) -> None:
-    """Calls to discovery are no news."""
-
-
-class CounterServer(TCPServer):
-    """The counter as one gateway sees it."""
-
-    def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
-        super().__init__()
-        self.fleet, self.gateway = fleet, gateway
-        (listener,) = bind_sockets(0, HOST)
-        self.port: int = listener.getsockname()[1]
-        self.add_socket(listener)
-        self.streams: set[IOStream] = set()
-
-    def refuse(self) -> None:
-        for stream in list(self.streams):
-            stream.close()
-
-    async def handle_stream(self, stream: IOStream, address: object) -> None:
-        counter, clock = self.fleet.counter, self.fleet.clock
-        if counter.down == "refusing" or len(self.streams) >= 32:
-            stream.close()
-            return
-        self.streams.add(stream)
-        buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
-        try:
-            while True:
-                await buffer.fill(stream)
-                while found := resp.parse_command(buffer.data, buffer.start, buffer.end):
-                    buffer.consume(found[1])
-                    words = [bytes(word) for word in found[0]]
-                    if words[0] == b"PING":
-                        await stream.write(b"+PONG\r\n")
-                    elif words[0] == b"CNT.ADD" and len(words) == 4:
-                        name, amount, life = words[1], float(words[2]), float(words[3])
-                        self.fleet.counts += 1
-                        word, at, total = counter.call(clock.now(), hash(name), amount, life, self.gateway)
-                        await asyncio.sleep(max(0.0, min(at - clock.now(), 1e6)) / 1000)
-                        answer = (
-                            resp.encode_bulk(f"{total:.7g}".encode())
-                            if word == "ok"
-                            else resp.encode_error("BUSY")
-                        )
-                        await stream.write(answer)
-                    else:
-                        await stream.write(resp.encode_error("ERR unknown command"))
-        except (StreamClosedError, resp.ProtocolError, MessageTooLongError, ValueError):
-            stream.close()
-        finally:
-            self.streams.discard(stream)
-
-
-class GossipRelay:
-    """Datagrams between gateways: each has a socket here for every peer, and one for all of them.
-
-    A gateway is known by the address that it sends from; what arrives for it leaves from the socket that
-    stands for the sender.
-    """
-
-    def __init__(self, fleet: LoopbackFleet, count: int) -> None:
-        self.fleet, self.count = fleet, count
-        self.sockets: dict[tuple[int, int], socket.socket] = {}  # (gateway, peer or -1)
-        self.home: dict[int, tuple[str, int]] = {}  # where each gateway listens
-        for gateway in range(count):
-            for peer in range(-1, count):
-                one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                one.setblocking(False)
-                one.bind((HOST, 0))
-                self.sockets[gateway, peer] = one
-                IOLoop.current().add_handler(one, self._reader(gateway, peer), IOLoop.READ)
-
-    def address(self, gateway: int, peer: int) -> str:
-        host, port = self.sockets[gateway, peer].getsockname()
-        return f"{host}:{port}"
-
-    def _reader(self, gateway: int, peer: int) -> Any:
-        def read(fd: object, events: int) -> None:
-            for _ in range(64):
-                try:
-                    data, _sender = self.sockets[gateway, peer].recvfrom(DATAGRAM + 1)
-                except OSError:
-                    return
-                if len(data) > DATAGRAM:
-                    self.fleet.oversized_datagrams += 1
-                    continue
-                for other in range(self.count) if peer < 0 else (peer,):
-                    if other != gateway:
-                        self._pass(gateway, other, data)
-
-        return read
-
-    def _pass(self, sender: int, peer: int, data: bytes) -> None:
-        delay = self.fleet.network.message(sender, peer)
-        if delay is not None:
-            self.fleet.clock.at(self.fleet.clock.now() + delay, self._deliver, sender, peer, data)
-
-    def _deliver(self, sender: int, peer: int, data: bytes) -> None:
-        if self.fleet.intakes[peer].take(self.fleet.clock.now()) and peer in self.home:
-            self.fleet.message_bytes += len(data)
-            try:
-                self.sockets[peer, sender].sendto(data, self.home[peer])
-            except OSError:  # its gateway is down
-                return
-
-    def close(self) -> None:
-        for one in self.sockets.values():
-            IOLoop.current().remove_handler(one)
-            one.close()
+def _log_nothing(_handler: RequestHandler) -> None:
+    """Calls to discovery are not worth a line each."""
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -8,6 +8,7 @@
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import replace
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -23,9 +24,11 @@
 from .backends import InFlightAttempt, SocketBackend
 from .clients import SocketClients
 from .clock import DayClock
-from .discovery_agent import CounterServer, DiscoveryAgent, GossipRelay
+from .counter_server import CounterServer
+from .discovery_agent import DiscoveryAgent
 from .errors import GatewayError
 from .gateway_process import GatewayProcess
+from .gossip_relay import ALL_PEERS, GossipRelay
 from .ports import HOST
 
 SOCKET_RULES = RuleLimits(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
@@ -55,20 +58,22 @@
         self.in_flight: dict[int, list[InFlightAttempt]] = {}
         self.timed_out: list[ClientAttempt] = []
         self.request_id_base = day.streams.integer("ids") >> 8 << 8
-        self.unknown_requests = self.oversized_datagrams = 0
+        self.unknown_requests = 0  # that arrived at a backend, and that no client has sent
         self.down: set[int] = set()
         self.exited_gateways: list[int] = []
         self.kills: list[tuple[float, int]] = []  # when each was killed
         count = day.scenario.gateways
         self.agents = [self._make_agent(number) for number in range(count)]
-        self.counters = [CounterServer(self, number) for number in range(count)]
-        self.paths = GossipRelay(self, count)
+        self.counters = [
+            CounterServer(self.counter, self.clock, number, self._count_addition) for number in range(count)
+        ]
+        self.gossip = GossipRelay(count, self.network, self.intakes, self.clock)
         self.gateways = [
             GatewayProcess(number, folder, program, self._config(number, limits or {}), env)
             for number in range(count)
         ]
         for gateway in self.gateways:
-            self.paths.home[gateway.number] = (HOST, gateway.peer_port)
+            self.gossip.addresses[gateway.number] = (HOST, gateway.peer_port)
         self.clients = self.clients_class(self)
 
     def now(self) -> float:
@@ -85,7 +90,7 @@
         self.backends[till.number] = self.backend_class(till, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
-        paths, count = self.paths, self.day.scenario.gateways
+        gossip, count = self.gossip, self.day.scenario.gateways
         f = self.day.figures
         settings = wire_of(
             self.settings[number], DialTimeout=f["dial_ms"], ConnIdle=f["conn_idle_ms"], MaxOpen=20000
@@ -94,8 +99,8 @@
             "name": f"n{number}", "discovery": f"{HOST}:{self.agents[number].port}",
             "seed": self.day.streams.integer("gateway", number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **limits},
-            "peers": [paths.address(number, peer) for peer in range(count)],
-            "peers_all": paths.address(number, -1), "counter": f"{HOST}:{self.counters[number].port}",
+            "peers": [gossip.address(number, peer) for peer in range(count)],
+            "peers_all": gossip.address(number, ALL_PEERS), "counter": f"{HOST}:{self.counters[number].port}",
             "settings": settings,
         }  # fmt: skip
 
@@ -126,6 +131,7 @@
             self.close()
         self.gateway_ns = int(1e9 * sum(gateway.cpu_s for gateway in self.gateways))
         self.cpu_ns = time.process_time_ns() - begun + self.gateway_ns
+        self.message_bytes = self.gossip.delivered_bytes
         self.events = sum(len(one.attempts) + 1 for one in self.watchman.tries)
         if self.exited_gateways:
             raise GatewayError(f"gateways {self.exited_gateways} ended by themselves; see {self.folder}")
@@ -140,7 +146,18 @@
         await asyncio.gather(*(gateway.stop() for gateway in self.gateways))
 
     def _make_agent(self, number: int) -> DiscoveryAgent:
-        return DiscoveryAgent(self, number)
+        return DiscoveryAgent(
+            self.lists[number], self.zone, self.clock, self._backend_port, partial(self._list_sent, number)
+        )
+
+    def _backend_port(self, number: int) -> int:
+        return self.backends[number].port
+
+    def _list_sent(self, gateway: int, entry: EndpointEntry) -> None:
+        self.watchman.told(gateway, entry, self.clock.now())
+
+    def _count_addition(self) -> None:
+        self.counts += 1
 
     async def _look(self) -> None:
         while True:
@@ -160,17 +177,16 @@
             till.stop()
             till.close_all()
         for agent in self.agents:
-            agent.server.stop()
+            agent.stop()
         for counter in self.counters:
             counter.stop()
-            counter.refuse()
+            counter.close_connections()
         for number in range(len(self.gateways)):
             self.clients.drop(number)
-        self.paths.close()
+        self.gossip.close()
 
     def _known(self, number: int) -> dict[str, Any]:
-        rows = [self.agents[number].row(entry) for entry in self.lists[number].values()]
-        return {"revision": self.agents[number].revision, "complete": True, "members": rows}
+        return self.agents[number].whole_list()
 
     def _hand_list(self, number: int) -> None:
         self.watchman.told_list(number, self.lists[number].values(), self.clock.now())
@@ -262,7 +278,7 @@
     def _on_counter_down(self, fault: Fault, how: Any = "refusing") -> None:
         super()._on_counter_down(fault, how)
         for server in self.counters:
-            server.refuse()
+            server.close_connections()
 
 
 def on_sockets(day: Day) -> Day:
--- a/mapleshunt/testbed/soak/discovery_agent.py
+++ b/mapleshunt/testbed/soak/discovery_agent.py
@@ -2,30 +2,44 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from ...fleet.discovery import EndpointEntry
+from ..clock import DayClock
 from ..discovery_agent import DiscoveryAgent
 from ..fault_proxy import FaultProxy
-from ..fleet import LoopbackFleet
 
 
 class SoakDiscoveryAgent(DiscoveryAgent):
-    """A discovery agent whose revisions count from a number of its own, behind a proxy."""
-
-    def __init__(self, fleet: LoopbackFleet, gateway: int, base: int) -> None:
-        super().__init__(fleet, gateway)
-        self.base = base
+    """An agent whose revisions count from a number of its own, behind a proxy.
+
+    What is sent may be lost on its way: the fleet decides when a gateway counts as notified.
+    """
+
+    def __init__(
+        self,
+        endpoints: Mapping[int, EndpointEntry],
+        zone: str,
+        clock: DayClock,
+        port_of: Callable[[int], int],
+        first_revision: int,
+    ) -> None:
+        super().__init__(endpoints, zone, clock, port_of, _ignore)
+        self._first_revision = first_revision
         self.proxy = FaultProxy(self.port)
 
     @property
     def revision(self) -> int:
-        return self.base + len(self.changes)
+        """The revision of the list as it is now."""
+        return self._first_revision + super().revision
+
+    def response(self, since: int | None) -> dict[str, Any]:
+        """Return the changes since that revision; the whole list if this agent does not know it."""
+        if since is None or not self._first_revision <= since <= self.revision:
+            return super().response(None)
+        return super().response(since - self._first_revision)
 
-    def _told(self, entries: list[EndpointEntry]) -> None:
-        """The fleet says when changes count as told, whatever becomes of answers on their way."""
 
-    def body(self, since: int | None) -> dict[str, Any]:
-        if since is None or not self.base <= since <= self.revision:
-            return super().body(None)  # a revision that this agent does not know
-        return super().body(since - self.base)
+def _ignore(_entry: EndpointEntry) -> None:
+    """Nothing follows from an entry's being sent."""
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -189,9 +189,7 @@
         await asyncio.to_thread(older.wait)
 
     def _known(self, number: int) -> dict[str, Any]:
-        agent = self.current[number]
-        rows = [agent.row(entry) for entry in self.lists[number].values()]
-        return {"revision": agent.revision, "complete": True, "members": rows}
+        return self.current[number].whole_list()
 
     def _trouble_reload(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -49,6 +49,7 @@
 LAG_EVERY_S = 0.01
 LAG_KEPT_S = 0.5
 MIN_CALM_SHARE = 0.5  # of first tries that are served in the calm at the end
+SPARE_AGENT_REVISION = 500  # from which the agents count that a reload moves to
 LEFT_OVER = ("open", "tries_out", "requests_queued", "requests_asking", "client_connections_now")
 FORBIDDEN_LOG = ("Traceback", "Exception in callback", "never retrieved", "event=invariant_violated")
 
@@ -80,7 +81,7 @@
         ]
         super().__init__(day, folder, program, limits={"sockets": SOCKETS})
         self.copies = SoakReplicas(folder, replicas, day.seed)
-        self.spare = [SoakDiscoveryAgent(self, number, 500) for number in range(count)]
+        self.spare = [self._agent_from(number, SPARE_AGENT_REVISION) for number in range(count)]
         self.current = list(cast("list[SoakDiscoveryAgent]", self.agents))
         for gateway in self.gateways[INHERITED_FIRST::INHERITED_EACH]:
             gateway.inherit_listener()
@@ -91,7 +92,12 @@
             gateway.env.update(control.environment())
 
     def _make_agent(self, number: int) -> DiscoveryAgent:
-        return SoakDiscoveryAgent(self, number, 0)
+        return self._agent_from(number, 0)
+
+    def _agent_from(self, number: int, first_revision: int) -> SoakDiscoveryAgent:
+        return SoakDiscoveryAgent(
+            self.lists[number], self.zone, self.clock, self._backend_port, first_revision
+        )
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
         agent = cast(SoakDiscoveryAgent, self.agents[number])
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -65,7 +65,11 @@
     silent = [t for t in tries if t.taken and t.gateway == 0 and t.answer is None]
     assert all(t in found.timed_out for t in silent) and len(silent) <= len(tries) / 100
     assert any(t.gateway == 1 and t.answer is not None and t.sent > 1700 for t in tries), "it is back"
-    assert found.gateways[1].starts == 2 and found.unknown_requests == 0 and found.oversized_datagrams == 0
+    assert (
+        found.gateways[1].starts == 2
+        and found.unknown_requests == 0
+        and found.gossip.oversized_datagrams == 0
+    )
     after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent > 1500 + 300 + 550 + 400]
     assert not after, "sent to a draining server"
     assert any(a.server == 4 for t in tries for a in t.attempts), "the new server was not used"
