--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -47,7 +47,7 @@
     def __init__(self, copies: ReplicationHost, group: int, stored: m.PersistentState) -> None:
         self.copies, self.group = copies, group
         self.holdings = ReplicatedState()
-        self.holdings.thaw(stored.snapshot.data)
+        self.holdings.restore(stored.snapshot.data)
         now = copies.now()
         self.node = RaftNode(copies.me, stored, copies.timing, copies.chance.getrandbits(32), now)
         self.timer: asyncio.TimerHandle | None = None
@@ -117,12 +117,12 @@
             case m.Apply(entry, call):
                 self._apply(entry, call)
             case m.RestoreSnapshot(snapshot):
-                self.holdings.thaw(snapshot.data)
+                self.holdings.restore(snapshot.data)
                 copies.counters.add("copies_installed")
             case m.RequestResult(call, how, _, hint):
                 self._answer(call, how, hint)
             case m.CreateSnapshot(index):
-                asyncio.get_running_loop().call_soon(self._snap, index, self.holdings.freeze())
+                asyncio.get_running_loop().call_soon(self._snap, index, self.holdings.snapshot())
             case m.RoleChanged(role, term, leader, why):
                 leads = m.gateway_of(leader) or "none"
                 log.log_event("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
@@ -151,13 +151,13 @@
         kind, _, name = what.partition(" ")
         holdings, stamp = self.holdings, self.node.log.last_stamp()
         if kind == "store":
-            return msgspec.msgpack.encode(holdings.store(stamp, name))
+            return msgspec.msgpack.encode(holdings.bucket_at(stamp, name))
         if kind == "place":
-            place, now = holdings.works.place_of(name), self.node.stamp(self.copies.now())
-            long = place is not None and holdings.works.requests[place.request].ask.long
-            return msgspec.msgpack.encode((now, place, long, bool(holdings.works.open())))
+            place, now = holdings.maintenance.job_of(name), self.node.stamp(self.copies.now())
+            long = place is not None and holdings.maintenance.requests[place.request_id].details.move_replicas
+            return msgspec.msgpack.encode((now, place, long, bool(holdings.maintenance.open_jobs())))
         if kind == "works":
-            told = summarize(holdings.works.freeze(), wire.MAX_REPLY_DATA_BYTES // 2)
+            told = summarize(holdings.maintenance.snapshot(), wire.MAX_REPLY_DATA_BYTES // 2)
             return msgspec.msgpack.encode((self.node.stamp(self.copies.now()), told))
         if kind == "record":
             return msgspec.msgpack.encode(holdings.records.get(name))
@@ -189,7 +189,7 @@
             "group": self.group, "role": node.role, "term": node.term, "leader": m.gateway_of(node.leader),
             "voters": list(members.voters), "learners": list(members.learners), "commit": node.commit_index,
             "last": node.log.last_index(), "snapshot": node.log.snapshot.index,
-            "stores": len(self.holdings.stores), "quorum": self.copies.quorum(self),
+            "stores": len(self.holdings.buckets), "quorum": self.copies.quorum(self),
             "last_term": node.log.last_term(), "stamp": node.log.last_stamp(), "state": self.state(),
         }  # fmt: skip
 
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -61,7 +61,7 @@
         operation = commands.AcquireLease(customer, RATE, BURST, units, 1.0, LEASE_TERM_MS)
         result = await self._client.do(operation)
         if isinstance(result, LeaseGranted):
-            self._leases.append((customer, result.lease, result.units))
+            self._leases.append((customer, result.lease_id, result.units))
 
     async def _return_oldest_lease(self) -> None:
         customer, lease, units = self._leases.pop(0)
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -143,7 +143,7 @@
         end = time.monotonic() + ROLL_TIMEOUT_S
         while True:
             works = await self._read(client)
-            if not works.open() or time.monotonic() >= end:
+            if not works.open_jobs() or time.monotonic() >= end:
                 break
             await asyncio.sleep(0.1)
         await self.fleet.wait_until_settled()
@@ -159,7 +159,7 @@
         client = self.fleet.client(FIRST_WORKER + number)
         await client.do(h.OpenSession())
         while not self._ended:
-            place = (await self._read(client)).place_of(machine.name)
+            place = (await self._read(client)).job_of(machine.name)
             if place is not None and place.state == "safe":
                 await work_on_safe_machine(client, place, self._restart)
                 self._out.discard(machine.name)
@@ -198,11 +198,13 @@
         """Return the machine that is in that state next. Raises `GatewayError`."""
         end = time.monotonic() + SETTLE_TIMEOUT_S
         while time.monotonic() < end:
-            for place in (await self._read(client)).open():
+            for place in (await self._read(client)).open_jobs():
                 if place.state == state:
                     return self.fleet.machines[place.machine]
             await asyncio.sleep(0.02)
-        raise GatewayError(f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s: {self._works.blocked}")
+        raise GatewayError(
+            f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s: {self._works.blocked_reason}"
+        )
 
     async def _inject(self, fault: MaintenanceFaultAt, client: ReplicaClient) -> None:
         """Inject a fault once a machine is in its state, and heal it. One that is worked on is left alone."""
@@ -257,14 +259,14 @@
     # The judgement
 
     def _states(self) -> str:
-        return ", ".join(f"{place.machine} {place.state}" for place in self._works.places.values())
+        return ", ".join(f"{place.machine} {place.state}" for place in self._works.jobs.values())
 
     def _judge(self) -> None:
-        report, places = self.report, self._works.places.values()
+        report, places = self.report, self._works.jobs.values()
         if left := [place for place in places if place.state != "done"]:
             report.violations.append(f"not done: {self._states()} ({len(left)})")
         for place in places:
-            report.states.append(f"{place.machine}: {' '.join(step.state for step in place.story)}")
+            report.states.append(f"{place.machine}: {' '.join(step.state for step in place.history)}")
         if repeated := {name: count for name, count in report.times_out.items() if count != 1}:
             report.violations.append(f"out more than once: {repeated}")
         # Each grant's number was one machine's alone, whichever gateway coordinated.
