--- a/mapleshunt/testbed/faults/fault_injection.py
+++ b/mapleshunt/testbed/faults/fault_injection.py
@@ -185,12 +185,12 @@
 
     async def _delay_links(self, targets: FaultTargets) -> None:
         for direction in self._random.sample(self._fleet.directions(None, None), DELAYED_DIRECTIONS):
-            direction.delay = self._random.uniform(*DELAY_RANGE_S)
+            direction.delay_s = self._random.uniform(*DELAY_RANGE_S)
         await self._fleet.wait_for_answers(targets.calls)
 
     async def _reset_links(self, targets: FaultTargets) -> None:
         for direction in self._fleet.directions(targets.leader, None):
-            direction.left = self._random.randint(1, MAX_BYTES_BEFORE_RESET)
+            direction.bytes_to_reset = self._random.randint(1, MAX_BYTES_BEFORE_RESET)
         await self._fleet.wait_for_answers(targets.calls)
 
     # Disks
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -173,7 +173,10 @@
         """Return the directions of links from one machine to another; None stands for any."""
         found = []
         for (lower, higher), proxy in self.proxies.items():
-            for sender, receiver, direction in (lower, higher, proxy.there), (higher, lower, proxy.back):
+            for sender, receiver, direction in (
+                (lower, higher, proxy.to_target),
+                (higher, lower, proxy.from_target),
+            ):
                 from_source = source is None or source.name == sender
                 to_target = target is None or target.name == receiver
                 if from_source and to_target:
@@ -183,7 +186,7 @@
     def heal(self) -> None:
         """End all faults: of links, processes and disks; machines that are down are started."""
         for direction in self.directions(None, None):
-            direction.delay, direction.left = 0.0, None
+            direction.delay_s, direction.bytes_to_reset = 0.0, None
             direction.open.set()
         for machine in self.machines.values():
             machine.set_faults(ProcessFaults())
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -250,7 +250,7 @@
 
     def _trouble_links_reset(self, trouble: ScheduledFault) -> None:
         for proxy in self._links(trouble):
-            proxy.back.left = self.chance.randint(1, 4000)
+            proxy.from_target.bytes_to_reset = self.chance.randint(1, 4000)
             self._later(trouble.lasts, proxy.heal)
 
     def _trouble_roll(self, trouble: ScheduledFault) -> None:
@@ -361,11 +361,11 @@
         for number in trouble.who:
             self._impair(number)
             proxy = self.current[number].proxy
-            proxy.back.delay, proxy.back.piece = 0.3 * trouble.size, 100
+            proxy.from_target.delay_s, proxy.from_target.piece_bytes = 0.3 * trouble.size, 100
             self._later(trouble.lasts, self._discovery_fast, number, proxy)
 
     def _discovery_fast(self, number: int, proxy: FaultProxy) -> None:
-        proxy.back.delay, proxy.back.piece = 0.0, 65536
+        proxy.from_target.delay_s, proxy.from_target.piece_bytes = 0.0, 65536
         self._repair(number)
 
     def _trouble_discovery_refuses(self, trouble: ScheduledFault) -> None:
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -12,46 +12,54 @@
 UNREACHABLE = "no gateway"
 
 
-def final(one: ClientAttempt) -> str:
-    """served, refused, failed; or why there was no answer."""
-    if one.answer is not None:
-        return str(one.answer)
-    return NO_ANSWER if one.taken else UNREACHABLE
-
-
-def why(one: ClientAttempt, room: bool) -> str:
-    """The reason for a try's end, as far as it shows on the wire."""
-    last = one.attempts[-1].status if one.attempts else None
-    if one.answer == "served":
-        return "first attempt" if len(one.attempts) == 1 else "further attempt"
-    if one.answer == "refused":
-        if one.attempts:
-            return "till servers full" if last == "full" else f"attempt ended: {last or 'out'}"
-        return "no slot in time, or no word of its quota" if room else "beyond the quota"
-    if one.answer == "failed":
-        return f"attempt ended: {last or 'out'}" if one.attempts else "nothing was sent"
-    if not one.taken:
+def final_answer(attempt: ClientAttempt) -> str:
+    """Return served, refused or failed; or why there was no answer."""
+    if attempt.answer is not None:
+        return str(attempt.answer)
+    return NO_ANSWER if attempt.taken else UNREACHABLE
+
+
+def reason(attempt: ClientAttempt, within_quota: bool) -> str:
+    """Return the reason for a client's attempt's end, as far as it shows on the wire."""
+    match attempt.answer:
+        case "served":
+            return "first attempt" if len(attempt.attempts) == 1 else "further attempt"
+        case "refused":
+            return _refusal_reason(attempt, within_quota)
+        case "failed":
+            return _last_status(attempt) if attempt.attempts else "nothing was sent"
+    if not attempt.taken:
         return "connection refused"
-    return "its gateway was down" if one.attempts or one.known else "lost"
+    return "its gateway was down" if attempt.attempts or attempt.known else "lost"
+
+
+def _refusal_reason(attempt: ClientAttempt, within_quota: bool) -> str:
+    if attempt.attempts:
+        return "till servers full" if attempt.attempts[-1].status == "full" else _last_status(attempt)
+    return "no slot in time, or no word of its quota" if within_quota else "beyond the quota"
+
+
+def _last_status(attempt: ClientAttempt) -> str:
+    return f"attempt ended: {attempt.attempts[-1].status or 'out'}"
 
 
 def reasons(fleet: LoopbackFleet) -> dict[str, Counter[str]]:
-    """Counts of tries by final answer and reason."""
+    """Return the counts of clients' attempts by final answer and reason."""
     found: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
-    stores: dict[int, TokenBucket] = {}
+    buckets: dict[int, TokenBucket] = {}
     plans, customers = fleet.day.figures.plans, fleet.day.traffic.customers
-    for one in fleet.watchman.tries:
-        plan = plans[customers[one.ask.customer].plan]
-        store = stores.setdefault(one.ask.customer, TokenBucket(plan.rate, plan.burst))
-        room = store.fill(one.sent) >= one.ask.guess
-        found.setdefault(final(one), Counter())[why(one, room)] += 1
-        if one.inside:
-            store.take(one.sent, one.ask.units)
+    for attempt in fleet.watchman.tries:
+        request = attempt.ask
+        plan = plans[customers[request.customer].plan]
+        bucket = buckets.setdefault(request.customer, TokenBucket(plan.rate, plan.burst))
+        within_quota = bucket.fill(attempt.sent) >= request.guess
+        found.setdefault(final_answer(attempt), Counter())[reason(attempt, within_quota)] += 1
+        if attempt.inside:
+            bucket.take(attempt.sent, request.units)
     return found
 
 
 def exactly_once(fleet: LoopbackFleet) -> bool:
-    """Did every request that a gateway took get one final answer, and no connection bring a second?"""
-    return not fleet.clients.strange and all(
-        one.answer is not None for one in fleet.watchman.tries if one.taken
-    )
+    """Whether each request that a gateway took got one final answer, and no connection brought a second."""
+    taken = (attempt for attempt in fleet.watchman.tries if attempt.taken)
+    return not fleet.clients.strange and all(attempt.answer is not None for attempt in taken)
