--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -16,9 +16,9 @@
 from ..fleet.faults import Fault, sample_machines
 from ..fleet.random_streams import Rng
 from ..policy import Plan, QuotaLeaseGranted, RequestReceived
+from ..policy.customers import Customer
 from ..policy.gateway import Gateway
 from ..policy.gossip_codec import tag_of
-from ..policy.state import Customer
 from ..replicated_state import commands as w
 from ..replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from ..replicated_state.results import Applied, Result
@@ -86,26 +86,23 @@
 
     def _held(self, customer: str) -> Customer | None:
         gateway = self.engine.gateways[self.number]
-        return gateway.customers.get(tag_of(customer)) if isinstance(gateway, Gateway) else None
+        return gateway.customers.by_tag.get(tag_of(customer)) if isinstance(gateway, Gateway) else None
 
     def _rest(self, customer: str, lease: int) -> float:
         one = self._held(customer)
-        return one.leases.get(lease, (0.0, 0.0))[0] if one is not None else 0.0
+        return one.leases.units_left(lease) if one is not None else 0.0
 
     def _left(self, customer: str, lease: int) -> float:
         one = self._held(customer)
-        return one.leases.pop(lease, (0.0, 0.0))[0] if one is not None else 0.0
+        return one.leases.end(lease) if one is not None else 0.0
 
     def _level(self, customer: str, at: float) -> float:
         one = self._held(customer)
-        return (one.leased(at) or 0.0) if one is not None else 0.0
+        return (one.leases.available(at) or 0.0) if one is not None else 0.0
 
     def _owed(self, customer: str) -> float:
         one = self._held(customer)
-        if one is None:
-            return 0.0
-        owed, one.owed = one.owed, 0.0
-        return owed
+        return one.leases.take_owed_units() if one is not None else 0.0
 
     def alive(self) -> bool:
         return self.engine.gateways[self.number] is not None and self.engine.epochs[self.number] == self.epoch
@@ -237,7 +234,7 @@
                 one.disk.pending.clear()
                 one.holdings = ReplicatedState()
                 one.holdings.restore(one.disk.stored.snapshot.data)
-                seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
+                seed = self.day.streams.seed_for("copies", one.group * 100_000 + number * 100 + one.life)
                 one.node = RaftNode(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
         self.leasing[number] = GatewayLeases(self, number)
@@ -249,8 +246,8 @@
         super()._start_gateway(number)
         self._start_copies(number)
 
-    def _kill(self, number: int) -> None:
-        super()._kill(number)
+    def _kill_gateway(self, number: int) -> None:
+        super()._kill_gateway(number)
         for one in self.copies.values():
             if one.gateway == number and one.node is not None:
                 one.node, one.life, one.due = None, one.life + 1, float("inf")
@@ -263,7 +260,7 @@
         wake = max(1000 * one.node.wake_time(), self.agenda.now + 1)
         if wake < one.due - 1:
             one.due = wake
-            self.agenda.at(wake, self._tick, one, one.life, wake)
+            self.agenda.schedule(wake, self._tick, one, one.life, wake)
 
     def _tick(self, one: SimulatedReplica, life: int, due: float) -> None:
         if one.life != life or one.node is None or one.due != due:
@@ -272,7 +269,7 @@
         wake = 1000 * one.node.wake_time()
         if wake > self.agenda.now + 1:
             one.due = wake
-            self.agenda.at(wake, self._tick, one, life, wake)
+            self.agenda.schedule(wake, self._tick, one, life, wake)
         else:
             self._step(one, m.Tick())
 
@@ -282,7 +279,7 @@
                 self._post(one.gateway, int(m.gateway_of(to)[1:]), one.group, message)
             case m.Write():
                 one.disk.pending.append(output)
-                self.agenda.at(self.agenda.now + DISK, self._written, one, output.number, one.life)
+                self.agenda.schedule(self.agenda.now + DISK, self._written, one, output.number, one.life)
             case m.Apply(entry, call):
                 result: Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else Applied()
                 self._reply(one, call, result, "")
@@ -292,7 +289,7 @@
                 one.holdings.restore(snapshot.data)
             case m.CreateSnapshot(index):
                 data = msgspec.msgpack.encode(one.holdings.snapshot())
-                self.agenda.at(self.agenda.now, self._snapped, one, one.life, index, data)
+                self.agenda.schedule(self.agenda.now, self._snapped, one, one.life, index, data)
             case m.RoleChanged(role, _, _, _) if role is Role.LEADER:
                 self.elections += 1
 
@@ -309,18 +306,18 @@
     # Wires
 
     def _cut(self, a: int, b: int) -> bool:
-        return (a in self.network.split) != (b in self.network.split)
+        return (a in self.network.partition) != (b in self.network.partition)
 
     def _carry(self, a: int, b: int, what: Callable[..., None], *arguments: Any) -> None:
         if a == b:
-            self.agenda.at(self.agenda.now, what, *arguments)
+            self.agenda.schedule(self.agenda.now, what, *arguments)
         elif not self._cut(a, b) and self.gateways[b] is not None:
-            self.agenda.at(self.agenda.now + self.network.peer.next(), what, *arguments)
+            self.agenda.schedule(self.agenda.now + self.network.peer_delay.next(), what, *arguments)
 
     def _post(self, a: int, b: int, group: int, message: m.Message) -> None:
         waiting = self.outbox.setdefault((a, b), [])
         if not waiting:
-            self.agenda.at(self.agenda.now, self._flush, a, b)
+            self.agenda.schedule(self.agenda.now, self._flush, a, b)
         waiting.append((group, message))
 
     def _flush(self, a: int, b: int) -> None:
@@ -351,13 +348,13 @@
             to = self.leaders.get(call.group, -1)
             if to < 0 or self.gateways[to] is None or self._cut(call.gateway, to):
                 here = [n for n in self.holders[call.group] if self.gateways[n] is not None]
-                to = self.day.streams.integer("asks", self.numbers) % len(here) if here else -1
+                to = self.day.streams.seed_for("asks", self.numbers) % len(here) if here else -1
                 to = here[to] if here else call.gateway
         self.numbers += 1
         self.frames += call.gateway != to
         self.bytes += (len(call.command) + 16) * (call.gateway != to)
         self._carry(call.gateway, to, self._asked, self.numbers, call, to)
-        self.agenda.at(self.agenda.now + AGAIN, self.call, call, -1)
+        self.agenda.schedule(self.agenda.now + AGAIN, self.call, call, -1)
 
     def _asked(self, number: int, call: PendingCall, at: int) -> None:
         one = self.copies.get((call.group, at))
@@ -415,7 +412,7 @@
     def troubles(rng: Rng, scenario: Scenario) -> list[Fault]:
         length = 1000 * scenario.seconds
         who, begin = sample_machines(rng, scenario.gateways, part), 0.3 * length
-        burst = Fault(0.2 * length, "burst", 0.6 * length, size=3.0, plan="standard")
+        burst = Fault(0.2 * length, "burst", 0.6 * length, magnitude=3.0, plan="standard")
         match what:
             case "none":
                 return [burst]
--- a/mapleshunt/testbed/counter_server.py
+++ b/mapleshunt/testbed/counter_server.py
@@ -41,7 +41,7 @@
 
     async def handle_stream(self, stream: IOStream, _address: object) -> None:
         """Answer commands until the connection ends."""
-        if self._counter.down == "refusing" or len(self._streams) >= MAX_CONNECTIONS:
+        if self._counter.outage == "refusing" or len(self._streams) >= MAX_CONNECTIONS:
             stream.close()
             return
         self._streams.add(stream)
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -87,7 +87,7 @@
         return {"revision": self.revision, "complete": complete, "members": members}
 
     def _member(self, entry: EndpointEntry) -> dict[str, Any]:
-        started = round(self._clock.unix_ms + entry.started) if entry.started else 0
+        started = round(self._clock.unix_ms + entry.started_at) if entry.started_at else 0
         return {
             "id": f"s-{entry.server:08x}",
             "host_port": f"{HOST}:{self._port_of(entry.server)}",
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -31,7 +31,9 @@
 from .gossip_relay import ALL_PEERS, GossipRelay
 from .ports import HOST
 
-SOCKET_RULES = RuleLimits(answer_slack=58.0, drain_grace=550.0)  # every limit is 50 ms longer on sockets
+SOCKET_RULES = RuleLimits(
+    answer_slack_ms=58.0, drain_grace_ms=550.0
+)  # every limit is 50 ms longer on sockets
 USAGE_SAMPLE_INTERVAL_S = 0.5  # s between looks at the gateways' CPU and memory
 CHECKOUT_ROOT = Path(__file__).parent.parent.parent
 
@@ -57,7 +59,7 @@
         self.by_id: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
         self.in_flight: dict[int, list[InFlightAttempt]] = {}
         self.timed_out: list[ClientAttempt] = []
-        self.request_id_base = day.streams.integer("ids") >> 8 << 8
+        self.request_id_base = day.streams.seed_for("ids") >> 8 << 8
         self.unknown_requests = 0  # that arrived at a backend, and that no client has sent
         self.down: set[int] = set()
         self.exited_gateways: list[int] = []
@@ -67,7 +69,7 @@
         self.counters = [
             CounterServer(self.counter, self.clock, number, self._count_addition) for number in range(count)
         ]
-        self.gossip = GossipRelay(count, self.network, self.intakes, self.clock)
+        self.gossip = GossipRelay(count, self.network, self.peer_rate_limiters, self.clock)
         self.gateways = [
             GatewayProcess(number, folder, program, self._config(number, limits or {}), env)
             for number in range(count)
@@ -86,18 +88,18 @@
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         self.clock.at(when, call, *arguments)
 
-    def _take_in(self, till: Backend) -> None:
+    def _backend_added(self, till: Backend) -> None:
         self.backends[till.number] = self.backend_class(till, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
         gossip, count = self.gossip, self.day.scenario.gateways
-        f = self.day.figures
+        f = self.day.parameters
         settings = wire_of(
             self.settings[number], DialTimeout=f["dial_ms"], ConnIdle=f["conn_idle_ms"], MaxOpen=20000
         )
         return {
             "name": f"n{number}", "discovery": f"{HOST}:{self.agents[number].port}",
-            "seed": self.day.streams.integer("gateway", number),
+            "seed": self.day.streams.seed_for("gateway", number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **limits},
             "peers": [gossip.address(number, peer) for peer in range(count)],
             "peers_all": gossip.address(number, ALL_PEERS), "counter": f"{HOST}:{self.counters[number].port}",
@@ -119,7 +121,7 @@
             for number in range(len(self.gateways)):
                 self._hand_list(number)
             for fault in self.day.faults:
-                self.clock.at(fault.at, self._strike, fault)
+                self.clock.at(fault.at, self._inject_fault, fault)
             self._begun()
             looking = asyncio.get_running_loop().create_task(self._look())
             await self.clients.run()
@@ -129,10 +131,10 @@
         finally:
             await self._stop_gateways()
             self.close()
-        self.gateway_ns = int(1e9 * sum(gateway.cpu_s for gateway in self.gateways))
-        self.cpu_ns = time.process_time_ns() - begun + self.gateway_ns
+        self.gateway_cpu_ns = int(1e9 * sum(gateway.cpu_s for gateway in self.gateways))
+        self.total_cpu_ns = time.process_time_ns() - begun + self.gateway_cpu_ns
         self.message_bytes = self.gossip.delivered_bytes
-        self.events = sum(len(one.attempts) + 1 for one in self.watchman.tries)
+        self.events = sum(len(one.attempts) + 1 for one in self.rule_checker.client_attempts)
         if self.exited_gateways:
             raise GatewayError(f"gateways {self.exited_gateways} ended by themselves; see {self.folder}")
         found = score_day(self)
@@ -147,17 +149,21 @@
 
     def _make_agent(self, number: int) -> DiscoveryAgent:
         return DiscoveryAgent(
-            self.lists[number], self.zone, self.clock, self._backend_port, partial(self._list_sent, number)
+            self.endpoint_lists[number],
+            self.zone,
+            self.clock,
+            self._backend_port,
+            partial(self._list_sent, number),
         )
 
     def _backend_port(self, number: int) -> int:
         return self.backends[number].port
 
     def _list_sent(self, gateway: int, entry: EndpointEntry) -> None:
-        self.watchman.told(gateway, entry, self.clock.now())
+        self.rule_checker.endpoint_notified(gateway, entry, self.clock.now())
 
     def _count_addition(self) -> None:
-        self.counts += 1
+        self.counter_calls += 1
 
     async def _look(self) -> None:
         while True:
@@ -189,31 +195,33 @@
         return self.agents[number].whole_list()
 
     def _hand_list(self, number: int) -> None:
-        self.watchman.told_list(number, self.lists[number].values(), self.clock.now())
+        self.rule_checker.endpoint_list_delivered(
+            number, self.endpoint_lists[number].values(), self.clock.now()
+        )
 
     # What the parts ask
 
     def command(self, one: ClientAttempt, name: str) -> bytes:
-        ask = one.ask
+        ask = one.request
         who = self.day.traffic.customers[ask.customer]
         pairs = (
-            f"c={self.classes[ask.cls]},t={self.day.figures.plans[who.plan].name},d={one.patience:.3f},"
-            f"units={ask.guess:.0f},spread={who.spread},first={who.first}"
+            f"c={self.classes[ask.class_index]},t={self.day.parameters.plans[who.plan].name},d={one.timeout_ms:.3f},"
+            f"units={ask.estimated_units:.0f},spread={who.gateway_set_size},first={who.first_gateway}"
         )
         if one.number > 1:
             pairs += ",r=1"
-        safe = self.effects[ask.cls] == "safe"
+        safe = self.effects[ask.class_index] == "safe"
         if not safe:
-            pairs += f",k={abs(hash((ask.customer, ask.at, ask.work))) & (2**64 - 1):016x}"
+            pairs += f",k={abs(hash((ask.customer, ask.arrives_at, ask.work_ms))) & (2**64 - 1):016x}"
         words = [b"SVC.QUERY" if safe else b"SVC.SUBMIT", who.name.encode(), name.encode(), pairs.encode()]
         return resp.encode_command(words)
 
     def ended(self, out: InFlightAttempt) -> None:
-        there = self.in_flight.get(out.one.ref, [])
+        there = self.in_flight.get(out.one.request_id, [])
         if out in there:
             there.remove(out)
         if not there:
-            self.in_flight.pop(out.one.ref, None)
+            self.in_flight.pop(out.one.request_id, None)
 
     def give_up(self, out: InFlightAttempt) -> None:
         self.backends[out.attempt.server].give_up(out)
@@ -224,30 +232,32 @@
 
     # Faults
 
-    def _told(self, gateway: int, entry: EndpointEntry) -> None:
+    def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
         self.agents[gateway].change(entry)
 
-    def _die(self, number: int) -> None:
+    def _crash_backend(self, number: int) -> None:
         self.backends[number].die()
 
-    def _fall_silent(self, number: int) -> None:
+    def _silence_backend(self, number: int) -> None:
         self.backends[number].fall_silent()
 
-    def _start_again(self, number: int) -> None:
+    def _restart_backend(self, number: int) -> None:
         self.backends[number].come_back()
 
-    def _kill(self, number: int) -> None:
+    def _kill_gateway(self, number: int) -> None:
         self.down.add(number)
         self.gateways[number].kill(wait=False)  # which would hold up all that this process plays
         self.kills.append((self.clock.now(), number))
         self.clients.drop(number)
-        self.clock.at(self.clock.now() + self.day.figures["front_notice_ms"], self._front_sees, number)
+        self.clock.at(
+            self.clock.now() + self.day.parameters["front_notice_ms"], self._mark_gateway_down, number
+        )
 
-    def _front_sees(self, number: int) -> None:
+    def _mark_gateway_down(self, number: int) -> None:
         if number in self.down:
-            self.seen_down.add(number)
+            self.gateways_marked_down.add(number)
 
-    def _revive(self, number: int) -> None:
+    def _restart_gateway(self, number: int) -> None:
         gateway = self.gateways[number]
         gateway.spawn(self._known(number))
         self._hand_list(number)
@@ -259,20 +269,20 @@
                 self.exited_gateways.append(number)
                 return
             self.down.discard(number)
-            self.seen_down.discard(number)
+            self.gateways_marked_down.discard(number)
 
         task = asyncio.get_running_loop().create_task(take_in())
         self.clients.tasks.add(task)
         task.add_done_callback(self.clients.tasks.discard)
 
     def _on_leave(self, fault: Fault) -> None:
-        for number in fault.who:
+        for number in fault.targets:
             self.gateways[number].terminate()
-            self.clock.at(self.clock.now() + 300.0, self.seen_down.add, number)
+            self.clock.at(self.clock.now() + 300.0, self.gateways_marked_down.add, number)
             self.clock.at(self.clock.now() + 300.0, self.clients.drop, number)
-            stop = self.clock.now() + self.window + 1000.0
-            self.clock.at(stop, self._kill, number)
-            self.clock.at(stop + fault.lasts, self._revive, number)
+            stop = self.clock.now() + self.idempotency_window_ms + 1000.0
+            self.clock.at(stop, self._kill_gateway, number)
+            self.clock.at(stop + fault.duration, self._restart_gateway, number)
             self.down.add(number)
 
     def _on_counter_down(self, fault: Fault, how: Any = "refusing") -> None:
--- a/mapleshunt/testbed/gossip_relay.py
+++ b/mapleshunt/testbed/gossip_relay.py
@@ -69,12 +69,12 @@
         for receiver in range(self._gateways) if peer == ALL_PEERS else (peer,):
             if receiver == sender:
                 continue
-            delay = self._network.message(sender, receiver)
+            delay = self._network.peer_message_delay(sender, receiver)
             if delay is not None:
                 self._clock.at(self._clock.now() + delay, self._deliver, sender, receiver, data)
 
     def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        within_limit = self._limiters[receiver].take(self._clock.now())
+        within_limit = self._limiters[receiver].try_acquire(self._clock.now())
         if not within_limit or receiver not in self.addresses:
             return
         self.delivered_bytes += len(data)
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -133,7 +133,7 @@
         event = self._record(operation)
         answer = await self._call_until_done(lambda frame: wire.ClientRequest(frame, self._group, data))
         result = decode_result(answer)
-        event.result, event.ended = result, self._now()
+        event.result, event.ended_at = result, self._now()
         return result
 
     # Without `result_type` the result is a bucket or a record, or None if there is none of that name.
@@ -145,10 +145,10 @@
         self.operations += 1
         read = f"{kind} {name}"
         event = self._record(read)
-        answer = await self._call_until_done(lambda frame: wire.ClientRequest(frame, self._group, read=read))
+        answer = await self._call_until_done(lambda frame: wire.ClientRequest(frame, self._group, query=read))
         default_type = TokenBucket if kind == "store" else Record
         found = msgspec.msgpack.decode(answer, type=result_type or default_type | None)
-        event.result, event.ended = found, self._now()
+        event.result, event.ended_at = found, self._now()
         return found
 
     def close(self) -> None:
@@ -166,13 +166,13 @@
         while True:
             attempt += 1
             response = await self._call_once(make(attempt + FRAMES_PER_CALL * self.operations))
-            if response is not None and response.how == "done":
+            if response is not None and response.status == "done":
                 return response.data
             self.repeats += 1
             if response is not None:
                 self._disconnect()
-                if response.hint in self._gateways:
-                    self._gateway = response.hint
+                if response.leader_hint in self._gateways:
+                    self._gateway = response.leader_hint
             await asyncio.sleep(self.rng.uniform(*RETRY_PAUSE_RANGE_S))
 
     async def _call_once(self, request: wire.ClientRequest) -> wire.ClientResponse | None:
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -14,23 +14,23 @@
 
 def final_answer(attempt: ClientAttempt) -> str:
     """Return served, refused or failed; or why there was no answer."""
-    if attempt.answer is not None:
-        return str(attempt.answer)
-    return NO_ANSWER if attempt.taken else UNREACHABLE
+    if attempt.result is not None:
+        return str(attempt.result)
+    return NO_ANSWER if attempt.accepted else UNREACHABLE
 
 
 def reason(attempt: ClientAttempt, within_quota: bool) -> str:
     """Return the reason for a client's attempt's end, as far as it shows on the wire."""
-    match attempt.answer:
+    match attempt.result:
         case "served":
             return "first attempt" if len(attempt.attempts) == 1 else "further attempt"
         case "refused":
             return _refusal_reason(attempt, within_quota)
         case "failed":
             return _last_status(attempt) if attempt.attempts else "nothing was sent"
-    if not attempt.taken:
+    if not attempt.accepted:
         return "connection refused"
-    return "its gateway was down" if attempt.attempts or attempt.known else "lost"
+    return "its gateway was down" if attempt.attempts or attempt.client_notified else "lost"
 
 
 def _refusal_reason(attempt: ClientAttempt, within_quota: bool) -> str:
@@ -47,19 +47,19 @@
     """Return the counts of clients' attempts by final answer and reason."""
     found: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
     buckets: dict[int, TokenBucket] = {}
-    plans, customers = fleet.day.figures.plans, fleet.day.traffic.customers
-    for attempt in fleet.watchman.tries:
-        request = attempt.ask
+    plans, customers = fleet.day.parameters.plans, fleet.day.traffic.customers
+    for attempt in fleet.rule_checker.client_attempts:
+        request = attempt.request
         plan = plans[customers[request.customer].plan]
         bucket = buckets.setdefault(request.customer, TokenBucket(plan.rate, plan.burst))
-        within_quota = bucket.fill(attempt.sent) >= request.guess
+        within_quota = bucket.refill(attempt.sent_at) >= request.estimated_units
         found.setdefault(final_answer(attempt), Counter())[reason(attempt, within_quota)] += 1
-        if attempt.inside:
-            bucket.take(attempt.sent, request.units)
+        if attempt.inside_quota:
+            bucket.try_take(attempt.sent_at, request.units)
     return found
 
 
 def exactly_once(fleet: LoopbackFleet) -> bool:
     """Whether each request that a gateway took got one final answer, and no connection brought a second."""
-    taken = (attempt for attempt in fleet.watchman.tries if attempt.taken)
-    return not fleet.clients.strange and all(attempt.answer is not None for attempt in taken)
+    taken = (attempt for attempt in fleet.rule_checker.client_attempts if attempt.accepted)
+    return not fleet.clients.strange and all(attempt.result is not None for attempt in taken)
