--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -126,7 +126,7 @@
     whoever its view refuses shows that the day would tell.
     """
     day = draw_day(resized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
-    program = checkout(tmp_path, ("policy/gateway.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
+    program = checkout(tmp_path, QUOTA_IGNORED) if bad else ROOT
     _, score = fleet.play_day(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
@@ -168,17 +168,20 @@
     return target
 
 
-APPENDED = "        job.attempts, job.again = [*job.attempts, Attempt(server, self.now)], False\n"
-TWICE = """        if len(job.attempts) == 1:
-            job.attempts = [*job.attempts, Attempt(server, self.now)]
-            self.actions.append(i.Send(job.ref, server.entry.server))
+APPENDED = "        request.attempts.append(Attempt(endpoint, now))\n"
+TWICE = """        if len(request.attempts) == 1:
+            request.attempts.append(Attempt(endpoint, now))
+            self._actions.append(StartAttempt(request.request_id, endpoint.info.endpoint))
 """
+QUOTA_IGNORED = (
+    "policy/quota_check.py", "if lack > 0 or self._has_too_many_open", "if self._has_too_many_open"
+)  # fmt: skip
 BAD = {
-    "two_out": [("policy/gateway.py", APPENDED, APPENDED + TWICE)],
+    "two_out": [("policy/dispatch.py", APPENDED, APPENDED + TWICE)],
     "lost": [("net/request/respond.py", "        context.response_sink.serve(value)\n",
               "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
-    "drain": [("policy/gateway.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
+    "drain": [("policy/endpoints.py", 'one.info.state == "ready"', 'one.info.state in ("ready", "draining")'),
               ("net/upstream/endpoint_group.py", 'pool.endpoint.state == "ready"',
                'pool.endpoint.state != "gone"')],
 }  # fmt: skip
@@ -209,7 +212,7 @@
     broken = checkout(
         tmp_path / "a",
         (
-            "bootstrap.py",
+            "server/bootstrap.py",
             "def run_gateway() -> int:\n",
             "def run_gateway() -> int:\n    raise SystemExit(3)\n",
         ),
