--- a/mapleshunt/net/counters.py
+++ b/mapleshunt/net/counters.py
@@ -1,4 +1,4 @@
-"""What the gateway took in, sent and answered."""
+"""Counters of what the gateway received, sent and answered."""
 
 from __future__ import annotations
 
@@ -9,19 +9,23 @@
 
 
 class Counters:
-    """Counts by name. Printed on SIGUSR1 and at exit."""
+    """Counters by name, since the start. They are logged from time to time, on SIGUSR1 and at exit."""
 
     def __init__(self) -> None:
+        """Begin without any; a counter that counted nothing is absent."""
         self.counts: Counter[str] = Counter()
-        self.by_class: Counter[tuple[str, str]] = Counter()  # by figure and class of requests
+        self.by_class: Counter[tuple[str, str]] = Counter()  # by a counter's name and a class of requests
         self.trace = Trace(self.add)
 
     def add(self, name: str, amount: int = 1) -> None:
+        """Add to a counter."""
         self.counts[name] += amount
 
-    def add_for_class(self, name: str, cls: str) -> None:
-        self.by_class[name, cls] += 1
+    def add_for_class(self, name: str, request_class: str) -> None:
+        """Add one to a counter that is kept for each class of requests."""
+        self.by_class[name, request_class] += 1
 
-    def log_totals(self, **gauges: object) -> None:
-        fields: dict[str, object] = {**dict(sorted(self.counts.items())), **gauges}
+    def log_totals(self, **gauges: float) -> None:
+        """Log all counters by their names, then the gauges."""
+        fields: dict[str, float] = {**dict(sorted(self.counts.items())), **gauges}
         log.log_event("counters", **fields)
--- a/mapleshunt/net/discovery/__init__.py
+++ b/mapleshunt/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list, from the discovery service."""
+"""Discovery: the watch on the endpoint list, and the list's form."""
--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""Discovery: one watch after another from the list known; the whole list only where none is.
+"""The watch on the endpoint list: one call to discovery after another.
 
 Discovery is one service for all gateways. A whole list costs it every line, and a call that it turned away
 is no reason to ask for more, nor at once, nor in step with the others.
@@ -10,144 +10,132 @@
 import json
 import math
 import socket
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass
-from typing import Any, cast
+from collections.abc import Callable
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ...platform_terms import STATES
-from ...policy import EndpointState
 from .. import log
 from ..backoff import SILENCE_TIMEOUT_MS, WATCH_WAIT_MS, Backoff
-from ..config import Address, ConfigError, address_family, parse_address
+from ..config import Address, address_family
 from ..counters import Counters
 from ..protocol import http
 from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
-from ..upstream.endpoint import Endpoint
+from ..reasons import DiscoveryEnd, DiscoveryEndReason
+from .endpoint_list import EndpointList, parse_endpoint_list
 
 ENDPOINTS_PATH = "/catalog/members"
-UNKNOWN_REVISION_STATUSES = (
-    400,
-    404,
-    410,
-)  # statuses that may mean that the revision asked from is not known
-
-
-@dataclass(slots=True, frozen=True)
-class EndpointList:
-    revision: int
-    complete: bool
-    endpoints: tuple[Endpoint, ...]
-
-
-def parse_endpoint_list(raw: Mapping[str, Any]) -> EndpointList:
-    """A list in discovery's form. Raises ValueError."""
-    try:
-        members = tuple(
-            Endpoint(
-                id=str(row["id"]),
-                address=parse_address(row["host_port"], "host_port"),
-                zone=str(row.get("locality") or ""),
-                cell=int(row.get("cell") or 0),
-                state=cast(EndpointState, STATES[row["phase"]]),
-                started_at_ms=float(row.get("up_since_ms") or 0.0),
-            )
-            for row in raw["members"]
-        )
-        return EndpointList(int(raw["revision"]), bool(raw["complete"]), members)
-    except (KeyError, TypeError, AttributeError, ConfigError) as error:
-        raise ValueError(f"a list of members is malformed: {error!r}") from None
+HTTP_OK = 200
+UNKNOWN_REVISION_STATUSES = (400, 404, 410)  # may mean that the revision asked from is not known
+MAX_STREAM_BUFFER_BYTES = 2 * http.MAX_MESSAGE_BYTES  # a response, and what may follow it
 
 
 class EndpointWatcher:
-    """Calls `told` with every list and every change."""
+    """Calls `on_update` with every list and every change."""
 
     def __init__(
         self,
         agent: Address,
-        told: Callable[[EndpointList], None],
+        on_update: Callable[[EndpointList], None],
         counters: Counters,
         backoff: Backoff,
         revision: int | None = None,
     ) -> None:
-        """`revision` is that of the list known; without one the whole list is asked for."""
-        self.agent, self.on_update, self.counters = agent, told, counters
+        """Prepare to watch.
+
+        Args:
+            agent: the address of the discovery agent.
+            on_update: called with each list or change.
+            counters: the gateway's counters.
+            backoff: the delays between calls, and their time limits.
+            revision: that of the list known; without one the whole list is asked for.
+        """
+        self.agent, self.on_update, self.counters = agent, on_update, counters
         self.backoff, self.revision = backoff, revision
-        self.first_call_timeout_s, self.watch_timeout_s = (
-            backoff.answer_timeout_ms / 1000,
-            (WATCH_WAIT_MS + SILENCE_TIMEOUT_MS) / 1000,
-        )  # s
-        self.last_answer_at = -math.inf  # s on the loop's clock, when a call was last answered
+        self.first_call_timeout_s = backoff.answer_timeout_ms / 1000
+        self.watch_timeout_s = (WATCH_WAIT_MS + SILENCE_TIMEOUT_MS) / 1000
+        self.last_answer_at = -math.inf  # s, on the loop's clock
 
     async def run(self) -> None:
-        """Until it is cancelled: whatever ends a call, there is a next one."""
+        """Watch until it is cancelled, which closes the connection. Whatever ends a call, the next follows."""
         await asyncio.sleep(self.backoff.initial_delay_ms() / 1000)
         while True:
-            reason = await self._call()
+            end = await self._call()
             self.counters.add("discovery_ended")
-            pause = self.backoff.next_delay_ms(
-                (asyncio.get_running_loop().time() - self.last_answer_at) * 1000
-            )
-            log.log_event("discovery_ended", reason=reason, revision=self.revision, pause=pause)
-            await asyncio.sleep(pause / 1000)
-
-    async def _call(self) -> str:
-        """One connection from its socket to its end; the reason for that."""
+            since_answer_ms = (asyncio.get_running_loop().time() - self.last_answer_at) * 1000
+            delay_ms = self.backoff.next_delay_ms(since_answer_ms)
+            log.log_event("discovery_ended", reason=end, revision=self.revision, pause=delay_ms)
+            await asyncio.sleep(delay_ms / 1000)
+
+    async def _call(self) -> DiscoveryEnd:
+        """Connect, and call until the connection ends; return why it did."""
         try:
-            stream = IOStream(
-                socket.socket(address_family(self.agent)), max_buffer_size=2 * http.MAX_MESSAGE_BYTES
-            )
+            raw = socket.socket(address_family(self.agent))
+            stream = IOStream(raw, max_buffer_size=MAX_STREAM_BUFFER_BYTES)
         except OSError as error:  # no descriptor is left
             self.counters.add("out_of_descriptors")
             log.log_event("discovery_not_called", why=error)
-            return "no_descriptor"
+            return DiscoveryEnd(DiscoveryEndReason.NO_DESCRIPTOR)
         try:
-            return await self._session(stream)
+            return await self._watch(stream)
         except TimeoutError:
-            return "agent_silent"
+            return DiscoveryEnd(DiscoveryEndReason.AGENT_SILENT)
         except StreamClosedError as closed:
-            return "agent_unreachable" if closed.real_error else "agent_closed"
+            if closed.real_error:
+                return DiscoveryEnd(DiscoveryEndReason.AGENT_UNREACHABLE)
+            return DiscoveryEnd(DiscoveryEndReason.AGENT_CLOSED)
         except (http.ProtocolError, MessageTooLongError, ValueError) as error:
             log.log_event("malformed_list", why=error)
-            return "malformed_list"
+            return DiscoveryEnd(DiscoveryEndReason.MALFORMED_LIST)
         except Exception:
             self.counters.add("exceptions")
             log.log_exception("discovery_exception")
-            return "exception"
+            return DiscoveryEnd(DiscoveryEndReason.EXCEPTION)
         finally:
             stream.close()
 
-    async def _session(self, stream: IOStream) -> str:
-        """Call after call on one connection; the reason for its end."""
+    async def _watch(self, stream: IOStream) -> DiscoveryEnd:
+        """Make call after call on one connection; return why it ended."""
         async with asyncio.timeout(self.backoff.dial_timeout_ms / 1000):
             await stream.connect(self.agent)
         buffer = ReadBuffer(http.MAX_MESSAGE_BYTES)
         watching = False
         while True:
-            # A call that begins a watch waits its turn at the one service, and for nothing else: what came
-            # meanwhile it tells at once. Given up after a watch's usual silence it was work for nobody.
-            path, limit = ENDPOINTS_PATH, self.watch_timeout_s if watching else self.first_call_timeout_s
-            if self.revision is not None:
-                path = f"{ENDPOINTS_PATH}?index={self.revision}&wait={WATCH_WAIT_MS if watching else 0:.0f}"
-            async with asyncio.timeout(limit):
-                await stream.write(http.encode_get(path, f"{self.agent[0]}:{self.agent[1]}"))
-                while not (found := http.parse_response(buffer.data, buffer.start, buffer.end)):
-                    await buffer.fill(stream)
-            response = found[0]
-            buffer.consume(found[1])
-            if response.status != 200:
+            response = await self._exchange(stream, buffer, watching)
+            if response.status != HTTP_OK:
                 # Only where it may not know the revision does the next call ask for the whole list: after
                 # every 503 of a discovery that is overbooked, all gateways asked for what costs it most.
-                self.revision = None if response.status in UNKNOWN_REVISION_STATUSES else self.revision
-                return f"status_{response.status}"
-            members = parse_endpoint_list(json.loads(bytes(response.body)))
+                if response.status in UNKNOWN_REVISION_STATUSES:
+                    self.revision = None
+                return DiscoveryEnd(DiscoveryEndReason.HTTP_STATUS, response.status)
+            update = parse_endpoint_list(json.loads(bytes(response.body)))
             self.backoff.reset()
             self.last_answer_at = asyncio.get_running_loop().time()
-            self.on_update(members)
+            self.on_update(update)
             watching = self.revision is not None  # the answer was a watch's: the next call continues it
-            # An agent that is behind what is known cannot tell what changed since: the whole list does.
-            behind = not members.complete and self.revision is not None and members.revision < self.revision
-            self.revision = None if behind else members.revision
+            self._advance(update)
             if not response.keep_alive:
-                return "agent_closed"
+                return DiscoveryEnd(DiscoveryEndReason.AGENT_CLOSED)
+
+    async def _exchange(self, stream: IOStream, buffer: ReadBuffer, watching: bool) -> http.Response:
+        """Make one call; the body is a slice of the buffer.
+
+        A call that begins a watch waits its turn at the one service, and for nothing else: it returns at
+        once with what changed meanwhile. Given up after a watch's usual silence it was work for nobody.
+        """
+        path = ENDPOINTS_PATH
+        if self.revision is not None:
+            wait_ms = WATCH_WAIT_MS if watching else 0
+            path = f"{ENDPOINTS_PATH}?index={self.revision}&wait={wait_ms:.0f}"
+        timeout_s = self.watch_timeout_s if watching else self.first_call_timeout_s
+        async with asyncio.timeout(timeout_s):
+            await stream.write(http.encode_get(path, f"{self.agent[0]}:{self.agent[1]}"))
+            while not (found := http.parse_response(buffer.data, buffer.start, buffer.end)):
+                await buffer.fill(stream)
+        buffer.consume(found[1])
+        return found[0]
+
+    def _advance(self, update: EndpointList) -> None:
+        """Note the revision to ask from next; None for the whole list."""
+        # An agent that is behind what is known cannot name what changed since: the whole list does.
+        is_behind = self.revision is not None and update.revision < self.revision
+        self.revision = None if is_behind and not update.complete else update.revision
--- a/mapleshunt/net/gossip_transport.py
+++ b/mapleshunt/net/gossip_transport.py
@@ -1,4 +1,7 @@
-"""Messages between gateways. IOStream has no datagrams: a plain socket on the loop takes its place."""
+"""Gossip messages between gateways, as datagrams.
+
+IOStream has no datagrams: a plain socket on the loop takes its place.
+"""
 
 from __future__ import annotations
 
@@ -10,27 +13,37 @@
 from .config import Address, address_family
 from .counters import Counters
 
-MAX_DATAGRAM_BYTES = 256  # bytes of a datagram
-MAX_DATAGRAMS_PER_TURN = 64  # datagrams read before others get their turn
+MAX_DATAGRAM_BYTES = 256  # a longer one breaks the protocol: it is neither sent nor taken
+MAX_DATAGRAMS_PER_TURN = 64  # read before others get their turn
+EVERYONE = -1  # in place of a gateway's number
 
 
 class GossipTransport:
-    """Calls `heard` with a peer's number and its text. A sender is known by its address alone."""
+    """Sends and receives messages. A sender is known by its address alone, and any message may be lost."""
 
     def __init__(
         self,
         listen: Address,
         peers: Sequence[Address],
-        everyone: Address,
-        heard: Callable[[int, str], None],
+        broadcast: Address,
+        on_message: Callable[[int, str], None],
         counters: Counters,
         shared: bool = False,
     ) -> None:
-        """`shared`: another process of this gateway may have the address too. The last to bind it hears;
-        with SO_REUSEPORT, the option not taken, the kernel would deal the senders out among both.
-        Raises OSError if the address cannot be had.
+        """Bind the address and receive from now on.
+
+        Args:
+            listen: this gateway's address. peers: the addresses of all gateways, by their number.
+            broadcast: the address for messages to everyone. on_message: called with a sender's number and
+            its message. counters: the gateway's counters. shared: another process of this gateway may have
+            the address too. The last to bind it receives; with
+                SO_REUSEPORT, the option not taken, the kernel would divide the senders between both.
+
+        Raises:
+            OSError: the address cannot be had.
         """
-        self.peers, self.broadcast_address, self.on_message, self.counters = peers, everyone, heard, counters
+        self.peers, self.broadcast_address = peers, broadcast
+        self.on_message, self.counters = on_message, counters
         self.peer_numbers = {peer: number for number, peer in enumerate(peers)}
         self.socket = socket.socket(address_family(listen), socket.SOCK_DGRAM)
         self.socket.setblocking(False)
@@ -44,12 +57,13 @@
         IOLoop.current().add_handler(self.socket, self._read, IOLoop.READ)
 
     def send(self, peer: int, text: str) -> None:
+        """Send a message to the gateway of that number, or to `EVERYONE`."""
         data = text.encode()
-        if len(data) > MAX_DATAGRAM_BYTES or not -1 <= peer < len(self.peers):
+        if len(data) > MAX_DATAGRAM_BYTES or not EVERYONE <= peer < len(self.peers):
             self.counters.add("peer_messages_unsendable")
             return
         try:
-            self.socket.sendto(data, self.broadcast_address if peer < 0 else self.peers[peer])
+            self.socket.sendto(data, self.broadcast_address if peer == EVERYONE else self.peers[peer])
             self.counters.add("peer_messages_sent")
         except OSError:  # a message may be lost anywhere
             self.counters.add("peer_messages_lost")
@@ -62,13 +76,17 @@
                 return
             except OSError:  # an earlier datagram could not be delivered
                 continue
-            number = self.peer_numbers.get(sender[:2])
-            if number is None or len(data) > MAX_DATAGRAM_BYTES or not data.isascii():
-                self.counters.add("peer_messages_strange")
-            else:
-                self.counters.add("peer_messages_heard")
-                self.on_message(number, data.decode("ascii"))
+            self._receive(data, sender[:2])
+
+    def _receive(self, data: bytes, sender: Address) -> None:
+        number = self.peer_numbers.get(sender)
+        if number is None or len(data) > MAX_DATAGRAM_BYTES or not data.isascii():
+            self.counters.add("peer_messages_strange")
+        else:
+            self.counters.add("peer_messages_heard")
+            self.on_message(number, data.decode("ascii"))
 
     def close(self) -> None:
+        """Stop receiving, and give up the address."""
         IOLoop.current().remove_handler(self.socket)
         self.socket.close()
--- a/mapleshunt/net/messages.py
+++ b/mapleshunt/net/messages.py
@@ -33,13 +33,13 @@
     """What a request says of itself, read but not yet checked against the settings."""
 
     request_id: str  # as its client named it
-    cls: str
+    request_class: str
     plan: str
     customer: str
     timeout_ms: float
     units: float
-    spread: int
-    first: int
+    gateway_set_size: int  # how many gateways share the customer's requests
+    gateway_set_offset: int  # the first of these
     is_retry: bool
     has_idempotency_key: bool
     is_query: bool  # sent by the command for requests that may be repeated
--- a/mapleshunt/net/protocol/http.py
+++ b/mapleshunt/net/protocol/http.py
@@ -1,22 +1,27 @@
-"""HTTP/1.1 as discovery speaks it: a pure parser for responses, and the encoder for a GET."""
+"""HTTP/1.1 as discovery and the admin endpoint need it: pure parsers and encoders, without I/O.
+
+A parser returns None until the message is complete. Every part of a message is bounded.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 MAX_HEAD_BYTES = 8192
-# bytes: the largest list is of 3,200 servers and as many that drain, at some 600 bytes of indented JSON each
+# The largest list is of 3,200 servers and as many that drain, at some 600 bytes of indented JSON each.
 MAX_BODY_BYTES = 4 << 20
 MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES
 HEAD_END = b"\r\n\r\n"
 
 
 class ProtocolError(Exception):
-    """Bytes that are no response this client can read."""
+    """The bytes are no message that this program can read."""
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
+    """A complete response."""
+
     status: int
     body: bytes | memoryview
     keep_alive: bool  # the connection may carry a further request
@@ -63,7 +68,7 @@
 
 
 def _head_end(data: bytearray, start: int, end: int) -> int | None:
-    """Where a head's last line ends, or None until it is whole."""
+    """Return where a head's last line ends, or None until it is complete."""
     at = data.find(HEAD_END, start, min(end, start + MAX_HEAD_BYTES))
     if at < 0 and end - start >= MAX_HEAD_BYTES:
         raise ProtocolError("a head is too long")
@@ -71,7 +76,14 @@
 
 
 def parse_response(data: bytearray, start: int, end: int) -> tuple[Response, int] | None:
-    """A whole response and where it ends, or None until it is whole."""
+    """Parse a response.
+
+    Returns:
+        The response and where it ends, or None until it is complete.
+
+    Raises:
+        ProtocolError: the bytes do not begin a response.
+    """
     if (at := _head_end(data, start, end)) is None:
         return None
     status, fields = _headers(bytes(data[start:at]))
@@ -88,17 +100,27 @@
 
 
 def encode_get(path: str, host: str) -> bytes:
+    """Encode a GET."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
+    """The request line of a call."""
+
     method: str
     path: str
 
 
 def parse_request(data: bytearray, start: int, end: int) -> Request | None:
-    """The head of a call, or None until it is whole. What may follow it is not looked at."""
+    """Parse the head of a call; what may follow it is not looked at.
+
+    Returns:
+        The request line, or None until the head is complete.
+
+    Raises:
+        ProtocolError: the bytes do not begin a call.
+    """
     if (at := _head_end(data, start, end)) is None:
         return None
     words = bytes(data[start:at]).split(b"\r\n", 1)[0].decode("latin-1").split(" ")
@@ -108,12 +130,17 @@
     return Request(words[0], words[1])
 
 
-REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 500: "Internal Server Error",
-           503: "Service Unavailable"}  # fmt: skip
+REASON_PHRASES = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 
 
 def encode_response(status: int, body: bytes) -> bytes:
-    """An answer in plain text, the last on its connection."""
+    """Encode a response in plain text, the last on its connection."""
     head = (
         f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
--- a/mapleshunt/net/request/parse.py
+++ b/mapleshunt/net/request/parse.py
@@ -34,7 +34,7 @@
         open
             one, of which it would be a second attempt beside the first.
     """
-    cls = settings.classes.get(parsed.cls)
+    cls = settings.classes.get(parsed.request_class)
     if cls is None:
         raise UnacceptableRequestError("unknown class")
     _check(parsed, cls, settings)
@@ -42,13 +42,13 @@
         raise UnacceptableRequestError("a request of this id is open")
     request = RequestReceived(
         request_id=request_id,
-        request_class=parsed.cls,
+        request_class=parsed.request_class,
         plan=parsed.plan,
         customer=parsed.customer,
         remaining_time=parsed.timeout_ms,
         units=parsed.units,
-        gateway_set_size=parsed.spread,
-        gateway_set_offset=parsed.first,
+        gateway_set_size=parsed.gateway_set_size,
+        gateway_set_offset=parsed.gateway_set_offset,
         is_retry=parsed.is_retry,
     )
     open_client_ids.add(parsed.request_id)
@@ -67,5 +67,8 @@
         raise UnacceptableRequestError("this class needs a key")
     if not 0 < parsed.units <= settings.max_request_units:
         raise UnacceptableRequestError("units are out of range")
-    if not (1 <= parsed.spread <= settings.gateway_count and 0 <= parsed.first < settings.gateway_count):
+    if not (
+        1 <= parsed.gateway_set_size <= settings.gateway_count
+        and 0 <= parsed.gateway_set_offset < settings.gateway_count
+    ):
         raise UnacceptableRequestError("the customer's set is out of range")
--- a/mapleshunt/server/endpoint_watch.py
+++ b/mapleshunt/server/endpoint_watch.py
@@ -13,7 +13,8 @@
 from ..net.backoff import NOTIFICATION_BUDGET_MS, Backoff
 from ..net.config import Config
 from ..net.counters import Counters
-from ..net.discovery.watcher import EndpointList, EndpointWatcher, parse_endpoint_list
+from ..net.discovery.endpoint_list import EndpointList, parse_endpoint_list
+from ..net.discovery.watcher import EndpointWatcher
 from ..net.policy_driver import PolicyDriver
 from ..net.upstream.endpoint_group import EndpointGroup
 from ..policy import UpdateKind
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -9,7 +9,8 @@
 import pytest
 
 from mapleshunt.net import config
-from mapleshunt.net.discovery.watcher import EndpointList, EndpointWatcher
+from mapleshunt.net.discovery.endpoint_list import EndpointList
+from mapleshunt.net.discovery.watcher import EndpointWatcher
 from mapleshunt.server.gateway_server import GatewayServer
 
 from .processes import EXAMPLE
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.discovery.watcher import parse_endpoint_list
+from mapleshunt.net.discovery.endpoint_list import parse_endpoint_list
 from mapleshunt.net.protocol import http
 from mapleshunt.net.upstream.endpoint_group import EndpointGroup
 
