--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -56,7 +56,7 @@
         self.last_answer_at = -math.inf  # s, on the loop's clock
 
     async def run(self) -> None:
-        """Watch until it is cancelled, which closes the connection. Whatever ends a call, the next follows."""
+        """Watch until it is cancelled, which closes the connection. A next call follows each."""
         await asyncio.sleep(self.backoff.initial_delay_ms() / 1000)
         while True:
             end = await self._call()
--- a/mapleshunt/net/protocol/command_protocol.py
+++ b/mapleshunt/net/protocol/command_protocol.py
@@ -37,7 +37,11 @@
         pairs = ",".join(
             [f"{name}={timeout_ms if name == 'd' else value}" for name, value in self.pairs.items()]
         )
-        words = [*self.words[:PAIRS_INDEX], pairs.encode(), *self.words[PAIRS_INDEX + 1 :]]
+        words: list[bytes | memoryview] = [
+            *self.words[:PAIRS_INDEX],
+            pairs.encode(),
+            *self.words[PAIRS_INDEX + 1 :],
+        ]
         return resp.encode_command(words)
 
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -396,7 +396,7 @@
     named = "c=kasse-öffnen,t=größe,d=480".encode()
     words = [memoryview(word) for word in (b"SVC.QUERY", WHO, b"0" * 16, named)]
     read = svc.parse_request(words)
-    assert (read.cls, read.plan) == ("kasse-öffnen", "größe")
+    assert (read.request_class, read.plan) == ("kasse-öffnen", "größe")
     assert named.replace(b"480", b"300") in read.message.encode(300)
     with pytest.raises(svc.InvalidCommandError):
         svc.parse_request([*words[:3], memoryview(named.replace(b"\xc3", b""))])
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -17,6 +17,7 @@
 from mapleshunt.net import config
 from mapleshunt.net.client import listener as listening
 from mapleshunt.net.counters import Counters
+from mapleshunt.net.request.context import RequestContext
 from mapleshunt.server.gateway_server import GatewayServer
 
 from .processes import EXAMPLE, PING, query
@@ -158,10 +159,16 @@
         (acceptor,) = one.clients.acceptors
         acceptor.stop()
         with socket.create_connection(one.clients.listeners[0].getsockname()) as late:
-            late.sendall(query(7, b"c=lookup,t=small,d=5000,units=1,spread=1,first=0")) await
-            asyncio.sleep(0.5) taken: list[float] = [] monkeypatch.setattr(one.driver, "submit", lambda
-            context: taken.append(context.request.remaining_time)) acceptor.start() await until(lambda:
-            taken)
+            late.sendall(query(7, b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"))
+            await asyncio.sleep(0.5)
+            taken: list[float] = []
+
+            def submit(context: RequestContext) -> None:
+                taken.append(context.request.remaining_time)
+
+            monkeypatch.setattr(one.driver, "submit", submit)
+            acceptor.start()
+            await until(lambda: taken)
         one.stop_requested.set()
         await task
         return taken[0]
