--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -19,7 +19,7 @@
 from .net.replication.leases import LeaseClient
 from .recording.writer import Recorder
 from .settings import operators
-from .storage.durable_store import Disk, StoreUnavailable
+from .storage.durable_store import DurableStore, StoreUnavailableError
 from .transient_errors import is_transient
 
 STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
@@ -71,7 +71,7 @@
             return
         try:
             self._start_copies(section, open_store(section, self.config.name))
-        except (StoreUnavailable, ReplicationInUseError) as error:
+        except (StoreUnavailableError, ReplicationInUseError) as error:
             if isinstance(error, ReplicationInUseError) and self.config.accept_fd is None:
                 raise
             self._store_unavailable(error)
@@ -84,7 +84,7 @@
             try:
                 disk = await run_in_thread(lambda: open_store(section, self.config.name))
                 self._start_copies(section, disk)
-            except (StoreUnavailable, ConfigError) as error:
+            except (StoreUnavailableError, ConfigError) as error:
                 self._store_unavailable(error)
             except Exception:  # a defect must not leave the gateway without its replicas for good
                 self.counters.add("exceptions")
@@ -94,7 +94,7 @@
         self.counters.add("copies_store_unavailable")
         log.log_event("copies_store_unavailable", why=error)
 
-    def _start_copies(self, section: operators.Copies, disk: Disk) -> None:
+    def _start_copies(self, section: operators.Copies, disk: DurableStore) -> None:
         copies = ReplicationHost(section, self.config.name, disk, self.counters, self.config.seed)
         copies.start()
         self.copies = copies
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -15,7 +15,7 @@
 
 from ..fleet.faults import Fault, sample_machines
 from ..fleet.random_streams import Rng
-from ..policy import interface as i
+from ..policy import Plan, QuotaLeaseGranted, RequestReceived
 from ..policy.gateway import Gateway
 from ..policy.gossip_codec import tag_of
 from ..policy.state import Customer
@@ -24,14 +24,14 @@
 from ..replicated_state.results import Applied, Result
 from ..replicated_state.state_machine import ReplicatedState
 from ..replication import messages as m
-from ..replication.node import Node, Timing
-from ..replication.placement import group_of, place
+from ..replication.node import RaftConfig, RaftNode
+from ..replication.placement import group_of_customer, place_replicas
 from .day import Day, Scenario
 from .engine import Engine
 from .replication_plays import VirtualDisk
 
 GROUPS, SIZE = 64, 3
-TIMING = Timing()
+TIMING = RaftConfig()
 DISK = 2.0  # ms until a write is durable
 LEASE_TERM, LONGEST, HOLD = 2000.0, 10_000.0, 100.0  # as net/leases.py has them
 EVERY = 50.0  # between two looks at what leases are due
@@ -46,10 +46,10 @@
 
     group: int
     gateway: int
-    name: m.Copy
+    name: m.Replica
     disk: VirtualDisk
     holdings: ReplicatedState = field(default_factory=ReplicatedState)
-    node: Node | None = None
+    node: RaftNode | None = None
     life: int = 0
     due: float = float("inf")
 
@@ -73,7 +73,9 @@
     def __init__(self, engine: ReplicatedFleetEngine, number: int) -> None:
         self.engine, self.number, self.epoch = engine, number, engine.epochs[number]
         self.leaser = LeaseHolder(LEASE_TERM, LONGEST, self._rest, self._left, self._level, self._owed)
-        self.waiting: dict[str, list[tuple[float, i.Request, float]]] = {}  # until when, what, since when
+        self.waiting: dict[
+            str, list[tuple[float, RequestReceived, float]]
+        ] = {}  # until when, what, since when
         self.sound = True
         self.plans: dict[str, str] = {}
         self.sessions: dict[int, int] = {}  # by group: how many operations it has numbered
@@ -106,15 +108,17 @@
     def alive(self) -> bool:
         return self.engine.gateways[self.number] is not None and self.engine.epochs[self.number] == self.epoch
 
-    def asked(self, plan: i.Plan, request: i.Request) -> bool:
+    def asked(self, plan: Plan, request: RequestReceived) -> bool:
         """Does it wait for its customer's lease?"""
         customer, now = request.customer, self.engine.now()
         if not plan.rate:
             return False
         self.plans[customer] = plan.name
-        self.do(self.leaser.demand(now, customer, plan.rate, plan.burst, request.spread, request.units))
+        self.do(
+            self.leaser.demand(now, customer, plan.rate, plan.burst, request.gateway_set_size, request.units)
+        )
         there = customer in self.waiting or self.leaser.waits(now, customer, request.units)
-        if there and self.sound and request.patience > 2 * HOLD:
+        if there and self.sound and request.remaining_time > 2 * HOLD:
             self.waiting.setdefault(customer, []).append((now + HOLD, request, now))
             return True
         return False
@@ -129,8 +133,10 @@
                     self.waiting[customer] = waiting + self.waiting.pop(customer, [])
                     return
             del waiting[0]
-            if request.ref in self.engine.open[self.number]:
-                self.engine.let_in(self.number, replace(request, patience=request.patience - now + since))
+            if request.request_id in self.engine.open[self.number]:
+                self.engine.let_in(
+                    self.number, replace(request, remaining_time=request.remaining_time - now + since)
+                )
 
     def tick(self) -> None:
         if self.alive():
@@ -144,13 +150,15 @@
         for action in actions:
             if isinstance(action, LeaseUpdate):
                 if (plan := self.plans.get(action.customer)) is not None:
-                    leased = i.Leased(action.customer, plan, action.lease, action.units, action.until)
+                    leased = QuotaLeaseGranted(
+                        action.customer, plan, action.lease, action.units, action.until
+                    )
                     self.engine._feed(self.number, leased)
             else:
                 self.propose(action)
 
     def propose(self, ask: ProposeOperation) -> None:
-        group = group_of(ask.customer, GROUPS)
+        group = group_of_customer(ask.customer, GROUPS)
         session = f"{self.number}.{self.epoch}.{group}"
         if group not in self.sessions:
             self.sessions[group] = 0
@@ -205,12 +213,12 @@
         fleet = {f"g{n}": f"z{n % 3}" for n in range(len(self.gateways))}
         numbers = {name: number for number, name in enumerate(fleet)}
         for group in range(GROUPS):
-            names = place(group, fleet, SIZE)
+            names = place_replicas(group, fleet, SIZE)
             first = m.Snapshot(1, 1, 0.0, m.Members(tuple(f"{name}/1" for name in names)), b"")
             self.holders.append([numbers[name] for name in names])
             for name in names:
                 self.copies[group, numbers[name]] = SimulatedReplica(
-                    group, numbers[name], f"{name}/1", VirtualDisk(m.Stored(first, 1))
+                    group, numbers[name], f"{name}/1", VirtualDisk(m.PersistentState(first, 1))
                 )
         self.ready = True
         for number in range(len(self.gateways)):
@@ -226,7 +234,7 @@
                 one.holdings = ReplicatedState()
                 one.holdings.thaw(one.disk.stored.snapshot.data)
                 seed = self.day.streams.integer("copies", one.group * 100_000 + number * 100 + one.life)
-                one.node = Node(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
+                one.node = RaftNode(one.name, one.disk.stored, TIMING, seed & 0xFFFFFFFF, self._s())
                 self._step(one, m.Tick())
         self.leasing[number] = GatewayLeases(self, number)
 
@@ -274,25 +282,25 @@
             case m.Apply(entry, call):
                 result: Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else Applied()
                 self._reply(one, call, result, "")
-            case m.Answer(call, _, _, hint):
+            case m.RequestResult(call, _, _, hint):
                 self._reply(one, call, None, hint)
-            case m.Install(snapshot):
+            case m.RestoreSnapshot(snapshot):
                 one.holdings.thaw(snapshot.data)
-            case m.WantSnapshot(index):
+            case m.CreateSnapshot(index):
                 data = msgspec.msgpack.encode(one.holdings.freeze())
                 self.agenda.at(self.agenda.now, self._snapped, one, one.life, index, data)
-            case m.Role(role, _, _, _) if role == "leader":
+            case m.RoleChanged(role, _, _, _) if role == "leader":
                 self.elections += 1
 
     def _snapped(self, one: SimulatedReplica, life: int, index: int, data: bytes) -> None:
         if one.life == life:
-            self._step(one, m.Snapped(index, data))
+            self._step(one, m.SnapshotCreated(index, data))
 
     def _written(self, one: SimulatedReplica, number: int, life: int) -> None:
         if one.life == life:
             while one.disk.pending and one.disk.pending[0].number <= number:
                 one.disk.apply(one.disk.pending.pop(0))
-            self._step(one, m.Written(number))
+            self._step(one, m.WriteCompleted(number))
 
     # Wires
 
@@ -321,7 +329,7 @@
         for group, message in messages:
             one = self.copies.get((group, b))
             if one is not None:
-                self._step(one, m.Heard(self.copies[group, a].name, message))
+                self._step(one, m.MessageReceived(self.copies[group, a].name, message))
 
     # Calls
 
@@ -354,7 +362,9 @@
         self.calls[number] = (call, at)
         self._step(one, m.Propose(number, call.command))
 
-    def _reply(self, one: SimulatedReplica, number: int | None, result: Result | None, hint: m.Copy) -> None:
+    def _reply(
+        self, one: SimulatedReplica, number: int | None, result: Result | None, hint: m.Replica
+    ) -> None:
         if number is None or number not in self.calls:
             return
         call, _ = self.calls.pop(number)
@@ -378,13 +388,13 @@
             self.leasing[call.gateway].come(call, result)
 
     def _feed(self, number: int, event: Any) -> None:
-        if isinstance(event, i.Request) and number in self.leasing:
+        if isinstance(event, RequestReceived) and number in self.leasing:
             plan = self.settings[number].plans[event.plan]
             if self.leasing[number].asked(plan, event):
                 return
         super()._feed(number, event)
 
-    def let_in(self, number: int, request: i.Request) -> None:
+    def let_in(self, number: int, request: RequestReceived) -> None:
         """A request that has waited for its customer's lease."""
         super()._feed(number, request)
 
