--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -1,6 +1,6 @@
 """One group's replica on this gateway: its state machine, its timer, and the calls it answers.
 
-Decisions are those of `copies.node` and `holdings.state`; what they ask for is carried out here.
+Decisions are those of `replication.node` and `replicated_state.state_machine`; what they ask for is carried out here.
 """
 
 from __future__ import annotations
@@ -143,7 +143,7 @@
 
     def _answer(self, call: int, how: str, hint: str) -> None:
         if how == "read" and call in self.calls:
-            self._reply(call, "done", "", self._read(self.calls[call][1].read))
+            self._reply(call, "done", "", self._read(self.calls[call][1].query))
         else:
             self._reply(call, how, m.gateway_of(hint), b"")
 
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -116,7 +116,7 @@
     @property
     def answered_calls(self) -> int:
         """How many calls in the history have their answer."""
-        return sum(bool(event.ended) for event in self.history)
+        return sum(bool(event.ended_at) for event in self.history)
 
     async def wait_for_answers(self, calls: int, timeout_s: float = ANSWERS_TIMEOUT_S) -> None:
         """Wait until that many more calls are answered, or until the timeout, which is no error."""
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -61,9 +61,9 @@
     assert found.g == pytest.approx(found.service - sum(found.penalties.values()))
     assert not any(engine.open), "requests were left open"
     assert not any(engine.attempts), "attempts were left out"
-    for one in engine.watchman.tries:
-        assert one.known, "a client was left without an end"
-    for till in engine.tills.values():
+    for one in engine.rule_checker.client_attempts:
+        assert one.client_notified, "a client was left without an end"
+    for till in engine.backend_models.values():
         assert till.connections >= 0 and not engine.held[till.number]
 
 
@@ -132,13 +132,13 @@
         (Careless, "drain", (Fault(3000, "drain", 1000, (0,)),)),
     ],
 )
-def test_the_watchman_sees_each_rule_broken(factory: Any, rule: str, fault: tuple[Fault, ...]) -> None:
+def test_rule_checker_reports_each_violated_rule(factory: Any, rule: str, fault: tuple[Fault, ...]) -> None:
     scenario = short(
         "quiet",
         8.0,
-        troubles=lambda rng, scenario: list(fault),
+        fault_plan=lambda rng, scenario: list(fault),
         rate=20.0,
-        fixed={"cold_from": 1, "add_ms": 1},
+        fixed_parameters={"cold_from": 1, "add_ms": 1},
     )
     found = played(scenario, 1, factory)[1]
     assert found.rules[rule] > 0
@@ -149,7 +149,11 @@
 def test_a_policy_without_a_ramp_pushes_cold_servers_over_and_the_module_does_not() -> None:
     begin = Fault(3000, "crash", 2000, (0, 1))
     scenario = short(
-        "overload", 15.0, troubles=lambda rng, scenario: [begin], load=(1.6, 1.6), fixed={"cold_from": 0.25}
+        "overload",
+        15.0,
+        fault_plan=lambda rng, scenario: [begin],
+        load=(1.6, 1.6),
+        fixed_parameters={"cold_from": 0.25},
     )
     careful, careless = played(scenario, 4)[1], played(scenario, 4, POLICIES["let-all"])[1]
     assert careful.rules["pushed_over"] == 0
@@ -157,14 +161,16 @@
 
 
 def test_clients_of_a_killed_gateway_repeat_through_others() -> None:
-    scenario = short("quiet", 10.0, troubles=lambda rng, scenario: [Fault(4000, "restart", 4000, (0,))])
+    scenario = short("quiet", 10.0, fault_plan=lambda rng, scenario: [Fault(4000, "restart", 4000, (0,))])
     engine, found = played(scenario, 5)
-    broken = [t for t in engine.watchman.tries if t.gateway == 0 and t.taken and t.answer is None]
+    broken = [
+        t for t in engine.rule_checker.client_attempts if t.gateway == 0 and t.accepted and t.result is None
+    ]
     assert broken, "nothing was open at the kill"
-    repeated = {t.ask for t in engine.watchman.tries if t.number > 1 and t.gateway != 0}
-    safe = [t for t in broken if engine.effects[t.ask.cls] == "safe"]
-    assert any(t.ask in repeated for t in safe)
-    assert not any(t.ask in repeated for t in broken if t not in safe)
+    repeated = {t.request for t in engine.rule_checker.client_attempts if t.number > 1 and t.gateway != 0}
+    safe = [t for t in broken if engine.effects[t.request.class_index] == "safe"]
+    assert any(t.request in repeated for t in safe)
+    assert not any(t.request in repeated for t in broken if t not in safe)
     assert not any(found.rules.values()), found.stories
 
 
@@ -179,7 +185,7 @@
 def test_a_ceiling_is_one_store_over_all_gateways_that_no_restart_fills() -> None:
     changes = {"plan.standard.ceiling_rate": 9, "plan.standard.ceiling_burst": 30}
     fault = Fault(4000, "restart", 500, (0,))
-    scenario = short("busy", 10.0, rate=150.0, settings=changes, troubles=lambda rng, scenario: [fault])
+    scenario = short("busy", 10.0, rate=150.0, settings=changes, fault_plan=lambda rng, scenario: [fault])
     whole, module = played(scenario, 5, POLICIES["whole-quota"])[1], played(scenario, 5)[1]
     assert whole.rules["ceiling"] > 0
     assert module.rules["ceiling"] == 0, module.stories
@@ -199,10 +205,10 @@
     scenario = short("worst")
     one, other = played(scenario, 6)[0], played(scenario, 6, POLICIES["let-all"])[0]
     assert one.day.faults == other.day.faults
-    assert [(a.at, a.work, a.units, a.customer) for a in one.day.traffic.asks] == [
-        (a.at, a.work, a.units, a.customer) for a in other.day.traffic.asks
+    assert [(a.arrives_at, a.work_ms, a.units, a.customer) for a in one.day.traffic.requests] == [
+        (a.arrives_at, a.work_ms, a.units, a.customer) for a in other.day.traffic.requests
     ]
-    assert [t.speed for t in one.tills.values()] == [t.speed for t in other.tills.values()]
+    assert [t.speed for t in one.backend_models.values()] == [t.speed for t in other.backend_models.values()]
 
 
 # Experiments
@@ -237,18 +243,17 @@
 def test_a_checkout_whose_code_raises_is_reported_and_the_other_goes_on(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
     shutil.copytree(ROOT / "mapleshunt" / "policy", package / "policy")
-    gateway = package / "policy" / "gateway.py"
-    text = gateway.read_text()
-    gateway.write_text(
-        text.replace("    def arrive(self", "    def arrive(self, event):\n        1 / 0\n\n    def was(self")
-    )
-    assert gateway.read_text() != text
+    admission = package / "policy" / "admission.py"
+    text = admission.read_text()
+    broken = "    def admit(self, event, now):\n        1 / 0\n\n    def admit_unbroken(self"
+    admission.write_text(text.replace("    def admit(self", broken))
+    assert admission.read_text() != text
     (package / "__init__.py").write_text("")
     found = experiments.compare(
         short("quiet", 5.0), parse("here"), parse(f"path:{tmp_path}"), range(1, 4), jobs=2
     )
     assert len(found.errors["b"]) == 3 and "ZeroDivisionError" in found.errors["b"][0]
-    assert "arrive" in found.errors["b"][0]
+    assert "admit" in found.errors["b"][0]
     assert found.a["service"].mean > 0.5 and not found.difference and found.verdict == "none"
 
 
@@ -267,12 +272,14 @@
 def test_settings_constants_and_figures_can_be_set() -> None:
     one = parse("set:mail_per_s=10,TARGET=0.5,world.peer_loss=0.2,plan.basic.rate=9")
     day = draw_day(one.scenario(SCENARIOS["quiet"]), 1)
-    assert day.figures["peer_loss"] == 0.2
+    assert day.parameters["peer_loss"] == 0.2
     settings = day.settings()[0]
     assert settings.gossip_intake_per_s == 10 and settings.plans["basic"].rate == 9
     factory, _ = load(one)
-    assert sys.modules[factory.__module__].TARGET == 0.5
-    assert sys.modules["mapleshunt.policy.gateway"].TARGET == 0.35
+    changed = factory.__module__.removesuffix(".gateway")
+    for module in ("latency", "concurrency_limit", "outlier_detection"):
+        assert sys.modules[f"{changed}.{module}"].TARGET_LATENCY_RATIO == 0.5
+        assert sys.modules[f"mapleshunt.policy.{module}"].TARGET_LATENCY_RATIO == 0.35
     for bad in (
         "set:nosuch=1",
         "set:mail_per_s=much",
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -53,8 +53,8 @@
 ReplicatedState = state.ReplicatedState
 KINDS: dict[str, tuple[type, str]] = {
     # Gossip
-    "gossip": (gossip.Report, "pace lines words"),
-    "gossip line": (gossip.Line, "kind tag number units left code"),
+    "gossip": (gossip.GossipMessage, "latency_ratio entries endpoint_ratios"),
+    "gossip line": (gossip.GossipEntry, "kind customer_tag request_number units bucket_left code"),
     # Replication, and what of it is stored
     "members": (replication.Members, "voters learners"),
     "entry": (replication.Entry, "index term stamp data members"),
@@ -71,11 +71,14 @@
     "snapshot part taken": (replication.SnapshotChunkAck, "term index next_offset round"),
     "timeout now": (replication.TimeoutNow, "term"),
     # Frames
-    "hello": (wire.Handshake, "fleet lowest highest name incarnation boot known formed generations"),
+    "hello": (
+        wire.Handshake,
+        "fleet min_version max_version gateway incarnation boot known_boots formed_groups generations",
+    ),
     "packet": (wire.MessageBatch, "messages"),
-    "call": (wire.ClientRequest, "number group command read"),
-    "reply": (wire.ClientResponse, "number how hint data"),
-    "question": (wire.AdminRequest, "number what group copy"),
+    "call": (wire.ClientRequest, "number group command query"),
+    "reply": (wire.ClientResponse, "number status leader_hint data"),
+    "question": (wire.AdminRequest, "number operation group replica"),
     # Commands and their results
     "command": (words.Command, "session sequence_number acknowledged_below operation"),
     "open": (words.OpenSession, ""),
@@ -214,7 +217,7 @@
 FORMS: dict[str, Form] = {
     "gossip": Form(
         lambda data: gossip.decode(data.decode()),
-        lambda value: gossip.encode(value.pace, value.lines, value.words).encode(),
+        lambda value: gossip.encode(value.latency_ratio, value.entries, value.endpoint_ratios).encode(),
     ),
     "frame": Form(frame, wire.encode_frame),
     "command": Form(words.decode_command, words.encode),
