--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -22,8 +22,8 @@
 from mapleshunt.simulation.rule_checker import RuleChecker
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
-from mapleshunt.testbed.clock import Clock
-from mapleshunt.testbed.gateway_process import GatewayError
+from mapleshunt.testbed.clock import DayClock
+from mapleshunt.testbed.errors import GatewayError
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -68,7 +68,11 @@
     silent = [t for t in tries if t.accepted and t.gateway == 0 and t.result is None]
     assert all(t in found.timed_out for t in silent) and len(silent) <= len(tries) / 100
     assert any(t.gateway == 1 and t.result is not None and t.sent_at > 1700 for t in tries), "it is back"
-    assert found.gateways[1].starts == 2 and found.unknown_requests == 0 and found.oversized_datagrams == 0
+    assert (
+        found.gateways[1].starts == 2
+        and found.unknown_requests == 0
+        and found.gossip.oversized_datagrams == 0
+    )
     after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent_at > 1500 + 300 + 550 + 400]
     assert not after, "sent to a draining server"
     assert any(a.server == 4 for t in tries for a in t.attempts), "the new server was not used"
@@ -101,7 +105,8 @@
         server = await asyncio.start_server(gateway, "127.0.0.1", 0)
         heard: list[str] = []
         day: Any = SimpleNamespace(
-            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=Clock(), timed_out=[],
+            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])],
+            clock=DayClock(), timed_out=[],
             day=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)), command=lambda *_: b"PING\r\n",
             rule_checker=SimpleNamespace(client_answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
@@ -121,7 +126,7 @@
     whoever its view refuses shows that the day would tell.
     """
     day = draw_day(resized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
-    program = checkout(tmp_path, ("policy/gateway.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
+    program = checkout(tmp_path, QUOTA_IGNORED) if bad else ROOT
     _, score = fleet.play_day(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
@@ -163,17 +168,20 @@
     return target
 
 
-APPENDED = "        job.attempts, job.again = [*job.attempts, Attempt(server, self.now)], False\n"
-TWICE = """        if len(job.attempts) == 1:
-            job.attempts = [*job.attempts, Attempt(server, self.now)]
-            self.actions.append(i.Send(job.ref, server.entry.server))
+APPENDED = "        request.attempts.append(Attempt(endpoint, now))\n"
+TWICE = """        if len(request.attempts) == 1:
+            request.attempts.append(Attempt(endpoint, now))
+            self._actions.append(StartAttempt(request.request_id, endpoint.info.endpoint))
 """
+QUOTA_IGNORED = (
+    "policy/quota_check.py", "if lack > 0 or self._has_too_many_open", "if self._has_too_many_open"
+)  # fmt: skip
 BAD = {
-    "two_out": [("policy/gateway.py", APPENDED, APPENDED + TWICE)],
+    "two_out": [("policy/dispatch.py", APPENDED, APPENDED + TWICE)],
     "lost": [("net/request/respond.py", "        context.response_sink.serve(value)\n",
               "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
-    "drain": [("policy/gateway.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
+    "drain": [("policy/endpoints.py", 'one.info.state == "ready"', 'one.info.state in ("ready", "draining")'),
               ("net/upstream/endpoint_group.py", 'pool.endpoint.state == "ready"',
                'pool.endpoint.state != "gone"')],
 }  # fmt: skip
@@ -204,7 +212,7 @@
     broken = checkout(
         tmp_path / "a",
         (
-            "bootstrap.py",
+            "server/bootstrap.py",
             "def run_gateway() -> int:\n",
             "def run_gateway() -> int:\n    raise SystemExit(3)\n",
         ),
