--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -14,7 +14,7 @@
 import statistics
 import sys
 
-from mapleshunt.net.backoff import (
+from mapleshunt.net.discovery.backoff import (
     NOTIFICATION_BUDGET_MS,
     SERVICE_TIME_MS,
     SILENCE_TIMEOUT_MS,
--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -15,12 +15,12 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import log
-from ..backoff import SILENCE_TIMEOUT_MS, WATCH_WAIT_MS, Backoff
 from ..config import Address, address_family
 from ..counters import Counters
 from ..protocol import http
 from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..reasons import DiscoveryEnd, DiscoveryEndReason
+from .backoff import SILENCE_TIMEOUT_MS, WATCH_WAIT_MS, Backoff
 from .endpoint_list import EndpointList, parse_endpoint_list
 
 ENDPOINTS_PATH = "/catalog/members"
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -82,9 +82,11 @@
 
     def _check_retry(self, context: RequestContext, attempt: Attempt, now: float) -> None:
         earlier = [
-            # The literals of the invariants are the values of AttemptStatus.
             invariants.EarlierAttempt(
-                one.sent_at, cast(events.AttemptStatus | None, one.status), one.zone, one.cell
+                one.sent_at,
+                cast("events.AttemptStatus | None", one.status),  # whose literals are this one's values
+                one.zone,
+                one.cell,
             )
             for one in context.attempts[: attempt.number]
         ]
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -26,9 +26,7 @@
     attempt.cost = result.cost if result.cost <= max_units else 0.0
     return AttemptEnded(
         request_id=context.request_id,
-        status=cast(
-            events.AttemptStatus, result.status
-        ),  # the policy's literals are the values of AttemptStatus
+        status=cast("events.AttemptStatus", result.status),  # whose literals are this one's values
         request_completed=not context.awaiting_response,
         attempt=attempt.number,
         endpoint=attempt.endpoint,
--- a/mapleshunt/server/endpoint_watch.py
+++ b/mapleshunt/server/endpoint_watch.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from ..net import log
-from ..net.backoff import NOTIFICATION_BUDGET_MS, Backoff
 from ..net.config import Config
 from ..net.counters import Counters
+from ..net.discovery.backoff import NOTIFICATION_BUDGET_MS, Backoff
 from ..net.discovery.endpoint_list import EndpointList, parse_endpoint_list
 from ..net.discovery.watcher import EndpointWatcher
 from ..net.policy_driver import PolicyDriver
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,8 +14,13 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net import config
-from mapleshunt.net.backoff import NOTIFICATION_BUDGET_MS, SILENCE_TIMEOUT_MS, WATCH_WAIT_MS, Backoff
 from mapleshunt.net.counters import Counters
+from mapleshunt.net.discovery.backoff import (
+    NOTIFICATION_BUDGET_MS,
+    SILENCE_TIMEOUT_MS,
+    WATCH_WAIT_MS,
+    Backoff,
+)
 from mapleshunt.net.discovery.endpoint_list import EndpointList
 from mapleshunt.net.discovery.watcher import EndpointWatcher
 from mapleshunt.net.protocol.read_buffer import ReadBuffer
