--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration that `$PROXY_CONFIG` names."""
+"""The configuration that `$PROXY_CONFIG` names: its keys, translated to the names of this code."""
 
 from __future__ import annotations
 
@@ -16,71 +16,74 @@
 
 Address = tuple[str, int]
 SEED_BITS = 64
+MAX_PORT = 65535
+MAX_DESCRIPTOR_DIGITS = 6
+DEFAULT_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 192
+DEFAULT_DIAL_TIMEOUT_MS = 250.0
+DEFAULT_IDLE_TIMEOUT_MS = 30000.0
+DEFAULT_OPEN_REQUESTS = 10000
 
 
 class ConfigError(Exception):
-    """A configuration the gateway cannot start with; its text is for the operator."""
+    """A configuration that the gateway cannot start with; the text is for the operator."""
+
+
+class ConfigUnreadableError(ConfigError):
+    """The file cannot be read now, and may be in a moment."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """What one gateway process is told at its start."""
+
     name: str
     listen_address: Address
     discovery_address: Address
     seed: int  # of this gateway's random numbers alone
     max_descriptors: int
-    memory_bytes: int  # bytes
+    memory_bytes: int
     accept_fd: int | None  # a socket that listens for clients, inherited
-    admin_address: Address | None  # the operators' door
+    admin_address: Address | None
     gossip_address: Address | None
     gossip_peers: tuple[Address, ...]
     gossip_broadcast_address: Address | None
     counter_address: Address | None
-    initial_endpoints: Mapping[str, Any] | None
+    initial_endpoints: Mapping[str, Any] | None  # a list in discovery's form, checked where it is applied
     settings: Settings
-    dial_timeout_ms: float  # ms
-    idle_timeout_ms: float  # ms
-    max_open_requests: int  # requests held at once
-
-
-def parse_address(text: object, what: str) -> Address:
-    host, _, port = str(text).rpartition(":")
-    if not host or not (port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
-        raise ConfigError(f"{what} must be HOST:PORT, not {text!r}")
-    return host.strip("[]"), int(port)
-
-
-def format_address(where: Address | None) -> str:
-    return f"{where[0]}:{where[1]}" if where else "none"
-
+    dial_timeout_ms: float
+    idle_timeout_ms: float
+    max_open_requests: int
 
-def address_family(where: Address) -> socket.AddressFamily:
-    return socket.AF_INET6 if ":" in where[0] else socket.AF_INET
 
+def parse_address(text: object, key: str) -> Address:
+    """Parse HOST:PORT, where the host may be in brackets.
 
-def _seed(value: object, name: str) -> int:
-    """A seed of this gateway's own. The one in the file may be shared by several gateways, or be missing;
-    from one seed they would draw the same election timeouts, pauses and servers, all in step.
+    Raises:
+        ConfigError: it is not of that form; the text names the key.
     """
-    try:
-        shared = int(str(value), 16)
-    except ValueError:
-        raise ConfigError(f"seed must be hex digits, not {value!r}") from None
-    return random.Random(f"{shared:x}/{name}").getrandbits(SEED_BITS)
+    host, _, port = str(text).rpartition(":")
+    if not host or not (port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
+        raise ConfigError(f"{key} must be HOST:PORT, not {text!r}")
+    return host.strip("[]"), int(port)
 
 
-class ConfigUnreadableError(ConfigError):
-    """The file cannot be read now, and may be in a moment."""
+def format_address(address: Address | None) -> str:
+    """Return HOST:PORT, or "none"."""
+    return f"{address[0]}:{address[1]}" if address else "none"
 
 
-def _descriptor(text: str | None) -> int | None:
-    if text and not (text.isascii() and text.isdigit() and len(text) < 7):
-        raise ConfigError(f"PROXY_ACCEPT_FD must be a descriptor's number, not {text!r}")
-    return int(text) if text else None
+def address_family(address: Address) -> socket.AddressFamily:
+    """Return the family of sockets for an address whose host is a number."""
+    return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def parse(text: str, env: Mapping[str, str]) -> Config:
-    """The configuration, with the variables that name one of its values taking its place."""
+    """Parse the configuration, with the variables of `env` that name one of its values in their place.
+
+    Raises:
+        ConfigError: it is not in its form; the text says what is wrong with which key.
+    """
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -88,43 +91,75 @@
     if not isinstance(raw, dict):
         raise ConfigError("the configuration must be a JSON object")
     try:
-        settings = settings_of(raw["settings"])
-        limits = raw["settings"]["PolicyLimits"]
-        peers = tuple(parse_address(peer, "peers") for peer in raw.get("peers") or ())
-        if settings.gossip_enabled and len(peers) != settings.gateway_count:
-            raise ConfigError(f"peers must name {settings.gateway_count} gateways, not {len(peers)}")
-        allowed = raw.get("limits") or {}
-        door = env.get("PROXY_MANAGEMENT") or raw.get("management")
-        together = settings.gossip_enabled and settings.gateway_count > 1
-        name = env.get("PROXY_NAME") or str(raw["name"])
-        return Config(
-            name=name,
-            listen_address=parse_address(env.get("PROXY_LISTEN") or raw["listen"], "listen"),
-            discovery_address=parse_address(env.get("PROXY_DISCOVERY") or raw["discovery"], "discovery"),
-            seed=_seed(raw.get("seed") or "0", name),
-            max_descriptors=int(allowed.get("sockets") or 1024),
-            memory_bytes=int(float(allowed.get("memory_mb") or 192) * (1 << 20)),
-            accept_fd=_descriptor(env.get("PROXY_ACCEPT_FD")),
-            admin_address=parse_address(door, "management") if door else None,
-            gossip_address=parse_address(raw["peer_listen"], "peer_listen") if together else None,
-            gossip_peers=peers,
-            gossip_broadcast_address=parse_address(raw["peers_all"], "peers_all") if together else None,
-            counter_address=parse_address(raw["counter"], "counter") if raw.get("counter") else None,
-            initial_endpoints=raw.get("known"),
-            settings=settings,
-            dial_timeout_ms=float(limits.get("DialTimeout") or 250.0),
-            idle_timeout_ms=float(limits.get("ConnIdle") or 30000.0),
-            max_open_requests=int(limits.get("MaxOpen") or 10000),
-        )
+        return _config(raw, env)
     except KeyError as error:
         raise ConfigError(f"the configuration lacks {error}, or does not know it") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"the configuration makes no sense: {error}") from None
 
 
+def _config(raw: Mapping[str, Any], env: Mapping[str, str]) -> Config:
+    """Translate the file's keys; `raw` is any JSON object, and each value is checked as it is read."""
+    settings = settings_of(raw["settings"])
+    policy_limits = raw["settings"]["PolicyLimits"]
+    gossip_peers = _gossip_peers(raw, settings)
+    limits = raw.get("limits") or {}
+    admin = env.get("PROXY_MANAGEMENT") or raw.get("management")
+    has_peers = settings.gossip_enabled and settings.gateway_count > 1
+    name = env.get("PROXY_NAME") or str(raw["name"])
+    return Config(
+        name=name,
+        listen_address=parse_address(env.get("PROXY_LISTEN") or raw["listen"], "listen"),
+        discovery_address=parse_address(env.get("PROXY_DISCOVERY") or raw["discovery"], "discovery"),
+        seed=_seed(raw.get("seed") or "0", name),
+        max_descriptors=int(limits.get("sockets") or DEFAULT_DESCRIPTORS),
+        memory_bytes=int(float(limits.get("memory_mb") or DEFAULT_MEMORY_MB) * (1 << 20)),
+        accept_fd=_descriptor(env.get("PROXY_ACCEPT_FD")),
+        admin_address=parse_address(admin, "management") if admin else None,
+        gossip_address=parse_address(raw["peer_listen"], "peer_listen") if has_peers else None,
+        gossip_peers=gossip_peers,
+        gossip_broadcast_address=parse_address(raw["peers_all"], "peers_all") if has_peers else None,
+        counter_address=parse_address(raw["counter"], "counter") if raw.get("counter") else None,
+        initial_endpoints=raw.get("known"),
+        settings=settings,
+        dial_timeout_ms=float(policy_limits.get("DialTimeout") or DEFAULT_DIAL_TIMEOUT_MS),
+        idle_timeout_ms=float(policy_limits.get("ConnIdle") or DEFAULT_IDLE_TIMEOUT_MS),
+        max_open_requests=int(policy_limits.get("MaxOpen") or DEFAULT_OPEN_REQUESTS),
+    )
+
+
+def _gossip_peers(raw: Mapping[str, Any], settings: Settings) -> tuple[Address, ...]:
+    peers = tuple(parse_address(peer, "peers") for peer in raw.get("peers") or ())
+    if settings.gossip_enabled and len(peers) != settings.gateway_count:
+        raise ConfigError(f"peers must name {settings.gateway_count} gateways, not {len(peers)}")
+    return peers
+
+
+def _seed(value: object, name: str) -> int:
+    """Return a seed of this gateway's own.
+
+    The one in the file may be shared by several gateways, or be missing; from one seed they would draw the
+    same election timeouts, delays and endpoints, all in step.
+    """
+    try:
+        shared = int(str(value), 16)
+    except ValueError:
+        raise ConfigError(f"seed must be hex digits, not {value!r}") from None
+    return random.Random(f"{shared:x}/{name}").getrandbits(SEED_BITS)
+
+
+def _descriptor(text: str | None) -> int | None:
+    if text and not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
+        raise ConfigError(f"PROXY_ACCEPT_FD must be a descriptor's number, not {text!r}")
+    return int(text) if text else None
+
+
 def load(env: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that the environment names. Raises `ConfigError`; `ConfigUnreadable` where it may be read
-    in a moment.
+    """Read the file that the environment names.
+
+    Raises:
+        ConfigUnreadableError: the file may be readable in a moment.
+        ConfigError: there is no such file, or it is not in its form.
     """
     path = env.get("PROXY_CONFIG")
     if not path:
@@ -133,12 +168,19 @@
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as error:
-        passes = isinstance(error, OSError) and is_transient(error)
-        kind = ConfigUnreadableError if passes else ConfigError
-        raise kind(f"the configuration cannot be read: {error}") from None
+        message = f"the configuration cannot be read: {error}"
+        if isinstance(error, OSError) and is_transient(error):
+            raise ConfigUnreadableError(message) from None
+        raise ConfigError(message) from None
     return parse(text, env)
 
 
 def reload(env: Mapping[str, str] = os.environ) -> Config:
-    """The file as it is now. The environment dates from the start: its addresses may have been given up."""
+    """Read the file as it is now, without the variables that take the place of its values.
+
+    The environment dates from the start: its addresses may have been given up since.
+
+    Raises:
+        ConfigError: as `load`.
+    """
     return load({"PROXY_CONFIG": env.get("PROXY_CONFIG", "")})
--- a/mapleshunt/net/discovery/backoff.py
+++ b/mapleshunt/net/discovery/backoff.py
@@ -1,74 +1,80 @@
-"""The one time budget of a watch: how long its calls may take, and how long to pause after one that failed.
+"""The one time budget of a watch: how long its calls may take, and how long to wait after one that failed.
 
-No I/O and no clock: chance and times are handed in.
+No I/O and no clock: the random numbers and times are handed in.
 """
 
 from __future__ import annotations
 
 import random
 
-# ms, by the protocol: what discovery has and could be asked for counts as told by then, whatever call failed
+# By the protocol, what discovery has and could be asked for counts as notified by then, whatever call failed.
 NOTIFICATION_BUDGET_MS = 6000.0
-WATCH_WAIT_MS = 1000.0  # ms that a watch waits for something new: one that falls silent is found soon after
-DIAL_TIMEOUT_MS = 500.0  # ms for a connection to come up: the agent is on this machine
-SILENCE_TIMEOUT_MS = 500.0  # ms past a call's own wait after which the agent counts as gone
-QUEUE_ALLOWANCE_MS = (
-    1500.0  # ms that a call that begins a watch may stand in line besides: one service answers the fleet
-)
-MIN_FIRST_WINDOW_MS = 100.0  # ms, the widest first pause at least
-MIN_MAX_WINDOW_MS = 2000.0  # ms, the widest pause at least
-# ms, the widest pause of a caller whose agent answers by itself: nobody is spared by waiting, and what the
-# agent gets when discovery is back counts at once. It is half of the grace for a drain.
+# For which a watch waits for a change: an agent that falls silent is noticed soon after.
+WATCH_WAIT_MS = 1000.0
+# For a connection to be established: the agent is on this machine.
+DIAL_TIMEOUT_MS = 500.0
+# Past a call's own wait, after which the agent counts as gone.
+SILENCE_TIMEOUT_MS = 500.0
+# That a call which begins a watch may be queued besides: one service answers the fleet.
+QUEUE_ALLOWANCE_MS = 1500.0
+# For a call in the one service: all gateways of the fleet may call at once.
+SERVICE_TIME_MS = 25.0
+# Bounds on the window from which a delay is drawn: of the first one, and of the widest one, at least.
+MIN_FIRST_WINDOW_MS = 100.0
+MIN_MAX_WINDOW_MS = 2000.0
+# The widest window of a caller whose agent answers by itself: nobody is spared by waiting, and what the agent
+# gets when discovery is back counts at once. It is half of the grace period for a drain.
 LOCAL_MAX_WINDOW_MS = 250.0
-SERVICE_TIME_MS = 25.0  # ms that one service needs for a call: all gateways of the fleet may call at once
-FIRST_WINDOW_FACTOR = 2.0  # widest first pause after a failure, in the time that it takes to serve the fleet
-MAX_WINDOW_FACTOR = 10.0  # widest pause, in the same
+# The first and the widest window, in the time that it takes to serve the whole fleet.
+FIRST_WINDOW_FACTOR = 2.0
+MAX_WINDOW_FACTOR = 10.0
+MAX_DOUBLINGS = 30  # keeps the power within a float
 
 
 class Backoff:
-    """Exponential back-off with full jitter: the n-th pause is uniform from 0 to min(most, first * 2^n).
+    """Exponential backoff with full jitter: the n-th delay is uniform from 0 to min(max, first * 2^n).
 
     The source is the common practice of full jitter: callers that failed together, as all do whom one
-    overloaded service turned away, come back spread evenly, and less often the longer it lasts. No pause
-    outlasts the budget: one that began as late as it may, and the call after it, end within `TOLD`.
+    overloaded service turned away, come back spread evenly, and less often the longer it lasts. No delay
+    exceeds the budget: one that began as late as it may, and the call after it, end within
+    `NOTIFICATION_BUDGET_MS`.
     """
 
-    def __init__(self, callers: int, chance: random.Random) -> None:
-        """`callers` may fail together, of whom the service takes one in `EACH` ms.
+    def __init__(self, callers: int, rng: random.Random) -> None:
+        """Begin without failures.
 
-        0 is for a list that is pushed: the agent on this machine answers from what it has been sent, at
-        no cost to anyone. A call that waits there is only news missed, which counts as told all the same.
+        Args:
+            callers: how many may fail together, of whom the service takes one in `SERVICE_TIME_MS`. 0 is for
+                a list that is pushed: the agent on this machine answers from what it was sent, at no cost to
+                anyone, and a call that waits there is only a change missed, which counts as notified.
+            rng: the source of the delays.
         """
-        self.fleet_service_ms, self.random = SERVICE_TIME_MS * callers, chance
+        self.fleet_service_ms, self.random = SERVICE_TIME_MS * callers, rng
         self.first_window_ms = max(MIN_FIRST_WINDOW_MS, FIRST_WINDOW_FACTOR * self.fleet_service_ms)
-        self.max_window_ms = max(
-            MIN_MAX_WINDOW_MS if callers else LOCAL_MAX_WINDOW_MS, MAX_WINDOW_FACTOR * self.fleet_service_ms
-        )
+        min_max_window_ms = MIN_MAX_WINDOW_MS if callers else LOCAL_MAX_WINDOW_MS
+        self.max_window_ms = max(min_max_window_ms, MAX_WINDOW_FACTOR * self.fleet_service_ms)
         self.failures = 0
-        self.dial_timeout_ms = DIAL_TIMEOUT_MS  # ms for a connection
-        self.answer_timeout_ms = (
-            SILENCE_TIMEOUT_MS + QUEUE_ALLOWANCE_MS
-        )  # ms for an answer to a call that does not wait for news
-        # ms for a pause whatever went before. What discovery has is learned by a call that began before
-        # it, and so in vain, the pause, and the answer to the call after it.
-        self.max_rest_ms = (
-            NOTIFICATION_BUDGET_MS - (self.dial_timeout_ms + self.answer_timeout_ms) - self.answer_timeout_ms
-        )
+        self.dial_timeout_ms = DIAL_TIMEOUT_MS
+        self.answer_timeout_ms = SILENCE_TIMEOUT_MS + QUEUE_ALLOWANCE_MS  # of a call that does not wait
+        # A delay within this keeps the budget whatever went before. What discovery has is learned by a call
+        # that began before it, and so in vain, the delay, and the answer to the call after it.
+        failed_call_ms = self.dial_timeout_ms + self.answer_timeout_ms
+        self.max_rest_ms = NOTIFICATION_BUDGET_MS - failed_call_ms - self.answer_timeout_ms
 
     def initial_delay_ms(self) -> float:
-        """ms to wait before the first call, which all that were started or moved together make."""
+        """Return the ms before the first call, which all that were started or moved together make."""
         return self.random.uniform(0.0, min(self.fleet_service_ms, self.max_rest_ms))
 
     def reset(self) -> None:
-        """A call was answered: the next failure is a first one."""
+        """Note that a call was answered: the next failure is a first one."""
         self.failures = 0
 
-    def next_delay_ms(self, since: float = NOTIFICATION_BUDGET_MS) -> float:
-        """ms to wait after one more failure, `since` ms after the last answer.
+    def next_delay_ms(self, since_answer_ms: float = NOTIFICATION_BUDGET_MS) -> float:
+        """Return the ms to wait after one more failure, so long after the last answer.
 
         After a first failure most of the budget is left, and the fleet may spread over all of it.
         """
-        window = min(self.max_window_ms, self.first_window_ms * 2.0 ** min(self.failures, 30))
+        window = min(self.max_window_ms, self.first_window_ms * 2.0 ** min(self.failures, MAX_DOUBLINGS))
         self.failures += 1
-        left = NOTIFICATION_BUDGET_MS - since - self.dial_timeout_ms - self.answer_timeout_ms
+        left = NOTIFICATION_BUDGET_MS - since_answer_ms - self.dial_timeout_ms - self.answer_timeout_ms
         return self.random.uniform(0.0, min(window, max(self.max_rest_ms, left)))
--- a/mapleshunt/net/log.py
+++ b/mapleshunt/net/log.py
@@ -14,18 +14,19 @@
 # Codecs are imported at their first use, which may be when no descriptor is left to import anything.
 codecs.lookup("unicode_escape")
 
-LOG: Any = structlog.stdlib.get_logger("mapleshunt")
+LOG: Any = structlog.stdlib.get_logger("mapleshunt")  # structlog types its proxies as Any
 
 
 def _quoted(value: object) -> str:
+    """Format a value, in quotes where it would not end at the next space."""
     text = f"{value:.{1 if abs(value) >= 10 else 3}f}" if isinstance(value, float) else str(value)
     if text and not any(char in ' "=\\' or not char.isprintable() for char in text):
         return text
     return '"' + text.encode("unicode_escape").decode("ascii").replace('"', '\\"') + '"'
 
 
-def _stamp(logger: object, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """`time`, `level` and `event` first; an exception as `error`, last."""
+def _stamp(_logger: object, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    """Put `time`, `level` and `event` first, and an exception as `error` last. The values are of any type."""
     now = time.time()
     stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(now))
     level = event.pop("level", method)
@@ -43,20 +44,26 @@
     return line
 
 
-def render(logger: object, method: str, event: MutableMapping[str, Any]) -> str:
-    """structlog's logfmt leaves control characters as they are; what strangers send may hold them."""
+def render(_logger: object, _method: str, event: MutableMapping[str, Any]) -> str:
+    """Render a line of key=value pairs, whose values are of any type.
+
+    The logfmt of structlog leaves control characters as they are; what strangers send may hold them.
+    """
     return " ".join(f"{key}={_quoted(value)}" for key, value in event.items())
 
 
 def configure(level: int = logging.INFO) -> None:
+    """Write lines of that level and above to standard error from now on, those of libraries too."""
     shared: list[Any] = [structlog.stdlib.add_log_level, structlog.processors.format_exc_info]
     structlog.configure(
         processors=[
-            structlog.stdlib.filter_by_level, *shared, structlog.stdlib.ProcessorFormatter.wrap_for_formatter,
+            structlog.stdlib.filter_by_level,
+            *shared,
+            structlog.stdlib.ProcessorFormatter.wrap_for_formatter,
         ],
         logger_factory=structlog.stdlib.LoggerFactory(),
         cache_logger_on_first_use=True,
-    )  # fmt: skip
+    )
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(processors=[_stamp, render], foreign_pre_chain=shared)
@@ -65,9 +72,10 @@
 
 
 def log_event(event: str, /, **fields: object) -> None:
+    """Log a line of that event with these fields."""
     LOG.info(event, **fields)
 
 
 def log_exception(event: str, /, **fields: object) -> None:
-    """An exception that was contained; called while it is handled."""
+    """Log an exception that was contained, with its traceback. Called while it is handled."""
     LOG.error(event, exc_info=True, **fields)
