--- a/mapleshunt/fleet/__init__.py
+++ b/mapleshunt/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""The fleet around the gateways as state machines: till servers, network, discovery, counter, clients.
+"""The fleet around the gateways: emulated backends, clients, discovery, counter and network.
 
-What is here takes the time and an event and says what follows; it opens no socket, reads no clock and
-draws no chance that was not handed in. It may import `interface` and numpy, never `control`, `net` or
-the model: a host in virtual time (`mapleshunt.simulation`) and one on sockets (`mapleshunt.testbed`) drive
-it alike.
+Every part is a state machine: it takes the time and an event and returns what follows. It opens no socket, reads
+no clock and makes no random draw from a generator that was not handed in. The package may import numpy, never
+`policy`, `net` or `simulation`: a host in virtual time (`mapleshunt.simulation`) and one on sockets
+(`mapleshunt.testbed`) drive it alike.
 """
--- a/mapleshunt/fleet/counter.py
+++ b/mapleshunt/fleet/counter.py
@@ -1,4 +1,4 @@
-"""The shared counter: adds to named numbers, in turn; it refuses, falls silent, slows, splits, forgets."""
+"""The shared counter: a server that adds to named values, one call at a time, and its failure modes."""
 
 from __future__ import annotations
 
@@ -9,36 +9,43 @@
 from .parameters import Parameters
 
 CounterStatus = Literal["ok", "full", "unreachable"]
-MAX_LIFETIME_MS = 60000.0  # ms
-SWEEP_INTERVAL_VALUES = 4096  # names held before those forgotten are dropped
+CounterOutage = Literal["", "refusing", "silent"]  # "": it works
+MAX_LIFETIME_MS = 60000.0
+SWEEP_INTERVAL_VALUES = 4096  # values held after which expired ones are removed
+SIGNIFICANT_DIGITS = 7  # of a total, as the counter keeps it
+MAIN_PARTITION, SPLIT_PARTITION = 0, 1
 
 
 @dataclass(slots=True)
 class CounterValue:
+    """A named value and when it expires (ms)."""
+
     total: float
     expires_at: float
 
 
 class SharedCounter:
-    """One server for calls in turn. `call` says when a call is answered and with what. Times in ms."""
+    """One server that handles calls in turn. Times are in ms."""
 
-    def __init__(self, figures: Parameters) -> None:
-        self.call_cost_ms = 1000.0 / figures["counter_per_s"]
-        self.min_latency_ms = figures["counter_ms"]
-        self.max_queue_wait_ms = figures["counter_line"] * figures["counter_wait_ms"]
+    def __init__(self, parameters: Parameters) -> None:
+        self.call_cost_ms = 1000.0 / parameters["counter_per_s"]
+        self.min_latency_ms = parameters["counter_ms"]
+        self.max_queue_wait_ms = parameters["counter_line"] * parameters["counter_wait_ms"]
         self.slowdown = 1.0
-        self.outage: Literal["", "refusing", "silent"] = ""
+        self.outage: CounterOutage = ""
         self.busy_until = 0.0
         self.calls = 0
-        self.partitions: dict[int, dict[int, CounterValue]] = {
-            0: {}
-        }  # a split counter's parts by the side that sees them
-        self.split_gateways: frozenset[int] = frozenset()  # gateways that see the other half
+        self.partitions: dict[int, dict[int, CounterValue]] = {MAIN_PARTITION: {}}
+        self.split_gateways: frozenset[int] = frozenset()  # gateways that see the other partition
 
     def call(
-        self, now: float, name: int, amount: float, life: float, gateway: int = 0
+        self, now: float, name: int, amount: float, lifetime: float, gateway: int = 0
     ) -> tuple[CounterStatus, float, float]:
-        """(word, when the answer leaves, total). A silent counter answers at infinity."""
+        """Add `amount` to the value `name`, which lives `lifetime` ms if it is new.
+
+        Returns:
+            The status, when the reply leaves, and the total. A silent counter replies at infinity.
+        """
         self.calls += 1
         if self.outage == "refusing":
             return "unreachable", now, 0.0
@@ -48,26 +55,35 @@
             return "full", now + self.min_latency_ms, 0.0
         self.busy_until = max(self.busy_until, now) + self.call_cost_ms * self.slowdown
         at = self.busy_until + self.min_latency_ms * self.slowdown
-        numbers = self.partitions.setdefault(1, {}) if gateway in self.split_gateways else self.partitions[0]
-        number = numbers.get(name)
-        if number is None or number.expires_at < at:
-            if len(numbers) >= SWEEP_INTERVAL_VALUES and len(numbers) % SWEEP_INTERVAL_VALUES == 0:
-                for old in [n for n, held in numbers.items() if held.expires_at < at]:
-                    del numbers[old]
-            number = numbers[name] = CounterValue(0.0, at + min(life, MAX_LIFETIME_MS))
-        number.total = float(f"{number.total + amount:.7g}")
-        return "ok", at, number.total
+        value = self._value(name, at, lifetime, gateway)
+        value.total = float(f"{value.total + amount:.{SIGNIFICANT_DIGITS}g}")
+        return "ok", at, value.total
 
     def empty(self) -> None:
-        """It is replaced: all numbers start at zero."""
-        self.partitions = {0: {}}
+        """Replace the counter: all values start at zero."""
+        self.partitions = {MAIN_PARTITION: {}}
 
     def split(self, gateways: frozenset[int]) -> None:
-        """From now on these gateways see a counter of their own, a copy as of now; none of them heals it."""
+        """Give these gateways a partition of their own, a copy as of now; an empty set drops it."""
         self.split_gateways = gateways
         if gateways:
-            self.partitions[1] = {
-                name: CounterValue(n.total, n.expires_at) for name, n in self.partitions[0].items()
+            self.partitions[SPLIT_PARTITION] = {
+                name: CounterValue(value.total, value.expires_at)
+                for name, value in self.partitions[MAIN_PARTITION].items()
             }
         else:
-            self.partitions.pop(1, None)
+            self.partitions.pop(SPLIT_PARTITION, None)
+
+    def _value(self, name: int, at: float, lifetime: float, gateway: int) -> CounterValue:
+        """Return the live value `name` of the gateway's partition, a new one if there is none at `at`."""
+        if gateway in self.split_gateways:
+            values = self.partitions.setdefault(SPLIT_PARTITION, {})
+        else:
+            values = self.partitions[MAIN_PARTITION]
+        value = values.get(name)
+        if value is None or value.expires_at < at:
+            if len(values) >= SWEEP_INTERVAL_VALUES and len(values) % SWEEP_INTERVAL_VALUES == 0:
+                for expired in [key for key, held in values.items() if held.expires_at < at]:
+                    del values[expired]
+            value = values[name] = CounterValue(0.0, at + min(lifetime, MAX_LIFETIME_MS))
+        return value
--- a/mapleshunt/fleet/discovery.py
+++ b/mapleshunt/fleet/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of till servers, and the news of it that each gateway gets late, in order and whole."""
+"""Discovery: the endpoint list, and when each gateway receives a change of it (late, in order, complete)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """A row of the list, in the world's words."""
+    """One endpoint of the list. `started_at` is in ms; 0 for one that has run for long."""
 
     server: int
     cell: int
@@ -22,38 +22,36 @@
 
 
 class Discovery:
-    """What discovery knows, and when each gateway is told. Times in ms."""
+    """The endpoint list and the deliveries that are on their way. Times are in ms."""
 
-    def __init__(self, figures: Parameters, rng: Rng) -> None:
-        self.parameters, self.rng = figures, rng
+    def __init__(self, parameters: Parameters, rng: Rng) -> None:
+        self.parameters = parameters
+        self.rng = rng
         self.entries: dict[int, EndpointEntry] = {}
-        self.last_delivery: dict[
-            int, float
-        ] = {}  # until when news to a gateway are on their way: they keep their order
+        self.last_delivery: dict[int, float] = {}  # by gateway; deliveries to one keep their order
 
     def apply_change(
         self, now: float, entry: EndpointEntry, gateways: int, silent: bool = False
     ) -> list[tuple[float, int]]:
-        """Take in a change; (when, gateway) for each that is told of it.
+        """Apply a change and return (time of delivery, gateway) for each gateway.
 
-        A start is noticed soon, an end later, and that of a machine which says nothing later still.
+        A start is noticed soon, an end later, and the end of an unresponsive machine (`silent`) later still.
         """
         self.entries[entry.server] = entry
-        f = self.parameters
-        if silent:
-            notice = f["silent_notice_ms"]
-        elif entry.state == "ready" and entry.started_at:
-            notice = f["add_ms"]
-        elif entry.state == "draining":
-            notice = 0.0  # its operator says so
-        else:
-            notice = f["notice_ms"]
-        news = []
+        noticed_at = now + self._notice_delay(entry, silent)
+        deliveries = []
         for gateway in range(gateways):
-            at = max(
-                now + notice + float(self.rng.exponential(f["list_spread_ms"])),
-                self.last_delivery.get(gateway, 0.0),
-            )
+            spread = float(self.rng.exponential(self.parameters["list_spread_ms"]))
+            at = max(noticed_at + spread, self.last_delivery.get(gateway, 0.0))
             self.last_delivery[gateway] = at
-            news.append((at, gateway))
-        return news
+            deliveries.append((at, gateway))
+        return deliveries
+
+    def _notice_delay(self, entry: EndpointEntry, silent: bool) -> float:
+        if silent:
+            return self.parameters["silent_notice_ms"]
+        if entry.state == "ready" and entry.started_at:
+            return self.parameters["add_ms"]
+        if entry.state == "draining":
+            return 0.0  # the operator announces it
+        return self.parameters["notice_ms"]
--- a/mapleshunt/fleet/parameters.py
+++ b/mapleshunt/fleet/parameters.py
@@ -1,14 +1,13 @@
-"""The world's figures: every one by name, with its range, and whether it is known or guessed.
+"""Parameters of an emulated fleet: each by name, with its range, and whether it is documented or guessed.
 
-A range that the operators' pages give is *told*; one that stands on nothing but plausibility is a *guess*,
-and an experiment that leans on one should sweep it.
+A range that the operators' pages give is documented; one that is only plausible is marked as guessed, and an
+experiment that depends on it should sweep it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
-from typing import Any
 
 import numpy as np
 
@@ -16,12 +15,12 @@
 
 
 class ParameterError(ValueError):
-    """A name that is no figure, or a value out of its kind; its text is for the operator."""
+    """An override names no parameter, or its value is not a number of 0 or more."""
 
 
 @dataclass(slots=True, frozen=True)
 class ParameterRange:
-    """Where a figure lies: uniformly between `low` and `high`; `guess` if no page tells it."""
+    """A uniform distribution from `low` to `high`; `guessed` if no page documents it."""
 
     low: float
     high: float
@@ -29,12 +28,13 @@
     integral: bool = False  # rounded to a whole number
 
     def draw(self, rng: Rng) -> float:
+        """Draw one value."""
         value = float(rng.uniform(self.low, self.high))
         return float(round(value)) if self.integral else value
 
 
 PARAMETER_RANGES: dict[str, ParameterRange] = {
-    # Till servers. Times are ms, work is ms of one core at speed 1.
+    # Backends. Times are ms, work is ms of one core at speed 1.
     "cores": ParameterRange(3, 3, integral=True),
     "speed": ParameterRange(0.85, 1.1),
     "speed_cv": ParameterRange(0.034, 0.23),
@@ -51,28 +51,28 @@
         0.15, 0.25, guessed=True
     ),  # work that warms it, as a part of what it does warm in that time
     "error_rate": ParameterRange(0, 0.001),
-    "drops_cancelled": ParameterRange(0, 1, integral=True),  # waiting work that was cancelled is dropped
+    "drops_cancelled": ParameterRange(0, 1, integral=True),  # queued requests that were cancelled are dropped
     "drops_expired": ParameterRange(0, 1, integral=True),
     "handshake_rtts": ParameterRange(1, 3, integral=True),
     "handshake_work": ParameterRange(0.64, 1.7),
     "conn_cap_per_core": ParameterRange(430, 890),
     "conn_tax": ParameterRange(0.031, 0.15),  # part of its capacity that a full connection table takes
     "conn_idle_ms": ParameterRange(30000, 30000),
-    "dial_ms": ParameterRange(250, 250),  # given up after
+    "dial_ms": ParameterRange(250, 250),  # timeout of a connection attempt
     "report_period_ms": ParameterRange(180, 720),
     "report_delay_ms": ParameterRange(2.9, 280),
     "report_noise": ParameterRange(0.048, 0.11),
     "cell_size": ParameterRange(3, 5, integral=True),
     "push_slack": ParameterRange(
         0.1, 0.1, guessed=True
-    ),  # of the budget that tips a cold server over, for chance
+    ),  # tolerance of the budget beyond which a backend collapses
     # Network.
-    "same_ms": ParameterRange(0.085, 0.25),  # one way, gateway to till server
+    "same_ms": ParameterRange(0.085, 0.25),  # one way, gateway to backend
     "client_ms": ParameterRange(0.22, 1.2),
     "jitter": ParameterRange(0.1, 0.29),
     "peer_ms": ParameterRange(2.2, 31),
     "peer_loss": ParameterRange(0.0041, 0.08),
-    # The gateway as a machine: what each event costs it.
+    # The gateway: processing time of each event.
     "event_ms": ParameterRange(0.1, 0.35, guessed=True),
     # Discovery.
     "notice_ms": ParameterRange(670, 4300),
@@ -83,11 +83,11 @@
     "counter_per_s": ParameterRange(750, 1000),
     "counter_ms": ParameterRange(0.59, 1.8),
     "counter_wait_ms": ParameterRange(80, 80),
-    "counter_line": ParameterRange(0.4, 3.0),  # length of its line, in calls given up while they wait
+    "counter_line": ParameterRange(0.4, 3.0),  # length of its queue, in timeouts of a call
     # Front and clients.
     "front_notice_ms": ParameterRange(1600, 3200),
     "retries": ParameterRange(2, 3.99),
-    "try_share": ParameterRange(0.5, 1),  # part of the deadline that a try waits, at least
+    "try_share": ParameterRange(0.5, 1),  # least share of the deadline that an attempt waits
     "backoff_ms": ParameterRange(50, 400),
     "backoff_grows": ParameterRange(0, 1, integral=True),
     "honour": ParameterRange(0.56, 0.97),
@@ -95,7 +95,7 @@
     "skew": ParameterRange(0.27, 0.9),
     "shift_ms": ParameterRange(6400, 25000),
     "swing": ParameterRange(0.071, 0.18),
-    # Customers: parts of them, and multiples of their rate.
+    # Customers: shares of them, and multiples of their rate.
     "calm_use": ParameterRange(0.19, 0.49),
     "full": ParameterRange(0.08, 0.25),
     "heavy": ParameterRange(0.094, 0.14),
@@ -105,7 +105,7 @@
     "spike_x": ParameterRange(2.3, 7.5),
     "spike_ms": ParameterRange(580, 5000),
     "spike_every_ms": ParameterRange(13000, 21000),
-    # Units: true ones follow the work, the guess is off by a lognormal factor.
+    # Units: true ones follow the work, estimates are off by a lognormal factor.
     "unit_ms": ParameterRange(45, 75, guessed=True),
     "guess_cv": ParameterRange(0.4, 0.7),
     "most_units": ParameterRange(8, 8, integral=True),
@@ -114,7 +114,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassParameters:
-    """How requests of a class come: their part, mean work (ms of a core), its spread, and per attempt."""
+    """A request class.
+
+    `share` of all requests, mean `work` in ms of a core, its coefficient of variation `cv` over requests and
+    `noise` over the attempts of one request.
+    """
 
     name: str
     share: float
@@ -126,7 +130,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanParameters:
-    """A plan as the operators price it; `share` is its part of the use inside quotas."""
+    """A plan as the operators price it; `share` is its share of the usage inside quotas."""
 
     name: str
     share: float
@@ -188,23 +192,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Parameters:
-    """One drawn fleet: `value[NAME]` for each of `PARAMETER_RANGES`, and its request classes and plans."""
+    """One drawn fleet: a value for each name of `PARAMETER_RANGES`, its request classes and its plans."""
 
     values: Mapping[str, float]
     classes: tuple[ClassParameters, ...]
     plans: tuple[PlanParameters, ...]
 
     def __getitem__(self, name: str) -> float:
+        """Return the value of a parameter. Raises KeyError."""
         return self.values[name]
 
     def with_values(self, **changes: float) -> Parameters:
-        """The same world but for some figures. Raises `UnknownFigure`."""
+        """Return the same fleet with some parameters changed.
+
+        Raises:
+            ParameterError: A name is no parameter, or a value is not a number of 0 or more.
+        """
         check_overrides(changes)
         return replace(self, values={**self.values, **changes})
 
 
-def check_overrides(changes: Mapping[str, Any]) -> None:
-    """Raises `UnknownFigure` for a name that is none or a value that is no finite number."""
+def check_overrides(changes: Mapping[str, object]) -> None:
+    """Check names and values that are to replace drawn ones.
+
+    Raises:
+        ParameterError: A name is no parameter, or a value is not a finite number of 0 or more.
+    """
     for name, value in changes.items():
         if name not in PARAMETER_RANGES:
             raise ParameterError(f"{name!r} is no figure of the world")
@@ -213,38 +226,56 @@
 
 
 def draw_parameters(
-    rng: Rng, fixed: Mapping[str, float] | None = None, spans: Mapping[str, ParameterRange] | None = None
+    rng: Rng,
+    fixed: Mapping[str, float] | None = None,
+    ranges: Mapping[str, ParameterRange] | None = None,
 ) -> Parameters:
-    """Draw a world. Every span is drawn whatever is fixed, so that fixing one figure moves no other."""
+    """Draw a fleet. Every range is drawn whatever is fixed, so that fixing one parameter moves no other.
+
+    Args:
+        rng: Where all draws come from.
+        fixed: Values that replace drawn ones.
+        ranges: Ranges that replace those of `PARAMETER_RANGES`.
+
+    Raises:
+        ParameterError: `fixed` names no parameter, or a value is not a number of 0 or more.
+    """
     check_overrides(fixed or {})
-    use = {**PARAMETER_RANGES, **(spans or {})}
-    value = {name: use[name].draw(rng) for name in PARAMETER_RANGES}
+    effective = {**PARAMETER_RANGES, **(ranges or {})}
+    values = {name: effective[name].draw(rng) for name in PARAMETER_RANGES}
+    classes = _draw_classes(rng)
+    plans = _draw_plans(rng, values["most_units"])
+    values.update(fixed or {})
+    return Parameters(values, classes, plans)
+
+
+def _draw_classes(rng: Rng) -> tuple[ClassParameters, ...]:
     classes = []
-    for name, parts in CLASS_RANGES.items():
-        drawn = {part: float(rng.uniform(*span)) for part, span in parts.items()}
+    for name, ranges in CLASS_RANGES.items():
+        drawn = {field: float(rng.uniform(*limits)) for field, limits in ranges.items()}
         classes.append(ClassParameters(name, **drawn))
     total = sum(one.share for one in classes)
-    classes = [replace(one, share=one.share / total) for one in classes]
+    return tuple(replace(one, share=one.share / total) for one in classes)
+
+
+def _draw_plans(rng: Rng, most_units: float) -> tuple[PlanParameters, ...]:
     plans = []
-    for name, parts in PLAN_RANGES.items():
-        drawn = {part: float(rng.uniform(*span)) for part, span in parts.items()}
+    for name, ranges in PLAN_RANGES.items():
+        drawn = {field: float(rng.uniform(*limits)) for field, limits in ranges.items()}
         rate = round(drawn["rate"], 1)
-        burst = max(2 * value["most_units"], round(rate * drawn["burst_s"]))
-        plans.append(
-            PlanParameters(
-                name,
-                drawn["share"],
-                rate,
-                burst,
-                drawn["price"],
-                drawn["over_cost"],
-                float(rng.uniform(*GATEWAY_SHARE_RANGE)),
-            )
+        plan = PlanParameters(
+            name,
+            share=drawn["share"],
+            rate=rate,
+            burst=max(2 * most_units, round(rate * drawn["burst_s"])),
+            price=drawn["price"],
+            over_quota_cost=drawn["over_cost"],
+            gateway_share=float(rng.uniform(*GATEWAY_SHARE_RANGE)),
         )
-    value.update(fixed or {})
-    return Parameters(value, tuple(classes), tuple(plans))
+        plans.append(plan)
+    return tuple(plans)
 
 
 def guessed_parameters() -> list[str]:
-    """The figures that no page tells."""
+    """Return the names of the parameters that no page documents."""
     return [name for name, span in PARAMETER_RANGES.items() if span.guessed]
