--- a/mapleshunt/fleet/clients.py
+++ b/mapleshunt/fleet/clients.py
@@ -1,7 +1,7 @@
-"""Front and clients: who asks for what and when, through which gateway, and what a client does next.
+"""Clients and the front: which requests arrive when, through which gateway, and how clients retry.
 
-Arrivals of first tries are drawn ahead and do not wait for answers; a client's further tries are its answer
-to what it was told, and made by `Client.next_try`.
+The first attempts of requests are drawn in advance and do not depend on responses; whether and when a client
+retries is decided by `ClientBehaviour` from the result that it got.
 """
 
 from __future__ import annotations
@@ -15,59 +15,73 @@
 import numpy.typing as npt
 
 from .faults import Fault
-from .parameters import Parameters
+from .parameters import Parameters, PlanParameters
 from .random_streams import RandomStreams, Rng, lognormal
 
 ClientResult = Literal["served", "refused", "failed", "unreachable", "late"]
+CustomerKind = Literal["calm", "full", "heavy", "spiky"]
 Floats = npt.NDArray[np.float64]
-RATE_STEP_MS = 250.0  # ms over which a customer's rate is held even
+RATE_STEP_MS = 250.0  # a customer's rate is constant over such a step
+MS_PER_SECOND = 1000
+BURST_RAMP_MS = 1000.0  # over which a plan's burst rises and falls
+GATEWAY_SET_SIZES = (2, 4)  # least and greatest size of a customer's set of gateways
+HEAVY_SHARE_INSIDE = 0.97  # of the rate of a customer that sends too much, what its quota admits
+SPIKE_BUCKET_USE = 0.7  # of a bucket's burst that a spike uses
+NOISE_SEED_LIMIT = 1 << 30
+MEAN_UNITS_SEED, MEAN_UNITS_SAMPLE = 7, 20000
 
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """A retailer: its plan (by number), what it asks on average (units/s), and its set of gateways."""
+    """A customer: its plan (by number), its mean rate (units a second), and its set of gateways.
+
+    The set are `gateway_set_size` gateways from `first_gateway` on, in a ring.
+    """
 
     name: str
     plan: int
     rate: float
     gateway_set_size: int
     first_gateway: int
-    kind: Literal["calm", "full", "heavy", "spiky"]
+    kind: CustomerKind
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A first try as drawn: what is asked, and the chances of its further tries (uniform in 0 to 1)."""
+    """A request as drawn, with the draws that decide its retries (uniform in 0 to 1)."""
 
-    arrives_at: float
+    arrives_at: float  # ms
     customer: int
     class_index: int
-    work_ms: float  # ms of a core
+    work_ms: float  # of a core
     units: float  # true ones
     estimated_units: float
     gateway_draw: float  # chooses among the gateways of the set
-    timeout_share: float  # part of the deadline a try waits
-    retry_after_draw: float  # the client heeds the advised wait if this lies under `honour`
+    timeout_share: float  # of the deadline, that an attempt waits
+    retry_after_draw: float  # the client respects Retry-After if this is below its probability
     noise_offset: int  # where in the table of attempt noise this request begins
 
 
 @dataclass(slots=True)
 class Traffic:
-    """The customers and all first tries of a run, by time."""
+    """The customers and all requests of a run, by time."""
 
     customers: Sequence[Customer]
     requests: Sequence[ClientRequest]
     weights: Floats  # [shift, customer, place in the set], cumulative
-    shift_ms: float  # ms
+    shift_ms: float  # after which the weights are drawn anew
 
     def pick_gateway(
-        self, customer: int, now: float, pick: float, gateways: int, avoid: frozenset[int] | set[int]
+        self, customer: int, now: float, draw: float, gateways: int, avoid: frozenset[int] | set[int]
     ) -> int:
-        """The gateway through which a request goes now: by the set's weights, without those seen down."""
+        """Return the gateway for a request now: by the set's weights, without those in `avoid`.
+
+        If all of the set are in `avoid`, the one that the weights choose.
+        """
         who = self.customers[customer]
         rows = self.weights[min(int(now / self.shift_ms), len(self.weights) - 1), customer]
         place = 0
-        while place < who.gateway_set_size - 1 and pick >= rows[place]:
+        while place < who.gateway_set_size - 1 and draw >= rows[place]:
             place += 1
         for step in range(who.gateway_set_size):
             gateway = (who.first_gateway + (place + step) % who.gateway_set_size) % gateways
@@ -76,230 +90,253 @@
         return (who.first_gateway + place) % gateways
 
 
-def draw_customers(figures: Parameters, gateways: int, units_per_s: float, rng: Rng) -> list[Customer]:
-    """Customers whose use inside quotas comes to `units_per_s` in all, by the plans' shares."""
-    found: list[Customer] = []
-    for number, plan in enumerate(figures.plans):
-        spread = max(min(2, gateways), min(4, round(plan.gateway_share * gateways)))
-        left = plan.share * units_per_s
-        while left > 0:
-            chance = float(rng.random())
-            usual = figures["calm_use"] * float(rng.uniform(0.6, 1.4))
-            kind: Literal["calm", "full", "heavy", "spiky"] = "calm"
-            asked, inside = usual, usual
-            if chance < figures["full"]:
-                kind, asked = "full", float(rng.uniform(0.85, 1.0))
-                inside = asked
-            elif chance < figures["full"] + figures["heavy"]:
-                kind, asked, inside = "heavy", figures["heavy_x"], 0.97
-            elif chance < figures["full"] + figures["heavy"] + figures["spiky"]:
-                kind = "spiky"
-                # A spike uses what the store holds, and the whole rate while it lasts.
-                lasts = figures["spike_ms"] / figures["spike_every_ms"]
-                stored = plan.burst / plan.rate / (figures["spike_every_ms"] / 1000)
-                inside = min(1.0, usual + lasts * (1 - usual) + 0.7 * stored)
-            left -= inside * plan.rate
-            found.append(
-                Customer(
-                    f"{int(rng.integers(1 << 33)):016x}",
-                    number,
-                    asked * plan.rate,
-                    spread,
-                    int(rng.integers(gateways)),
-                    kind,
-                )
-            )
-    return found
+def draw_customers(parameters: Parameters, gateways: int, units_per_s: float, rng: Rng) -> list[Customer]:
+    """Draw customers whose usage inside quotas sums up to `units_per_s`, by the plans' shares."""
+    least, most = GATEWAY_SET_SIZES
+    customers: list[Customer] = []
+    for number, plan in enumerate(parameters.plans):
+        set_size = max(min(least, gateways), min(most, round(plan.gateway_share * gateways)))
+        remaining = plan.share * units_per_s
+        while remaining > 0:
+            kind, sent, admitted = _draw_kind(parameters, plan, rng)
+            remaining -= admitted * plan.rate
+            name = f"{int(rng.integers(1 << 33)):016x}"
+            first_gateway = int(rng.integers(gateways))
+            customers.append(Customer(name, number, sent * plan.rate, set_size, first_gateway, kind))
+    return customers
+
+
+def _draw_kind(parameters: Parameters, plan: PlanParameters, rng: Rng) -> tuple[CustomerKind, float, float]:
+    """Draw a customer's kind, and of its plan's rate the shares that it sends and that the quota admits."""
+    chance = float(rng.random())
+    usual = parameters["calm_use"] * float(rng.uniform(0.6, 1.4))
+    if chance < parameters["full"]:
+        sent = float(rng.uniform(0.85, 1.0))
+        return "full", sent, sent
+    if chance < parameters["full"] + parameters["heavy"]:
+        return "heavy", parameters["heavy_x"], HEAVY_SHARE_INSIDE
+    if chance < parameters["full"] + parameters["heavy"] + parameters["spiky"]:
+        # A spike uses what the bucket holds, and the whole rate while it lasts.
+        spike_share = parameters["spike_ms"] / parameters["spike_every_ms"]
+        stored = plan.burst / plan.rate / (parameters["spike_every_ms"] / MS_PER_SECOND)
+        admitted = min(1.0, usual + spike_share * (1 - usual) + SPIKE_BUCKET_USE * stored)
+        return "spiky", usual, admitted
+    return "calm", usual, usual
 
 
 def draw_rates(
-    figures: Parameters, customers: Sequence[Customer], length: float, faults: Sequence[Fault], rng: Rng
+    parameters: Parameters, customers: Sequence[Customer], length_ms: float, faults: Sequence[Fault], rng: Rng
 ) -> Floats:
-    """[customer, step] multiples of each customer's rate: the day's wave, spells, spikes, plans' bursts."""
-    steps = math.ceil(length / RATE_STEP_MS)
-    times = (np.arange(steps) + 0.5) * RATE_STEP_MS
-    period = float(rng.uniform(0.6, 1.2)) * max(length, 1.0)
-    wave = 1 + figures["swing"] * np.sin(2 * np.pi * (times / period + float(rng.random())))
+    """Draw multiples of each customer's rate, [customer, step]: daily wave, heavy spells, spikes, bursts."""
+    steps = math.ceil(length_ms / RATE_STEP_MS)
+    times = np.asarray((np.arange(steps) + 0.5) * RATE_STEP_MS, dtype=np.float64)
+    period = float(rng.uniform(0.6, 1.2)) * max(length_ms, 1.0)
+    wave = 1 + parameters["swing"] * np.sin(2 * np.pi * (times / period + float(rng.random())))
     rates = np.tile(wave, (len(customers), 1))
-    for n, who in enumerate(customers):
-        if who.kind == "heavy":  # long spells far over, and in between nearly all of its quota
-            low = 0.9 / figures["heavy_x"]
-            at = -float(rng.random()) * figures["heavy_spell_ms"]
-            over = bool(rng.random() < 0.6)
-            while at < length:
-                lasts = float(rng.uniform(0.5, 1.5)) * figures["heavy_spell_ms"]
-                if not over:
-                    rates[n, (times >= at) & (times < at + lasts)] *= low
-                at, over = at + lasts, not over
-        elif who.kind == "spiky":
-            plan = figures.plans[who.plan]
-            at = float(rng.random()) * figures["spike_every_ms"]
-            while at < length:
-                inside = (times >= at - RATE_STEP_MS / 2) & (
-                    times < at + figures["spike_ms"] + RATE_STEP_MS / 2
-                )
-                rates[n, inside] = figures["spike_x"] * plan.rate / who.rate
-                at += figures["spike_every_ms"] * float(rng.uniform(0.6, 1.4))
-    apply_bursts(figures, customers, faults, rates)
+    for row, customer in zip(rates, customers, strict=True):
+        if customer.kind == "heavy":
+            _apply_heavy_spells(parameters, row, times, length_ms, rng)
+        elif customer.kind == "spiky":
+            _apply_spikes(parameters, customer, row, times, length_ms, rng)
+    apply_bursts(parameters, customers, faults, rates)
     return rates
 
 
+def _apply_heavy_spells(
+    parameters: Parameters, row: Floats, times: Floats, length_ms: float, rng: Rng
+) -> None:
+    """Alternate long spells far over the quota with spells that use nearly all of it."""
+    low = 0.9 / parameters["heavy_x"]
+    at = -float(rng.random()) * parameters["heavy_spell_ms"]
+    over_quota = bool(rng.random() < 0.6)
+    while at < length_ms:
+        duration = float(rng.uniform(0.5, 1.5)) * parameters["heavy_spell_ms"]
+        if not over_quota:
+            row[(times >= at) & (times < at + duration)] *= low
+        at += duration
+        over_quota = not over_quota
+
+
+def _apply_spikes(
+    parameters: Parameters, customer: Customer, row: Floats, times: Floats, length_ms: float, rng: Rng
+) -> None:
+    """Set the rate to a multiple of the plan's during spikes."""
+    plan = parameters.plans[customer.plan]
+    at = float(rng.random()) * parameters["spike_every_ms"]
+    while at < length_ms:
+        end = at + parameters["spike_ms"] + RATE_STEP_MS / 2
+        inside = (times >= at - RATE_STEP_MS / 2) & (times < end)
+        row[inside] = parameters["spike_x"] * plan.rate / customer.rate
+        at += parameters["spike_every_ms"] * float(rng.uniform(0.6, 1.4))
+
+
 def apply_bursts(
-    figures: Parameters, customers: Sequence[Customer], faults: Sequence[Fault], rates: Floats
+    parameters: Parameters, customers: Sequence[Customer], faults: Sequence[Fault], rates: Floats
 ) -> None:
     """Multiply the rates of a plan's customers, [customer, step], while a burst of their plan lasts."""
     times = (np.arange(rates.shape[1]) + 0.5) * RATE_STEP_MS
     for fault in faults:
-        if fault.kind == "burst":
-            rise = np.clip((times - fault.at) / 1000, 0, 1) * np.clip((fault.end - times) / 1000, 0, 1)
-            for n, who in enumerate(customers):
-                if figures.plans[who.plan].name == fault.plan:
-                    rates[n] *= 1 + (fault.magnitude - 1) * rise
+        if fault.kind != "burst":
+            continue
+        rise = np.clip((times - fault.at) / BURST_RAMP_MS, 0, 1)
+        rise = rise * np.clip((fault.end - times) / BURST_RAMP_MS, 0, 1)
+        for number, customer in enumerate(customers):
+            if parameters.plans[customer.plan].name == fault.plan:
+                rates[number] *= 1 + (fault.magnitude - 1) * rise
 
 
-def mean_work(figures: Parameters) -> float:
-    return sum(cls.share * cls.work for cls in figures.classes)
+def mean_work(parameters: Parameters) -> float:
+    """Return the mean work of a request, in ms of a core."""
+    return sum(cls.share * cls.work for cls in parameters.classes)
 
 
-def units_for_work(figures: Parameters, work: Floats) -> Floats:
-    return np.clip(np.ceil(work / figures["unit_ms"]), 1, figures["most_units"])
+def units_for_work(parameters: Parameters, work: Floats) -> Floats:
+    """Return the true units of requests with this work."""
+    return np.clip(np.ceil(work / parameters["unit_ms"]), 1, parameters["most_units"])
 
 
-def mean_units(figures: Parameters) -> float:
-    """Mean true units of a request, by a fixed sample."""
-    rng = np.random.default_rng(7)
+def mean_units(parameters: Parameters) -> float:
+    """Return the mean true units of a request, by a fixed sample."""
+    rng = np.random.default_rng(MEAN_UNITS_SEED)
     return float(
         sum(
-            cls.share * units_for_work(figures, lognormal(rng, cls.work, cls.cv, 20000)).mean()
-            for cls in figures.classes
+            cls.share * units_for_work(parameters, lognormal(rng, cls.work, cls.cv, MEAN_UNITS_SAMPLE)).mean()
+            for cls in parameters.classes
         )
     )
 
 
 def draw_traffic(
-    figures: Parameters,
+    parameters: Parameters,
     gateways: int,
     units_per_s: float,
-    length: float,
+    length_ms: float,
     faults: Sequence[Fault],
     streams: RandomStreams,
 ) -> Traffic:
-    """Draw a run's traffic: `length` ms of first tries whose use inside quotas is about `units_per_s`."""
-    customers = draw_customers(figures, gateways, units_per_s, streams.generator("customers"))
-    rates = draw_rates(figures, customers, length, faults, streams.generator("rates"))
-    return draw_traffic_for(figures, gateways, customers, rates, length, streams)
+    """Draw the traffic of a run of `length_ms` whose usage inside quotas is about `units_per_s`."""
+    customers = draw_customers(parameters, gateways, units_per_s, streams.generator("customers"))
+    rates = draw_rates(parameters, customers, length_ms, faults, streams.generator("rates"))
+    return draw_traffic_for(parameters, customers, rates, length_ms, streams)
 
 
 def draw_traffic_for(
-    figures: Parameters,
-    gateways: int,
+    parameters: Parameters,
     customers: Sequence[Customer],
     rates: Floats,
-    length: float,
+    length_ms: float,
     streams: RandomStreams,
 ) -> Traffic:
-    """First tries of given customers with given multiples of their rates, [customer, step of `STEP` ms]."""
-    per_request = mean_units(figures)
+    """Draw the traffic of given customers with given multiples of their rates, [customer, rate step]."""
+    per_request = mean_units(parameters)
     rng = streams.generator("arrivals")
-    usual = np.array([who.rate for who in customers]) / per_request  # requests a second
-    counts = rng.poisson(usual[:, None] * rates * RATE_STEP_MS / 1000)
-    who, step = np.nonzero(counts)
-    many = counts[who, step]
-    who, step = np.repeat(who, many), np.repeat(step, many)
-    at = (step + rng.random(len(step))) * RATE_STEP_MS
-    keep = at < length
-    who, at = who[keep], at[keep]
-    order = np.argsort(at, kind="stable")
-    who, at = who[order], at[order]
+    usual = np.array([customer.rate for customer in customers]) / per_request  # requests a second
+    counts = rng.poisson(usual[:, None] * rates * RATE_STEP_MS / MS_PER_SECOND)
+    customer, step = np.nonzero(counts)
+    repeats = counts[customer, step]
+    customer, step = np.repeat(customer, repeats), np.repeat(step, repeats)
+    arrivals = (step + rng.random(len(step))) * RATE_STEP_MS
+    inside = arrivals < length_ms
+    customer, arrivals = customer[inside], arrivals[inside]
+    order = np.argsort(arrivals, kind="stable")
+    customer, arrivals = customer[order], arrivals[order]
     return Traffic(
         customers,
-        draw_requests(figures, at, who, streams),
-        draw_gateway_weights(figures, gateways, customers, length, streams),
-        figures["shift_ms"],
+        draw_requests(parameters, arrivals, customer, streams),
+        draw_gateway_weights(parameters, customers, length_ms, streams),
+        parameters["shift_ms"],
     )
 
 
 def draw_requests(
-    figures: Parameters, at: Floats, who: npt.NDArray[np.intp], streams: RandomStreams
+    parameters: Parameters, arrivals: Floats, customers: npt.NDArray[np.intp], streams: RandomStreams
 ) -> list[ClientRequest]:
-    """First tries at these times of these customers, with their sizes and chances drawn."""
-    size, rng, chances = len(at), streams.generator("sizes"), streams.generator("tries")
-    shares = np.cumsum([cls.share for cls in figures.classes])
-    cls = np.searchsorted(shares / shares[-1], rng.random(size))
+    """Draw the sizes and retry draws of requests that arrive at these times (ms) from these customers."""
+    size = len(arrivals)
+    sizes, retries = streams.generator("sizes"), streams.generator("tries")
+    shares = np.cumsum([cls.share for cls in parameters.classes])
+    class_index = np.searchsorted(shares / shares[-1], sizes.random(size))
     work = np.zeros(size)
-    for number, shape in enumerate(figures.classes):
-        drawn = lognormal(rng, shape.work, shape.cv, size)
-        work = np.where(cls == number, drawn, work)
-    units = units_for_work(figures, work)
-    off = lognormal(rng, 1.0, figures["guess_cv"], size)
-    guess = np.clip(np.round(units * off), 1, figures["most_units"])
-    pick, patience, heeds = (
-        chances.random(size),
-        chances.uniform(figures["try_share"], 1, size),
-        chances.random(size),
-    )
-    noise = chances.integers(0, 1 << 30, size)
-    rows = zip(
-        at.tolist(),
-        who.tolist(),
-        cls.tolist(),
-        work.tolist(),
-        units.tolist(),
-        guess.tolist(),
-        pick.tolist(),
-        patience.tolist(),
-        heeds.tolist(),
-        noise.tolist(),
-        strict=True,
-    )
+    for number, cls in enumerate(parameters.classes):
+        drawn = lognormal(sizes, cls.work, cls.cv, size)
+        work = np.where(class_index == number, drawn, work)
+    units = units_for_work(parameters, work)
+    error = lognormal(sizes, 1.0, parameters["guess_cv"], size)
+    estimated_units = np.clip(np.round(units * error), 1, parameters["most_units"])
+    gateway_draw = retries.random(size)
+    timeout_share = retries.uniform(parameters["try_share"], 1, size)
+    retry_after_draw = retries.random(size)
+    noise_offset = retries.integers(0, NOISE_SEED_LIMIT, size)
+    columns = (
+        arrivals, customers, class_index, work, units, estimated_units, gateway_draw, timeout_share,
+        retry_after_draw, noise_offset,
+    )  # fmt: skip
+    rows = zip(*(column.tolist() for column in columns), strict=True)
     return [ClientRequest(*row) for row in rows]
 
 
 def draw_gateway_weights(
-    figures: Parameters, gateways: int, customers: Sequence[Customer], length: float, streams: RandomStreams
+    parameters: Parameters,
+    customers: Sequence[Customer],
+    length_ms: float,
+    streams: RandomStreams,
 ) -> Floats:
-    """Cumulative weights of the gateways of each set, [shift, customer, place], drawn anew at every shift."""
+    """Draw cumulative weights of the gateways of each set, [shift, customer, place], anew at every shift."""
     rng = streams.generator("spread")
-    shifts = math.ceil(length / figures["shift_ms"]) + 1
-    most = max((who.gateway_set_size for who in customers), default=1)
-    raw = np.exp(figures["skew"] * rng.standard_normal((shifts, len(customers), most)))
-    for n, one in enumerate(customers):
-        raw[:, n, one.gateway_set_size :] = 0.0
-    total = np.cumsum(raw, axis=2)
+    shifts = math.ceil(length_ms / parameters["shift_ms"]) + 1
+    largest_set = max((customer.gateway_set_size for customer in customers), default=1)
+    normal = rng.standard_normal((shifts, len(customers), largest_set))
+    weights = np.exp(parameters["skew"] * normal)
+    for number, customer in enumerate(customers):
+        weights[:, number, customer.gateway_set_size :] = 0.0
+    total = np.cumsum(weights, axis=2)
     return np.asarray(total / total[:, :, -1:], dtype=np.float64)
 
 
 class ClientBehaviour:
-    """How clients of a day repeat: `next_try` says when, or that it is over. Times in ms."""
-
-    def __init__(self, figures: Parameters, max_retry_after: float) -> None:
-        self.max_retries = int(figures["retries"])
-        self.backoff_ms, self.exponential_backoff = figures["backoff_ms"], figures["backoff_grows"] > 0
-        self.retry_after_probability, self.other_gateway_probability = figures["honour"], figures["elsewhere"]
+    """When and where clients retry. Times are in ms."""
+
+    def __init__(self, parameters: Parameters, max_retry_after: float) -> None:
+        """Args: `max_retry_after` is the longest Retry-After (ms) that a client respects."""
+        self.max_retries = int(parameters["retries"])
+        self.backoff_ms = parameters["backoff_ms"]
+        self.exponential_backoff = parameters["backoff_grows"] > 0
+        self.retry_after_probability = parameters["honour"]
+        self.other_gateway_probability = parameters["elsewhere"]
         self.max_retry_after = max_retry_after
 
     def retry_delay(
-        self, ask: ClientRequest, tries: int, told: ClientResult, wait: float, repeatable: bool
+        self,
+        request: ClientRequest,
+        attempts: int,
+        result: ClientResult,
+        retry_after: float,
+        idempotent: bool,
     ) -> float | None:
-        """How long after a final answer the client tries again (ms); None: it does not.
+        """Return how long after a result the client retries (ms), or None if it does not.
 
-        A request that may be repeated is, after any failure; another only after a refusal, or when no
+        An idempotent request is retried after any failure; another only after a rejection, or when no
         gateway could be reached.
+
+        Args:
+            request: The request.
+            attempts: How many attempts its client has made.
+            result: How the last one ended.
+            retry_after: The Retry-After that came with it (ms); 0 for none.
+            idempotent: The request may be repeated without harm.
         """
-        if told == "served" or tries > self.max_retries:
+        if result == "served" or attempts > self.max_retries:
             return None
-        if not repeatable and told not in ("refused", "unreachable"):
+        if not idempotent and result not in ("refused", "unreachable"):
             return None
-        own = (
-            self.backoff_ms
-            * (2 ** (tries - 1) if self.exponential_backoff else 1)
-            * (0.75 + 0.5 * ((ask.noise_offset + tries) % 97) / 97)
-        )
-        if wait and ask.retry_after_draw < self.retry_after_probability:
-            own = max(own, min(wait, self.max_retry_after))
-        return own
-
-    def retry_gateway_draw(self, ask: ClientRequest, tries: int) -> float:
-        """Where in the set's weights a further try falls: mostly where the first did, or drawn anew."""
-        drawn = (ask.noise_offset * (tries + 7) * 2654435761) % 1048573 / 1048573
-        return ask.gateway_draw if drawn > self.other_gateway_probability else (drawn * 7919) % 1.0
+        growth = 2 ** (attempts - 1) if self.exponential_backoff else 1
+        jitter = 0.75 + 0.5 * ((request.noise_offset + attempts) % 97) / 97
+        delay = self.backoff_ms * growth * jitter
+        if retry_after and request.retry_after_draw < self.retry_after_probability:
+            delay = max(delay, min(retry_after, self.max_retry_after))
+        return delay
+
+    def retry_gateway_draw(self, request: ClientRequest, attempts: int) -> float:
+        """Return the draw for a retry's gateway: mostly the first attempt's, or one drawn anew."""
+        draw = (request.noise_offset * (attempts + 7) * 2654435761) % 1048573 / 1048573
+        return request.gateway_draw if draw > self.other_gateway_probability else (draw * 7919) % 1.0
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -362,7 +362,7 @@
             found = held.pop(work, None)
             if found is not None and not work.cancelled:
                 till.latency_since_report += self.agenda.now - (found[2].arrived_at or 0.0)
-                self._back(*found, till.draw_status(work))
+                self._back(*found, till.draw_status())
 
     def _back(self, gateway: int, one: ClientAttempt, attempt: UpstreamAttempt, word: str) -> None:
         at = self.agenda.now + self.network.backend_delay.next()
@@ -384,7 +384,7 @@
                 self.pools[gateway].setdefault(server, []).append(now)
             else:
                 till.connections = max(0, till.connections - 1)
-                till.cancel(now, attempt.backend_request)
+                till.cancel(attempt.backend_request)
         if status in ("unreachable", "reset") and attempt.arrived_at is None:
             attempt.status = status = "unreachable"
         cost = 0.0
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -247,7 +247,7 @@
                 profile.append(held)
         table = np.array(profile) if profile else np.zeros((0, wanted))
         clients.apply_bursts(drawn, who, faults, table)
-        return clients.draw_traffic_for(drawn, scenario.gateways, who, table, length, streams)
+        return clients.draw_traffic_for(drawn, who, table, length, streams)
 
 
 def scenario_from(fit: Fit, base: Scenario, scale: float = 1.0, by: str = "customers") -> Scenario:
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -125,7 +125,7 @@
         if out.attempt.status is None:
             out.attempt.status = "cancelled"
             out.attempt.backend_request.cancelled = True
-            self.machine.cancel(self.fleet.clock.now(), out.attempt.backend_request)
+            self.machine.cancel(out.attempt.backend_request)
             self.held.pop(out.attempt.backend_request, None)
             if not out.done.done():
                 out.done.set_result("cancelled")
@@ -204,7 +204,7 @@
             out = self.held.pop(work, None)
             if out is not None and not work.cancelled and not out.done.done():
                 self.machine.latency_since_report += self.fleet.clock.now() - (out.attempt.arrived_at or 0.0)
-                out.done.set_result(self.machine.draw_status(work))
+                out.done.set_result(self.machine.draw_status())
 
     def _plan(self) -> None:
         if self.machine.next_event_at < self.alarm_at:
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -137,7 +137,7 @@
         if self.machine.silent and self.machine.up:
             self.machine.silent = False
             self.machine.advanced_to = self.fleet.clock.now()
-            self.machine._plan(self.fleet.clock.now())
+            self.machine.reschedule(self.fleet.clock.now())
             self._plan()
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -79,7 +79,7 @@
         works = [BackendRequest(n, 100.0) for n in range(8)]
         for work in works:
             server.offer(0.0, work)
-        server.cancel(0.0, works[7])
+        server.cancel(works[7])
         assert len(drain(server)) == runs
 
 
@@ -117,7 +117,7 @@
     server.start(1000.0)
     sent = 0
     while not server.collapsed:
-        server.offer(1000.0 + sent, BackendRequest(sent, 100.0), told=sent % 4 != 0)
+        server.offer(1000.0 + sent, BackendRequest(sent, 100.0), sender_knows_start=sent % 4 != 0)
         sent += 1
     assert 2200 < 100 * sent < 2400 and server.collapse_was_avoidable
     assert server.offer(3000.0, BackendRequest("late", 1.0))[0] == "full"
@@ -128,7 +128,7 @@
     server.crash(0.0)
     server.start(1000.0)
     for n in range(40):
-        server.offer(1000.0, BackendRequest(n, 100.0), told=n % 2 == 0)
+        server.offer(1000.0, BackendRequest(n, 100.0), sender_knows_start=n % 2 == 0)
     assert server.collapsed and not server.collapse_was_avoidable
 
 
