--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -172,7 +172,7 @@
     @precondition(lambda self: self.held)
     @rule(pick=st.integers(0, 100))
     def cancel(self, pick: int) -> None:
-        self.server.cancel(self.now, list(self.held.values())[pick % len(self.held)])
+        self.server.cancel(list(self.held.values())[pick % len(self.held)])
 
     @rule(ms=st.floats(0, 400))
     def wait(self, ms: float) -> None:
