--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -12,46 +12,54 @@
 UNREACHABLE = "no gateway"
 
 
-def final(one: ClientAttempt) -> str:
-    """served, refused, failed; or why there was no answer."""
-    if one.result is not None:
-        return str(one.result)
-    return NO_ANSWER if one.accepted else UNREACHABLE
-
-
-def why(one: ClientAttempt, room: bool) -> str:
-    """The reason for a try's end, as far as it shows on the wire."""
-    last = one.attempts[-1].status if one.attempts else None
-    if one.result == "served":
-        return "first attempt" if len(one.attempts) == 1 else "further attempt"
-    if one.result == "refused":
-        if one.attempts:
-            return "till servers full" if last == "full" else f"attempt ended: {last or 'out'}"
-        return "no slot in time, or no word of its quota" if room else "beyond the quota"
-    if one.result == "failed":
-        return f"attempt ended: {last or 'out'}" if one.attempts else "nothing was sent"
-    if not one.accepted:
+def final_answer(attempt: ClientAttempt) -> str:
+    """Return served, refused or failed; or why there was no answer."""
+    if attempt.result is not None:
+        return str(attempt.result)
+    return NO_ANSWER if attempt.accepted else UNREACHABLE
+
+
+def reason(attempt: ClientAttempt, within_quota: bool) -> str:
+    """Return the reason for a client's attempt's end, as far as it shows on the wire."""
+    match attempt.result:
+        case "served":
+            return "first attempt" if len(attempt.attempts) == 1 else "further attempt"
+        case "refused":
+            return _refusal_reason(attempt, within_quota)
+        case "failed":
+            return _last_status(attempt) if attempt.attempts else "nothing was sent"
+    if not attempt.accepted:
         return "connection refused"
-    return "its gateway was down" if one.attempts or one.client_notified else "lost"
+    return "its gateway was down" if attempt.attempts or attempt.client_notified else "lost"
+
+
+def _refusal_reason(attempt: ClientAttempt, within_quota: bool) -> str:
+    if attempt.attempts:
+        return "till servers full" if attempt.attempts[-1].status == "full" else _last_status(attempt)
+    return "no slot in time, or no word of its quota" if within_quota else "beyond the quota"
+
+
+def _last_status(attempt: ClientAttempt) -> str:
+    return f"attempt ended: {attempt.attempts[-1].status or 'out'}"
 
 
 def reasons(fleet: LoopbackFleet) -> dict[str, Counter[str]]:
-    """Counts of tries by final answer and reason."""
+    """Return the counts of clients' attempts by final answer and reason."""
     found: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
-    stores: dict[int, TokenBucket] = {}
+    buckets: dict[int, TokenBucket] = {}
     plans, customers = fleet.day.parameters.plans, fleet.day.traffic.customers
-    for one in fleet.rule_checker.client_attempts:
-        plan = plans[customers[one.request.customer].plan]
-        store = stores.setdefault(one.request.customer, TokenBucket(plan.rate, plan.burst))
-        room = store.refill(one.sent_at) >= one.request.estimated_units
-        found.setdefault(final(one), Counter())[why(one, room)] += 1
-        if one.inside_quota:
-            store.try_take(one.sent_at, one.request.units)
+    for attempt in fleet.rule_checker.client_attempts:
+        request = attempt.request
+        plan = plans[customers[request.customer].plan]
+        bucket = buckets.setdefault(request.customer, TokenBucket(plan.rate, plan.burst))
+        within_quota = bucket.refill(attempt.sent_at) >= request.estimated_units
+        found.setdefault(final_answer(attempt), Counter())[reason(attempt, within_quota)] += 1
+        if attempt.inside_quota:
+            bucket.try_take(attempt.sent_at, request.units)
     return found
 
 
 def exactly_once(fleet: LoopbackFleet) -> bool:
-    """Did every request that a gateway took get one final answer, and no connection bring a second?"""
-    return not fleet.clients.strange and all(
-        one.result is not None for one in fleet.rule_checker.client_attempts if one.accepted
-    )
+    """Whether each request that a gateway took got one final answer, and no connection brought a second."""
+    taken = (attempt for attempt in fleet.rule_checker.client_attempts if attempt.accepted)
+    return not fleet.clients.strange and all(attempt.result is not None for attempt in taken)
