--- a/mapleshunt/fleet/backend.py
+++ b/mapleshunt/fleet/backend.py
@@ -1,8 +1,8 @@
 """An emulated backend: shared cores, a bounded queue, warm-up, and collapse under overload.
 
-A host calls `offer` and `cancel` as requests arrive and are cancelled, and `advance` once `next_event_at` has
-come; each returns what follows. Running requests share the cores evenly (processor sharing): one counter of the
-work done for each of them advances at a common rate, so a step costs one heap operation however many run.
+A host calls `offer` and `cancel` as requests arrive and are cancelled, and `advance` once `next_event_at`
+has come; each returns what follows. Running requests share the cores evenly (processor sharing): one counter
+of the work done for each of them advances at a common rate, so a step costs one heap operation.
 """
 
 from __future__ import annotations
