--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -19,7 +19,8 @@
 from .net.replication.leases import LeaseClient
 from .recording.writer import Recorder
 from .settings import operators
-from .storage.durable_store import DurableStore, StoreUnavailableError
+from .storage.durable_store import DurableStore
+from .storage.errors import StoreUnavailableError
 from .transient_errors import is_transient
 
 STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -1,6 +1,7 @@
 """One group's replica on this gateway: its state machine, its timer, and the calls it answers.
 
-Decisions are those of `replication.node` and `replicated_state.state_machine`; what they ask for is carried out here.
+Decisions are those of `replication.node` and `replicated_state.state_machine`; what they ask for is carried
+out here.
 """
 
 from __future__ import annotations
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -1,6 +1,7 @@
 """The host of a gateway's copies: its groups, their disk, their links, and who answers calls.
 
-Decisions are those of `replication.node` and `replicated_state.state_machine`; here are clock, timers, disk and sockets.
+Decisions are those of `replication.node` and `replicated_state.state_machine`; here are clock, timers, disk
+and sockets.
 """
 
 from __future__ import annotations
@@ -22,7 +23,8 @@
 from ...replication.roles import Role
 from ...replication.snapshot_pacer import SnapshotPacer
 from ...settings.operators import Copies as Section
-from ...storage.durable_store import DurableStore, StoreError, StoreInUseError, StoreUnavailableError
+from ...storage.durable_store import DurableStore
+from ...storage.errors import StoreInUseError, StoreUnavailableError, StoreUnusableError
 from ...storage.writer import StoreWriter
 from ...transient_errors import is_transient
 from .. import log
@@ -50,7 +52,7 @@
         return DurableStore(Path(section.folder.replace("{name}", name)), section.fleet, name)
     except StoreInUseError as error:
         raise ReplicationInUseError(f"copies: {error}") from None
-    except StoreError as error:
+    except StoreUnusableError as error:
         raise ConfigError(f"copies: {error}") from None
 
 
@@ -93,7 +95,7 @@
                 raise StoreUnavailableError(f"cannot listen: {error}") from None
             kind = ReplicationInUseError if error.errno == errno.EADDRINUSE else ConfigError
             raise kind(f"copies: cannot listen: {error}") from None
-        self.known, self.formed = dict(self.disk.known), self.disk.formed
+        self.known, self.formed = dict(self.disk.known_boots), self.disk.formed_groups
         self.generations = dict(self.disk.generations)
         self.hosts: dict[int, GroupHost] = {}
         self.creating: set[int] = set()
@@ -133,7 +135,7 @@
         rate = self.section.transfer_kb_per_s * 1024
         self.pace = SnapshotPacer[tuple[int, m.Replica], m.SnapshotChunk](rate, rate / 4, self.begun)
         self.pacing: asyncio.TimerHandle | None = None
-        for group, stored in self.disk.loaded.items():
+        for group, stored in self.disk.groups.items():
             self.hosts[group] = GroupHost(self, group, stored)
         self.links.open()
         log.log_event("copies_started", incarnation=self.disk.incarnation, boot=self.disk.boot,
@@ -175,7 +177,7 @@
                 loop.call_soon_threadsafe(self._created, group, generation, stored)
 
         generation = self.generations.get(group, 0)
-        self.writer.call(create)
+        self.writer.run_task(create)
 
     def _created(self, group: int, generation: int, stored: m.PersistentState) -> None:
         self.creating.discard(group)
@@ -193,7 +195,7 @@
             log.log_event(
                 "copies_superseded", group=group, last=host.node.log.last_index(), generation=generation
             )
-        self.writer.call(lambda: self.disk.forget(group, generation))
+        self.writer.run_task(lambda: self.disk.forget(group, generation))
 
     def _recover(self, group: int, told: str) -> tuple[str, str, bytes]:
         """Go on with this gateway's copy alone, if it is as the operator was told, and most are gone."""
@@ -216,7 +218,7 @@
                 loop.call_soon_threadsafe(self._created, group, generation, stored)
                 loop.call_soon_threadsafe(self.links.hang_up)  # all are greeted anew, and so are told
 
-        self.writer.call(recover)
+        self.writer.run_task(recover)
         return "done", "", b""
 
     def quorum(self, host: GroupHost) -> bool:
@@ -228,7 +230,7 @@
 
     def _keep_known(self) -> None:
         known, formed = dict(self.known), self.formed
-        self.writer.call(lambda: self.disk.know(known, formed))
+        self.writer.run_task(lambda: self.disk.save_known(known, formed))
 
     # Connections
 
@@ -292,7 +294,7 @@
             if not self.ended:
                 loop.call_soon_threadsafe(renewed)
 
-        self.writer.call(renew)
+        self.writer.run_task(renew)
 
     def _heard(self, hello: wire.Handshake, channel: int, message: m.Message) -> None:
         group, generation = generations.group_and_generation(channel)
@@ -391,7 +393,7 @@
             "gateway": self.name, "incarnation": self.disk.incarnation, "boot": self.disk.boot,
             "links": sorted(self.links.links), "formed": bin(self.formed).count("1"),
             "commits": self.writer.commits, "writes": self.writer.writes, "failures": self.writer.failures,
-            **self.serves(), "slowest_commit_ms": round(1000 * self.writer.slowest, 1),
+            **self.serves(), "slowest_commit_ms": round(1000 * self.writer.slowest_commit_s, 1),
             "groups": [host.status() for _, host in sorted(self.hosts.items())],
         }  # fmt: skip
 
--- a/mapleshunt/simulation/replication_plays.py
+++ b/mapleshunt/simulation/replication_plays.py
@@ -1,9 +1,9 @@
 """Copies of one group in a virtual network, with virtual disks and time; faults by seed, and what must hold.
 
-Every copy is a `replication.node.RaftNode` as it is. A disk makes writes durable in their order after a while; a kill
-loses those that are not, and messages on the way may be lost, late or twice. What is checked is Raft's own:
-election safety, log matching, leader completeness, applied entries alike; and that a call once answered stays
-(thesis, figure 3.2); reads see all that was answered before they were asked.
+Every copy is a `replication.node.RaftNode` as it is. A disk makes writes durable in their order after a
+while; a kill loses those that are not, and messages on the way may be lost, late or twice. What is checked is
+Raft's own: election safety, log matching, leader completeness, applied entries alike; and that a call once
+answered stays (thesis, figure 3.2); reads see all that was answered before they were asked.
 """
 
 from __future__ import annotations
--- a/mapleshunt/storage/__init__.py
+++ b/mapleshunt/storage/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway's disk for its copies: an embedded store, checked as it is read, written by its own thread."""
+"""A gateway's durable store for its replicas: an embedded database, checked as it is read, and its writer."""
--- /dev/null
+++ b/mapleshunt/storage/errors.py
@@ -0,0 +1,41 @@
+"""What goes wrong with a store, and whether another attempt may succeed."""
+
+from __future__ import annotations
+
+import apsw
+
+from ..transient_errors import is_transient
+
+
+class StoreError(Exception):
+    """The base of all errors of a store; the text is for the operator."""
+
+
+class StoreUnusableError(StoreError):
+    """The store cannot be used, and must not be touched: the configuration or the version is wrong."""
+
+
+class StoreInUseError(StoreUnusableError):
+    """Another process has the store open."""
+
+
+class StoreUnavailableError(StoreError):
+    """The store cannot be opened now, and may be later: the disk is full, or a call failed."""
+
+
+class StoreDamagedError(StoreError):
+    """The store's content does not add up."""
+
+
+# What opening and checking a store raises if its content is damaged, or if a read of it failed.
+DAMAGE_ERRORS = (StoreDamagedError, ValueError, TypeError, apsw.CorruptError, apsw.NotADBError)
+# Errors that may pass by themselves. All others are the fault of the configuration.
+# A corrupt database is among them: behind the check of the whole content it is a read that failed.
+TRANSIENT_SQLITE_ERRORS = (apsw.FullError, apsw.IOError, apsw.NoMemError, apsw.CorruptError)
+
+
+def may_succeed_later(error: Exception) -> bool:
+    """Whether it is an error of the disk that may be gone at the next attempt."""
+    if isinstance(error, OSError):
+        return is_transient(error)
+    return isinstance(error, (*TRANSIENT_SQLITE_ERRORS, MemoryError))
--- a/mapleshunt/storage/writer.py
+++ b/mapleshunt/storage/writer.py
@@ -1,4 +1,4 @@
-"""Group commit off the loop's thread: a slow `fsync` delays nobody but those who wait for what it writes."""
+"""Group commit off the event loop's thread: a slow `fsync` delays only those who wait for what it writes."""
 
 from __future__ import annotations
 
@@ -12,86 +12,122 @@
 from ..replication import messages as m
 from .durable_store import DurableStore
 
-MOST_AT_ONCE = 512  # writes in one commit
-AGAIN = 0.5  # s after a commit that failed: the disk may have room again
+MAX_WRITES_PER_COMMIT = 512
+RETRY_DELAY_S = 0.5  # after a commit that failed: the disk may have room again
+CLOSE_TIMEOUT_S = 10.0  # that a write may take while the gateway ends
 
-Done = Callable[[list[tuple[int, int]]], None]  # told of (group, number) that are durable, by this thread
-Failed = Callable[[str], None]
+OnDurable = Callable[[list[tuple[int, int]]], None]
+OnFailure = Callable[[str], None]
+Task = Callable[[], None]
 
 
 class StoreWriter:
-    """Writes in the order they come, of all groups together."""
-
-    def __init__(self, disk: DurableStore, done: Done, failed: Failed) -> None:
-        """`failed` is told why a commit did not succeed; it is tried again until one does, or `close`."""
-        self.disk, self.done, self.failed = disk, done, failed
-        self.waiting: queue.SimpleQueue[tuple[int, m.Write] | Callable[[], None] | None] = queue.SimpleQueue()
-        self.closing = threading.Event()
-        self.commits = self.writes = self.failures = 0
-        self.slowest = 0.0  # s
-        self.thread = threading.Thread(target=self._run, name="copies-writer", daemon=True)
-        self.thread.start()
+    """A thread that makes writes of all groups durable together, in the order they come.
+
+    Attributes:
+        commits: Commits that succeeded.
+        writes: Writes in them.
+        failures: Attempts that failed.
+        slowest_commit_s: The longest that a commit took, s.
+    """
+
+    def __init__(self, store: DurableStore, on_durable: OnDurable, on_failure: OnFailure) -> None:
+        """Start the thread.
+
+        Args:
+            store: The open store, which only this thread uses from now on.
+            on_durable: Called by the thread with the (group, number) of writes that are durable.
+            on_failure: Called by the thread with the reason why an attempt failed. It is repeated until it
+                succeeds, or until `close`.
+        """
+        self._store = store
+        self._on_durable = on_durable
+        self._on_failure = on_failure
+        self._queue: queue.SimpleQueue[tuple[int, m.Write] | Task | None] = queue.SimpleQueue()
+        self._closing = threading.Event()
+        self.commits = 0
+        self.writes = 0
+        self.failures = 0
+        self.slowest_commit_s = 0.0
+        self._thread = threading.Thread(target=self._run, name="copies-writer", daemon=True)
+        self._thread.start()
 
     def write(self, group: int, write: m.Write) -> None:
-        self.waiting.put((group, write))
+        """Queue a write of a group's replica."""
+        self._queue.put((group, write))
+
+    def run_task(self, task: Task) -> None:
+        """Queue something else for this thread, between two commits. It is repeated if the disk fails."""
+        self._queue.put(task)
 
-    def call(self, what: Callable[[], None]) -> None:
-        """Something else for this thread, between two commits. It is called again if it fails."""
-        self.waiting.put(what)
+    def close(self) -> None:
+        """Finish what is queued, if the disk lets it, and end the thread; blocks for that long."""
+        self._closing.set()
+        self._queue.put(None)
+        self._thread.join(CLOSE_TIMEOUT_S)
 
     def _run(self) -> None:
         while True:
-            first = self.waiting.get()
-            batch: list[tuple[int, m.Write]] = []
-            while first is not None and not callable(first):
-                batch.append(first)
-                if len(batch) >= MOST_AT_ONCE or self.waiting.empty():
-                    break
-                first = self.waiting.get()
+            batch, item = self._next_batch()
             if batch and not self._commit(batch):
                 return
-            if first is None:
+            if item is None:
                 return
-            if callable(first) and not self._repeat(first, may_be_given_up=True):
+            if callable(item) and not self._repeat(item, may_be_abandoned=True):
                 return
 
-    def _repeat(self, task: Callable[[], None], may_be_given_up: bool = False) -> bool:
-        """Do the task until it succeeds: what it stands for was promised. False if `close` ended that.
+    def _next_batch(self) -> tuple[list[tuple[int, m.Write]], tuple[int, m.Write] | Task | None]:
+        """Wait for writes; returns those that are committed together, and the last item that was taken.
 
-        `may_be_given_up`: one that fails for another reason than the disk's would fail again, and is left
-        undone, for it must not keep all that waits behind it from being done.
+        The last item is one of the writes, a task to run behind them, or None at the end.
+        """
+        item = self._queue.get()
+        batch: list[tuple[int, m.Write]] = []
+        while item is not None and not callable(item):
+            batch.append(item)
+            if len(batch) >= MAX_WRITES_PER_COMMIT or self._queue.empty():
+                break
+            item = self._queue.get()
+        return batch, item
+
+    def _repeat(self, task: Task, may_be_abandoned: bool = False) -> bool:
+        """Do the task until it succeeds: what it stands for was promised.
+
+        Args:
+            task: What to do.
+            may_be_abandoned: A task that fails for another reason than the disk would fail again. It is left
+                undone, for it must not keep all that waits behind it from being done.
+
+        Returns:
+            False if `close` ended the attempts.
         """
         while True:
             try:
                 task()
-                return True
             except (apsw.Error, OSError, MemoryError) as error:
-                self._count_failure(str(error))
-            except Exception as error:
-                self._count_failure(f"{type(error).__name__}: {error}")
-                if may_be_given_up:
+                self._record_failure(str(error))
+            except Exception as error:  # any defect of a task: it must not end the thread
+                self._record_failure(f"{type(error).__name__}: {error}")
+                if may_be_abandoned:
                     return True
-            if self.closing.wait(AGAIN):
+            else:
+                return True
+            if self._closing.wait(RETRY_DELAY_S):
                 return False
 
-    def _count_failure(self, why: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         self.failures += 1
-        self.failed(why)
+        self._on_failure(reason)
 
     def _commit(self, batch: list[tuple[int, m.Write]]) -> bool:
         def commit() -> None:
             begun = time.monotonic()
-            self.disk.commit(batch)
-            self.slowest = max(self.slowest, time.monotonic() - begun)
+            self._store.commit(batch)
+            self.slowest_commit_s = max(self.slowest_commit_s, time.monotonic() - begun)
 
         if not self._repeat(commit):
             return False
-        self.commits, self.writes = self.commits + 1, self.writes + len(batch)
-        self.done([(group, write.number) for group, write in batch])
+        self.commits += 1
+        self.writes += len(batch)
+        self._on_durable([(group, write.number) for group, write in batch])
         return True
-
-    def close(self) -> None:
-        """Finish what is waiting, if the disk lets it, and end."""
-        self.closing.set()
-        self.waiting.put(None)
-        self.thread.join(10)
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -202,7 +202,9 @@
                 if place.state == state:
                     return self.fleet.machines[place.machine]
             await asyncio.sleep(0.02)
-        raise GatewayError(f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s: {self._works.blocked_reason}")
+        raise GatewayError(
+            f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s: {self._works.blocked_reason}"
+        )
 
     async def _inject(self, fault: MaintenanceFaultAt, client: ReplicaClient) -> None:
         """Inject a fault once a machine is in its state, and heal it. One that is worked on is left alone."""
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -21,7 +21,8 @@
 from mapleshunt.net import config
 from mapleshunt.replication import messages as m
 from mapleshunt.server.gateway_server import GatewayServer
-from mapleshunt.storage.durable_store import DurableStore, StoreDamagedError
+from mapleshunt.storage.durable_store import DurableStore
+from mapleshunt.storage.errors import StoreDamagedError
 from mapleshunt.storage.writer import StoreWriter
 from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 
@@ -32,7 +33,7 @@
 OPEN_AGAIN_AND_AGAIN = f"""
 import json, sys
 from pathlib import Path
-from mapleshunt.storage.durable_store import Disk
+from mapleshunt.storage.durable_store import DurableStore
 opened, failed = [], []
 for _ in range({OPENS}):
     try:
@@ -40,14 +41,14 @@
     except Exception as error:
         failed.append(type(error).__name__)
     else:
-        opened.append([disk.incarnation, len(disk.loaded[3].entries) if disk.loaded else 0, disk.set_aside])
+        opened.append([disk.incarnation, len(disk.groups[3].entries) if disk.groups else 0, disk.set_aside])
         disk.close()
 print(json.dumps([opened, failed]))
 """
 OPEN_ONCE = """
 import sys
 from pathlib import Path
-from mapleshunt.storage.durable_store import Disk
+from mapleshunt.storage.durable_store import DurableStore
 DurableStore(Path(sys.argv[1]), "fleet", "a")
 """
 
@@ -58,12 +59,12 @@
 import sys, threading, time
 from pathlib import Path
 from mapleshunt.replication import messages as m
-from mapleshunt.storage.durable_store import Disk
+from mapleshunt.storage.durable_store import DurableStore
 
 def write():
     disk = DurableStore(Path(sys.argv[1]), "fleet", "a")
     disk.commit([(3, m.Write(9, 9, ""))])
-    disk.know({"b": 1 << 32}, 1)
+    disk.save_known({"b": 1 << 32}, 1)
     disk.close()
 
 thread = threading.Thread(target=write)
@@ -135,7 +136,7 @@
 
 @pytest.fixture
 def short_pauses(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    monkeypatch.setattr("mapleshunt.storage.writer.AGAIN", 0.001)
+    monkeypatch.setattr("mapleshunt.storage.writer.RETRY_DELAY_S", 0.001)
     yield
 
 
@@ -154,9 +155,9 @@
         disk.do("renew")
         finished.set()
 
-    writer.call(create)
+    writer.run_task(create)
     writer.write(3, m.Write(1, 1, "a/1"))
-    writer.call(renew)
+    writer.run_task(renew)
     assert finished.wait(20), disk.done
     writer.close()
     assert disk.done == ["create", "commit", "renew"]
@@ -173,7 +174,7 @@
     def recover() -> None:
         raise StoreDamagedError("the checksum is wrong")
 
-    writer.call(recover)
+    writer.run_task(recover)
     writer.write(3, m.Write(9, 9, ""))
     end = time.monotonic() + 10
     while not done:
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -23,7 +23,8 @@
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
 from mapleshunt.settings import operators
-from mapleshunt.storage.durable_store import DurableStore, StoreUnavailableError
+from mapleshunt.storage.durable_store import DurableStore
+from mapleshunt.storage.errors import StoreUnavailableError
 from mapleshunt.testbed.faults.replicated_fleet import replicas_only_config
 
 from .processes import free_port
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,8 @@
 from hypothesis import strategies as st
 
 from mapleshunt.replication import messages as m
-from mapleshunt.storage.durable_store import FILE_NAME, DurableStore, StoreError
+from mapleshunt.storage.durable_store import FILE_NAME, DurableStore
+from mapleshunt.storage.errors import StoreUnusableError
 from mapleshunt.storage.writer import StoreWriter
 
 FIRST = m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b"")
@@ -38,7 +39,7 @@
     disk.commit([(3, m.Write(6, 2, "b/1", (entry(4, 2, b"y"),)))])  # replaces from there on
     disk.close()
     again = DurableStore(tmp_path, "fleet", "a")
-    held = again.loaded[3]
+    held = again.groups[3]
     assert (held.term, held.vote) == (2, "b/1") and again.incarnation == name
     assert again.boot >> 32 == (boot >> 32) + 1
     assert [(one.index, one.term, one.data) for one in held.entries] == [
@@ -47,7 +48,7 @@
     whole = m.Snapshot(3, 1, 30.0, FIRST.members, b"state")
     again.commit([(3, m.Write(7, 2, "b/1", (), whole))])
     again.close()
-    third = DurableStore(tmp_path, "fleet", "a").loaded[3]
+    third = DurableStore(tmp_path, "fleet", "a").groups[3]
     assert third.snapshot == whole and [one.index for one in third.entries] == [4]
 
 
@@ -57,7 +58,7 @@
     with pytest.raises(apsw.Error):
         disk.commit([(3, m.Write(6, 8, "b/1")), (3, bad)])
     disk.close()
-    held = DurableStore(tmp_path, "fleet", "a").loaded[3]
+    held = DurableStore(tmp_path, "fleet", "a").groups[3]
     assert held.term == 1 and len(held.entries) == 5
 
 
@@ -87,7 +88,7 @@
     disk.close()
     change(tmp_path, sql)
     again = DurableStore(tmp_path, "fleet", "a")
-    assert again.incarnation != was and again.loaded == {} and "damaged-1" in again.set_aside
+    assert again.incarnation != was and again.groups == {} and "damaged-1" in again.set_aside
     assert (tmp_path / "damaged-1" / FILE_NAME).exists()
 
 
@@ -97,18 +98,18 @@
     folder = tmp_path / "one"
     shutil.rmtree(folder, ignore_errors=True)
     disk = filled(folder)
-    was, before = disk.incarnation, disk.loaded | {3: None}
+    was, before = disk.incarnation, disk.groups | {3: None}
     disk.close()
     with (folder / FILE_NAME).open("r+b") as file:
         file.seek(at % os.path.getsize(folder / FILE_NAME))
         file.write(noise)
     try:
         again = DurableStore(folder, "fleet", "a")
-    except StoreError:  # of no fleet, or no store at all that it knows: not touched
+    except StoreUnusableError:  # of no fleet, or no store at all that it knows: not touched
         return
     assert before
     if again.incarnation == was:
-        assert [one.data for one in again.loaded[3].entries] == [b"x"] * 5
+        assert [one.data for one in again.groups[3].entries] == [b"x"] * 5
     again.close()
 
 
@@ -127,28 +128,28 @@
         torn.truncate(int(keep * wal.stat().st_size))
     disk.close()
     again = DurableStore(copy, "fleet", "a")
-    indexes = [one.index for one in again.loaded[3].entries] if again.loaded else []
+    indexes = [one.index for one in again.groups[3].entries] if again.groups else []
     assert indexes == list(range(1, len(indexes) + 1)) and len(indexes) < 29
 
 
 def test_what_must_not_be_touched_is_refused_in_one_line(tmp_path: Path) -> None:
     disk = filled(tmp_path)
-    with pytest.raises(StoreError, match="in use by another process"):
+    with pytest.raises(StoreUnusableError, match="in use by another process"):
         DurableStore(tmp_path, "fleet", "a")
     disk.close()
-    with pytest.raises(StoreError, match="of the fleet 'fleet', not of 'other'"):
+    with pytest.raises(StoreUnusableError, match="of the fleet 'fleet', not of 'other'"):
         DurableStore(tmp_path, "other", "a")
-    with pytest.raises(StoreError, match="of the name 'a', not of 'b'"):
+    with pytest.raises(StoreUnusableError, match="of the name 'a', not of 'b'"):
         DurableStore(tmp_path, "fleet", "b")
     newer = DurableStore(tmp_path, "fleet", "a")
     with newer.db:
         newer._put("format", b"2")
     newer.close()
-    with pytest.raises(StoreError, match="newer format"):
+    with pytest.raises(StoreUnusableError, match="newer format"):
         DurableStore(tmp_path, "fleet", "a")
     file = tmp_path / "file"
     file.write_text("")
-    with pytest.raises(StoreError, match="cannot be used"):
+    with pytest.raises(StoreUnusableError, match="cannot be used"):
         DurableStore(file, "fleet", "a")
 
 
@@ -205,15 +206,20 @@
     writer.close()
     assert done == [(3, 1), (3, 2)]
     disk.close()
-    assert len(DurableStore(tmp_path, "fleet", "a", vfs="full-disk").loaded[3].entries) == 2
+    assert len(DurableStore(tmp_path, "fleet", "a", vfs="full-disk").groups[3].entries) == 2
 
 
 def test_renewed_it_holds_nothing_under_another_incarnation(tmp_path: Path) -> None:
     disk = filled(tmp_path)
     was = disk.incarnation
     disk.renew()
-    disk.know({"x": 4}, 5)
+    disk.save_known({"x": 4}, 5)
     disk.close()
     again = DurableStore(tmp_path, "fleet", "a")
-    assert again.incarnation != was and not again.loaded and again.boot >> 32 == 2 and again.known == {"x": 4}
-    assert again.formed == 5
+    assert (
+        again.incarnation != was
+        and not again.groups
+        and again.boot >> 32 == 2
+        and again.known_boots == {"x": 4}
+    )
+    assert again.formed_groups == 5
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -43,7 +43,8 @@
 from mapleshunt.replicated_state.results import Applied, Denied, LeaseGranted, Result, decode_result
 from mapleshunt.replication import messages as replication
 from mapleshunt.replication import wire
-from mapleshunt.storage.durable_store import FILE_NAME, DurableStore, StoreError
+from mapleshunt.storage.durable_store import FILE_NAME, DurableStore
+from mapleshunt.storage.errors import StoreUnusableError
 from mapleshunt.testbed.replica_client import ReplicaClient, query_operator_port
 
 from .processes import LONG, Gateway, free_port, toy
@@ -316,9 +317,9 @@
     expected = VALUES["store"]
     disk = DurableStore(store, FLEET, GATEWAY)
     assert not disk.set_aside
-    assert exact(plain(disk.loaded)) == exact(expected["groups"])
+    assert exact(plain(disk.groups)) == exact(expected["groups"])
     assert (disk.incarnation, disk.boot >> 32) == (expected["incarnation"], (expected["boot"] >> 32) + 1)
-    assert (disk.known, disk.formed) == (expected["known"], expected["formed"])
+    assert (disk.known_boots, disk.formed_groups) == (expected["known"], expected["formed"])
     assert [[group, one] for group, one in disk.generations.items()] == expected["generations"]
     disk.close()
 
@@ -329,10 +330,10 @@
     before = rows(store, *tables, "meta")
     old, other = DurableStore(store, FLEET, GATEWAY), tmp_path / "other"
     new = DurableStore(other, FLEET, GATEWAY)
-    for group, stored in old.loaded.items():
+    for group, stored in old.groups.items():
         new.create(group, stored.snapshot)
         new.commit([(group, replication.Write(1, stored.term, stored.vote, stored.entries))])
-    new.know(old.known, old.formed)
+    new.save_known(old.known_boots, old.formed_groups)
     old.close()
     new.close()
     after = rows(other, *tables, "meta")
@@ -350,7 +351,7 @@
     newer.close()
     tables = "meta", "vote", "log", "snapshot"
     before = rows(store, *tables)
-    with pytest.raises(StoreError, match="newer format"):
+    with pytest.raises(StoreUnusableError, match="newer format"):
         DurableStore(store, FLEET, GATEWAY)
     assert rows(store, *tables) == before and [one.name for one in store.iterdir()] == [FILE_NAME]
 
