--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -14,10 +14,11 @@
 from typing import Any, cast
 
 from ...fleet.faults import Fault
-from ..backends import HOST
+from ..errors import GatewayError
 from ..fault_proxy import FaultProxy
 from ..fleet import LoopbackFleet
-from ..gateway_process import GatewayError, GatewayProcess
+from ..gateway_process import GatewayProcess
+from ..ports import HOST
 from ..syscall_faults import SyscallFaultControl, SyscallFaultRates
 from . import schedule
 from .backends import Misbehaviour, SoakBackend
@@ -188,9 +189,7 @@
         await asyncio.to_thread(older.wait)
 
     def _known(self, number: int) -> dict[str, Any]:
-        agent = self.current[number]
-        rows = [agent.row(entry) for entry in self.endpoint_lists[number].values()]
-        return {"revision": agent.revision, "complete": True, "members": rows}
+        return self.current[number].whole_list()
 
     def _trouble_reload(self, trouble: ScheduledFault) -> None:
         for number in [one for one in trouble.who if self._up(one)]:
@@ -251,7 +250,7 @@
 
     def _trouble_links_reset(self, trouble: ScheduledFault) -> None:
         for proxy in self._links(trouble):
-            proxy.back.left = self.chance.randint(1, 4000)
+            proxy.from_target.bytes_to_reset = self.chance.randint(1, 4000)
             self._later(trouble.lasts, proxy.heal)
 
     def _trouble_roll(self, trouble: ScheduledFault) -> None:
@@ -362,11 +361,11 @@
         for number in trouble.who:
             self._impair(number)
             proxy = self.current[number].proxy
-            proxy.back.delay, proxy.back.piece = 0.3 * trouble.size, 100
+            proxy.from_target.delay_s, proxy.from_target.piece_bytes = 0.3 * trouble.size, 100
             self._later(trouble.lasts, self._discovery_fast, number, proxy)
 
     def _discovery_fast(self, number: int, proxy: FaultProxy) -> None:
-        proxy.back.delay, proxy.back.piece = 0.0, 65536
+        proxy.from_target.delay_s, proxy.from_target.piece_bytes = 0.0, 65536
         self._repair(number)
 
     def _trouble_discovery_refuses(self, trouble: ScheduledFault) -> None:
