--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -12,8 +12,9 @@
 
 from ...fleet.backend import Backend
 from ...net.protocol import resp
-from ..backends import HOST, InFlightAttempt, SocketBackend
+from ..backends import InFlightAttempt, SocketBackend
 from ..fault_proxy import RESET_ON_CLOSE
+from ..ports import HOST
 
 if TYPE_CHECKING:
     from .fleet import SoakFleet
@@ -137,7 +138,7 @@
         if self.machine.silent and self.machine.up:
             self.machine.silent = False
             self.machine.advanced_to = self.fleet.clock.now()
-            self.machine._plan(self.fleet.clock.now())
+            self.machine.reschedule(self.fleet.clock.now())
             self._plan()
 
 
