--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -24,9 +24,9 @@
     from ..settings import operators
     from ..settings.reader import SettingsError
 
-    path = file or operators.named()
+    path = file or operators.path_from_environment()
     if path is None:
-        raise Trouble(f"name the operators' file, or set {operators.VARIABLE}")
+        raise Trouble(f"name the operators' file, or set {operators.ENVIRONMENT_VARIABLE}")
     try:
         chosen = operators.load(path).copies
     except (SettingsError, OSError) as error:
--- a/mapleshunt/cli/record.py
+++ b/mapleshunt/cli/record.py
@@ -4,12 +4,15 @@
 
 from collections import Counter
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from .output import Trouble, json_option, print_json, table
 
+if TYPE_CHECKING:  # zstandard is loaded only by commands that read recordings
+    from ..recording.file_format import RecordedRequest, Recording
+
 FILE = click.Path(dir_okay=False, path_type=Path)
 
 
@@ -18,14 +21,19 @@
     """Recordings of traffic that gateways met."""
 
 
-def recordings(files: tuple[Path, ...]) -> list[Any]:
-    from ..recording import file_format as form
+def recordings(files: tuple[Path, ...]) -> list[Recording]:
+    """Read recordings.
+
+    Raises:
+        Trouble: a file cannot be read, or is no recording.
+    """
+    from ..recording import file_format
 
     found = []
     for file in files:
         try:
-            found.append(form.read(file.read_bytes()))
-        except (OSError, form.BadRecording) as error:
+            found.append(file_format.read_recording(file.read_bytes()))
+        except (OSError, file_format.RecordingError) as error:
             raise Trouble(f"{file}: {error}") from None
     return found
 
@@ -36,33 +44,71 @@
 @json_option
 def show(files: tuple[Path, ...], rows: int, as_json: bool) -> None:
     """What recordings hold, and what of them cannot be read."""
-    out = []
-    for file, one in zip(files, recordings(files), strict=True):
-        finals = Counter(row.final for row in one.rows)
-        tries = Counter(a.status for row in one.rows for a in row.attempts)
-        span = (one.rows[-1].at - one.rows[0].at) / 1000 if one.rows else 0.0
-        out.append({
-            "file": str(file), "gateway": one.gateway, "gateways": one.gateways, "requests": len(one.rows),
-            "seconds": span, "customers": len({row.customer for row in one.rows}),
-            "retries": sum(row.retry for row in one.rows), "final": dict(finals), "tries": dict(tries),
-            "blocks": one.blocks, "trouble": one.trouble,
-            "newest": [[row.at, row.cls, row.plan, row.customer.hex(), row.guess, row.cost, row.final,
-                        row.took,
-                        [[a.server, a.status, a.sent, a.took] for a in row.attempts]]
-                       for row in one.rows[len(one.rows) - rows :]] if rows else [],
-        })  # fmt: skip
+    summaries = [
+        _summary(file, recording, rows) for file, recording in zip(files, recordings(files), strict=True)
+    ]
     if as_json:
-        print_json(out)
+        print_json(summaries)
         return
-    for one_file in out:
-        table(["recording", one_file["file"]], [
-            [key, ", ".join(f"{k} {v}" for k, v in value.items()) if isinstance(value, dict) else value]
-            for key, value in one_file.items() if key not in ("file", "trouble", "newest")
-        ])  # fmt: skip
-        for line in one_file["trouble"]:
-            click.echo(f"not read: {line}")
-        for row in one_file["newest"]:
-            click.echo(f"{row}")
+    for summary in summaries:
+        _print_summary(summary)
+
+
+def _summary(file: Path, recording: Recording, newest: int) -> dict[str, Any]:
+    """By the keys of the command's JSON; `newest` rows are listed."""
+    requests = recording.rows
+    span_ms = requests[-1].arrived_at - requests[0].arrived_at if requests else 0.0
+    return {
+        "file": str(file),
+        "gateway": recording.gateway,
+        "gateways": recording.gateways,
+        "requests": len(requests),
+        "seconds": span_ms / 1000,
+        "customers": len({request.customer for request in requests}),
+        "retries": sum(request.is_retry for request in requests),
+        "final": dict(Counter(request.outcome for request in requests)),
+        "tries": dict(Counter(attempt.status for request in requests for attempt in request.attempts)),
+        "blocks": recording.blocks,
+        "trouble": recording.problems,
+        "newest": [_row(request) for request in requests[len(requests) - newest :]] if newest else [],
+    }
+
+
+def _row(request: RecordedRequest) -> list[Any]:
+    """A request as one JSON array; its attempts stand last."""
+    attempts = [
+        [attempt.endpoint, attempt.status, attempt.sent_after_ms, attempt.duration_ms]
+        for attempt in request.attempts
+    ]
+    return [
+        request.arrived_at,
+        request.request_class,
+        request.plan,
+        request.customer.hex(),
+        request.estimated_cost,
+        request.true_cost,
+        request.outcome,
+        request.duration_ms,
+        attempts,
+    ]
+
+
+def _print_summary(summary: dict[str, Any]) -> None:
+    rows = [
+        [
+            key,
+            ", ".join(f"{name} {count}" for name, count in value.items())
+            if isinstance(value, dict)
+            else value,
+        ]
+        for key, value in summary.items()
+        if key not in ("file", "trouble", "newest")
+    ]
+    table(["recording", summary["file"]], rows)
+    for problem in summary["trouble"]:
+        click.echo(f"not read: {problem}")
+    for row in summary["newest"]:
+        click.echo(f"{row}")
 
 
 @click.group()
@@ -95,7 +141,7 @@
     from ..settings import operators
     from ..settings.show import rows
 
-    path = file or operators.named()
+    path = file or operators.path_from_environment()
     if path is None:
         raise Trouble("name a file, or set PROXY_OPERATORS")
     try:
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -40,7 +40,7 @@
         self.recorder: Recorder | None = None
         self.opening: asyncio.Task[None] | None = None
         try:
-            self.chosen = operators.load(Path(os.environ[operators.VARIABLE]))
+            self.chosen = operators.load(Path(os.environ[operators.ENVIRONMENT_VARIABLE]))
             if self.chosen.record is not None:
                 self._record(self.chosen.record)
             if self.chosen.copies is not None:
@@ -48,7 +48,7 @@
         except ValueError as error:
             raise ConfigError(str(error)) from None
 
-    def _record(self, section: operators.Record) -> None:
+    def _record(self, section: operators.RecordingSettings) -> None:
         size, salt = int(section.size_mb * (1 << 20)), section.salt.encode()
         path = Path(section.file.replace("{name}", self.config.name))
         try:
@@ -59,7 +59,7 @@
             log.log_event("record_failed", path=path, why=error)
             return
         self.recorder.start()
-        self.driver.on_request_released = self.recorder.seen
+        self.driver.on_request_released = self.recorder.record
         log.log_event("recording", path=path, bytes=size)
 
     def start(self) -> None:
@@ -78,7 +78,7 @@
             self._store_unavailable(error)
             self.opening = asyncio.get_running_loop().create_task(self._open_store(section))
 
-    async def _open_store(self, section: operators.Copies) -> None:
+    async def _open_store(self, section: operators.ReplicationSettings) -> None:
         """Try again until the store is open. Cancelling it leaves the gateway without its copies."""
         while self.copies is None:
             await asyncio.sleep(STORE_RETRY_DELAY_S)
@@ -95,7 +95,7 @@
         self.counters.add("copies_store_unavailable")
         log.log_event("copies_store_unavailable", why=error)
 
-    def _start_copies(self, section: operators.Copies, disk: DurableStore) -> None:
+    def _start_copies(self, section: operators.ReplicationSettings, disk: DurableStore) -> None:
         copies = ReplicationHost(section, self.config.name, disk, self.counters, self.config.seed)
         copies.start()
         self.copies = copies
@@ -111,7 +111,7 @@
         if self.chosen.maintenance is None:
             return
         try:
-            chosen = operators.load(Path(os.environ[operators.VARIABLE]))
+            chosen = operators.load(Path(os.environ[operators.ENVIRONMENT_VARIABLE]))
         except (ValueError, OSError) as error:
             self.counters.add("reloads_failed")
             log.log_event("reload_failed", why=error)
--- a/mapleshunt/net/maintenance.py
+++ b/mapleshunt/net/maintenance.py
@@ -23,7 +23,7 @@
 from ..replicated_state.state_machine import Record
 from ..replication import messages as m
 from ..replication import wire
-from ..settings.operators import Maintenance as Section
+from ..settings.operators import MaintenanceSettings as Section
 from . import log
 from .counters import Counters
 from .periodic import PeriodicTask
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -22,7 +22,7 @@
 from ...replication.placement import place_replicas
 from ...replication.roles import Role
 from ...replication.snapshot_pacer import SnapshotPacer
-from ...settings.operators import Copies as Section
+from ...settings.operators import ReplicationSettings as Section
 from ...storage.durable_store import DurableStore
 from ...storage.errors import StoreInUseError, StoreUnavailableError, StoreUnusableError
 from ...storage.writer import StoreWriter
--- a/mapleshunt/recording/__init__.py
+++ b/mapleshunt/recording/__init__.py
@@ -1,5 +1,4 @@
-"""Recordings of real traffic: their form without I/O (`form`), the daemon's writer (`writer`), and reading.
+"""Recordings of real traffic: their file format without I/O, and the gateway's writer.
 
-The daemon loads this only when its operators' file asks for a recording. It may import `interface`, and
-nothing of `world`, `model` or `rig`.
+The gateway loads this only when its operators' file asks for a recording.
 """
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -1,4 +1,4 @@
-"""The daemon's side of a recording: rows are kept until a block is full, or for some seconds."""
+"""The gateway's side of a recording: rows are buffered until a block is full, or for some seconds."""
 
 from __future__ import annotations
 
@@ -11,135 +11,164 @@
 from ..net.periodic import PeriodicTask
 from ..policy import Settings
 from .file_format import (
-    BLOCK,
+    BLOCK_HEADER,
     BLOCK_MAGIC,
-    ENCODER,
-    HEADER,
-    MAGIC,
-    RAW,
-    SLOT,
-    Attempt,
-    Row,
-    hashed,
+    FILE_HEADER,
+    FILE_MAGIC,
+    MAX_BLOCK_ROW_BYTES,
+    ROW_ENCODER,
+    SLOT_BYTES,
+    RecordedAttempt,
+    RecordedRequest,
+    hash_customer,
     pack_block,
 )
 
 if TYPE_CHECKING:
     from ..net.request.context import RequestContext
 
-FLUSH = 5.0  # s after which a block that is not full is written too; it is written again when it is
-MOST_ATTEMPTS = 16
-KNOWN = 4096  # customers whose hash is kept
+FLUSH_INTERVAL_S = 5.0  # a block that is not full is written so often, and again when it is full
+MAX_ATTEMPTS = 16  # of a request; a row has to fit into a slot
+MAX_CACHED_HASHES = 4096  # of customers
+MIN_SLOTS = 2  # one is written while the other stays readable
 
 
 class Recorder:
-    """Writes what `seen` is told. What goes wrong ends the recording and never the program."""
+    """Writes requests to a file. An I/O error ends the recording, and never the program."""
 
     def __init__(self, path: Path, size: int, salt: bytes, settings: Settings, now: float) -> None:
-        """`size` in bytes, `now` in Unix ms. Raises OSError if the file cannot be had."""
-        self.path, self.salt = path, salt or os.urandom(16)
-        self.slots = max(2, (size - HEADER.size) // SLOT)
-        self.rows: list[bytes] = []
-        self.held, self.first = 0, 0.0
-        self.hashes: dict[str, bytes] = {}
-        self.number = self._open(settings, now)
-        self.flushing = PeriodicTask(self.flush, FLUSH)
-
-    def _open(self, settings: Settings, now: float) -> int:
-        """Go on in a recording of the same shape, or begin one. The number of the next block."""
-        self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        head = os.pread(self.file, HEADER.size, 0)
-        shape = (SLOT, self.slots, settings.gateway_index, settings.gateway_count)
-        if len(head) == HEADER.size and head[:8] == MAGIC and HEADER.unpack(head)[1:5] == shape:
-            last = -1
-            for place in range(self.slots):
-                block = os.pread(self.file, BLOCK.size, HEADER.size + place * SLOT)
-                if len(block) == BLOCK.size and block[:4] == BLOCK_MAGIC:
-                    last = max(last, BLOCK.unpack(block)[1])
-            return last + 1
+        """Open the file at `path`, of at most `size` bytes; `now` is Unix time in ms.
+
+        An empty `salt` stands for a random one.
+
+        Raises:
+            OSError: the file cannot be opened or written.
+        """
+        self.path = path
+        self._salt = salt or os.urandom(16)
+        self._slots = max(MIN_SLOTS, (size - FILE_HEADER.size) // SLOT_BYTES)
+        self._rows: list[bytes] = []
+        self._row_bytes = 0
+        self._first_arrival = 0.0  # of the block, Unix time in ms
+        self._hashes: dict[str, bytes] = {}
+        self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)  # -1 once it is closed
+        self._number = self._continue_or_begin(settings, now)  # of the block that is filled
+        self._flushing = PeriodicTask(self.flush, FLUSH_INTERVAL_S)
+
+    def _continue_or_begin(self, settings: Settings, now: float) -> int:
+        """The number of the next block: of the file's recording if it has the same shape, else 0."""
+        header = os.pread(self.file, FILE_HEADER.size, 0)
+        shape = (SLOT_BYTES, self._slots, settings.gateway_index, settings.gateway_count)
+        is_complete = len(header) == FILE_HEADER.size and header.startswith(FILE_MAGIC)
+        if is_complete and FILE_HEADER.unpack(header)[1:5] == shape:
+            return self._last_number() + 1
         os.ftruncate(self.file, 0)
-        os.pwrite(self.file, HEADER.pack(MAGIC, *shape, now, uuid.uuid4().bytes), 0)
+        os.pwrite(self.file, FILE_HEADER.pack(FILE_MAGIC, *shape, now, uuid.uuid4().bytes), 0)
         return 0
 
+    def _last_number(self) -> int:
+        """The highest number of a block in the file; -1 if there is none."""
+        last = -1
+        for slot in range(self._slots):
+            header = os.pread(self.file, BLOCK_HEADER.size, FILE_HEADER.size + slot * SLOT_BYTES)
+            if len(header) == BLOCK_HEADER.size and header.startswith(BLOCK_MAGIC):
+                last = max(last, BLOCK_HEADER.unpack(header)[1])
+        return last
+
     def start(self) -> None:
-        self.flushing.start()
+        """Write the current block periodically, on the running event loop."""
+        self._flushing.start()
 
-    def customer(self, name: str) -> bytes:
-        found = self.hashes.get(name)
+    def hash_customer(self, name: str) -> bytes:
+        """The customer's salted hash."""
+        found = self._hashes.get(name)
         if found is None:
-            if len(self.hashes) >= KNOWN:
-                self.hashes.clear()
-            found = self.hashes[name] = hashed(name, self.salt)
+            if len(self._hashes) >= MAX_CACHED_HASHES:
+                self._hashes.clear()
+            found = self._hashes[name] = hash_customer(name, self._salt)
         return found
 
-    def seen(self, context: RequestContext) -> None:
-        """A request is over, and so are its tries."""
+    def record(self, context: RequestContext) -> None:
+        """Record a request that has ended, and whose attempts have."""
         if self.file < 0:
             return
-        request, tries = context.request, context.attempts[:MOST_ATTEMPTS]
-        row = ENCODER.encode(
-            Row(
-                round(context.received_at, 2),
-                request.request_class,
-                request.plan,
-                self.customer(request.customer),
-                request.units,
-                max((one.cost for one in tries), default=0.0),
-                round(request.remaining_time, 1),
-                request.gateway_set_size,
-                request.gateway_set_offset,
-                request.is_retry,
-                context.final_result,
-                round(context.released_at - context.received_at, 2),
-                tuple(
-                    Attempt(
-                        one.endpoint,
-                        one.status or "out",
-                        round(one.sent_at - context.received_at, 2),
-                        round(one.latency_ms, 2),
-                    )
-                    for one in tries
-                ),
-            )
-        )
-        if self.held + len(row) > RAW:
+        row = ROW_ENCODER.encode(self._recorded(context))
+        if self._row_bytes + len(row) > MAX_BLOCK_ROW_BYTES:
             self.flush(done=True)
-        if not self.rows:
-            self.first = context.received_at
-        self.rows.append(row)
-        self.held += len(row)
+        if not self._rows:
+            self._first_arrival = context.received_at
+        self._rows.append(row)
+        self._row_bytes += len(row)
+
+    def _recorded(self, context: RequestContext) -> RecordedRequest:
+        request = context.request
+        attempts = context.attempts[:MAX_ATTEMPTS]
+        return RecordedRequest(
+            round(context.received_at, 2),
+            request.request_class,
+            request.plan,
+            self.hash_customer(request.customer),
+            request.units,
+            max((attempt.cost for attempt in attempts), default=0.0),
+            round(request.remaining_time, 1),
+            request.gateway_set_size,
+            request.gateway_set_offset,
+            request.is_retry,
+            context.final_result,
+            round(context.released_at - context.received_at, 2),
+            tuple(
+                RecordedAttempt(
+                    attempt.endpoint,
+                    attempt.status or "out",
+                    round(attempt.sent_at - context.received_at, 2),
+                    round(attempt.latency_ms, 2),
+                )
+                for attempt in attempts
+            ),
+        )
 
     def flush(self, done: bool = False) -> None:
-        """Write the block as it is; `done`: it is full, and the next one begins."""
-        if self.file < 0 or not self.rows:
+        """Write the current block; `done`: it is full, and the next one begins."""
+        if self.file < 0 or not self._rows:
             return
-        parts = [self.rows]
         try:
-            while parts:
-                rows = parts.pop()
-                block = pack_block(self.number, rows, self.first)
-                if len(block) > SLOT:  # it does not compress as usual
-                    half = len(rows) // 2
-                    if not half:
-                        raise OSError("a row is longer than a slot")
-                    parts += [rows[half:], rows[:half]]
-                    continue
-                os.pwrite(self.file, block, HEADER.size + self.number % self.slots * SLOT)
-                if parts or done:
-                    self.number += 1
-                self.rows = rows
+            self._write_blocks(done)
         except OSError as error:
             log.log_event("record_failed", path=self.path, why=error)
             self.close(write=False)
             return
         if done:
-            self.rows = []
-        self.held = sum(map(len, self.rows))
+            self._rows = []
+        self._row_bytes = sum(map(len, self._rows))
+
+    def _write_blocks(self, done: bool) -> None:
+        """Write the rows as one block, or as several if they do not compress as usual.
+
+        Raises:
+            OSError: the file cannot be written, or a row is longer than a slot.
+        """
+        parts = [self._rows]
+        while parts:
+            rows = parts.pop()
+            block = pack_block(self._number, rows, self._first_arrival)
+            if len(block) > SLOT_BYTES:
+                half = len(rows) // 2
+                if not half:
+                    raise OSError("a row is longer than a slot")
+                parts += [rows[half:], rows[:half]]
+                continue
+            os.pwrite(self.file, block, FILE_HEADER.size + self._number % self._slots * SLOT_BYTES)
+            if parts or done:
+                self._number += 1
+            self._rows = rows
 
     def close(self, write: bool = True) -> None:
+        """End the recording, with the current block if `write`; done again it changes nothing."""
         if write:
             self.flush(done=True)
-        self.flushing.stop()
+        self._flushing.stop()
         if self.file >= 0:
             os.close(self.file)
-        self.file, self.rows, self.held = -1, [], 0
+        self.file = -1
+        self._rows = []
+        self._row_bytes = 0
--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -13,12 +13,12 @@
 from ..maintenance.budget import Budget, budget_error
 from ..transient_errors import is_transient
 from .reader import SettingsError, parse
-from .schema import whole
+from .schema import fill_file
 
-VARIABLE = "PROXY_OPERATORS"
+ENVIRONMENT_VARIABLE = "PROXY_OPERATORS"
 
 
-class Record(msgspec.Struct, frozen=True, rename="kebab"):
+class RecordingSettings(msgspec.Struct, frozen=True, rename="kebab"):
     """Record the traffic that the gateway meets."""
 
     file: Annotated[str, Meta(min_length=1)]
@@ -26,7 +26,7 @@
     salt: str = ""  # customers are hashed with it; the same at all gateways, or none can be told from another
 
 
-class CopiesPeer(msgspec.Struct, frozen=True, rename="kebab"):
+class PeerSettings(msgspec.Struct, frozen=True, rename="kebab"):
     """A gateway of the fleet that may hold copies."""
 
     name: Annotated[str, Meta(min_length=1, pattern=r"^[^/ ]+$")]
@@ -34,12 +34,12 @@
     zone: str = ""
 
 
-class Copies(msgspec.Struct, frozen=True, rename="kebab"):
+class ReplicationSettings(msgspec.Struct, frozen=True, rename="kebab"):
     """Keep copies of what gateways promise on several of them."""
 
     folder: Annotated[str, Meta(min_length=1)]  # of this gateway's own, on a disk that outlives the process
     fleet: Annotated[str, Meta(min_length=1, max_length=64)]
-    peer: tuple[CopiesPeer, ...] = ()  # all gateways of the fleet, this one too
+    peer: tuple[PeerSettings, ...] = ()  # all gateways of the fleet, this one too
     groups: Annotated[int, Meta(ge=1, le=64)] = 8
     size: int = 3  # copies of a group
     lease: bool = True  # the gateway's quotas are leased from the copies
@@ -58,14 +58,14 @@
             raise ValueError(f"{self.size} copies need {self.size} peers at least, not {len(names)}")
 
 
-class Window(msgspec.Struct, frozen=True, rename="kebab"):
+class ClosedWindow(msgspec.Struct, frozen=True, rename="kebab"):
     """Nobody is taken out from then to then, Unix time in s."""
 
     begin: float
     end: float
 
 
-class Maintenance(msgspec.Struct, frozen=True, rename="kebab"):
+class MaintenanceSettings(msgspec.Struct, frozen=True, rename="kebab"):
     """Take machines out for work one after another; needs copies. Times in s."""
 
     most: int = 1  # out at once, planned and unplanned together
@@ -75,7 +75,7 @@
     pause_s: float = 10.0
     drain_s: float = 60.0
     failures: int = 2
-    closed: tuple[Window, ...] = ()
+    closed: tuple[ClosedWindow, ...] = ()
     version: str = ""  # of this gateway, for rolls
 
     def __post_init__(self) -> None:
@@ -89,24 +89,24 @@
         )  # fmt: skip
 
 
-class Operators(msgspec.Struct, frozen=True, rename="kebab"):
+class OperatorSettings(msgspec.Struct, frozen=True, rename="kebab"):
     """All sections."""
 
-    record: Record | None = None
-    copies: Copies | None = None
-    maintenance: Maintenance | None = None
+    record: RecordingSettings | None = None
+    copies: ReplicationSettings | None = None
+    maintenance: MaintenanceSettings | None = None
 
     def __post_init__(self) -> None:
         if self.maintenance is not None and self.copies is None:
             raise ValueError("maintenance needs copies")
 
 
-def check(text: str, file: str = "settings") -> Operators:
+def parse_settings(text: str, file: str = "settings") -> OperatorSettings:
     """The settings that a text holds. Raises `SettingsError`."""
-    return whole(Operators, parse(text, file), file)
+    return fill_file(OperatorSettings, parse(text, file), file)
 
 
-def load(path: Path) -> Operators:
+def load(path: Path) -> OperatorSettings:
     """Raises `SettingsError`, also for a file that cannot be read, and the OSError of one that may be
     readable in a moment.
     """
@@ -116,9 +116,9 @@
         if isinstance(error, OSError) and is_transient(error):
             raise
         raise SettingsError(str(path), 1, 1, f"cannot be read: {error}") from None
-    return check(text, str(path))
+    return parse_settings(text, str(path))
 
 
-def named(env: Mapping[str, str] = os.environ) -> Path | None:
+def path_from_environment(env: Mapping[str, str] = os.environ) -> Path | None:
     """The file that the environment names, if any."""
-    return Path(env[VARIABLE]) if env.get(VARIABLE) else None
+    return Path(env[ENVIRONMENT_VARIABLE]) if env.get(ENVIRONMENT_VARIABLE) else None
--- a/mapleshunt/settings/schema.py
+++ b/mapleshunt/settings/schema.py
@@ -99,6 +99,6 @@
         raise SettingsError(file, group.line, group.column, str(error)) from None
 
 
-def whole(kind: type[T], nodes: list[Node], file: str) -> T:
+def fill_file(kind: type[T], nodes: list[Node], file: str) -> T:
     """A whole file as one struct: each of its fields is a section."""
     return fill(kind, Group(tuple(nodes), 1, 1), file, skip=0)
--- a/mapleshunt/settings/show.py
+++ b/mapleshunt/settings/show.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .operators import Operators, load
+from .operators import OperatorSettings, load
 from .reader import Group, Node, parse
 
 
@@ -34,7 +34,7 @@
 
 def rows(path: Path) -> list[tuple[str, str, str]]:
     """(setting, value, place) for each that holds. Raises `SettingsError`."""
-    chosen: Operators = load(path)
+    chosen: OperatorSettings = load(path)
     places: dict[str, int] = {}
     _places(tuple(parse(path.read_text(encoding="utf-8"), str(path))), "", places)
     values: list[tuple[str, Any]] = []
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -12,7 +12,6 @@
 import math
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
-from typing import Any
 
 import msgspec
 import numpy as np
@@ -26,6 +25,7 @@
 from ..fleet.faults import Fault
 from ..fleet.parameters import ClassParameters, Parameters, PlanParameters
 from ..fleet.random_streams import RandomStreams
+from ..recording.file_format import RecordedRequest
 from .day import Day, Scenario
 from .engine import Engine
 from .recorded_traffic import Floats, Received, Traffic, received, segments
@@ -100,11 +100,11 @@
     if len(rows) < LEAST_ROWS:
         raise ValueError(f"{len(rows)} served attempts are too few for a fit; {LEAST_ROWS} are the least")
     firsts = traffic.firsts()
-    names = sorted({row.cls for row in firsts})
+    names = sorted({row.request_class for row in firsts})
     servers = sorted({server for _, server in rows})
     where = np.array([servers.index(server) for _, server in rows])
     # How fast a server is beside the others: by the work of its attempts over the units that they told.
-    told = np.array([max(0.5, row.cost - 0.5) for row, _ in rows])
+    told = np.array([max(0.5, row.true_cost - 0.5) for row, _ in rows])
     residual = np.log(work / told)
     residual -= float(np.median(residual))
     effects, errors = np.zeros(len(servers)), np.ones(len(servers))
@@ -124,14 +124,24 @@
     asked: dict[tuple[str, float], int] = {}
     served: dict[tuple[str, float], int] = {}
     for row in firsts:
-        asked[row.cls, row.guess] = asked.get((row.cls, row.guess), 0) + 1
+        asked[row.request_class, row.estimated_cost] = (
+            asked.get((row.request_class, row.estimated_cost), 0) + 1
+        )
     for row, _ in rows:
-        served[row.cls, row.guess] = served.get((row.cls, row.guess), 0) + 1
-    weight = np.array([asked.get((row.cls, row.guess), 0) / served[row.cls, row.guess] for row, _ in rows])
+        served[row.request_class, row.estimated_cost] = (
+            served.get((row.request_class, row.estimated_cost), 0) + 1
+        )
+    weight = np.array(
+        [
+            asked.get((row.request_class, row.estimated_cost), 0)
+            / served[row.request_class, row.estimated_cost]
+            for row, _ in rows
+        ]
+    )
     found = []
     for name in names:
-        at = np.array([row.cls == name for row, _ in rows])
-        share = sum(row.cls == name for row in firsts) / len(firsts)
+        at = np.array([row.request_class == name for row, _ in rows])
+        share = sum(row.request_class == name for row in firsts) / len(firsts)
         if weight[at].sum() <= 0:
             found.append(FittedClass(name, share, float(even.mean()), 1.0, 1.0, worths.get(name, 1.0)))
             continue
@@ -145,8 +155,12 @@
 def units_of(traffic: Traffic, got: Received) -> tuple[float, float]:
     """(ms of work a unit, coefficient of variation of guess over true units), from what answers told."""
     rows, work = got
-    told = [(w, row.cost) for (row, _), w in zip(rows, work, strict=True) if row.cost > 0]
-    guesses = [row.guess / row.cost for row in traffic.rows if row.cost > 0 and 1 < row.guess < 8]
+    told = [(w, row.true_cost) for (row, _), w in zip(rows, work, strict=True) if row.true_cost > 0]
+    guesses = [
+        row.estimated_cost / row.true_cost
+        for row in traffic.rows
+        if row.true_cost > 0 and 1 < row.estimated_cost < 8
+    ]
     # Units are the work over that of one, rounded up: the size of one is where their sum comes out as told.
     unit = 60.0
     if len(told) > 20:
@@ -164,21 +178,23 @@
 
 def customers_of(traffic: Traffic) -> list[FittedCustomer]:
     """Customers with their spells; what came through gateways that did not record is reckoned in."""
-    by: dict[bytes, list[Any]] = {}
+    by: dict[bytes, list[RecordedRequest]] = {}
     for row in traffic.firsts():
         by.setdefault(row.customer, []).append(row)
     steps = max(1, math.ceil(traffic.length / clients.RATE_STEP_MS))
     found = []
     for name, rows in sorted(by.items()):
         one = rows[-1]
-        members = {(one.first + n) % traffic.gateways for n in range(one.spread)}
+        members = {(one.gateway_set_offset + n) % traffic.gateways for n in range(one.gateway_set_size)}
         seen = len(members & set(traffic.recorded)) or 1
-        at = np.array([(row.at - traffic.begin) / clients.RATE_STEP_MS for row in rows]).astype(int)
+        at = np.array([(row.arrived_at - traffic.begin) / clients.RATE_STEP_MS for row in rows]).astype(int)
         rate = segments(np.bincount(np.clip(at, 0, steps - 1), minlength=steps).astype(np.int64))
         rate = rate * 1000 / clients.RATE_STEP_MS * len(members) / seen
         changes = [0, *(np.flatnonzero(np.diff(rate)) + 1).tolist()]
         spells = tuple(Spell(n * clients.RATE_STEP_MS, float(rate[n])) for n in changes)
-        found.append(FittedCustomer(name.hex(), one.plan, one.spread, one.first, spells))
+        found.append(
+            FittedCustomer(name.hex(), one.plan, one.gateway_set_size, one.gateway_set_offset, spells)
+        )
     return found
 
 
@@ -299,7 +315,9 @@
 
 
 def of_traffic(traffic: Traffic) -> Summary:
-    return summary([(r.final, r.took, r.retry, [a.status for a in r.attempts]) for r in traffic.rows])
+    return summary(
+        [(r.outcome, r.duration_ms, r.is_retry, [a.status for a in r.attempts]) for r in traffic.rows]
+    )
 
 
 def of_tries(tries: Sequence[ClientAttempt]) -> Summary:
@@ -341,7 +359,7 @@
     got = received(traffic, cores)
     classes, speed_cv = classes_of(traffic, got, worths)
     unit, guess_cv = units_of(traffic, got)
-    seen = {a.server for row in traffic.rows for a in row.attempts}
+    seen = {a.endpoint for row in traffic.rows for a in row.attempts}
     counts: dict[str, int] = {}
     for row in traffic.firsts():
         counts[row.plan] = counts.get(row.plan, 0) + 1
--- a/mapleshunt/simulation/recorded_traffic.py
+++ b/mapleshunt/simulation/recorded_traffic.py
@@ -15,10 +15,12 @@
 import numpy.typing as npt
 
 from ..recording import file_format as form
-from ..recording.file_format import Row
+from ..recording.file_format import RecordedRequest
 
 Floats = npt.NDArray[np.float64]
-Received = tuple[list[tuple[Row, int]], Floats]  # (row, server) of served attempts, and the work of each
+Received = tuple[
+    list[tuple[RecordedRequest, int]], Floats
+]  # (row, server) of served attempts, and the work of each
 
 
 class RecordedTrafficError(ValueError):
@@ -29,7 +31,7 @@
 class Traffic:
     """Rows of all recordings by time, `at` in ms since the first; whose they are and what is missing."""
 
-    rows: list[Row]
+    rows: list[RecordedRequest]
     owner: list[int]  # the gateway of each row
     begin: float  # Unix ms
     length: float  # ms
@@ -41,17 +43,17 @@
     def coverage(self) -> float:
         return len(self.recorded) / self.gateways
 
-    def firsts(self) -> list[Row]:
-        return [row for row in self.rows if not row.retry]
+    def firsts(self) -> list[RecordedRequest]:
+        return [row for row in self.rows if not row.is_retry]
 
 
 def together(files: Sequence[Path]) -> Traffic:
-    """Read the recordings of one fleet. Raises `BadTraffic`, `BadRecording`, OSError."""
-    held: dict[int, list[Row]] = {}
+    """Read the recordings of one fleet. Raises `BadTraffic`, `RecordingError`, OSError."""
+    held: dict[int, list[RecordedRequest]] = {}
     trouble, sizes = list[str](), set[int]()
     for file in files:
-        one = form.read(file.read_bytes())
-        trouble += [f"{file.name}: {line}" for line in one.trouble]
+        one = form.read_recording(file.read_bytes())
+        trouble += [f"{file.name}: {line}" for line in one.problems]
         sizes.add(one.gateways)
         held.setdefault(one.gateway, []).extend(one.rows)
     if len(sizes) != 1:
@@ -61,13 +63,13 @@
     if not any(held.values()):
         raise RecordedTrafficError("the recordings hold no requests")
     # Rings of different ages: only the time that all of them cover can be put together.
-    begin = max(rows[0].at for rows in held.values() if rows)
-    end = min(rows[-1].at for rows in held.values() if rows)
+    begin = max(rows[0].arrived_at for rows in held.values() if rows)
+    end = min(rows[-1].arrived_at for rows in held.values() if rows)
     if end - begin < 1000:
         raise RecordedTrafficError("the recordings have less than a second in common")
     pairs = sorted(
-        ((row, owner) for owner, rows in held.items() for row in rows if begin <= row.at <= end),
-        key=lambda pair: pair[0].at,
+        ((row, owner) for owner, rows in held.items() for row in rows if begin <= row.arrived_at <= end),
+        key=lambda pair: pair[0].arrived_at,
     )
     return Traffic(
         [row for row, _ in pairs],
@@ -88,14 +90,16 @@
     gateways that did not record had out is reckoned by the coverage.
     """
     events: dict[int, list[tuple[float, int, int]]] = {}
-    attempts: list[tuple[Row, int, float, float, str]] = []
+    attempts: list[tuple[RecordedRequest, int, float, float, str]] = []
     for row in traffic.rows:
         for one in row.attempts:
             if one.status in ("ok", "error", "timeout", "cancelled", "reset"):
-                begin = row.at + one.sent
+                begin = row.arrived_at + one.sent_after_ms
                 number = len(attempts)
-                attempts.append((row, one.server, begin, begin + one.took, one.status))
-                events.setdefault(one.server, []).extend([(begin, 1, number), (begin + one.took, -1, number)])
+                attempts.append((row, one.endpoint, begin, begin + one.duration_ms, one.status))
+                events.setdefault(one.endpoint, []).extend(
+                    [(begin, 1, number), (begin + one.duration_ms, -1, number)]
+                )
     work = np.zeros(len(attempts))
     scale = 1 / traffic.coverage
     for there in events.values():
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -240,7 +240,7 @@
 )
 def test_a_section_that_makes_no_sense_is_told(text: str, said: str) -> None:
     with pytest.raises(SettingsError, match=said):
-        operators.check(text)
+        operators.parse_settings(text)
 
 
 # Frames and placement
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -15,7 +15,7 @@
 
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.recording import file_format as form
-from mapleshunt.recording.file_format import Attempt, Row
+from mapleshunt.recording.file_format import RecordedAttempt, RecordedRequest
 from mapleshunt.simulation import fit, recorded_traffic
 from mapleshunt.simulation.day import Day, Scenario, draw_day, resized
 from mapleshunt.simulation.engine import Engine
@@ -28,20 +28,20 @@
 BASE = replace(resized(SCENARIOS["quiet"], 3, 6, seconds=25), installation_seed=4, load=(0.45, 0.45))
 
 
-def rows_of(engine: Engine) -> list[tuple[Row, int]]:
+def rows_of(engine: Engine) -> list[tuple[RecordedRequest, int]]:
     """What gateways would have recorded of a played day."""
     day, out = engine.day, []
     for one in engine.rule_checker.client_attempts:
         if one.accepted:
             request, who = one.request, day.traffic.customers[one.request.customer]
-            out.append((Row(
+            out.append((RecordedRequest(
                 one.sent_at, engine.classes[request.class_index],
                 day.parameters.plans[who.plan].name, who.name.encode(),
                 request.estimated_units, request.units if one.result == "served" else 0.0, one.timeout_ms,
                 who.gateway_set_size, who.first_gateway, one.number > 1, str(one.result or "gone"),
                 one.answered_at - one.sent_at,
                 tuple(
-                    Attempt(a.server, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at)
+                    RecordedAttempt(a.server, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at)
                     for a in one.attempts
                 ),
             ), one.gateway))  # fmt: skip
@@ -54,26 +54,30 @@
 
 
 @pytest.fixture(scope="module")
-def rows(day: Day) -> list[tuple[Row, int]]:
+def rows(day: Day) -> list[tuple[RecordedRequest, int]]:
     engine = Engine(day, Gateway)
     engine.run()
     return rows_of(engine)
 
 
-def write(rows: list[tuple[Row, int]], folder: Path, gateways: int, only: tuple[int, ...]) -> list[Path]:
+def write(
+    rows: list[tuple[RecordedRequest, int]], folder: Path, gateways: int, only: tuple[int, ...]
+) -> list[Path]:
     files = []
     for gateway in only:
-        mine = [form.ENCODER.encode(row) for row, owner in rows if owner == gateway]
-        data = form.HEADER.pack(form.MAGIC, form.SLOT, 64, gateway, gateways, 0.0, b"run")
+        mine = [form.ROW_ENCODER.encode(row) for row, owner in rows if owner == gateway]
+        data = form.FILE_HEADER.pack(form.FILE_MAGIC, form.SLOT_BYTES, 64, gateway, gateways, 0.0, b"run")
         for number, at in enumerate(range(0, len(mine), 200)):
-            data += form.pack_block(number, mine[at : at + 200], 0.0).ljust(form.SLOT, b"\0")
+            data += form.pack_block(number, mine[at : at + 200], 0.0).ljust(form.SLOT_BYTES, b"\0")
         files.append(folder / f"g{gateway}.rec")
         files[-1].write_bytes(data)
     return files
 
 
 @pytest.fixture(scope="module")
-def fitted(day: Day, rows: list[tuple[Row, int]], tmp_path_factory: pytest.TempPathFactory) -> fit.Fit:
+def fitted(
+    day: Day, rows: list[tuple[RecordedRequest, int]], tmp_path_factory: pytest.TempPathFactory
+) -> fit.Fit:
     traffic = recorded_traffic.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
     worths = {c.name: c.priority_weight for c in day.parameters.classes}
     return fit.fit(traffic, fit.plans_of(day), worths, 6, {"cores": 3.0}, draws=16, keep=6, jobs=4)
@@ -94,8 +98,10 @@
     assert len(fitted.draws) == 6 and len({draw["peer_ms"] for draw in fitted.draws}) == 6
 
 
-def test_repeats_are_not_replayed_as_causes(day: Day, rows: list[tuple[Row, int]], fitted: fit.Fit) -> None:
-    repeats = sum(row.retry for row, _ in rows)
+def test_repeats_are_not_replayed_as_causes(
+    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fit.Fit
+) -> None:
+    repeats = sum(row.is_retry for row, _ in rows)
     assert repeats > 100
     replayed = fit.day_from(fitted, BASE, 3, fit.Replay(fitted))
     assert abs(len(replayed.traffic.requests) / len(day.traffic.requests) - 1) < 0.15
@@ -132,7 +138,7 @@
 
 
 def test_two_of_three_recordings_make_the_same_fleet(
-    day: Day, rows: list[tuple[Row, int]], fitted: fit.Fit, tmp_path: Path
+    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fit.Fit, tmp_path: Path
 ) -> None:
     traffic = recorded_traffic.together(write(rows, tmp_path, 3, (0, 2)))
     assert traffic.coverage == pytest.approx(2 / 3) and traffic.recorded == (0, 2)
@@ -145,7 +151,9 @@
         assert abs(one.work / other.work - 1) < 4 * one.error + 0.1
 
 
-def test_recordings_that_cannot_be_put_together_are_told(rows: list[tuple[Row, int]], tmp_path: Path) -> None:
+def test_recordings_that_cannot_be_put_together_are_told(
+    rows: list[tuple[RecordedRequest, int]], tmp_path: Path
+) -> None:
     good = write(rows, tmp_path, 3, (0,))
     (tmp_path / "b").mkdir()
     other = write(rows, tmp_path / "b", 2, (1,))
@@ -159,7 +167,7 @@
     with pytest.raises(ValueError, match="too few"):
         fit.classes_of(few, recorded_traffic.received(few, 3), {})
     hurt = bytearray(good[0].read_bytes())
-    hurt[form.HEADER.size + 300] ^= 0xFF
+    hurt[form.FILE_HEADER.size + 300] ^= 0xFF
     good[0].write_bytes(bytes(hurt))
     assert any("damaged" in line for line in recorded_traffic.together(good).trouble)
 
@@ -188,7 +196,7 @@
 
 
 def test_the_command_fits_and_runs_what_it_fitted(
-    day: Day, rows: list[tuple[Row, int]], tmp_path: Path
+    day: Day, rows: list[tuple[RecordedRequest, int]], tmp_path: Path
 ) -> None:
     files = write(rows, tmp_path, 3, (0, 1, 2))
     plans = [
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -20,7 +20,7 @@
 from .conftest import CLASSES, PLANS
 
 SETTINGS = Settings(gateway_index=1, gateway_count=3, classes=CLASSES, plans=PLANS)
-SIZE = form.HEADER.size + 4 * form.SLOT
+SIZE = form.FILE_HEADER.size + 4 * form.SLOT_BYTES
 
 
 def context(number: int, customer: str = "", noise: bool = False) -> RequestContext:
@@ -39,7 +39,7 @@
     async def go() -> None:
         recorder = Recorder(path, size, b"salt", SETTINGS, 0.0)
         for number in numbers:
-            recorder.seen(context(number, **more))
+            recorder.record(context(number, **more))
         recorder.close()
 
     asyncio.run(go())
@@ -47,91 +47,109 @@
 
 def test_a_row_holds_what_was_met_and_no_name(tmp_path: Path) -> None:
     record(tmp_path / "r", range(1, 3))
-    found = form.read((tmp_path / "r").read_bytes())
+    found = form.read_recording((tmp_path / "r").read_bytes())
     row = found.rows[0]
-    assert (found.gateway, found.gateways, found.trouble) == (1, 3, [])
-    assert (row.at, row.cls, row.plan, row.guess, row.cost) == (1000.0, "look", "wide", 3.0, 4.0)
-    assert (row.patience, row.spread, row.first, row.retry, row.final) == (2000.0, 2, 1, False, "served")
-    assert row.took == 90 and row.attempts == (
-        form.Attempt(7, "full", 2.0, 3.0),
-        form.Attempt(8, "ok", 6.0, 80.0),
+    assert (found.gateway, found.gateways, found.problems) == (1, 3, [])
+    assert (row.arrived_at, row.request_class, row.plan, row.estimated_cost, row.true_cost) == (
+        1000.0,
+        "look",
+        "wide",
+        3.0,
+        4.0,
+    )
+    assert (row.patience_ms, row.gateway_set_size, row.gateway_set_offset, row.is_retry, row.outcome) == (
+        2000.0,
+        2,
+        1,
+        False,
+        "served",
+    )
+    assert row.duration_ms == 90 and row.attempts == (
+        form.RecordedAttempt(7, "full", 2.0, 3.0),
+        form.RecordedAttempt(8, "ok", 6.0, 80.0),
+    )
+    assert (
+        row.customer == form.hash_customer(f"{1:016x}", b"salt") != form.hash_customer(f"{1:016x}", b"other")
     )
-    assert row.customer == form.hashed(f"{1:016x}", b"salt") != form.hashed(f"{1:016x}", b"other")
     assert f"{1:016x}".encode() not in (tmp_path / "r").read_bytes()
 
 
 def test_the_file_stays_within_its_size_and_old_rows_go_first(tmp_path: Path) -> None:
     record(tmp_path / "r", range(20000))
     assert (tmp_path / "r").stat().st_size <= SIZE
-    rows = form.read((tmp_path / "r").read_bytes()).rows
-    kept = [round(row.at / 1000) for row in rows]
+    rows = form.read_recording((tmp_path / "r").read_bytes()).rows
+    kept = [round(row.arrived_at / 1000) for row in rows]
     assert kept == list(range(kept[0], 20000)) and 1000 < len(kept) < 20000
 
 
 def test_rows_that_do_not_compress_are_split_over_slots(tmp_path: Path) -> None:
     async def go() -> None:
         recorder = Recorder(tmp_path / "r", SIZE, b"salt", SETTINGS, 0.0)
-        recorder.customer = lambda name: os.urandom(3000)  # type: ignore[method-assign]
+        recorder.hash_customer = lambda name: os.urandom(3000)  # type: ignore[method-assign]
         for number in range(30):
-            recorder.seen(context(number))
+            recorder.record(context(number))
         recorder.close()
 
     asyncio.run(go())
-    found = form.read((tmp_path / "r").read_bytes())
-    assert [round(row.at / 1000) for row in found.rows] == list(range(30)) and found.blocks >= 3
+    found = form.read_recording((tmp_path / "r").read_bytes())
+    assert [round(row.arrived_at / 1000) for row in found.rows] == list(range(30)) and found.blocks >= 3
 
 
 def test_a_restart_goes_on_behind_what_was_written(tmp_path: Path) -> None:
     record(tmp_path / "r", range(10))
     record(tmp_path / "r", range(10, 20))
-    found = form.read((tmp_path / "r").read_bytes())
-    assert [round(row.at / 1000) for row in found.rows] == list(range(20)) and found.blocks == 2
+    found = form.read_recording((tmp_path / "r").read_bytes())
+    assert [round(row.arrived_at / 1000) for row in found.rows] == list(range(20)) and found.blocks == 2
 
 
 def test_a_block_that_is_not_full_is_written_and_written_again(tmp_path: Path) -> None:
     async def go() -> None:
         recorder = Recorder(tmp_path / "r", SIZE, b"salt", SETTINGS, 0.0)
         for number in range(6):
-            recorder.seen(context(number))
+            recorder.record(context(number))
             recorder.flush()
-        assert len(form.read((tmp_path / "r").read_bytes()).rows) == 6
-        recorder.seen(context(6))
+        assert len(form.read_recording((tmp_path / "r").read_bytes()).rows) == 6
+        recorder.record(context(6))
         recorder.close()
 
     asyncio.run(go())
-    assert form.read((tmp_path / "r").read_bytes()).blocks == 1
+    assert form.read_recording((tmp_path / "r").read_bytes()).blocks == 1
 
 
 def test_what_is_damaged_or_cut_off_is_told_and_the_rest_is_read(tmp_path: Path) -> None:
     record(tmp_path / "r", range(4000))
     whole = (tmp_path / "r").read_bytes()
-    count = form.read(whole).blocks
+    count = form.read_recording(whole).blocks
     assert count >= 3
     hurt = bytearray(whole)
-    hurt[form.HEADER.size + form.SLOT + 200] ^= 0xFF
-    found = form.read(bytes(hurt))
-    assert found.blocks == count - 1 and any("damaged" in line for line in found.trouble)
-    assert any("missing" in line for line in found.trouble)
-    cut = form.read(whole[: form.HEADER.size + form.SLOT + 1000])
-    assert cut.blocks == 1 and "not whole" in cut.trouble[0]
+    hurt[form.FILE_HEADER.size + form.SLOT_BYTES + 200] ^= 0xFF
+    found = form.read_recording(bytes(hurt))
+    assert found.blocks == count - 1 and any("damaged" in line for line in found.problems)
+    assert any("missing" in line for line in found.problems)
+    cut = form.read_recording(whole[: form.FILE_HEADER.size + form.SLOT_BYTES + 1000])
+    assert cut.blocks == 1 and "not whole" in cut.problems[0]
     for bad in (b"", b"x" * 500, whole[:20]):
-        with pytest.raises(form.BadRecording):
-            form.read(bad)
+        with pytest.raises(form.RecordingError):
+            form.read_recording(bad)
 
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 70000), st.binary(max_size=12)), max_size=8), st.integers(0, 80000))
 def test_no_bytes_make_the_reader_fail(changes: list[tuple[int, bytes]], end: int) -> None:
-    rows = [form.ENCODER.encode(form.Row(1.0, "a", "b", b"c", 1, 1, 1, 1, 0, False, "served", 1.0))] * 50
-    data = bytearray(form.HEADER.pack(form.MAGIC, form.SLOT, 2, 0, 1, 0.0, b"run"))
+    rows = [
+        form.ROW_ENCODER.encode(
+            form.RecordedRequest(1.0, "a", "b", b"c", 1, 1, 1, 1, 0, False, "served", 1.0)
+        )
+    ] * 50
+    data = bytearray(form.FILE_HEADER.pack(form.FILE_MAGIC, form.SLOT_BYTES, 2, 0, 1, 0.0, b"run"))
     for number in range(2):
-        data += form.pack_block(number, rows, 1.0).ljust(form.SLOT, b"\0")
+        data += form.pack_block(number, rows, 1.0).ljust(form.SLOT_BYTES, b"\0")
     for at, piece in changes:
         data[at : at + len(piece)] = piece
     try:
-        found = form.read(bytes(data[:end]))
+        found = form.read_recording(bytes(data[:end]))
         assert len(found.rows) <= 100
-    except form.BadRecording:
+    except form.RecordingError:
         pass
 
 
@@ -140,10 +158,10 @@
         recorder = Recorder(tmp_path / "r", SIZE, b"salt", SETTINGS, 0.0)
         os.close(recorder.file)
         recorder.file = os.open("/dev/full", os.O_RDWR)
-        recorder.seen(context(1))
+        recorder.record(context(1))
         recorder.flush()
         assert recorder.file == -1
-        recorder.seen(context(2))
+        recorder.record(context(2))
         recorder.close()
 
     asyncio.run(go())
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -43,7 +43,7 @@
 
 def copies_in(folder: Path, name: str = NAMES[0], election_ms: int = 100) -> ReplicationHost:
     """The replication host of a gateway whose peers are not there."""
-    section = operators.check(text_of(folder, election_ms=election_ms)).copies
+    section = operators.parse_settings(text_of(folder, election_ms=election_ms)).copies
     assert section is not None
     parsed = config.parse(json.dumps({**replicas_only_config(), "name": name}), {})
     disk = open_store(section, parsed.name)
@@ -89,7 +89,7 @@
     loop_went_on = threading.Event()
     attempts: list[bool] = []
 
-    def open_slowly(section: operators.Copies, name: str) -> DurableStore:
+    def open_slowly(section: operators.ReplicationSettings, name: str) -> DurableStore:
         if not attempts:
             attempts.append(False)
             raise StoreUnavailableError("the disk is full")
@@ -98,7 +98,7 @@
 
     file = tmp_path / "operators.sexp"
     file.write_text(text_of(tmp_path / "store", "(lease false) "))
-    monkeypatch.setenv(operators.VARIABLE, str(file))
+    monkeypatch.setenv(operators.ENVIRONMENT_VARIABLE, str(file))
     monkeypatch.setattr(extensions, "open_store", open_slowly)
     monkeypatch.setattr(extensions, "STORE_RETRY_DELAY_S", 0.01)
     parsed = config.parse(json.dumps({**replicas_only_config(), "name": NAMES[0]}), {})
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -237,14 +237,14 @@
     (tmp_path / "o.sexp").write_text(f'(record (file "{tmp_path}/{{name}}.rec") (salt "s"))')
     day = draw_day(scenario(seconds=2.0, rate=60.0), 10)
     found, _ = fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
-    rows = [row for n in range(2) for row in form.read((tmp_path / f"n{n}.rec").read_bytes()).rows]
+    rows = [row for n in range(2) for row in form.read_recording((tmp_path / f"n{n}.rec").read_bytes()).rows]
     tries = [t for t in found.rule_checker.client_attempts if t.accepted]
     assert len(rows) == len(tries)
     for final in ("served", "refused", "failed"):
-        assert sum(r.final == final for r in rows) == sum(t.result == final for t in tries)
+        assert sum(r.outcome == final for r in rows) == sum(t.result == final for t in tries)
     sent = [a for r in rows for a in r.attempts if a.status != "unsent"]
     assert abs(len(sent) - sum(len(t.attempts) for t in tries)) <= 2
-    assert sum(r.cost for r in rows) == sum(t.request.units for t in tries if t.result == "served")
+    assert sum(r.true_cost for r in rows) == sum(t.request.units for t in tries if t.result == "served")
 
 
 def test_an_operators_file_that_makes_no_sense_is_one_line_and_exit_status_2(tmp_path: Path) -> None:
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -108,7 +108,7 @@
 )
 def test_settings_that_let_nobody_go_are_told(text: str, said: str) -> None:
     with pytest.raises(SettingsError, match=said):
-        operators.check(text)
+        operators.parse_settings(text)
 
 
 def test_what_is_seen_is_worked_out_from_what_gateways_tell() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 
 def test_the_example_is_good_and_nothing_is_on_without_a_section() -> None:
     assert operators.load(ROOT / "deploy" / "operators.example.sexp").record is not None
-    assert operators.check("; nothing\n") == operators.Operators()
+    assert operators.parse_settings("; nothing\n") == operators.OperatorSettings()
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
 )
 def test_what_is_wrong_is_told_with_line_and_column(text: str, message: str) -> None:
     with pytest.raises(SettingsError) as found:
-        operators.check(text, "o")
+        operators.parse_settings(text, "o")
     assert str(found.value).startswith(message) and "\n" not in str(found.value)
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -126,10 +126,11 @@
     ),
     # Recordings
     "row": (
-        form.Row,
-        "at cls plan customer guess cost patience spread first retry final took attempts",
+        form.RecordedRequest,
+        "arrived_at request_class plan customer estimated_cost true_cost patience_ms gateway_set_size"
+        " gateway_set_offset is_retry outcome duration_ms attempts",
     ),
-    "attempt": (form.Attempt, "server status sent took"),
+    "attempt": (form.RecordedAttempt, "endpoint status sent_after_ms duration_ms"),
     # What one process hands on
     "warm state": (
         warm_state.WarmState,
@@ -421,21 +422,23 @@
 
 
 def test_a_recording_of_98386c1_is_read_with_its_values() -> None:
-    found = form.read((DATA / "recording").read_bytes())
-    assert (found.gateway, found.gateways, found.blocks, found.trouble) == (1, 3, 1, [])
+    found = form.read_recording((DATA / "recording").read_bytes())
+    assert (found.gateway, found.gateways, found.blocks, found.problems) == (1, 3, 1, [])
     assert exact(plain(found.rows)) == exact(VALUES["recording"])
 
 
 def test_rows_of_a_recording_of_98386c1_are_encoded_to_the_same_bytes() -> None:
     """What is compressed: compressors differ from version to version."""
     data = (DATA / "recording").read_bytes()
-    head = form.BLOCK.unpack_from(data, form.HEADER.size)
-    begin = form.HEADER.size + form.BLOCK.size
-    raw = zstandard.ZstdDecompressor().decompress(data[begin : begin + head[3]], max_output_size=form.RAW)
-    encoded = [form.ENCODER.encode(row) for row in form.read(data).rows]
-    assert form.array_head(len(encoded)) + b"".join(encoded) == raw
+    head = form.BLOCK_HEADER.unpack_from(data, form.FILE_HEADER.size)
+    begin = form.FILE_HEADER.size + form.BLOCK_HEADER.size
+    raw = zstandard.ZstdDecompressor().decompress(
+        data[begin : begin + head[3]], max_output_size=form.MAX_BLOCK_ROW_BYTES
+    )
+    encoded = [form.ROW_ENCODER.encode(row) for row in form.read_recording(data).rows]
+    assert form.encode_array_header(len(encoded)) + b"".join(encoded) == raw
     made = form.pack_block(head[1], encoded, head[5])
-    again = form.BLOCK.unpack_from(made)
+    again = form.BLOCK_HEADER.unpack_from(made)
     assert (again[0], again[1], *again[4:]) == (head[0], head[1], *head[4:])
 
 
@@ -443,18 +446,18 @@
     path = tmp_path / "recording"
     shutil.copy(DATA / "recording", path)
     record(path, range(2000, 2003))
-    found = form.read(path.read_bytes())
+    found = form.read_recording(path.read_bytes())
     count = len(VALUES["recording"])
     assert exact(plain(found.rows[:count])) == exact(VALUES["recording"])
-    assert [row.at for row in found.rows[count:]] == [2e6, 2.001e6, 2.002e6]
-    assert (found.blocks, found.trouble) == (2, [])
+    assert [row.arrived_at for row in found.rows[count:]] == [2e6, 2.001e6, 2.002e6]
+    assert (found.blocks, found.problems) == (2, [])
 
 
 def test_a_recording_of_another_form_is_refused_by_name() -> None:
     data = (DATA / "recording").read_bytes()
     assert data.startswith(b"MSREC1\0\0")
-    with pytest.raises(form.BadRecording, match="no recording"):
-        form.read(data.replace(b"MSREC1", b"MSREC2", 1))
+    with pytest.raises(form.RecordingError, match="no recording"):
+        form.read_recording(data.replace(b"MSREC1", b"MSREC2", 1))
 
 
 # What one process hands on to the next
