--- a/mapleshunt/simulation/rule_checker.py
+++ b/mapleshunt/simulation/rule_checker.py
@@ -82,7 +82,7 @@
             return
         key = id(work.idempotency_key)
         if key in self.effects_seen:
-            self._break("doubled", f"a sale of customer {work.key.customer} closed twice")  # type: ignore[attr-defined]
+            self._break("doubled", f"a sale of customer {work.idempotency_key.customer} closed twice")  # type: ignore[attr-defined]
         self.effects_seen.add(key)
 
     def client_answered(self, one: ClientAttempt, final: ClientResult, at: float) -> None:
