--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -13,12 +13,13 @@
 
 from .. import policy
 from ..fleet.backend import Backend, BackendRequest
+from ..fleet.clients import ClientResult
 from ..fleet.discovery import EndpointEntry
 from ..fleet.faults import Fault
 from .day import Day
 from .event_queue import EventQueue
 from .fleet_host import FleetHost
-from .records import ClientAttempt, ClientResult, RequestRecord, UpstreamAttempt
+from .records import ClientAttempt, RequestRecord, UpstreamAttempt
 
 TIMEOUT_BUCKET_MS = 64.0  # ms
 CONNECTION_REST_MS = 10.0  # ms after an answer for which the program does not use its connection again
@@ -99,7 +100,7 @@
                 gc.enable()
         self.events = self.agenda.processed
         self.total_cpu_ns = time.process_time_ns() - begun
-        self.rule_checker.finish(self.agenda.now)
+        self.rule_checker.finish()
 
     # Gateways
 
@@ -324,7 +325,7 @@
             )
             return
         attempt.arrived_at = now
-        self.quota_ledger.record_arrival(one, now)
+        self.quota_accounting.record_arrival(one, now)
         if till.silent:
             self.held[attempt.server][attempt.backend_request] = (gateway, one, attempt)
             return
@@ -390,7 +391,7 @@
         cost = 0.0
         if status == "ok":
             cost = attempt.backend_request.units
-            self.quota_ledger.record_settlement(one, now)
+            self.quota_accounting.record_settlement(one, now)
             if one.result is None:
                 at = max(self.busy[gateway], now) + self.event_ms
                 self._answer(gateway, one.request_id, "served", 0.0, at)
--- a/mapleshunt/simulation/fleet_host.py
+++ b/mapleshunt/simulation/fleet_host.py
@@ -11,14 +11,15 @@
 
 from .. import policy
 from ..fleet.backend import Backend, BackendRequest, IdempotencyStore
-from ..fleet.clients import ClientBehaviour
+from ..fleet.clients import ClientBehaviour, ClientResult
 from ..fleet.counter import SharedCounter
 from ..fleet.discovery import Discovery, EndpointEntry
 from ..fleet.faults import Fault
 from ..fleet.network import MessageRateLimiter, Network
 from ..fleet.random_streams import BufferedDraws, Rng, lognormal
 from .day import CLASSES, Day
-from .records import ClientAttempt, ClientResult, QuotaLedger, RequestRecord
+from .quota_accounting import QuotaAccounting
+from .records import ClientAttempt, RequestRecord
 from .rule_checker import RuleChecker
 
 NOISE_TABLE_SIZE = 4096  # places of the table of attempt noise
@@ -35,8 +36,8 @@
         self.discovery = Discovery(f, streams.generator("discovery"))
         self.settings = day.settings(words)
         self.client_behaviour = ClientBehaviour(f, self.settings[0].max_retry_after)
-        self.rule_checker, self.quota_ledger = RuleChecker(day, self.settings[0]), QuotaLedger(day)
-        self.quota_ledger.on_ceiling_exceeded = self.rule_checker.ceiling_exceeded
+        self.rule_checker = RuleChecker(day, self.settings[0])
+        self.quota_accounting = QuotaAccounting(day, self.rule_checker.ceiling_exceeded)
         self.classes = [shape.name for shape in f.classes]
         self.effects = [CLASSES[name].get("effect", "safe") for name in self.classes]
         self.deadlines = [CLASSES[name]["deadline"] for name in self.classes]
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -1,27 +1,34 @@
-"""Service as the operators weigh it, and each penalty, from the record of what crossed the wire."""
+"""The score of a played day: service as the operators weigh it, and each penalty, from what crossed the wire."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import asdict, dataclass, field
 from typing import Protocol
 
 import numpy as np
+import numpy.typing as npt
 
 from ..fleet.backend import Backend
+from ..fleet.parameters import Parameters
 from ..fleet.quota import TokenBucket
 from .day import CLASSES, Day
-from .records import RequestRecord
+from .records import ClientAttempt, RequestRecord
 from .rule_checker import RULE_NAMES, RuleChecker
 
+Floats = npt.NDArray[np.float64]
+Mask = npt.NDArray[np.bool_]
+# The keys of these tables are those of the score's JSON, which operators read.
 WEIGHTS = {"whole": 0.55, "worst_window": 0.2, "worst_plan": 0.25}
 PENALTY_WEIGHTS = {"waste": 0.08, "late_fail": 0.044, "messages": 0.043, "probes": 0.01, "counter": 0.005}
-WINDOW_S, WINDOW_STEP_S = 10.0, 1.0  # s
-MESSAGE_UNIT_BYTES = 256  # bytes
-MIN_WINDOW_SHARE = 0.02  # part of the offered worth that a window must hold to count
+WINDOW_S, WINDOW_STEP_S = 10.0, 1.0
+MESSAGE_UNIT_BYTES = 256
+MIN_WINDOW_SHARE = 0.02  # of the offered value, that a window must hold to count
+NS_PER_S = 1e9
 
 
 class PlayedDay(Protocol):
-    """What a day leaves behind, in the model or on sockets."""
+    """What a day leaves behind, played in virtual time or on sockets."""
 
     day: Day
     requests: list[RequestRecord]
@@ -37,7 +44,11 @@
 
 @dataclass(slots=True)
 class Score:
-    """A run's figures. Shares are of 1; `g` is service less all penalties; `*_s` are seconds."""
+    """A run's figures; the names of the fields are keys of the JSON that operators read.
+
+    Shares are of 1; `whole` is the share of the value inside quotas that was served within its latency
+    objective, `g` is service less all penalties, and `*_s` are seconds.
+    """
 
     scenario: str
     seed: int
@@ -50,145 +61,206 @@
     penalties: dict[str, float]
     rules: dict[str, int]
     requests: int
-    tries: int
+    tries: int  # attempts of clients
     served: int
     refused: int
     failed: int
-    over_quota: float  # of the units sent on, those beyond the quotas
-    refused_with_room: float  # of the tries inside the quota as one that sees all has it, those refused
+    over_quota: float  # of the units forwarded, the share beyond the quotas
+    refused_with_room: float  # of the attempts inside the quota by a global view, the share rejected
     p50_ms: float
     p99_ms: float
     events: int
     wall_s: float = 0.0
     gateway_cpu_s: float = 0.0
     model_cpu_s: float = 0.0
-    stories: list[str] = field(default_factory=list)
+    stories: list[str] = field(default_factory=list)  # descriptions of the first violations
 
     def as_dict(self) -> dict[str, object]:
+        """Return the score for JSON."""
         return asdict(self)
 
 
 def requests_inside_quota(day: Day) -> list[bool]:
-    """Which first tries one gateway that saw them all would let in."""
-    stores: dict[int, TokenBucket] = {}
+    """Return which requests one gateway that saw them all would admit, by their first attempts."""
+    buckets = _Buckets(day)
     inside = []
-    for ask in day.traffic.requests:
-        store = stores.get(ask.customer)
-        if store is None:
-            plan = day.parameters.plans[day.traffic.customers[ask.customer].plan]
-            store = stores[ask.customer] = TokenBucket(plan.rate, plan.burst)
-        good = store.try_take(ask.arrives_at, ask.estimated_units)
-        if good:
-            store.settle(ask.arrives_at, ask.units - ask.estimated_units)
-        inside.append(good)
+    for request in day.traffic.requests:
+        bucket = buckets.of(request.customer)
+        admitted = bucket.try_take(request.arrives_at, request.estimated_units)
+        if admitted:
+            bucket.settle(request.arrives_at, request.units - request.estimated_units)
+        inside.append(admitted)
     return inside
 
 
 def request_values(day: Day) -> list[float]:
-    """Class worth x plan price x true units, for each first try."""
+    """Return priority weight x plan price x true units for each request."""
     classes, plans, customers = day.parameters.classes, day.parameters.plans, day.traffic.customers
     return [
-        classes[a.class_index].priority_weight * plans[customers[a.customer].plan].price * a.units
-        for a in day.traffic.requests
+        classes[request.class_index].priority_weight
+        * plans[customers[request.customer].plan].price
+        * request.units
+        for request in day.traffic.requests
     ]
 
 
-def score_day(engine: PlayedDay) -> Score:
-    """Judge a day that has been played."""
-    day, records, tries = engine.day, engine.requests, engine.rule_checker.client_attempts
-    inside, worth = requests_inside_quota(day), request_values(day)
-    aims = [CLASSES[shape.name]["latency_objective"] for shape in day.parameters.classes]
-    customers, plans = day.traffic.customers, day.parameters.plans
-    at = np.array([r.request.arrives_at for r in records]) / 1000 if records else np.zeros(0)
-    weight = np.array(worth)
-    asked = weight * np.array(inside, dtype=float)
+class _Buckets:
+    """A token bucket for each customer's quota, made when it is first needed."""
+
+    def __init__(self, day: Day) -> None:
+        self._plans = day.parameters.plans
+        self._customers = day.traffic.customers
+        self._buckets: dict[int, TokenBucket] = {}
+
+    def of(self, customer: int) -> TokenBucket:
+        bucket = self._buckets.get(customer)
+        if bucket is None:
+            plan = self._plans[self._customers[customer].plan]
+            bucket = self._buckets[customer] = TokenBucket(plan.rate, plan.burst)
+        return bucket
+
+
+@dataclass(slots=True)
+class _Service:
+    """The value that was offered inside quotas and the part that was earned, for each request."""
+
+    offered: Floats
+    earned: Floats
+    latencies_ms: list[float]  # of the served requests
+    late_failure_value: float  # of requests that failed after their latency objective
+
+    @property
+    def total(self) -> float:
+        return float(self.offered.sum()) or 1.0
+
+    def share(self, mask: Mask) -> float:
+        """Return the share of the offered value that was earned among the requests of `mask`."""
+        offered = float(self.offered[mask].sum())
+        return min(1.0, float(self.earned[mask].sum()) / offered) if offered else 1.0
+
+
+def _measure_service(day: Day, records: Sequence[RequestRecord]) -> _Service:
+    inside, values = requests_inside_quota(day), request_values(day)
+    objectives = [CLASSES[cls.name]["latency_objective"] for cls in day.parameters.classes]
     earned = np.zeros(len(records))
-    took, late = [], 0.0
+    latencies: list[float] = []
+    late = 0.0
     for n, record in enumerate(records):
+        objective = objectives[record.request.class_index]
         if record.served_at is not None:
-            took.append(record.served_at - record.request.arrives_at)
-            if took[-1] <= aims[record.request.class_index] and record.inside_quota:
-                earned[n] = worth[n]
-        elif inside[n] and record.ended_at - record.request.arrives_at > aims[record.request.class_index]:
-            late += worth[n]
-    total = float(asked.sum()) or 1.0
+            latency = record.served_at - record.request.arrives_at
+            latencies.append(latency)
+            if latency <= objective and record.inside_quota:
+                earned[n] = values[n]
+        elif inside[n] and record.ended_at - record.request.arrives_at > objective:
+            late += values[n]
+    offered = np.array(values) * np.array(inside, dtype=float)
+    return _Service(offered, earned, latencies, late)
 
-    def share(mask: np.ndarray) -> float:
-        there = float(asked[mask].sum())
-        return min(1.0, float(earned[mask].sum()) / there) if there else 1.0
 
-    everything = np.ones(len(records), dtype=bool)
-    plan_of = np.array([customers[r.request.customer].plan for r in records], dtype=int)
-    by_plan = {shape.name: share(plan_of == n) for n, shape in enumerate(plans)}
-    begins = np.arange(
-        0, max(WINDOW_STEP_S, day.scenario.seconds - WINDOW_S + WINDOW_STEP_S / 2), WINDOW_STEP_S
-    )
-    windows = [(at >= b) & (at < b + WINDOW_S) for b in begins]
-    windows = [mask for mask in windows if float(asked[mask].sum()) > MIN_WINDOW_SHARE * total] or [
-        everything
-    ]
-    whole, worst_window = share(everything), min(share(mask) for mask in windows)
-    worst_plan = min(by_plan.values())
-    service = (
-        WEIGHTS["whole"] * whole + WEIGHTS["worst_window"] * worst_window + WEIGHTS["worst_plan"] * worst_plan
-    )
+def _worst_window(day: Day, records: Sequence[RequestRecord], service: _Service, everything: Mask) -> float:
+    """Return the least share earned in a window of `WINDOW_S` that holds enough of the offered value."""
+    arrivals = np.array([r.request.arrives_at for r in records]) / 1000 if records else np.zeros(0)
+    last_begin = max(WINDOW_STEP_S, day.scenario.seconds - WINDOW_S + WINDOW_STEP_S / 2)
+    begins = np.arange(0, last_begin, WINDOW_STEP_S)
+    windows = [(arrivals >= begin) & (arrivals < begin + WINDOW_S) for begin in begins]
+    least = MIN_WINDOW_SHARE * service.total
+    counted = [mask for mask in windows if float(service.offered[mask].sum()) > least]
+    return min(service.share(mask) for mask in counted or [everything])
+
 
-    first = max(1, len(records))
-    offered_work = sum(r.request.work_ms for r in records) or 1.0
-    spent = sum(till.work_done_ms for till in engine.backend_models.values())
+@dataclass(slots=True)
+class _QuotaUse:
+    """How the forwarded and the rejected attempts stood to the quotas."""
+
+    units: float = 0.0
+    units_over: float = 0.0
+    cost_over: float = 0.0
+    inside: int = 0  # attempts that a global view of the quota would admit
+    inside_rejected: int = 0
+
+
+def _measure_quota_use(day: Day, attempts: Sequence[ClientAttempt]) -> _QuotaUse:
+    """Sum up units over quota, and rejections of attempts that a global view would admit.
+
+    The global view is a bucket that is charged with what was forwarded inside the quota.
+    """
+    use, buckets = _QuotaUse(), _Buckets(day)
+    plans, customers = day.parameters.plans, day.traffic.customers
+    for attempt in attempts:
+        if not attempt.accepted:
+            continue
+        request = attempt.request
+        plan = plans[customers[request.customer].plan]
+        if attempt.inside_quota is not None:
+            use.units += request.units
+            if not attempt.inside_quota:
+                use.units_over += request.units
+                weight = day.parameters.classes[request.class_index].priority_weight
+                use.cost_over += plan.over_quota_cost * plan.price * weight * request.units
+        bucket = buckets.of(request.customer)
+        if bucket.refill(attempt.sent_at) >= max(request.estimated_units, bucket.burst / 2):
+            use.inside += 1
+            if attempt.result == "refused":
+                use.inside_rejected += 1
+        if attempt.inside_quota:
+            bucket.try_take(attempt.sent_at, request.units)
+    return use
+
+
+def _penalties(played: PlayedDay, service: _Service, use: _QuotaUse) -> dict[str, float]:
+    offered_work = sum(record.request.work_ms for record in played.requests) or 1.0
+    done = sum(backend.work_done_ms for backend in played.backend_models.values())
     useful = sum(
-        a.backend_request.work_done_ms
-        for t in tries
-        if t.result == "served"
-        for a in t.attempts
-        if a.status == "ok"
+        upstream.backend_request.work_done_ms
+        for attempt in played.rule_checker.client_attempts
+        if attempt.result == "served"
+        for upstream in attempt.attempts
+        if upstream.status == "ok"
     )
-    over = units = over_units = 0.0
-    room = refused_room = 0
-    shadows: dict[int, TokenBucket] = {}
-    for one in tries:
-        if not one.accepted:
-            continue
-        plan = plans[customers[one.request.customer].plan]
-        if one.inside_quota is not None:
-            units += one.request.units
-            if not one.inside_quota:
-                over_units += one.request.units
-                over += (
-                    plan.over_quota_cost
-                    * plan.price
-                    * day.parameters.classes[one.request.class_index].priority_weight
-                    * one.request.units
-                )
-        # A store that takes what was sent on inside the quota says which refused tries had room.
-        store = shadows.get(one.request.customer)
-        if store is None:
-            store = shadows[one.request.customer] = TokenBucket(plan.rate, plan.burst)
-        if store.refill(one.sent_at) >= max(one.request.estimated_units, store.burst / 2):
-            room += 1
-            refused_room += one.result == "refused"
-        if one.inside_quota:
-            store.try_take(one.sent_at, one.request.units)
-    penalties = {
-        "waste": PENALTY_WEIGHTS["waste"] * max(0.0, spent - useful) / offered_work,
-        "late_fail": PENALTY_WEIGHTS["late_fail"] * late / total,
-        "messages": PENALTY_WEIGHTS["messages"] * engine.message_bytes / MESSAGE_UNIT_BYTES / first,
-        "probes": PENALTY_WEIGHTS["probes"] * engine.health_checks / first,
-        "counter": PENALTY_WEIGHTS["counter"] * engine.counter_calls / first,
-        "over_quota": over / total,
+    requests = max(1, len(played.requests))
+    return {
+        "waste": PENALTY_WEIGHTS["waste"] * max(0.0, done - useful) / offered_work,
+        "late_fail": PENALTY_WEIGHTS["late_fail"] * service.late_failure_value / service.total,
+        "messages": PENALTY_WEIGHTS["messages"] * played.message_bytes / MESSAGE_UNIT_BYTES / requests,
+        "probes": PENALTY_WEIGHTS["probes"] * played.health_checks / requests,
+        "counter": PENALTY_WEIGHTS["counter"] * played.counter_calls / requests,
+        "over_quota": use.cost_over / service.total,
+    }
+
+
+def _plan_shares(
+    parameters: Parameters, plan_numbers: npt.NDArray[np.int_], service: _Service
+) -> dict[str, float]:
+    return {plan.name: service.share(plan_numbers == n) for n, plan in enumerate(parameters.plans)}
+
+
+def score_day(played: PlayedDay) -> Score:
+    """Score a day that has been played."""
+    day, records, attempts = played.day, played.requests, played.rule_checker.client_attempts
+    service = _measure_service(day, records)
+    everything = np.ones(len(records), dtype=bool)
+    plan_numbers = np.array([day.traffic.customers[r.request.customer].plan for r in records], dtype=int)
+    by_plan = _plan_shares(day.parameters, plan_numbers, service)
+    parts = {
+        "whole": service.share(everything),
+        "worst_window": _worst_window(day, records, service, everything),
+        "worst_plan": min(by_plan.values()),
     }
-    final = [t.result for t in tries]
-    quantiles = np.quantile(took, [0.5, 0.99]) if took else np.zeros(2)
-    cpu, gateway_cpu = engine.total_cpu_ns / 1e9, engine.gateway_cpu_ns / 1e9
+    weighted = sum(WEIGHTS[name] * parts[name] for name in WEIGHTS)
+    use = _measure_quota_use(day, attempts)
+    penalties = _penalties(played, service, use)
+    results = [attempt.result for attempt in attempts]
+    median, p99 = np.quantile(service.latencies_ms, [0.5, 0.99]) if service.latencies_ms else np.zeros(2)
+    gateway_cpu_s = played.gateway_cpu_ns / NS_PER_S
     return Score(
-        scenario=day.scenario.name, seed=day.seed, service=service, whole=whole, worst_window=worst_window,
-        worst_plan=worst_plan, g=service - sum(penalties.values()), plans=by_plan, penalties=penalties,
-        rules={name: engine.rule_checker.violations[name] for name in RULE_NAMES}, requests=len(records),
-        tries=len(tries),
-        served=final.count("served"), refused=final.count("refused"), failed=final.count("failed"),
-        over_quota=over_units / units if units else 0.0,
-        refused_with_room=refused_room / room if room else 0.0,
-        p50_ms=float(quantiles[0]), p99_ms=float(quantiles[1]), events=engine.events,
-        gateway_cpu_s=gateway_cpu, model_cpu_s=max(0.0, cpu - gateway_cpu),
-        stories=engine.rule_checker.descriptions,
+        scenario=day.scenario.name, seed=day.seed, service=weighted, **parts,
+        g=weighted - sum(penalties.values()), plans=by_plan, penalties=penalties,
+        rules={name: played.rule_checker.violations[name] for name in RULE_NAMES}, requests=len(records),
+        tries=len(attempts), served=results.count("served"), refused=results.count("refused"),
+        failed=results.count("failed"), over_quota=use.units_over / use.units if use.units else 0.0,
+        refused_with_room=use.inside_rejected / use.inside if use.inside else 0.0,
+        p50_ms=float(median), p99_ms=float(p99), events=played.events, gateway_cpu_s=gateway_cpu_s,
+        model_cpu_s=max(0.0, played.total_cpu_ns / NS_PER_S - gateway_cpu_s),
+        stories=played.rule_checker.descriptions,
     )  # fmt: skip
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -151,7 +151,7 @@
         attempt = UpstreamAttempt(self.machine.number, self.machine.cell, now, work, now)
         fleet.rule_checker.attempt_sent(one, attempt, one.gateway, fleet.sent_at(now))
         one.attempts.append(attempt)
-        fleet.quota_ledger.record_arrival(one, now)
+        fleet.quota_accounting.record_arrival(one, now)
         out = InFlightAttempt(one, attempt, stream)
         fleet.in_flight.setdefault(one.request_id, []).append(out)
         current[:] = [out]
@@ -180,7 +180,7 @@
         elif word == "error":
             await stream.write(resp.encode_error("ERR failed"))
         else:
-            fleet.quota_ledger.record_settlement(one, clock.now())
+            fleet.quota_accounting.record_settlement(one, clock.now())
             await self._answer(stream, out, self._good_answer(one, bytes(words[2])))
 
     def _good_answer(self, one: ClientAttempt, name: bytes) -> bytes:
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -8,10 +8,11 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from ..fleet.clients import ClientResult
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..simulation.day import RuleLimits
-from ..simulation.records import ClientAttempt, ClientResult, RequestRecord
+from ..simulation.records import ClientAttempt, RequestRecord
 from .ports import HOST
 
 if TYPE_CHECKING:
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -13,9 +13,10 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from ...fleet.clients import ClientResult
 from ...net.protocol import resp
 from ...net.protocol.read_buffer import MessageTooLongError
-from ...simulation.records import ClientAttempt, ClientResult
+from ...simulation.records import ClientAttempt
 from ..clients import ClientConnection, SocketClients
 from ..ports import HOST
 from .backends import MAX_LAG_S
