--- a/mapleshunt/server/admin_calls.py
+++ b/mapleshunt/server/admin_calls.py
@@ -9,7 +9,7 @@
 
 from ..lifecycle import statistics
 from ..lifecycle.lifecycle import DrainRequester, State
-from ..net.admin.endpoint import AdminResponse
+from ..net.admin.connection import AdminResponse
 from ..net.config import Config
 from ..net.counters import Counters
 from ..net.policy_driver import PolicyDriver
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -11,7 +11,7 @@
 import socket
 import tempfile
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -260,8 +260,7 @@
         self.connections.final_deadline = self.lifecycle.last_response_at(longest_deadline_s)
         self.counters.trace.add("process", "stopping")
         log.log_event("stopping", open=len(self.driver.open_requests), succeeded=has_successor)
-        while self.lifecycle.accepts_connections(_now()):
-            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+        await _poll_until(lambda: not self.lifecycle.accepts_connections(_now()))
         self.controller.tick_contained()
         # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
         # it to a process that comes late. The places of those that rested are free now. Where another process
@@ -276,8 +275,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 # Both change on the hot path, where setting an event would cost every request.
-                while self.connections.connections or self.driver.open_requests:
-                    await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+                await _poll_until(lambda: not (self.connections.connections or self.driver.open_requests))
         except TimeoutError:  # a client that does not read must not hold up the restart
             left = len(self.connections.connections)
             log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
@@ -299,9 +297,9 @@
 def _reserved_descriptors(config: Config) -> int:
     if config.admin_address is None:
         return RESERVED_DESCRIPTORS
-    from ..net.admin.endpoint import DESCRIPTORS
+    from ..net.admin.endpoint import MAX_DESCRIPTORS
 
-    return RESERVED_DESCRIPTORS + DESCRIPTORS
+    return RESERVED_DESCRIPTORS + MAX_DESCRIPTORS
 
 
 def _client_listener(config: Config) -> socket.socket:
@@ -315,5 +313,13 @@
     return listener
 
 
+async def _poll_until(condition: Callable[[], bool]) -> None:
+    """Wait for what changes with the clock, or on the hot path, where an event would cost every request."""
+    while True:
+        if condition():
+            return
+        await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+
+
 def _now() -> float:
     return asyncio.get_running_loop().time()
--- a/tests/test_door.py
+++ b/tests/test_admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door: a gateway as a process, with callers that hold on beside it."""
+"""The admin endpoint: a gateway as a process, with clients that hold connections beside it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mapleshunt.net.admin import endpoint as door
+from mapleshunt.net.admin.endpoint import MAX_CONNECTIONS
 from mapleshunt.net.protocol import http
 
 from .processes import EXAMPLE, NOT_READY, PING, PONG, ROOT, Gateway, query, replies, toy
@@ -34,7 +34,7 @@
     to.sendall(query(number, b"c=%b,t=small,d=5000,units=1,spread=1,first=0" % cls))
 
 
-def test_figures_count_every_end_and_every_attempt(gateway: Gateway) -> None:
+def test_statistics_count_every_result_and_every_attempt(gateway: Gateway) -> None:
     assert gateway.figures()["gateway.completed.lookup"] == ("0", "c")
     with socket.create_connection(gateway.client, timeout=20) as client:
         for number in range(9):
@@ -51,15 +51,13 @@
     assert figures["gateway.members_unavailable"] == ("0", "g")
 
 
-def test_answers_beside_callers_that_hold_on(gateway: Gateway) -> None:
+def test_call_is_answered_beside_clients_that_hold_connections(gateway: Gateway) -> None:
     held = []
-    for number in range(3 * door.MAX_CONNECTIONS):
+    for number in range(3 * MAX_CONNECTIONS):
         held.append(socket.create_connection(gateway.door, timeout=20))
         held[-1].sendall(b"GET /_va"[: number % 9])
     assert gateway.call("GET", "/_ready")[0] == 200
-    assert (
-        sum(one.recv(1) == b"" for one in held[: 2 * door.MAX_CONNECTIONS]) == 2 * door.MAX_CONNECTIONS
-    )  # made room
+    assert sum(one.recv(1) == b"" for one in held[: 2 * MAX_CONNECTIONS]) == 2 * MAX_CONNECTIONS  # made room
     held[-1].sendall(b"GET /_ready HTTP/1.1\r\n\r\n"[len(held) % 9 - 1 :])  # the newest may still call
     for one in held:
         one.close()
@@ -69,7 +67,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD)
-def test_bad_bytes_end_their_connection_only(gateway: Gateway, bad: bytes) -> None:
+def test_bad_bytes_close_their_connection_only(gateway: Gateway, bad: bytes) -> None:
     with socket.create_connection(gateway.door, timeout=20) as one:
         one.sendall(bad)
         data = b""
@@ -80,7 +78,7 @@
     assert gateway.call("GET", "/_nothing")[0] == 404 and gateway.call("PUT", "/_vars")[0] == 404
 
 
-def test_a_door_that_cannot_be_had_is_one_line_and_exit_2() -> None:
+def test_address_in_use_is_one_line_and_exit_2() -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         process = subprocess.run(
             [sys.executable, "-m", "mapleshunt"], cwd=ROOT, capture_output=True, text=True, timeout=60,
@@ -91,7 +89,7 @@
     assert process.stderr.startswith("mapleshunt: cannot start: ")
 
 
-def test_without_an_address_for_it_nothing_of_the_door_is_loaded() -> None:
+def test_endpoint_is_not_imported_without_an_address_for_it() -> None:
     code = """
 import asyncio, sys
 from mapleshunt.server.gateway_server import GatewayServer
@@ -111,7 +109,7 @@
 
 
 @given(st.binary(max_size=200), st.integers(0, 200))
-def test_a_head_is_read_alike_in_whatever_pieces_it_comes(data: bytes, cut: int) -> None:
+def test_head_is_parsed_alike_in_whatever_pieces_it_comes(data: bytes, cut: int) -> None:
     text = bytearray(b"GET /" + data + b" HTTP/1.1\r\nA: b\r\n\r\n")
     whole: object
     try:
@@ -125,7 +123,7 @@
     assert part is None or part == whole
 
 
-def test_a_drained_gateway_empties_and_takes_clients_again(gateway: Gateway) -> None:
+def test_draining_gateway_empties_and_serves_again_when_resumed(gateway: Gateway) -> None:
     """Clients ask throughout: none of their requests is lost, and their connections are closed between."""
     with (
         socket.create_connection(gateway.client, timeout=20) as idle,
@@ -158,7 +156,7 @@
     assert gateway.process.wait(timeout=30) == 0
 
 
-def test_a_client_that_always_asks_on_cannot_hold_a_drained_gateway(gateway: Gateway) -> None:
+def test_client_that_never_stops_asking_cannot_hold_up_a_drain(gateway: Gateway) -> None:
     with socket.create_connection(gateway.client, timeout=20) as client:
         gateway.call("POST", "/_lameduck/on")
         ended, number = time.monotonic() + 60, 0
