--- a/mapleshunt/net/hot_restart/handover.py
+++ b/mapleshunt/net/hot_restart/handover.py
@@ -1,12 +1,12 @@
-"""Two processes of one gateway: how they find each other in `$TMPDIR`, and what passes between them.
+"""The files in `$TMPDIR` by which the processes of one gateway find each other and pass on their state.
 
-Each process holds a lock on a file of its own for as long as it lives, whatever ends it; files are numbered,
-and the highest number that is alive is the newest process. Nothing rests on a file that may be left over:
-what no living process holds or waits for is removed by the next one.
+Each process holds a lock on a file of its own for as long as it runs, whatever ends it. Files are numbered,
+and the highest number that is locked is the newest process. Nothing depends on a file that may be left over:
+what no running process holds or waits for is removed by the next one.
 
-    NAME.gateway.3          process 3's lock; it holds the word "ready" once it takes clients
-    NAME.gateway.3.from.2   what process 2 handed on to process 3
-    NAME.used.3.from.2      units that 2 used since, by customer; written again and again until 2 ends
+    NAME.gateway.3          process 3's lock; it contains "ready" once that process serves clients
+    NAME.gateway.3.from.2   the warm state that process 2 handed to process 3
+    NAME.used.3.from.2      units that 2 used since, by customer; rewritten again and again until 2 ends
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 import os
 import re
 from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 import msgspec
@@ -25,49 +26,64 @@
 READY = b"ready"
 
 
+@dataclass(slots=True, frozen=True)
+class OtherProcesses:
+    """Numbers of the other running processes of this gateway, the newest first."""
+
+    older: list[int]
+    newer: list[int]
+
+
 class Handover:
+    """This process's place among the processes of its gateway, and its mailbox with each of them."""
+
     def __init__(self, folder: Path, name: str) -> None:
-        """Joins as the newest process. Raises OSError if the folder cannot be written to."""
-        self.folder, self.stem = folder, re.sub(r"[^A-Za-z0-9_-]", "_", name)
-        self.form = re.compile(rf"{self.stem}\.gateway\.([0-9]{{1,9}})")
-        self._tidy()
-        begun = folder / f"{self.stem}.begun.{os.getpid()}"
-        self.lock = os.open(begun, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Join as the newest process of the gateway `name`.
+
+        Raises:
+            OSError: the folder cannot be written to.
+        """
+        self._folder = folder
+        self._stem = re.sub(r"[^A-Za-z0-9_-]", "_", name)
+        self._lock_name = re.compile(rf"{self._stem}\.gateway\.([0-9]{{1,9}})")
+        self._remove_leftovers()
+        unnumbered = folder / f"{self._stem}.begun.{os.getpid()}"
+        self._lock = os.open(unnumbered, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self.number = self._join(begun)
+            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.number = self._take_number(unnumbered)
         except OSError:
-            os.close(self.lock)
+            os.close(self._lock)
             raise
         finally:
-            begun.unlink(missing_ok=True)
+            unnumbered.unlink(missing_ok=True)
 
-    def _join(self, begun: Path) -> int:
-        # The file gets its name only once it is locked: nobody sees it as left over.
+    def _take_number(self, unnumbered: Path) -> int:
+        # The file gets its numbered name only once it is locked: nobody takes it for left over.
         while True:
             number = max(self._numbers(), default=0) + 1
             with contextlib.suppress(FileExistsError):
-                os.link(begun, self._path(number))
+                os.link(unnumbered, self._lock_path(number))
                 return number
 
-    def _path(self, number: int) -> Path:
-        return self.folder / f"{self.stem}.gateway.{number}"
+    def _lock_path(self, number: int) -> Path:
+        return self._folder / f"{self._stem}.gateway.{number}"
 
-    def _knowledge(self, to: int, source: int) -> Path:
-        return self.folder / f"{self.stem}.gateway.{to}.from.{source}"
+    def _warm_state_path(self, to: int, source: int) -> Path:
+        return self._folder / f"{self._stem}.gateway.{to}.from.{source}"
 
-    def _used(self, to: int, source: int) -> Path:
-        return self.folder / f"{self.stem}.used.{to}.from.{source}"
+    def _usage_path(self, to: int, source: int) -> Path:
+        return self._folder / f"{self._stem}.used.{to}.from.{source}"
 
     def _numbers(self) -> Iterator[int]:
-        for file in os.listdir(self.folder):
-            if found := self.form.fullmatch(file):
+        for file in os.listdir(self._folder):
+            if found := self._lock_name.fullmatch(file):
                 yield int(found[1])
 
-    def _alive(self, number: int) -> bool:
-        """Does a process hold this lock? One that cannot be looked at now counts as alive."""
+    def _is_running(self, number: int) -> bool:
+        """Tell whether a process holds this lock. One that cannot be checked now counts as running."""
         try:
-            with open(self._path(number), "rb") as file:
+            with open(self._lock_path(number), "rb") as file:
                 fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except FileNotFoundError:
             return False
@@ -75,17 +91,20 @@
             return True
         return False
 
-    def _tidy(self) -> None:
-        """Remove what processes left that are no more."""
-        for one in list(self._numbers()):
-            if not self._alive(one):
-                self._path(one).unlink(missing_ok=True)
-        form = re.compile(rf"{self.stem}\.(?:gateway|used)\.([0-9]+)\.from\.[0-9]+(?:\.part)?")
-        for file in os.listdir(self.folder):
-            if (found := form.fullmatch(file)) and not self._path(int(found[1])).exists():
-                (self.folder / file).unlink(missing_ok=True)
-
-    def _write(self, path: Path, data: bytes) -> None:
+    def _remove_leftovers(self) -> None:
+        """Remove the files of processes that have ended."""
+        for number in list(self._numbers()):
+            if not self._is_running(number):
+                self._lock_path(number).unlink(missing_ok=True)
+        handed_name = re.compile(rf"{self._stem}\.(?:gateway|used)\.([0-9]+)\.from\.[0-9]+(?:\.part)?")
+        for file in os.listdir(self._folder):
+            found = handed_name.fullmatch(file)
+            if found and not self._lock_path(int(found[1])).exists():
+                (self._folder / file).unlink(missing_ok=True)
+
+    @staticmethod
+    def _write(path: Path, data: bytes) -> None:
+        """Replace the file as a whole: a reader sees the one before or this one."""
         part = path.with_name(path.name + ".part")
         part.write_bytes(data)
         part.replace(path)
@@ -98,51 +117,67 @@
         except OSError:
             return None
 
-    # Whom there is
+    # Which processes there are
 
-    def other_processes(self) -> tuple[list[int], list[int]]:
-        """Processes that are alive: the older and the newer ones, the newest first."""
+    def other_processes(self) -> OtherProcesses:
+        """Return the other running processes.
+
+        Raises:
+            OSError: the folder cannot be listed.
+        """
         numbers = sorted(self._numbers(), reverse=True)
-        living = [one for one in numbers if one != self.number and self._alive(one)]
-        return [one for one in living if one < self.number], [one for one in living if one > self.number]
+        running = [one for one in numbers if one != self.number and self._is_running(one)]
+        return OtherProcesses(
+            older=[one for one in running if one < self.number],
+            newer=[one for one in running if one > self.number],
+        )
 
     def older_processes(self) -> list[int]:
-        return self.other_processes()[0]
+        """Return the running processes that began before this one, the newest first."""
+        return self.other_processes().older
 
     def newer_processes(self) -> list[int]:
-        return self.other_processes()[1]
+        """Return the running processes that began after this one, the newest first."""
+        return self.other_processes().newer
 
     def mark_ready(self) -> None:
-        """This process takes clients from now on."""
-        os.pwrite(self.lock, READY, 0)
+        """Let the other processes know that this one serves clients from now on."""
+        os.pwrite(self._lock, READY, 0)
 
     def is_ready(self, number: int) -> bool:
-        return self._read(self._path(number)) == READY
+        """Tell whether that process serves clients."""
+        return self._read(self._lock_path(number)) == READY
 
     # What passes between them
 
     def write_warm_state(self, to: int, data: bytes) -> None:
-        self._write(self._knowledge(to, self.number), data)
+        """Hand the encoded warm state to process `to`."""
+        self._write(self._warm_state_path(to, self.number), data)
 
     def take_warm_state(self, source: int) -> bytes | None:
-        """What `source` handed on to this process, once."""
-        path = self._knowledge(self.number, source)
+        """Return the warm state that `source` handed to this process, once; None if there is none."""
+        path = self._warm_state_path(self.number, source)
         data = self._read(path)
         path.unlink(missing_ok=True)
         return data
 
     def write_usage(self, to: int, units: dict[int, float]) -> None:
-        self._write(self._used(to, self.number), msgspec.json.encode(units))
+        """Let process `to` know the units by customer that this one used since it handed on its state."""
+        self._write(self._usage_path(to, self.number), msgspec.json.encode(units))
 
     def read_usage(self, source: int) -> dict[int, float]:
-        """Units by customer that `source` used since; empty if it has told none, or what makes no sense."""
-        data = self._read(self._used(self.number, source))
+        """Return the units by customer that `source` used since.
+
+        Empty if it has written none, or nothing that can be read.
+        """
+        data = self._read(self._usage_path(self.number, source))
         try:
             return msgspec.json.decode(data or b"{}", type=dict[int, float])
         except msgspec.DecodeError:
             return {}
 
     def close(self) -> None:
-        with contextlib.suppress(OSError):  # what is left over the next process removes
-            self._path(self.number).unlink(missing_ok=True)
-        os.close(self.lock)
+        """Give up the lock. A file that cannot be removed now is removed by the next process."""
+        with contextlib.suppress(OSError):
+            self._lock_path(self.number).unlink(missing_ok=True)
+        os.close(self._lock)
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -1,7 +1,7 @@
-"""A second process beside the first: the next version takes over while the one before goes on to its end.
+"""The hot restart: a newer process takes over while the older one answers what it has accepted.
 
-The older process hands on what it knows as soon as it sees a newer one, goes on as before, and tells what it
-uses from then on. SIGTERM tells it to leave: until then the newer one may die, and nothing is lost.
+The older process hands on its warm state as soon as it sees a newer one, serves on as before, and publishes
+what it uses from then on. SIGTERM ends it: until then the newer one may die, and nothing is lost.
 """
 
 from __future__ import annotations
@@ -18,127 +18,168 @@
 from ..policy_driver import PolicyDriver
 from .handover import Handover
 
-WAIT = 0.5  # s that a new process waits for what the one before knows: it answers within 50 ms or is stuck
-LOOK = 0.01  # s between two looks for it
+# For which a new process waits for the warm state: an older one answers within 50 ms, or is stuck.
+WARM_STATE_TIMEOUT_S = 0.5
+WARM_STATE_POLL_INTERVAL_S = 0.01
 
 
 def monotonic_ms() -> float:
-    """The machine's clock that is never stepped: one for all its processes."""
+    """Return the machine's clock that is never stepped, in ms: one for all its processes."""
     return time.monotonic() * 1000
 
 
 class Takeover:
+    """This process's part in a hot restart, as the older process, the newer one, or both in turn."""
+
     def __init__(self, folder: Path, name: str, driver: PolicyDriver, counters: Counters) -> None:
-        """Raises OSError if the folder cannot be written to."""
-        self.driver, self.counters = driver, counters
-        self.handover = Handover(folder, name)
-        self.to: int | None = None  # the newer process that this one has handed on to
-        self.units: dict[int, float] = {}  # used since, by customer
-        self.written: dict[int, float] = {}  # of these, what was told
-        self.sources: dict[int, dict[int, float]] = {}  # older processes, and what was charged for each
-        self.together = False  # another process of this gateway lives
-        self.takes_clients = self.announced = False  # and whether the others can read that it does
-
-    # The new process
+        """Join the processes of the gateway `name`.
+
+        Raises:
+            OSError: the folder cannot be written to.
+        """
+        self.has_sibling = False  # another process of this gateway is running
+        self._driver = driver
+        self._counters = counters
+        self._handover = Handover(folder, name)
+        # As the older process: the newer one that has the warm state, and what was used since, by customer.
+        self._successor: int | None = None
+        self._used_units: dict[int, float] = {}
+        self._published_units: dict[int, float] = {}
+        # As the newer process: what was charged for each older one, by customer.
+        self._charged_units: dict[int, dict[int, float]] = {}
+        self._serves_clients = False
+        self._announced = False  # that it serves clients; the other processes can read it
+
+    # The newer process
 
     async def receive(self) -> None:
-        """Take over what the process before knows, if there is one that answers in time."""
+        """Take over the warm state of the older process, if there is one that answers in time.
+
+        Cancelling it leaves the decisions as they are at the start of a process.
+        """
         try:
             await self._receive()
         except OSError as error:  # the start is as after a kill
-            self._failed(error)
+            self._handover_failed(error)
 
     async def _receive(self) -> None:
-        end = asyncio.get_running_loop().time() + WAIT
-        while (older := self.handover.older_processes()) and asyncio.get_running_loop().time() < end:
-            if (data := self.handover.take_warm_state(older[0])) is not None:
-                return self._take_over(older[0], data)
-            await asyncio.sleep(LOOK)
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + WARM_STATE_TIMEOUT_S
+        while (older := self._handover.older_processes()) and loop.time() < deadline:
+            if self._restore_from(older[0]):
+                return
+            await asyncio.sleep(WARM_STATE_POLL_INTERVAL_S)
         for source in older:  # the newest does not answer; one before it may have
-            if (data := self.handover.take_warm_state(source)) is not None:
-                return self._take_over(source, data)
+            if self._restore_from(source):
+                return
         if older:
             log.log_event("knowledge_missing", source=older[0])
 
-    def _take_over(self, source: int, data: bytes) -> None:
-        self.sources[source] = {}
+    def _restore_from(self, source: int) -> bool:
+        """Restore the warm state of that process, if it has handed one on."""
+        data = self._handover.take_warm_state(source)
+        if data is None:
+            return False
+        self._charged_units[source] = {}
         try:
-            known = warm_state.decode(data)
-            warm_state.restore(self.driver.gateway, known, self.driver.now(), monotonic_ms())
+            state = warm_state.decode(data)
+            warm_state.restore(self._driver.gateway, state, self._driver.now(), monotonic_ms())
         except ValueError as error:  # of another version, or spoilt: it starts as one that was killed does
-            self.counters.add("knowledge_refused")
+            self._counters.add("knowledge_refused")
             log.log_event("knowledge_refused", source=source, why=error)
-            return
-        customers, servers = len(known.customers), len(known.endpoints)
-        age = known.age(self.driver.now(), monotonic_ms())
-        log.log_event("knowledge_taken", source=source, customers=customers, servers=servers, age=age)
-
-    def ready(self) -> None:
-        """This process takes clients from now on. It is told again later if it cannot be told now."""
-        self.takes_clients = True
+            return True
+        log.log_event(
+            "knowledge_taken",
+            source=source,
+            customers=len(state.customers),
+            servers=len(state.endpoints),
+            age=state.age(self._driver.now(), monotonic_ms()),
+        )
+        return True
+
+    def announce_serving(self) -> None:
+        """Let the other processes know that this one serves clients from now on.
+
+        It is repeated at the next tick if it fails now.
+        """
+        self._serves_clients = True
         self._announce()
 
     def _announce(self) -> None:
-        if self.takes_clients and not self.announced:
+        if self._serves_clients and not self._announced:
             try:
-                self.handover.mark_ready()
-                self.announced = True
+                self._handover.mark_ready()
+                self._announced = True
             except OSError as error:
-                self._failed(error)
+                self._handover_failed(error)
 
-    def _failed(self, error: OSError) -> None:
-        self.counters.add("handover_failed")
+    def _handover_failed(self, error: OSError) -> None:
+        self._counters.add("handover_failed")
         log.log_event("handover_failed", why=error)
 
-    def _charge(self, alive: list[int]) -> None:
-        for source, charged in list(self.sources.items()):
-            ended = source not in alive
-            for tag, units in self.handover.read_usage(source).items():
-                if (more := units - charged.get(tag, 0.0)) > 0:
-                    warm_state.charge_usage(self.driver.gateway, tag, more, self.driver.now())
+    def _charge_usage_of(self, running: list[int]) -> None:
+        """Charge what the older processes used since they handed on their state; `running` are left."""
+        for source, charged in list(self._charged_units.items()):
+            has_ended = source not in running
+            for tag, units in self._handover.read_usage(source).items():
+                increase = units - charged.get(tag, 0.0)
+                if increase > 0:
+                    warm_state.charge_usage(self._driver.gateway, tag, increase, self._driver.now())
                     charged[tag] = units
-            if ended:  # what it told last has been read
-                del self.sources[source]
+            if has_ended:  # its last usage has been read
+                del self._charged_units[source]
 
-    # The old process
+    # The older process
 
-    def succeeded(self) -> bool:
-        """Does a newer process take the clients by now? If that cannot be looked up, none does."""
+    def has_successor(self) -> bool:
+        """Tell whether a newer process serves clients by now. If that cannot be checked, none does."""
         try:
-            return any(self.handover.is_ready(one) for one in self.handover.newer_processes())
+            return any(self._handover.is_ready(one) for one in self._handover.newer_processes())
         except OSError as error:
-            self._failed(error)
+            self._handover_failed(error)
             return False
 
-    def _sent(self, request: i.Request) -> None:
+    def _count_usage(self, request: i.Request) -> None:
         tag = tag_of(request.customer)
-        if tag in self.units or len(self.units) < warm_state.MAX_CUSTOMERS:
-            self.units[tag] = self.units.get(tag, 0.0) + request.units
-
-    def _hand_on(self, to: int) -> None:
-        data = warm_state.encode(warm_state.capture(self.driver.gateway, self.driver.now(), monotonic_ms()))
-        self.handover.write_warm_state(to, data)
-        self.to, self.units, self.written = to, {}, {}
-        self.driver.on_first_attempt = self._sent
-        log.log_event("handed_on", to=to, bytes=len(data))
-
-    def tend(self, working: bool) -> None:
-        """Look for other processes, hand on and take over. Called many times a second."""
+        if tag in self._used_units or len(self._used_units) < warm_state.MAX_CUSTOMERS:
+            self._used_units[tag] = self._used_units.get(tag, 0.0) + request.units
+
+    def _hand_on(self, successor: int) -> None:
+        state = warm_state.capture(self._driver.gateway, self._driver.now(), monotonic_ms())
+        data = warm_state.encode(state)
+        self._handover.write_warm_state(successor, data)
+        self._successor = successor
+        self._used_units = {}
+        self._published_units = {}
+        self._driver.on_first_attempt = self._count_usage
+        log.log_event("handed_on", to=successor, bytes=len(data))
+
+    def _publish_usage(self) -> None:
+        if self._successor is not None and self._used_units != self._published_units:
+            self._handover.write_usage(self._successor, self._used_units)
+            self._published_units = dict(self._used_units)
+
+    def tick(self, is_serving: bool) -> None:
+        """Look for other processes, hand on and charge. Called many times a second.
+
+        Args:
+            is_serving: only a process that serves clients hands on its warm state.
+        """
         self._announce()
         try:
-            older, newer = self.handover.other_processes()
-            self.together = bool(older or newer)
-            self._charge(older)
-            if newer and newer[0] != self.to and working:
-                self._hand_on(newer[0])
-            elif not newer and self.to is not None:
-                log.log_event("successor_gone", was=self.to)
-                self.to, self.driver.on_first_attempt = None, None
-            if self.to is not None and self.units != self.written:
-                self.handover.write_usage(self.to, self.units)
-                self.written = dict(self.units)
+            others = self._handover.other_processes()
+            self.has_sibling = bool(others.older or others.newer)
+            self._charge_usage_of(others.older)
+            if others.newer and others.newer[0] != self._successor and is_serving:
+                self._hand_on(others.newer[0])
+            elif not others.newer and self._successor is not None:
+                log.log_event("successor_gone", was=self._successor)
+                self._successor = None
+                self._driver.on_first_attempt = None
+            self._publish_usage()
         except OSError as error:  # no room: the two go on as if each were alone
-            self._failed(error)
+            self._handover_failed(error)
 
     def close(self) -> None:
-        self.handover.close()
+        """Leave the processes of this gateway."""
+        self._handover.close()
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -158,9 +158,9 @@
 
     def _hot_restart_tick(self) -> None:
         assert self.takeover is not None
-        self.takeover.tend(self.lifecycle.is_serving())
+        self.takeover.tick(self.lifecycle.is_serving())
         self.gossip.retry_open(self.reloader.config)
-        processes = 1 + self.takeover.together
+        processes = 1 + self.takeover.has_sibling
         if processes != self.clients.budget.processes:
             self.clients.budget.divide(processes)
 
@@ -235,7 +235,7 @@
         self.lifecycle.start_serving()
         self.counters.trace.add("process", "listening")
         if self.takeover is not None:
-            self.takeover.ready()
+            self.takeover.announce_serving()
         self.controller.update_timer()
         if self.admin is not None:
             self.admin.open()
@@ -253,7 +253,7 @@
 
         Load balancers learn late that the gateway stops. Cancelling it leaves connections open.
         """
-        has_successor = self.takeover is not None and self.takeover.succeeded()
+        has_successor = self.takeover is not None and self.takeover.has_successor()
         classes = self.reloader.config.settings.classes.values()
         longest_deadline_s = max((cls.deadline for cls in classes), default=0.0) / 1000
         self.lifecycle.stop(_now(), has_successor)
@@ -265,7 +265,7 @@
         # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
         # it to a process that comes late. The places of those that rested are free now. Where another process
         # accepts from the same socket, that takes the rest.
-        if self.takeover is None or not self.takeover.together:
+        if self.takeover is None or not self.takeover.has_sibling:
             await self.clients.accept_backlog()
         self.clients.close_listeners()
         self.controller.update_timer()
--- a/tests/test_second_process.py
+++ b/tests/test_hot_restart.py
@@ -114,7 +114,7 @@
         return [isinstance(one, memoryview) for one in replies(client, 8)]
 
 
-def test_upgrade_under_load_loses_nothing_and_refills_nothing(place: Place) -> None:
+def test_upgrade_under_load_loses_no_request_and_refills_no_quota(place: Place) -> None:
     old = place.start_ready()
     client = Client(place.socket.getsockname())
     client.start()
@@ -157,7 +157,7 @@
     assert not client.lost
 
 
-def test_two_upgrades_in_a_row(place: Place) -> None:
+def test_two_upgrades_in_a_row_lose_no_request(place: Place) -> None:
     client = Client(place.socket.getsockname())
     first = place.start_ready()
     client.start()
@@ -177,7 +177,9 @@
 
 @pytest.mark.parametrize("victim", ["old", "new"])
 @pytest.mark.parametrize("step", STEPS)
-def test_either_may_die_at_any_step(place: Place, step: str, victim: str) -> None:
+def test_clients_are_served_when_either_process_dies_at_any_step(
+    place: Place, step: str, victim: str
+) -> None:
     old = place.start_ready()
     client = Client(place.socket.getsockname())
     client.start()
@@ -212,7 +214,7 @@
     assert len(client.lost) <= 1  # what the killed one held
 
 
-def test_an_old_process_that_does_not_answer_holds_nothing_up(place: Place) -> None:
+def test_start_is_not_held_up_by_an_older_process_that_does_not_answer(place: Place) -> None:
     old = place.start_ready()
     old.process.send_signal(signal.SIGSTOP)
     new = place.start_ready()
@@ -222,7 +224,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b'{"version":1,"at":1', b'{"version":999}', b"\xff" * 99, b"[]"])
-def test_what_cannot_be_read_is_refused_and_the_start_goes_on(place: Place, data: bytes) -> None:
+def test_warm_state_that_cannot_be_read_is_refused_and_the_start_goes_on(place: Place, data: bytes) -> None:
     name = "n0"
     older = Handover(place.folder, name)  # stands for a process of another version
     done = threading.Event()
@@ -268,7 +270,7 @@
         toy_server.communicate()
 
 
-def test_a_descriptor_that_does_not_listen_is_one_line_and_exit_2(tmp_path: Path) -> None:
+def test_inherited_descriptor_that_does_not_listen_is_one_line_and_exit_2(tmp_path: Path) -> None:
     with socket.socket() as odd:
         odd.bind(("127.0.0.1", 0))
         one = Gateway("127.0.0.1:1", odd, TMPDIR=str(tmp_path))
@@ -286,7 +288,7 @@
     return gateway
 
 
-def test_knowledge_comes_back_as_it_was_and_time_has_passed() -> None:
+def test_warm_state_is_restored_as_it_was_with_the_time_since() -> None:
     one = decisions(1000.0)
     customer = one.record(tag_of("c"), one.plans.index("thin"))
     customer.store.level, customer.store.at = 1.5, 1000.0
@@ -301,7 +303,7 @@
 
 
 @pytest.mark.parametrize("step", [3_600_000.0, -3_600_000.0, 5000.0, -5000.0])
-def test_knowledge_is_as_old_as_the_monotonic_clock_says_whatever_the_wall_clock_does(step: float) -> None:
+def test_age_of_warm_state_follows_the_monotonic_clock_when_the_wall_clock_is_stepped(step: float) -> None:
     # A wall clock that was stepped between the two starts made it too old to take, or its stores refill.
     one = decisions(1e12)
     customer = one.record(tag_of("c"), one.plans.index("thin"))
@@ -315,21 +317,21 @@
 
 
 @pytest.mark.parametrize(("late", "said"), [(20_000.0, "ago"), (-20_000.0, "ago")])
-def test_knowledge_from_another_time_is_refused(late: float, said: str) -> None:
+def test_warm_state_from_another_time_is_refused(late: float, said: str) -> None:
     known = warm_state.capture(decisions(1000.0), 1000.0)
     with pytest.raises(ValueError, match=said):
         warm_state.restore(decisions(50_000.0), known, 1000.0 + late)
 
 
 @given(st.binary(max_size=300), st.integers(0, 400))
-def test_no_bytes_are_more_than_a_value_error(noise: bytes, cut: int) -> None:
+def test_no_bytes_raise_more_than_a_value_error(noise: bytes, cut: int) -> None:
     whole = warm_state.encode(warm_state.capture(decisions(1000.0), 1000.0))
     for data in (noise, whole[:cut], whole[:cut] + noise):
         with contextlib.suppress(ValueError):
             warm_state.restore(decisions(1000.0), warm_state.decode(data), 1000.0)
 
 
-def test_processes_find_each_other_and_clear_up(tmp_path: Path) -> None:
+def test_processes_find_each_other_and_remove_leftovers(tmp_path: Path) -> None:
     first = Handover(tmp_path, "a/b")
     second = Handover(tmp_path, "a/b")
     other = Handover(tmp_path, "c")
@@ -353,7 +355,7 @@
     fourth.close()
 
 
-def test_a_process_that_cannot_be_looked_at_counts_as_alive(
+def test_process_that_cannot_be_checked_counts_as_running(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Without a descriptor left it was taken for dead: its lock was removed, and what it used was not charged.
@@ -371,7 +373,7 @@
     second.close()
 
 
-def test_a_full_folder_ends_neither_a_start_nor_a_shutdown(
+def test_full_folder_ends_neither_a_start_nor_a_shutdown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The word that a process takes clients now could not be written: the process ended. So it did at SIGTERM,
@@ -385,12 +387,12 @@
 
     with monkeypatch.context() as patched:
         patched.setattr(os, "pwrite", fails)
-        newer.ready()
+        newer.announce_serving()
         patched.setattr(os, "listdir", fails)
-        assert not older.succeeded()
+        assert not older.has_successor()
         asyncio.run(newer.receive())
-    assert not older.succeeded() and counters.counts["handover_failed"] == 3
+    assert not older.has_successor() and counters.counts["handover_failed"] == 3
     newer._announce()
-    assert older.succeeded()
+    assert older.has_successor()
     for one in (older, newer):
         one.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -48,7 +48,7 @@
 
 from .processes import LONG, Gateway, free_port, toy
 from .test_record import record
-from .test_second_process import decisions
+from .test_hot_restart import decisions
 
 ReplicatedState = state.ReplicatedState
 KINDS: dict[str, tuple[type, str]] = {
