--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -47,8 +47,8 @@
 from mapleshunt.testbed.replica_client import ReplicaClient, query_operator_port
 
 from .processes import LONG, Gateway, free_port, toy
-from .test_record import record
 from .test_hot_restart import decisions
+from .test_record import record
 
 ReplicatedState = state.ReplicatedState
 KINDS: dict[str, tuple[type, str]] = {
