--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from ...lifecycle import warm_state
-from ...policy import interface as i
+from ...policy import RequestReceived
 from ...policy.gossip_codec import tag_of
 from .. import log
 from ..counters import Counters
@@ -139,7 +139,7 @@
             self._handover_failed(error)
             return False
 
-    def _count_usage(self, request: i.Request) -> None:
+    def _count_usage(self, request: RequestReceived) -> None:
         tag = tag_of(request.customer)
         if tag in self._used_units or len(self._used_units) < warm_state.MAX_CUSTOMERS:
             self._used_units[tag] = self._used_units.get(tag, 0.0) + request.units
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ...policy import interface as i
+from ...policy import AttemptStatus, RequestReceived
 
 
 class RequestMessage(Protocol):
@@ -56,7 +56,7 @@
 class AttemptResult:
     """How a try ended; `value` only with "ok"."""
 
-    status: i.Status
+    status: AttemptStatus
     value: memoryview | None = None
     cost: float = 0.0
 
@@ -69,15 +69,15 @@
     deadline: float  # when the gateway stops waiting
     send_before: float = math.inf  # from then on none of its bytes may go out
     connection: AttemptConnection | None = None
-    cancel_status: i.Status | None = None
+    cancel_status: AttemptStatus | None = None
     task: asyncio.Task[None] | None = None
-    status: i.Status | None = None  # how it ended; None while it is out
+    status: AttemptStatus | None = None  # how it ended; None while it is out
     zone: str = ""  # of its server, known once its bytes go out
     cell: int = 0
     latency_ms: float = 0.0  # ms
     cost: float = 0.0  # true units, as told
 
-    def cancel(self, status: i.Status) -> None:
+    def cancel(self, status: AttemptStatus) -> None:
         """Stop waiting. The connection ends too: an answer still to come on it would be the next try's."""
         if self.cancel_status is None:
             self.cancel_status = status
@@ -88,7 +88,7 @@
 @dataclass(slots=True)
 class RequestContext:
     request_id: int
-    request: i.Request
+    request: RequestReceived
     message: RequestMessage
     response_sink: ResponseSink
     received_at: float  # on the driver's clock
@@ -103,7 +103,7 @@
 
     @property
     def deadline(self) -> float:
-        return self.received_at + self.request.patience
+        return self.received_at + self.request.remaining_time
 
     def claim_response(self) -> bool:
         """Claim the right to give the final answer; False if that has been done."""
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ...policy import interface as i
+from ...policy import AttemptEnded
 from . import respond
 from .context import Attempt, AttemptResult, RequestContext
 
@@ -20,14 +20,14 @@
         driver.remove(context)
     attempt.status, attempt.latency_ms = ending.status, driver.now() - attempt.sent_at
     # No request counts more than the settings' largest: such a figure is unreadable.
-    attempt.cost = ending.cost if ending.cost <= driver.settings.largest else 0.0
+    attempt.cost = ending.cost if ending.cost <= driver.settings.max_request_units else 0.0
     driver.apply_event(
-        i.Outcome(
-            ref=context.request_id,
+        AttemptEnded(
+            request_id=context.request_id,
             status=ending.status,
-            closed=not context.awaiting_response,
+            request_completed=not context.awaiting_response,
             attempt=attempt.number,
-            server=attempt.server,
+            endpoint=attempt.server,
             latency=attempt.latency_ms,
             cost=attempt.cost,
         )
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -16,7 +16,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from ...policy import interface as i
+from ...policy import EndpointInfo, EndpointState, EndpointUpdate, UpdateKind
 from .. import log
 from ..config import Address, address_family
 from ..counters import Counters
@@ -81,7 +81,7 @@
     address: Address
     zone: str
     cell: int
-    state: i.ServerState
+    state: EndpointState
     started_at_ms: float  # ms, Unix time; 0 for long ago
 
     @property
@@ -260,10 +260,10 @@
 
     def apply_endpoint_list(
         self,
-        kind: i.ListKind,
+        kind: UpdateKind,
         members: Sequence[Endpoint],
         age: Callable[[float], float | None] = lambda started: None,
-    ) -> i.Members:
+    ) -> EndpointUpdate:
         """Take over a list or a change of it, and word it for the decisions. `age` tells for how many ms a
         server that started then, in Unix ms, has been up.
         """
@@ -282,10 +282,10 @@
                 self._drop_idle(server, "server_gone")
                 del self.pools[number]  # new ones come under new ids all day
         entries = tuple(
-            i.ServerEntry(m.number, m.zone, m.cell, m.state, m.started_at_ms, age(m.started_at_ms))
+            EndpointInfo(m.number, m.zone, m.cell, m.state, m.started_at_ms, age(m.started_at_ms))
             for m in members
         )
-        return i.Members(kind, entries)
+        return EndpointUpdate(kind, entries)
 
     # Connections
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -18,8 +18,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from mapleshunt import EndpointInfo, EndpointUpdate, Settings
 from mapleshunt import Gateway as Decisions
-from mapleshunt import Members, ServerEntry, Settings
 from mapleshunt.lifecycle import warm_state
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.hot_restart import handover
@@ -283,8 +283,8 @@
 
 
 def decisions(now: float) -> Decisions:
-    gateway = Decisions(Settings(me=0, instances=1, classes=CLASSES, plans=PLANS), 1, now)
-    gateway.handle(now, Members("complete", tuple(ServerEntry(n) for n in range(4))))
+    gateway = Decisions(Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS), 1, now)
+    gateway.handle(now, EndpointUpdate("complete", tuple(EndpointInfo(n) for n in range(4))))
     return gateway
 
 
