--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -13,116 +13,137 @@
 from .net.blocking import run_in_thread
 from .net.config import Config, ConfigError
 from .net.counters import Counters
-from .net.maintenance import GatewayControls, MaintenanceHost
+from .net.maintenance.controls import GatewayControls
+from .net.maintenance.host import MaintenanceHost
 from .net.policy_driver import PolicyDriver
-from .net.replication.host import ReplicationHost, ReplicationInUseError, open_store
+from .net.replication.host import ReplicationHost
 from .net.replication.leases import LeaseClient
+from .net.replication.store_access import ReplicationInUseError, open_store, peer_addresses
 from .recording.writer import Recorder
 from .settings import operators
 from .storage.durable_store import DurableStore, StoreUnavailableError
 from .transient_errors import is_transient
 
 STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
+BYTES_PER_MB = 1 << 20
 
 
 class Extensions:
-    """The parts that the operators' file asks for. Without replication of their own they do nothing else."""
+    """The parts that the operators' file asks for; what it leaves out is not made."""
 
     def __init__(
-        self, config: Config, driver: PolicyDriver, counters: Counters, hands: GatewayControls
+        self, config: Config, driver: PolicyDriver, counters: Counters, controls: GatewayControls
     ) -> None:
-        """Reads the file. Raises `ConfigError`, and OSError where another attempt may succeed."""
-        self.config, self.driver, self.counters, self.hands = config, driver, counters, hands
-        self.copies: ReplicationHost | None = None
-        self.leases: LeaseClient | None = None
-        self.maintenance: MaintenanceHost | None = None
+        """Read the file and begin to record.
+
+        Raises:
+            ConfigError: the file is wrong.
+            OSError: another attempt may succeed.
+        """
         self.recorder: Recorder | None = None
-        self.opening: asyncio.Task[None] | None = None
+        self.replication: ReplicationHost | None = None
+        self._leases: LeaseClient | None = None
+        self._maintenance: MaintenanceHost | None = None
+        self._config = config
+        self._driver = driver
+        self._counters = counters
+        self._controls = controls
+        self._opening: asyncio.Task[None] | None = None
         try:
-            self.chosen = operators.load(Path(os.environ[operators.VARIABLE]))
-            if self.chosen.record is not None:
-                self._record(self.chosen.record)
-            if self.chosen.copies is not None:
-                ReplicationHost.check(self.chosen.copies, config.name)
+            self._settings = _load_settings()
+            if self._settings.record is not None:
+                self._start_recorder(self._settings.record)
+            if self._settings.copies is not None:
+                peer_addresses(self._settings.copies, config.name)
         except ValueError as error:
             raise ConfigError(str(error)) from None
 
-    def _record(self, section: operators.Record) -> None:
-        size, salt = int(section.size_mb * (1 << 20)), section.salt.encode()
-        path = Path(section.file.replace("{name}", self.config.name))
+    def _start_recorder(self, section: operators.Record) -> None:
+        size, salt = int(section.size_mb * BYTES_PER_MB), section.salt.encode()
+        path = Path(section.file.replace("{name}", self._config.name))
         try:
-            self.recorder = Recorder(path, size, salt, self.config.settings, self.driver.now())
+            self.recorder = Recorder(path, size, salt, self._config.settings, self._driver.now())
         except OSError as error:
             if not is_transient(error):
                 raise ConfigError(str(error)) from None
             log.log_event("record_failed", path=path, why=error)
             return
         self.recorder.start()
-        self.driver.on_request_released = self.recorder.seen
+        self._driver.on_request_released = self.recorder.seen
         log.log_event("recording", path=path, bytes=size)
 
     def start(self) -> None:
-        """Open the store and take part in replication. Raises `ConfigError`.
+        """Open the store and take part in replication.
 
         A store that cannot be opened now is tried again in the background: the gateway serves without it. So
         is one that an older process of this gateway has, beside which this one is started.
+
+        Raises:
+            ConfigError: the store or its address cannot be used.
         """
-        if (section := self.chosen.copies) is None:
+        if (section := self._settings.copies) is None:
             return
         try:
-            self._start_copies(section, open_store(section, self.config.name))
+            self._start_replication(section, open_store(section, self._config.name))
         except (StoreUnavailableError, ReplicationInUseError) as error:
-            if isinstance(error, ReplicationInUseError) and self.config.accept_fd is None:
+            if isinstance(error, ReplicationInUseError) and self._config.accept_fd is None:
                 raise
-            self._store_unavailable(error)
-            self.opening = asyncio.get_running_loop().create_task(self._open_store(section))
+            self._report_unavailable(error)
+            self._opening = asyncio.get_running_loop().create_task(self._open_store(section))
 
     async def _open_store(self, section: operators.Copies) -> None:
-        """Try again until the store is open. Cancelling it leaves the gateway without its copies."""
-        while self.copies is None:
+        """Try again until the store is open. Cancelling it leaves the gateway without its replicas."""
+        while self.replication is None:
             await asyncio.sleep(STORE_RETRY_DELAY_S)
             try:
-                disk = await run_in_thread(lambda: open_store(section, self.config.name))
-                self._start_copies(section, disk)
+                store = await run_in_thread(lambda: open_store(section, self._config.name))
+                self._start_replication(section, store)
             except (StoreUnavailableError, ConfigError) as error:
-                self._store_unavailable(error)
+                self._report_unavailable(error)
             except Exception:  # a defect must not leave the gateway without its replicas for good
-                self.counters.add("exceptions")
+                self._counters.add("exceptions")
                 log.log_exception("copies_exception")
 
-    def _store_unavailable(self, error: Exception) -> None:
-        self.counters.add("copies_store_unavailable")
+    def _report_unavailable(self, error: Exception) -> None:
+        self._counters.add("copies_store_unavailable")
         log.log_event("copies_store_unavailable", why=error)
 
-    def _start_copies(self, section: operators.Copies, disk: DurableStore) -> None:
-        copies = ReplicationHost(section, self.config.name, disk, self.counters, self.config.seed)
-        copies.start()
-        self.copies = copies
+    def _start_replication(self, section: operators.Copies, store: DurableStore) -> None:
+        replication = ReplicationHost(section, self._config.name, store, self._counters, self._config.seed)
+        replication.start()
+        self.replication = replication
         if section.lease:
-            self.leases = LeaseClient(copies, self.driver, self.counters)
-            self.leases.start()
-        if self.chosen.maintenance is not None:
-            self.maintenance = MaintenanceHost(copies, self.chosen.maintenance, self.hands, self.counters)
-            self.maintenance.start()
+            self._leases = LeaseClient(replication.requests, section.groups, self._driver, self._counters)
+            self._leases.start()
+        if self._settings.maintenance is not None:
+            self._maintenance = MaintenanceHost(
+                replication, self._settings.maintenance, self._controls, self._counters
+            )
+            self._maintenance.start()
 
     def reload(self) -> None:
         """Read the file again: the budget of maintenance holds from now on. A bad file changes nothing."""
-        if self.chosen.maintenance is None:
+        if self._settings.maintenance is None:
             return
         try:
-            chosen = operators.load(Path(os.environ[operators.VARIABLE]))
+            settings = _load_settings()
         except (ValueError, OSError) as error:
-            self.counters.add("reloads_failed")
+            self._counters.add("reloads_failed")
             log.log_event("reload_failed", why=error)
             return
-        if chosen.maintenance is not None:
-            self.chosen = chosen
-            if self.maintenance is not None:
-                self.maintenance.reload(chosen.maintenance)
+        if settings.maintenance is not None:
+            self._settings = settings
+            if self._maintenance is not None:
+                self._maintenance.reload(settings.maintenance)
 
     def close(self) -> None:
-        if self.opening is not None:
-            self.opening.cancel()
-        for part in (self.maintenance, self.leases, self.copies, self.recorder):
+        """End all parts; what was recorded and what is durable is kept."""
+        if self._opening is not None:
+            self._opening.cancel()
+        for part in (self._maintenance, self._leases, self.replication, self.recorder):
             if part is not None:
                 part.close()
+
+
+def _load_settings() -> operators.Operators:
+    return operators.load(Path(os.environ[operators.VARIABLE]))
--- a/mapleshunt/net/blocking.py
+++ b/mapleshunt/net/blocking.py
@@ -1,4 +1,4 @@
-"""Calls that block, in a thread of their own: the loop serves its connections meanwhile."""
+"""Calls that block, in a thread of their own: the event loop serves its connections meanwhile."""
 
 from __future__ import annotations
 
@@ -12,36 +12,37 @@
 
 
 async def run_in_thread(call: Callable[[], Result]) -> Result:
-    """What the call returns, or raises. Cancelled, it leaves the call to its end, which nobody is told of.
+    """Return what the call returns, or raise what it raises.
 
-    The thread is a daemon: a call that never returns does not hold up the end of the process, as one in the
-    loop's executor would.
+    Cancelling it leaves the call to its end, whose result is dropped. The thread is a daemon: a call that
+    never returns does not hold up the end of the process, as one in the loop's executor would.
     """
     loop = asyncio.get_running_loop()
-    ended: asyncio.Future[Result] = loop.create_future()
+    future: asyncio.Future[Result] = loop.create_future()
 
     def run() -> None:
         try:
             result = call()
         except Exception as error:
-            _tell(loop, _raise, ended, error)
+            _call_in_loop(loop, _set_exception, future, error)
         else:
-            _tell(loop, _return, ended, result)
+            _call_in_loop(loop, _set_result, future, result)
 
     threading.Thread(target=run, name="blocking-call", daemon=True).start()
-    return await ended
+    return await future
 
 
-def _tell(loop: asyncio.AbstractEventLoop, tell: Callable[..., None], *arguments: object) -> None:
+# Any parameters: those of the callback, which the loop passes on.
+def _call_in_loop(loop: asyncio.AbstractEventLoop, callback: Callable[..., None], *arguments: object) -> None:
     with contextlib.suppress(RuntimeError):  # the loop has been closed
-        loop.call_soon_threadsafe(tell, *arguments)
+        loop.call_soon_threadsafe(callback, *arguments)
 
 
-def _return(ended: asyncio.Future[Result], result: Result) -> None:
-    if not ended.done():
-        ended.set_result(result)
+def _set_result(future: asyncio.Future[Result], result: Result) -> None:
+    if not future.done():
+        future.set_result(result)
 
 
-def _raise(ended: asyncio.Future[Result], error: Exception) -> None:
-    if not ended.done():
-        ended.set_exception(error)
+def _set_exception(future: asyncio.Future[Result], error: Exception) -> None:
+    if not future.done():
+        future.set_exception(error)
--- /dev/null
+++ b/mapleshunt/net/maintenance/coordinator.py
@@ -0,0 +1,99 @@
+"""This gateway as the coordinator of maintenance, while it leads group 0."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+import msgspec
+
+from ...maintenance import commands as maintenance_commands
+from ...maintenance import fleet_view
+from ...maintenance.jobs import MaintenanceJobs
+from ...replicated_state.results import Denied, Result
+from ...replication import wire
+from ...settings.operators import Maintenance as MaintenanceSection
+from .. import log
+from ..replication.host import ReplicationHost
+from .proposal_session import ProposalSessions
+
+VIEW_INTERVAL_S = 0.5  # between two entries of the fleet view
+STATUS_MAX_AGE_S = 1.5  # for which the status of a gateway counts
+
+
+class Coordinator:
+    """Proposes the operators' budget and what is seen of the fleet; the log decides."""
+
+    def __init__(
+        self, replication: ReplicationHost, sessions: ProposalSessions, section: MaintenanceSection
+    ) -> None:
+        """Wire it; `tick` is called periodically while this gateway leads group 0."""
+        self._replication = replication
+        self._requests = replication.requests
+        self._sessions = sessions
+        self._section = section
+        self._viewed_at = float("-inf")  # s
+        self._leading_since = float("inf")  # s
+        self._logged_reason = ""  # why jobs wait, as it was logged last
+        # Status by gateway with the time at which it came. Any: a status as msgspec decodes it.
+        self._statuses: dict[str, tuple[float, dict[str, Any]]] = {}
+
+    def reload(self, section: MaintenanceSection) -> None:
+        """Use another section; a budget that differs becomes an agreed record."""
+        if section.budget() != self._section.budget():
+            self._propose_budget(section)
+        self._section = section
+
+    def _propose_budget(self, section: MaintenanceSection) -> None:
+        command = maintenance_commands.SetBudget(section.budget(), self._replication.gateway)
+        self._sessions.at(0).propose(command, self._budget_responded)
+
+    def _budget_responded(self, result: Result) -> None:
+        log.log_event(
+            "maintenance_budget",
+            result="Denied" if isinstance(result, Denied) else "Done",
+            why=getattr(result, "why", ""),
+        )
+
+    def stop(self) -> None:
+        """This gateway does not lead group 0."""
+        self._leading_since = float("inf")
+
+    def tick(self, now: float, jobs: MaintenanceJobs) -> None:
+        """Propose what is missing in the log or has changed."""
+        has_own_budget = jobs.budget == self._section.budget()
+        if not has_own_budget and not jobs.chosen and not self._sessions.at(0).is_busy():
+            self._propose_budget(self._section)
+        if not jobs.open() or now - self._viewed_at < VIEW_INTERVAL_S:
+            return
+        self._viewed_at = now
+        self._poll_statuses()
+        peers = self._replication.peers.connected_peers()
+        statuses = {
+            name: status for name, (at, status) in self._statuses.items() if now - at <= STATUS_MAX_AGE_S
+        }
+        statuses = {name: status for name, status in statuses.items() if name in peers}
+        self._leading_since = min(self._leading_since, now)
+        if now - self._leading_since < STATUS_MAX_AGE_S and len(statuses) < len(peers):
+            return  # it has just begun to lead: a gateway without a response yet is not lost
+        statuses[self._replication.gateway] = self._replication.status()
+        view = fleet_view.build_fleet_view(
+            time.time(), self._replication.zones, self._replication.section.groups, statuses, jobs
+        )
+        if not self._sessions.at(0).is_busy():
+            self._sessions.at(0).propose(view, lambda _: None)
+        if jobs.blocked != self._logged_reason:
+            self._logged_reason = jobs.blocked
+            log.log_event("maintenance_waits", why=jobs.blocked or "no more")
+
+    def _poll_statuses(self) -> None:
+        for peer in self._replication.peers.connected_peers():
+            self._poll_status(peer)
+
+    def _poll_status(self, peer: str) -> None:
+        def status_received(response: wire.ClientResponse) -> None:
+            if response.how == "done":
+                status = msgspec.msgpack.decode(response.data)
+                self._statuses[peer] = (self._requests.now(), status)
+
+        self._requests.send_admin(peer, "status", status_received)
--- /dev/null
+++ b/mapleshunt/net/maintenance/machine.py
@@ -0,0 +1,147 @@
+"""This gateway as a machine: it reads its job in the log, and carries out what its agent decides."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ...maintenance import commands as maintenance_commands
+from ...maintenance.agent import AgentAction, MaintenanceAgent, RemainingWork
+from ...maintenance.records import MachineJob
+from ...replicated_state import commands
+from ...replicated_state.state_machine import Record
+from ...replication import messages as m
+from ...replication import wire
+from .. import log
+from ..replication.group_host import EVACUATED_PREFIX
+from ..replication.host import ReplicationHost
+from .controls import GatewayControls
+from .proposal_session import ProposalSessions
+
+POLL_INTERVAL_S = 0.2  # between two reads of the job
+IDLE_POLL_INTERVAL_S = 1.0  # the same while no maintenance is requested
+REFUSED_POLL_DELAY_S = 0.1  # after a read that was refused
+# The mark of replicas that were migrated for maintenance, beside those that operators evacuated.
+EVACUATED_FOR_MAINTENANCE = "work"
+
+# The log's time stamp, the job, whether it is long, and whether any maintenance is requested.
+JOB_DECODER: msgspec.msgpack.Decoder[tuple[float, MachineJob | None, bool, bool]] = msgspec.msgpack.Decoder(
+    tuple[float, MachineJob | None, bool, bool]
+)
+
+
+class Machine:
+    """Drains this gateway and migrates its replicas while it has a grant."""
+
+    def __init__(
+        self, replication: ReplicationHost, sessions: ProposalSessions, controls: GatewayControls
+    ) -> None:
+        """Wire it; `tick` is called periodically."""
+        self._replication = replication
+        self._requests = replication.requests
+        self._gateway = replication.gateway
+        self._sessions = sessions
+        self._controls = controls
+        self._agent = MaintenanceAgent()
+        self._job: MachineJob | None = None
+        self._has_read = False  # whether there is a job is known
+        self._is_long = False  # the job needs the replicas migrated
+        self._has_requests = False  # any maintenance is requested
+        self._polled_at = float("-inf")  # s
+        self._request = 0  # the number of the last read
+
+    def tick(self, now: float) -> None:
+        """Read the job if it is time to, and do what it asks for."""
+        interval = POLL_INTERVAL_S if self._has_requests else IDLE_POLL_INTERVAL_S
+        if now - self._polled_at >= interval:
+            self._poll(now)
+        if self._has_read:
+            self._follow_agent(now)
+
+    def _poll(self, now: float) -> None:
+        self._polled_at = now
+        self._requests.abandon(self._request)
+        self._request = self._requests.send(
+            0,
+            b"",
+            self._requests.leader_of(0),
+            lambda response: self._job_received(now, response),
+            f"place {self._gateway}",
+        )
+
+    def _job_received(self, polled_at: float, response: wire.ClientResponse) -> None:
+        if response.how != "done":
+            self._requests.apply_redirect(0, response)
+            retry_at = self._requests.now() - IDLE_POLL_INTERVAL_S + REFUSED_POLL_DELAY_S
+            self._polled_at = min(self._polled_at, retry_at)
+            return
+        stamp, job, self._is_long, self._has_requests = JOB_DECODER.decode(response.data)
+        if job is not None and (self._job is None or self._job.state != job.state):
+            log.log_event("maintenance_place", request=job.request, state=job.state, fence=job.fence)
+        self._job, self._has_read = job, True
+        self._agent.told(polled_at, stamp, job)
+
+    def _follow_agent(self, now: float) -> None:
+        for action in self._agent.step(now, self._job, self._is_long, self._remaining_work()):
+            self._carry_out(action)
+        if self._job is not None and self._job.state == "returning" and self._is_long:
+            self._take_replicas_back()
+
+    def _remaining_work(self) -> RemainingWork:
+        occupancy = self._controls.occupancy()
+        hosts = list(self._replication.groups.hosts.values())
+        replica = self._replication.knowledge.replica()
+        return RemainingWork(
+            occupancy.open_requests,
+            occupancy.client_connections,
+            sum(host.is_leader() for host in hosts),
+            sum(replica in host.node.members().voters for host in hosts),
+            occupancy.is_drained,
+        )
+
+    def _carry_out(self, action: AgentAction) -> None:
+        match action.how:
+            case "drain":
+                log.log_event("maintenance_drains", fence=self._agent.fence)
+                self._controls.drain()
+            case "resume":
+                log.log_event("maintenance_resumes", fence=self._agent.fence)
+                self._controls.resume()
+            case "hand_over":
+                self._hand_over(with_replicas=action.what == "copies")
+            case "take_back":
+                self._take_replicas_back()
+            case "tell" if not self._sessions.at(0).is_busy():
+                progress = maintenance_commands.ReportProgress(
+                    self._gateway, action.fence, action.what, action.why
+                )
+                self._sessions.at(0).propose(progress, lambda _: self._poll(self._requests.now()))
+
+    def _hand_over(self, with_replicas: bool) -> None:
+        for host in self._replication.groups.hosts.values():
+            if host.is_leader():
+                host.step(m.TransferLeadership())
+        if with_replicas:
+            self._mark_evacuated(EVACUATED_FOR_MAINTENANCE, "")
+
+    def _take_replicas_back(self) -> None:
+        self._mark_evacuated("", EVACUATED_FOR_MAINTENANCE)
+
+    def _mark_evacuated(self, value: str, expected: str) -> None:
+        """Set this gateway's mark in all groups, where it is still the expected one."""
+        for group in range(self._replication.section.groups):
+            if not self._sessions.at(group).is_busy():
+                self._mark_group(group, value, expected)
+
+    def _mark_group(self, group: int, value: str, expected: str) -> None:
+        key = f"{EVACUATED_PREFIX}{self._gateway}"
+
+        def record_received(response: wire.ClientResponse) -> None:
+            if response.how != "done" or self._sessions.at(group).is_busy():
+                return
+            record: Record | None = msgspec.msgpack.decode(response.data, type=Record | None)
+            if (record.value if record is not None else "") == expected:
+                version = record.version if record is not None else 0
+                mark = commands.SetRecord(key, value, version)
+                self._sessions.at(group).propose(mark, lambda _: None)
+
+        self._requests.send(group, b"", self._requests.leader_of(group), record_received, f"record {key}")
--- /dev/null
+++ b/mapleshunt/net/maintenance/proposal_session.py
@@ -0,0 +1,116 @@
+"""A session at one group, by which maintenance has its operations carried out in their order."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from ...replicated_state import commands
+from ...replicated_state.results import Applied, Denied, Result, decode_result
+from ...replication import wire
+from ..replication.local_calls import OPEN_RETRY_DELAY_S
+from ..replication.requests import LocalRequests
+
+RETRY_INTERVAL_S = 0.5  # after which an operation is sent again
+REFUSED_RETRY_DELAY_S = 0.1  # after which one that was refused is sent again
+MAX_WAITING = 4  # operations, beyond which the session counts as busy
+
+
+@dataclass(slots=True, frozen=True)
+class Proposal:
+    """An operation to be carried out; `on_result` gets its result."""
+
+    operation: commands.Operation
+    on_result: Callable[[Result], None]
+
+
+class ProposalSession:
+    """One operation at a time, each sent until it is answered.
+
+    A group may forget a session that is silent for long: another is opened, and the operation sent again. All
+    operations may be carried out twice: they are fenced, bound to a version, or set what is set already.
+    """
+
+    def __init__(self, requests: LocalRequests, group: int) -> None:
+        """Take a new name; the session is opened with the first operation."""
+        self._requests = requests
+        self._group = group
+        self._last_number = 0
+        self._request = 0  # the number of the last one at `LocalRequests`
+        self._next_send_at = 0.0  # s
+        self._in_flight = b""  # the command that has no response yet; empty if there is none
+        self._waiting: deque[Proposal] = deque()  # the first is in flight, once the session is open
+        self._take_name()
+
+    def _take_name(self) -> None:
+        self._name = self._requests.session_name(f"work{self._group}-")
+        self._is_open = False
+
+    def is_busy(self) -> bool:
+        """Tell whether an operation is in flight, or many wait."""
+        return bool(self._in_flight) or len(self._waiting) > MAX_WAITING
+
+    def propose(self, operation: commands.Operation, on_result: Callable[[Result], None]) -> None:
+        """Have an operation carried out, after those that wait."""
+        self._waiting.append(Proposal(operation, on_result))
+        self.tick(self._requests.now())
+
+    def tick(self, now: float) -> None:
+        """Send what is next, or again what has no response. Called periodically."""
+        if not self._in_flight and self._waiting:
+            operation = self._waiting[0].operation if self._is_open else commands.OpenSession()
+            self._last_number += 1
+            number = self._last_number
+            self._in_flight = commands.encode(commands.Command(self._name, number, number, operation))
+        if self._in_flight and now >= self._next_send_at:
+            self._send(now)
+
+    def _send(self, now: float) -> None:
+        self._next_send_at = now + RETRY_INTERVAL_S
+        self._requests.abandon(self._request)
+        number, to = self._last_number, self._requests.leader_of(self._group)
+        self._request = self._requests.send(
+            self._group, self._in_flight, to, lambda response: self._responded(number, response)
+        )
+
+    def _responded(self, number: int, response: wire.ClientResponse) -> None:
+        if number != self._last_number or not self._in_flight:
+            return
+        now = self._requests.now()
+        if response.how != "done":
+            self._requests.apply_redirect(self._group, response)
+            self._next_send_at = min(self._next_send_at, now + REFUSED_RETRY_DELAY_S)
+            return
+        self._in_flight, self._next_send_at = b"", now
+        self._finish(decode_result(response.data), now)
+        self.tick(now)
+
+    def _finish(self, result: Result, now: float) -> None:
+        if not self._is_open:
+            self._is_open = isinstance(result, Applied)
+            self._next_send_at = now if self._is_open else now + OPEN_RETRY_DELAY_S
+        elif isinstance(result, Denied) and result.why == "session":
+            self._take_name()
+        else:
+            self._waiting.popleft().on_result(result)
+
+
+class ProposalSessions:
+    """The sessions of maintenance, one a group, made when they are first used."""
+
+    def __init__(self, requests: LocalRequests) -> None:
+        """Begin without a session."""
+        self._requests = requests
+        self._by_group: dict[int, ProposalSession] = {}
+
+    def at(self, group: int) -> ProposalSession:
+        """Return the session at a group."""
+        if group not in self._by_group:
+            self._by_group[group] = ProposalSession(self._requests, group)
+        return self._by_group[group]
+
+    def tick(self, now: float) -> None:
+        """Tick all sessions."""
+        for session in self._by_group.values():
+            session.tick(now)
--- a/mapleshunt/net/replication/connections.py
+++ b/mapleshunt/net/replication/connections.py
@@ -1,7 +1,4 @@
-"""Connections between gateways that hold copies: one a pair, messages of all groups together on it.
-
-A link may lose whatever it likes: a full one drops, a broken one forgets. What counts the copies say again.
-"""
+"""Connections between gateways that hold replicas: one a pair, with the messages of all groups on it."""
 
 from __future__ import annotations
 
@@ -9,8 +6,9 @@
 import random
 import socket
 from collections.abc import Callable, Coroutine, Mapping
+from dataclasses import dataclass
 
-from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
+from tornado.iostream import IOStream, StreamClosedError
 
 from ...replication import wire
 from ...replication.messages import Message
@@ -18,228 +16,181 @@
 from ..client.listener import Acceptor, bind_socket
 from ..config import Address, address_family
 from ..counters import Counters
-from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
-
-BACKLOG = 64
-MOST_UNSENT = 4 << 20  # bytes that a link holds before it drops
-MOST_PACKET = 192 * 1024  # bytes of messages in one frame, about
-MOST_STRANGERS = 64  # connections that have not said who they are, or are clients
-GREETING = 2.0  # s for that
-AGAIN = 0.05, 1.0  # s, the widest pause before a link is dialled again: the first and the longest
-ROOM = wire.MAX_FRAME_BYTES + wire.FRAME_HEADER.size
-
-
-class PeerConnection:
-    """One connection, to a gateway or from a client."""
-
-    def __init__(self, links: PeerConnections, stream: IOStream, dialled: str = "") -> None:
-        self.links, self.stream, self.dialled = links, stream, dialled
-        self.hello: wire.Handshake | None = None
-        self.waiting: list[tuple[int, Message]] = []
-        self.ended = False
-        self.said = ""  # the incarnation that this end greeted as
-        stream.set_nodelay(True)
-
-    async def run(self) -> str:
-        """Read until it ends; why it did."""
-        buffer = ReadBuffer(ROOM)
-        limit = asyncio.get_running_loop().call_later(GREETING, self._late)
-        try:
-            hello = self.links.greeting()
-            self.said = hello.incarnation
-            self.write(hello)
-            while True:
-                while found := wire.decode_frame(buffer.data, buffer.start, buffer.end):
-                    buffer.consume(found[1])
-                    self._take(found[0])
-                    if self.ended:
-                        return "ended"
-                await buffer.fill(self.stream)
-        except StreamClosedError:
-            return "closed"
-        except (wire.ProtocolError, MessageTooLongError) as strange:
-            self.links.counters.add("copies_strange")
-            return str(strange)
-        except Exception:
-            self.links.counters.add("exceptions")
-            log.log_exception("link_exception")
-            return "exception"
-        finally:
-            limit.cancel()
-            self.ended = True
-            self.stream.close()
-
-    def _late(self) -> None:
-        if self.hello is None:
-            self.stream.close()
-
-    def stale(self) -> bool:
-        """Does the other end take this one for an incarnation that it is no more? Nothing may pass then: what
-        this one says would count as the lost one's word.
-        """
-        return self.said != self.links.greeting().incarnation
-
-    def _take(self, frame: wire.Frame) -> None:
-        if self.stale():
-            raise wire.ProtocolError("greeted as another incarnation")
-        if self.hello is None:
-            if not isinstance(frame, wire.Handshake):
-                raise wire.ProtocolError("no greeting")
-            wire.check_handshake(frame, self.links.fleet)
-            self.hello = frame
-            self.links.met(self)
-        elif isinstance(frame, wire.MessageBatch) and self.hello.incarnation:
-            for group, message in frame.messages:
-                self.links.heard(self.hello, group, message)
-        elif isinstance(frame, wire.ClientRequest | wire.AdminRequest):
-            self.links.called(self, frame)
-        elif isinstance(frame, wire.ClientResponse):
-            self.links.replied(frame)
-        else:
-            raise wire.ProtocolError("a frame out of place")
-
-    def write(self, frame: wire.Frame) -> None:
-        if not self.ended and not self.stream.closed():
-            try:
-                self.stream.write(wire.encode_frame(frame))
-            except (StreamClosedError, StreamBufferFullError):
-                self.links.counters.add("copies_dropped")
-
-    def flush(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        while waiting:
-            size = count = 0
-            while count < len(waiting) and (not count or size < MOST_PACKET):
-                message = waiting[count][1]
-                size += 64 + sum(len(one.data) for one in getattr(message, "entries", ()))
-                size += len(getattr(message, "data", b""))
-                count += 1
-            self.write(wire.MessageBatch(tuple(waiting[:count])))
-            waiting = waiting[count:]
+from .connection import ConnectionHandlers, PeerConnection
+
+BACKLOG = 64  # connections that wait in the kernel to be accepted
+MAX_UNSENT_BYTES = 4 << 20  # that a connection holds before it drops frames
+MAX_UNIDENTIFIED = 64  # connections without a handshake, or of clients
+DIAL_TIMEOUT_S = 2.0  # a connection that lasted longer counts as a success
+# The widest pause before a gateway is dialed again; it doubles with each failure.
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+MAX_COUNTED_FAILURES = 10
+
+
+@dataclass(slots=True, frozen=True)
+class FleetAddresses:
+    """Where the gateways of a fleet listen for replication."""
+
+    fleet: str
+    name: str  # of this gateway
+    listen: Address
+    peers: Mapping[str, Address]  # of the other gateways, by name
+
+
+@dataclass(slots=True, frozen=True)
+class PeerHandlers:
+    """What the connections call. A `wire.ProtocolError` that a handler raises ends the connection."""
+
+    handshake: Callable[[], wire.Handshake]  # that this gateway sends, as of now
+    on_peer: Callable[[wire.Handshake], None]  # a gateway has connected; before its messages
+    on_message: Callable[[wire.Handshake, int, Message], None]
+    on_request: Callable[[PeerConnection, wire.ClientRequest | wire.AdminRequest], None]
+    on_response: Callable[[wire.ClientResponse], None]
 
 
 class PeerConnections:
-    """All of a gateway's. `heard(hello, group, message)` takes messages, `called(link, frame)` calls,
-    `replied(reply)` what answers its own, and `met(hello)` whoever has come, before anything else of theirs.
-    """
+    """Accepts, dials and keeps all connections of this gateway."""
 
     def __init__(
-        self,
-        fleet: str,
-        name: str,
-        listen: Address,
-        peers: Mapping[str, Address],
-        greeting: Callable[[], wire.Handshake],
-        heard: Callable[[wire.Handshake, int, Message], None],
-        called: Callable[[PeerConnection, wire.ClientRequest | wire.AdminRequest], None],
-        replied: Callable[[wire.ClientResponse], None],
-        met: Callable[[wire.Handshake], None],
-        counters: Counters,
-        chance: random.Random,
+        self, addresses: FleetAddresses, handlers: PeerHandlers, counters: Counters, random_: random.Random
     ) -> None:
-        """Raises OSError if the address cannot be had."""
-        self.fleet, self.name, self.peers = fleet, name, dict(peers)
-        self.greeting, self.heard, self.called = greeting, heard, called
-        self.replied, self.told_met = replied, met
-        self.counters, self.chance = counters, chance
-        self.links: dict[str, PeerConnection] = {}  # by gateway, greeted
-        self.strangers: dict[PeerConnection, None] = {}
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.flushing = False
-        self.listener = bind_socket(listen)
-        self.acceptor = Acceptor(self.listener, self._take, counters, "copies_")
+        """Bind the address; nothing is accepted or dialed until `open`.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
+        self._addresses = addresses
+        self._handlers = handlers
+        self._counters = counters
+        self._random = random_
+        self._connection_handlers = ConnectionHandlers(
+            handlers.handshake,
+            self._identify,
+            handlers.on_message,
+            handlers.on_request,
+            handlers.on_response,
+        )
+        self._by_peer: dict[str, PeerConnection] = {}
+        self._unidentified: dict[PeerConnection, None] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._flush_scheduled = False
+        self._listener = bind_socket(addresses.listen)
+        self._acceptor = Acceptor(self._listener, self._accept, counters, "copies_")
 
     def open(self) -> None:
-        self.listener.listen(BACKLOG)
-        self.acceptor.start()
-        for peer in self.peers:
-            if self.name < peer:  # one of the two dials
-                self._task(self._dial(peer))
-
-    def _task(self, what: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(what)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    def _take(self, connection: socket.socket) -> None:
-        if len(self.strangers) >= MOST_STRANGERS:
-            next(iter(self.strangers)).stream.close()
-        link = PeerConnection(self, IOStream(connection, max_write_buffer_size=MOST_UNSENT))
-        self.strangers[link] = None
-        self._task(self._run(link))
+        """Accept connections, and dial the gateways that this one has to dial."""
+        self._listener.listen(BACKLOG)
+        self._acceptor.start()
+        for peer in self._addresses.peers:
+            if self._addresses.name < peer:  # one of the two dials
+                self._start_task(self._dial(peer))
+
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _accept(self, client: socket.socket) -> None:
+        if len(self._unidentified) >= MAX_UNIDENTIFIED:
+            next(iter(self._unidentified)).close()
+        connection = self._connection(IOStream(client, max_write_buffer_size=MAX_UNSENT_BYTES))
+        self._unidentified[connection] = None
+        self._start_task(self._run(connection))
+
+    def _connection(self, stream: IOStream, dialed_peer: str = "") -> PeerConnection:
+        fleet = self._addresses.fleet
+        return PeerConnection(stream, fleet, self._connection_handlers, self._counters, dialed_peer)
 
     async def _dial(self, peer: str) -> None:
+        """Dial a gateway again and again, with backoff. Cancelling it ends its connection."""
+        address = self._addresses.peers[peer]
         failures = 0
         while True:
             begun, stream = asyncio.get_running_loop().time(), None
-            try:  # the socket too: without a descriptor left the next dial follows all the same
-                family = address_family(self.peers[peer])
-                stream = IOStream(socket.socket(family), max_write_buffer_size=MOST_UNSENT)
-                async with asyncio.timeout(GREETING):
-                    await stream.connect(self.peers[peer])
-                await self._run(PeerConnection(self, stream, peer))
+            try:  # the socket too: without a descriptor left the next attempt follows all the same
+                stream = IOStream(
+                    socket.socket(address_family(address)), max_write_buffer_size=MAX_UNSENT_BYTES
+                )
+                async with asyncio.timeout(DIAL_TIMEOUT_S):
+                    await stream.connect(address)
+                await self._run(self._connection(stream, peer))
             except (OSError, StreamClosedError, TimeoutError):
                 if stream is not None:
                     stream.close()
-            except Exception:  # a defect must not leave this peer without a link for good
-                self.counters.add("exceptions")
+            except Exception:  # a defect must not leave this peer without a connection for good
+                self._counters.add("exceptions")
                 log.log_exception("link_exception")
             lasted = asyncio.get_running_loop().time() - begun
-            failures = 0 if lasted > GREETING else min(failures + 1, 10)
-            await asyncio.sleep(self.chance.uniform(0.0, min(AGAIN[1], AGAIN[0] * 2**failures)))
-
-    async def _run(self, link: PeerConnection) -> None:
-        reason = await link.run()
-        self.strangers.pop(link, None)
-        peer = link.hello.name if link.hello is not None and link.hello.incarnation else ""
-        if self.links.get(peer) is link:
-            del self.links[peer]
+            failures = 0 if lasted > DIAL_TIMEOUT_S else min(failures + 1, MAX_COUNTED_FAILURES)
+            widest_pause = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**failures)
+            await asyncio.sleep(self._random.uniform(0.0, widest_pause))
+
+    async def _run(self, connection: PeerConnection) -> None:
+        reason = await connection.run()
+        self._unidentified.pop(connection, None)
+        hello = connection.hello
+        peer = hello.name if hello is not None and hello.incarnation else ""
+        if self._by_peer.get(peer) is connection:
+            del self._by_peer[peer]
         if peer or reason != "closed":
             log.log_event("link_ended", peer=peer or "none", reason=reason)
 
-    def met(self, link: PeerConnection) -> None:
-        hello = link.hello
+    def _identify(self, connection: PeerConnection) -> None:
+        """File a connection under the gateway whose handshake has come."""
+        hello = connection.hello
         assert hello is not None
         if not hello.incarnation:
             return  # a client
-        if hello.name not in self.peers or (link.dialled and link.dialled != hello.name):
+        if hello.name not in self._addresses.peers or connection.dialed_peer not in ("", hello.name):
             raise wire.ProtocolError(f"{hello.name!r} is not expected here")
-        self.strangers.pop(link, None)
-        if (before := self.links.get(hello.name)) is not None:
-            before.stream.close()  # the other end has begun anew
-        self.links[hello.name] = link
+        self._unidentified.pop(connection, None)
+        if (before := self._by_peer.get(hello.name)) is not None:
+            before.close()  # the other end has begun anew
+        self._by_peer[hello.name] = connection
         log.log_event("link_up", peer=hello.name, incarnation=hello.incarnation, boot=hello.boot)
-        self.told_met(hello)
+        self._handlers.on_peer(hello)
 
-    def here(self, peer: str) -> wire.Handshake | None:
-        link = self.links.get(peer)
-        return link.hello if link is not None else None
+    def connected_peers(self) -> list[str]:
+        """Return the gateways that are connected, in the order in which they came."""
+        return list(self._by_peer)
+
+    def get(self, peer: str) -> PeerConnection | None:
+        """Return the connection to a gateway, if it is connected."""
+        return self._by_peer.get(peer)
+
+    def handshake_of(self, peer: str) -> wire.Handshake | None:
+        """Return the handshake of a gateway, if it is connected."""
+        connection = self._by_peer.get(peer)
+        return connection.hello if connection is not None else None
 
     def send(self, peer: str, incarnation: str, group: int, message: Message) -> None:
-        """To that incarnation of a gateway; dropped if it is not there. Goes out at the end of this turn."""
-        link = self.links.get(peer)
-        if link is None or link.hello is None or link.hello.incarnation != incarnation or link.stale():
+        """Send to that incarnation of a gateway at the end of this turn; dropped if it is not connected."""
+        connection = self._by_peer.get(peer)
+        if connection is None or connection.hello is None or connection.hello.incarnation != incarnation:
+            return
+        if connection.is_stale():
             return
-        link.waiting.append((group, message))
-        if not self.flushing:
-            self.flushing = True
+        connection.queue(group, message)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flushing = False
-        for link in list(self.links.values()):
-            if link.waiting:
-                link.flush()
+        self._flush_scheduled = False
+        for connection in list(self._by_peer.values()):
+            if connection.has_queued():
+                connection.flush()
 
-    def hang_up(self) -> None:
-        """End all links: they come back with another greeting."""
-        for link in [*self.links.values(), *self.strangers]:
-            link.stream.close()
+    def disconnect(self) -> None:
+        """Close all connections: they come back with another handshake."""
+        for connection in [*self._by_peer.values(), *self._unidentified]:
+            connection.close()
 
     def close(self) -> None:
-        self.acceptor.stop()
-        self.listener.close()
-        for task in self.tasks:
+        """Close the listener and all connections, and dial no more."""
+        self._acceptor.stop()
+        self._listener.close()
+        for task in self._tasks:
             task.cancel()
-        for link in [*self.links.values(), *self.strangers]:
-            link.stream.close()
+        self.disconnect()
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -1,201 +1,221 @@
-"""One group's replica on this gateway: its state machine, its timer, and the calls it answers.
+"""One group's replica on this gateway: its state machine, its timer, and the requests that it answers.
 
-Decisions are those of `copies.node` and `holdings.state`; what they ask for is carried out here.
+Decisions are those of `replication.node` and `replicated_state.state_machine`; here they are carried out.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
-from ...maintenance.summary import summarize
-from ...replicated_state import commands as words
+from ...replicated_state import commands
 from ...replicated_state.results import Applied, Result
 from ...replicated_state.state_machine import ReplicatedState
 from ...replication import messages as m
 from ...replication import wire
+from ...replication.config import RaftConfig
 from ...replication.node import RaftNode
 from ...replication.roles import Role
 from .. import log
-from .connections import PeerConnection
+from ..counters import Counters
+from .local_calls import LocalCalls, ResponseWriter
+from .reads import read_state
 
-if TYPE_CHECKING:
-    from .host import ReplicationHost
+# The key of a record of the group, before a gateway's name: "1" where that gateway is to hold no replica.
+EVACUATED_PREFIX = "copies/away/"
+MIN_TIMER_DELAY_S = 0.001
 
-EVACUATED_PREFIX = (
-    "copies/away/"  # and a gateway: a record of the group, "1" where that gateway is to hold none of it
-)
 
+@dataclass(slots=True, frozen=True)
+class GroupServices:
+    """What the replicas of all groups on a gateway share."""
 
-class LocalConnection:
-    """Stands for a connection where this gateway calls itself."""
-
-    def __init__(self, replied: Callable[[wire.ClientResponse], None]) -> None:
-        self.replied = replied
-
-    def write(self, frame: wire.Frame) -> None:
-        if isinstance(frame, wire.ClientResponse):
-            asyncio.get_running_loop().call_soon(self.replied, frame)
+    gateway: str
+    raft_config: RaftConfig
+    counters: Counters
+    local_calls: LocalCalls
+    now: Callable[[], float]  # s, the loop's clock
+    replica: Callable[[], m.Replica]  # this gateway as an incarnation, which a renewed store changes
+    boot: Callable[[], int]  # of the store, counted by incarnation
+    send: Callable[[int, m.Replica, m.Message], None]
+    send_chunk: Callable[[int, m.Replica, m.SnapshotChunk], None]
+    write: Callable[[int, m.Write], None]
 
 
 class GroupHost:
-    """One group's copy on this gateway."""
-
-    def __init__(self, copies: ReplicationHost, group: int, stored: m.PersistentState) -> None:
-        self.copies, self.group = copies, group
-        self.holdings = ReplicatedState()
-        self.holdings.thaw(stored.snapshot.data)
-        now = copies.now()
-        self.node = RaftNode(copies.me, stored, copies.timing, copies.chance.getrandbits(32), now)
-        self.timer: asyncio.TimerHandle | None = None
-        self.due = float("inf")
-        self.calls: dict[int, tuple[PeerConnection | LocalConnection, wire.ClientRequest]] = {}
-        self.begun = False  # it takes part; before that it neither hears nor says anything
-        self.seen: Any = None  # the records that `left` was read from
-        self.left: set[str] = set()
+    """Runs one group's Raft node and state machine."""
+
+    def __init__(self, services: GroupServices, group: int, stored: m.PersistentState, seed: int) -> None:
+        """Load the stored state. The replica takes part once `begin` is called."""
+        self.group = group
+        self.state = ReplicatedState()
+        self.state.thaw(stored.snapshot.data)
+        replica, now = services.replica(), services.now()
+        self.node = RaftNode(replica, stored, services.raft_config, seed, now)
+        self.begun = False  # it takes part; before that it neither receives nor sends anything
+        self.pending: dict[int, tuple[ResponseWriter, wire.ClientRequest]] = {}  # requests by local number
+        self._services = services
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = float("inf")
+        self._evacuated_source: Any = None  # the records that `_evacuated` was read from
+        self._evacuated: set[str] = set()
 
     def begin(self) -> None:
+        """Take part in the group from now on."""
         self.begun = True
         self.step(m.Tick())
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
+        """Tell whether this replica leads its group."""
         return self.begun and self.node.role is Role.LEADER
 
-    def away(self) -> set[str]:
-        """Gateways that operators want it to leave."""
-        if self.seen is not self.holdings.records:  # persistent: another one if anything changed
-            self.seen = self.holdings.records
-            marked = (key for key, one in self.seen.items() if key.startswith(EVACUATED_PREFIX) and one.value)
-            self.left = {key.removeprefix(EVACUATED_PREFIX) for key in marked}
-        return self.left
+    def evacuated_gateways(self) -> set[str]:
+        """Return the gateways that are to hold no replica of this group."""
+        records = self.state.records
+        if self._evacuated_source is not records:  # persistent: another object if anything changed
+            self._evacuated_source = records
+            marked = (key for key, one in records.items() if key.startswith(EVACUATED_PREFIX) and one.value)
+            self._evacuated = {key.removeprefix(EVACUATED_PREFIX) for key in marked}
+        return self._evacuated
 
     def step(self, event: m.Event) -> None:
+        """Let the node handle an event, and carry out its outputs. Ignored before `begin`."""
         if not self.begun:
             return
         try:
-            for output in self.node.step(self.copies.now(), event):
+            for output in self.node.step(self._services.now(), event):
                 self._carry_out(output)
         finally:  # whatever went wrong, its next timeout comes
             wake = self.node.wake_time()
-            if self.timer is None or wake < self.due - 0.001:
-                self._wake(wake)
+            if self._timer is None or wake < self._timer_at - MIN_TIMER_DELAY_S:
+                self._set_timer(wake)
 
     def _carry_out(self, output: m.Output) -> None:
-        """Do it. A defect in one must not leave out those behind it, entries to be applied among them."""
+        """Carry out an output. A defect in one must not leave out those behind it."""
         try:
-            self._do(output)
+            self._dispatch(output)
         except Exception:
-            self.copies.counters.add("exceptions")
+            self._services.counters.add("exceptions")
             log.log_exception("copies_exception", group=self.group, output=type(output).__name__)
 
-    def _wake(self, at: float) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        self.due = max(at, self.copies.now() + 0.001)
-        self.timer = asyncio.get_running_loop().call_at(self.due, self._tick)
+    def _set_timer(self, at: float) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_at = max(at, self._services.now() + MIN_TIMER_DELAY_S)
+        self._timer = asyncio.get_running_loop().call_at(self._timer_at, self._timer_fired)
 
-    def _tick(self) -> None:
-        self.timer = None
-        if self.node.wake_time() > self.copies.now() + 0.001:  # it was put off meanwhile
-            self._wake(self.node.wake_time())
+    def _timer_fired(self) -> None:
+        self._timer = None
+        if self.node.wake_time() > self._services.now() + MIN_TIMER_DELAY_S:  # it was put off meanwhile
+            self._set_timer(self.node.wake_time())
         else:
             self.step(m.Tick())
 
-    def _do(self, output: m.Output) -> None:
-        copies = self.copies
+    def _dispatch(self, output: m.Output) -> None:
+        services = self._services
         match output:
-            case m.Send(to, m.SnapshotChunk() as piece):
-                copies.pace.offer((self.group, to), len(piece.data), piece)
-                copies.send_pieces()
+            case m.Send(to, m.SnapshotChunk() as chunk):
+                services.send_chunk(self.group, to, chunk)
             case m.Send(to, message):
-                copies.send(self.group, to, message)
+                services.send(self.group, to, message)
             case m.Write():
-                copies.writer.write(self.group, output)
-            case m.Apply(entry, call):
-                self._apply(entry, call)
+                services.write(self.group, output)
+            case m.Apply(entry, number):
+                self._apply(entry, number)
             case m.RestoreSnapshot(snapshot):
-                self.holdings.thaw(snapshot.data)
-                copies.counters.add("copies_installed")
-            case m.RequestResult(call, how, _, hint):
-                self._answer(call, how, hint)
+                self.state.thaw(snapshot.data)
+                services.counters.add("copies_installed")
+            case m.RequestResult(number, how, _, hint):
+                self._finish(number, how, hint)
             case m.CreateSnapshot(index):
-                asyncio.get_running_loop().call_soon(self._snap, index, self.holdings.freeze())
+                asyncio.get_running_loop().call_soon(self._encode_snapshot, index, self.state.freeze())
             case m.RoleChanged(role, term, leader, why):
                 leads = m.gateway_of(leader) or "none"
                 log.log_event("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
 
-    def _snap(self, index: int, frozen: Any) -> None:
+    def _encode_snapshot(self, index: int, frozen: Any) -> None:
         if self.begun:
             self.step(m.SnapshotCreated(index, msgspec.msgpack.encode(frozen)))
 
-    def _apply(self, entry: m.Entry, call: int | None) -> None:
+    def _apply(self, entry: m.Entry, number: int | None) -> None:
         result: Result = Applied()
         if entry.data:
-            result = self.holdings.apply(entry.stamp, entry.data)
+            result = self.state.apply(entry.stamp, entry.data)
         if entry.members is not None:
-            log.log_event("copies_members", group=self.group, voters=",".join(entry.members.voters),
-                    learners=",".join(entry.members.learners) or "none")  # fmt: skip
-        if call is not None:
-            self._reply(call, "done", "", words.encode(result))
-
-    def _answer(self, call: int, how: str, hint: str) -> None:
-        if how == "read" and call in self.calls:
-            self._reply(call, "done", "", self._read(self.calls[call][1].read))
-        else:
-            self._reply(call, how, m.gateway_of(hint), b"")
-
-    def _read(self, what: str) -> bytes:
-        kind, _, name = what.partition(" ")
-        holdings, stamp = self.holdings, self.node.log.last_stamp()
-        if kind == "store":
-            return msgspec.msgpack.encode(holdings.store(stamp, name))
-        if kind == "place":
-            place, now = holdings.works.place_of(name), self.node.stamp(self.copies.now())
-            long = place is not None and holdings.works.requests[place.request].ask.long
-            return msgspec.msgpack.encode((now, place, long, bool(holdings.works.open())))
-        if kind == "works":
-            told = summarize(holdings.works.freeze(), wire.MAX_REPLY_DATA_BYTES // 2)
-            return msgspec.msgpack.encode((self.node.stamp(self.copies.now()), told))
-        if kind == "record":
-            return msgspec.msgpack.encode(holdings.records.get(name))
-        return msgspec.msgpack.encode(None)
-
-    def _reply(self, call: int, how: str, hint: str, data: bytes) -> None:
-        if (known := self.calls.pop(call, None)) is not None:
-            link, asked = known
-            if len(data) > wire.MAX_REPLY_DATA_BYTES:
-                self.copies.counters.add("copies_replies_too_long")
-                how, data = "unknown", b""
-            link.write(wire.ClientResponse(asked.number, how, hint, data))
-
-    def called(self, link: PeerConnection | LocalConnection, call: wire.ClientRequest) -> None:
-        number = self.copies.local_calls.number()
-        self.calls[number] = (link, call)
-        if call.command:
-            self.step(m.Propose(number, call.command))
+            log.log_event(
+                "copies_members",
+                group=self.group,
+                voters=",".join(entry.members.voters),
+                learners=",".join(entry.members.learners) or "none",
+            )
+        if number is not None:
+            self._respond(number, "done", "", commands.encode(result))
+
+    # Requests
+
+    def handle(self, source: ResponseWriter, request: wire.ClientRequest) -> None:
+        """Propose the request's command, or confirm its read; the response goes to `source`."""
+        number = self._services.local_calls.next_number()
+        self.pending[number] = (source, request)
+        if request.command:
+            self.step(m.Propose(number, request.command))
         else:
             self.step(m.ReadRequest(number))
 
-    def state(self) -> str:
-        """What a copy of a group holds, in a word that an operator confirms."""
-        return f"{self.copies.name}.{self.node.log.last_term()}.{self.node.log.last_index()}"
+    def _finish(self, number: int, how: str, hint: str) -> None:
+        if how == "read" and number in self.pending:
+            self._respond(number, "done", "", self._read(self.pending[number][1].read))
+        else:
+            self._respond(number, how, m.gateway_of(hint), b"")
+
+    def _read(self, query: str) -> bytes:
+        return read_state(
+            self.state, query, self.node.log.last_stamp(), lambda: self.node.stamp(self._services.now())
+        )
+
+    def _respond(self, number: int, how: str, hint: str, data: bytes) -> None:
+        if (pending := self.pending.pop(number, None)) is None:
+            return
+        source, request = pending
+        if len(data) > wire.MAX_REPLY_DATA_BYTES:
+            self._services.counters.add("copies_replies_too_long")
+            how, data = "unknown", b""
+        source.write(wire.ClientResponse(request.number, how, hint, data))
+
+    # Operators
+
+    def state_token(self) -> str:
+        """Return what the replica holds, as a text that an operator confirms before a recovery."""
+        return f"{self._services.gateway}.{self.node.log.last_term()}.{self.node.log.last_index()}"
 
-    def status(self) -> dict[str, Any]:
+    def status(self, has_quorum: bool) -> dict[str, Any]:  # Any: what the values' encoder takes
+        """Return the status of the replica, with the names that operators read."""
         node, members = self.node, self.node.members()
         return {
-            "group": self.group, "role": node.role, "term": node.term, "leader": m.gateway_of(node.leader),
-            "voters": list(members.voters), "learners": list(members.learners), "commit": node.commit_index,
-            "last": node.log.last_index(), "snapshot": node.log.snapshot.index,
-            "stores": len(self.holdings.stores), "quorum": self.copies.quorum(self),
-            "last_term": node.log.last_term(), "stamp": node.log.last_stamp(), "state": self.state(),
-        }  # fmt: skip
+            "group": self.group,
+            "role": node.role,
+            "term": node.term,
+            "leader": m.gateway_of(node.leader),
+            "voters": list(members.voters),
+            "learners": list(members.learners),
+            "commit": node.commit_index,
+            "last": node.log.last_index(),
+            "snapshot": node.log.snapshot.index,
+            "stores": len(self.state.stores),
+            "quorum": has_quorum,
+            "last_term": node.log.last_term(),
+            "stamp": node.log.last_stamp(),
+            "state": self.state_token(),
+        }
 
     def end(self) -> None:
+        """Take part no more; the outcome of pending requests is unknown."""
         self.begun = False
-        if self.timer is not None:
-            self.timer.cancel()
-        for call in list(self.calls):
-            self._reply(call, "unknown", "", b"")
+        if self._timer is not None:
+            self._timer.cancel()
+        for number in list(self.pending):
+            self._respond(number, "unknown", "", b"")
--- /dev/null
+++ b/mapleshunt/net/replication/lease_session.py
@@ -0,0 +1,144 @@
+"""A session at one group, by which this gateway's lease operations are carried out once."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from ...replicated_state import commands
+from ...replicated_state.leases import ProposeOperation
+from ...replicated_state.results import Applied, Denied, Result, decode_result
+from ...replication import wire
+from ..counters import Counters
+from .local_calls import OPEN_RETRY_DELAY_S
+from .requests import LocalRequests
+
+LEASE_TERM_MS = 2000.0
+TICK_INTERVAL_S = 0.05
+RETRY_INTERVAL_S = 0.25  # after which an operation is sent again, to whoever leads then
+# After which no result of an operation is waited for, in terms of a lease.
+TIMEOUT_TERMS = {commands.AcquireLease: 0.5, commands.ReturnLease: 1.0, commands.SettleUsage: 30.0}
+DEFAULT_TIMEOUT_TERMS = 1.0
+MAX_PENDING = 32  # operations of a session; more than that are not begun
+
+
+@dataclass(slots=True)
+class PendingOperation:
+    """An operation without a result yet. Without a proposal it opens the session."""
+
+    command: bytes
+    proposal: ProposeOperation | None
+    deadline: float  # s, on the loop's clock
+    next_send_at: float  # s
+    request: int = 0  # its number at `LocalRequests`
+
+
+@dataclass(slots=True, frozen=True)
+class SessionHandlers:
+    """What a session calls."""
+
+    on_result: Callable[[ProposeOperation, Result | None], None]  # None: it is not known whether it was done
+    on_forgotten: Callable[[LeaseSession], None]  # the group knows the session no more
+
+
+class LeaseSession:
+    """This gateway's operations at one group, each by a number of its own."""
+
+    def __init__(
+        self, requests: LocalRequests, group: int, handlers: SessionHandlers, counters: Counters
+    ) -> None:
+        """Open the session at the group; proposals wait until it is open."""
+        self.group = group
+        self._requests = requests
+        self._handlers = handlers
+        self._counters = counters
+        self._name = requests.session_name("lease")
+        self._last_number = 0
+        self._leader_hint = ""
+        self._pending: dict[int, PendingOperation] = {}  # by number
+        self._is_open = False
+        self._begin(commands.OpenSession(), None, math.inf)
+
+    def propose(self, proposal: ProposeOperation) -> None:
+        """Have an operation carried out once; its result goes to `on_result`."""
+        if len(self._pending) >= MAX_PENDING:
+            self._counters.add("leases_crowded")
+            self._handlers.on_result(proposal, None)
+            return
+        terms = TIMEOUT_TERMS.get(type(proposal.operation), DEFAULT_TIMEOUT_TERMS)
+        self._begin(proposal.operation, proposal, terms * LEASE_TERM_MS / 1000)
+
+    def _begin(
+        self, operation: commands.Operation, proposal: ProposeOperation | None, timeout_s: float
+    ) -> None:
+        self._last_number += 1
+        number = self._last_number
+        oldest_pending = min(self._pending, default=number)
+        now = _now()
+        data = commands.encode(commands.Command(self._name, number, oldest_pending, operation))
+        self._pending[number] = PendingOperation(data, proposal, now + timeout_s, now)
+        if self._is_open or proposal is None:
+            self._send(number)
+
+    def _send(self, number: int) -> None:
+        pending = self._pending[number]
+        self._requests.abandon(pending.request)
+        pending.next_send_at = _now() + RETRY_INTERVAL_S
+        to = self._leader_hint or self._requests.leader_of(self.group)
+        self._leader_hint = ""
+        pending.request = self._requests.send(
+            self.group, pending.command, to, lambda response: self._responded(number, response)
+        )
+
+    def _responded(self, number: int, response: wire.ClientResponse) -> None:
+        pending = self._pending.get(number)
+        if pending is None:
+            return
+        now = _now()
+        if response.how != "done":
+            self._leader_hint = response.hint
+            pending.next_send_at = min(pending.next_send_at, now + TICK_INTERVAL_S)
+            return
+        result = decode_result(response.data)
+        if pending.proposal is None:
+            self._open_responded(number, result, now)
+        elif isinstance(result, Denied) and result.why == "session":
+            self._handlers.on_forgotten(self)
+        else:
+            del self._pending[number]
+            self._handlers.on_result(pending.proposal, result)
+
+    def _open_responded(self, number: int, result: Result, now: float) -> None:
+        """The group has the session, or has no room for it now and is asked again later."""
+        if isinstance(result, Applied):
+            self._is_open = True
+            del self._pending[number]
+        else:
+            self._counters.add("leases_session_denied")
+            self._pending[number].next_send_at = now + OPEN_RETRY_DELAY_S
+
+    def tick(self, now: float) -> None:
+        """Send again what has no response, and give up what is overdue. Called periodically."""
+        for number, pending in list(self._pending.items()):
+            if number not in self._pending:
+                continue  # it ended meanwhile, with its session
+            if now >= pending.deadline and pending.proposal is not None:
+                del self._pending[number]
+                self._requests.abandon(pending.request)
+                self._counters.add("leases_unanswered")
+                self._handlers.on_result(pending.proposal, None)
+            elif now >= pending.next_send_at and (self._is_open or pending.proposal is None):
+                self._send(number)
+
+    def abandon(self) -> list[ProposeOperation]:
+        """Wait for no response any more, and return the proposals without a result."""
+        abandoned, self._pending = self._pending, {}
+        for pending in abandoned.values():
+            self._requests.abandon(pending.request)
+        return [one.proposal for one in abandoned.values() if one.proposal is not None]
+
+
+def _now() -> float:
+    return asyncio.get_running_loop().time()
--- /dev/null
+++ b/mapleshunt/net/replication/snapshot_sender.py
@@ -0,0 +1,49 @@
+"""Sends the chunks of snapshots no faster than the operators' file allows."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ...replication import messages as m
+from ...replication.pace import SnapshotPacer
+
+BURST_S = 0.25  # of the rate: how much may go at once after a pause
+TIMER_MARGIN_S = 0.001  # so that the pacer has something to take when the timer fires
+
+
+class SnapshotSender:
+    """Paces chunks; a later chunk takes the place of one to the same replica that has not gone."""
+
+    def __init__(self, bytes_per_s: float, send: Callable[[int, m.Replica, m.Message], None]) -> None:
+        """`send` gets the group, the receiver and the chunk."""
+        self._rate = bytes_per_s
+        self._send = send
+        self._pacer: SnapshotPacer[tuple[int, m.Replica], m.SnapshotChunk]
+        self._timer: asyncio.TimerHandle | None = None
+        self._closed = False
+
+    def start(self, now: float) -> None:
+        """Count from now on."""
+        self._pacer = SnapshotPacer(self._rate, self._rate * BURST_S, now)
+
+    def send(self, group: int, to: m.Replica, chunk: m.SnapshotChunk) -> None:
+        """Send a chunk as soon as the rate allows it."""
+        self._pacer.offer((group, to), len(chunk.data), chunk)
+        self._send_ready()
+
+    def _send_ready(self) -> None:
+        loop = asyncio.get_running_loop()
+        for (group, to), chunk in self._pacer.take(loop.time()):
+            self._send(group, to, chunk)
+        wait = self._pacer.wait()
+        if wait is not None and self._timer is None and not self._closed:
+            self._timer = loop.call_later(wait + TIMER_MARGIN_S, self._timer_fired)
+
+    def _timer_fired(self) -> None:
+        self._timer = None
+        self._send_ready()
+
+    def close(self) -> None:
+        """Set no further timer."""
+        self._closed = True
--- /dev/null
+++ b/mapleshunt/net/replication/store_access.py
@@ -0,0 +1,42 @@
+"""How the store of this gateway's replicas is opened, and what may stand in the way."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from ...settings.operators import Copies as ReplicationSection
+from ...storage.durable_store import DurableStore, StoreError, StoreInUseError
+from ..config import Address, ConfigError, parse_address
+
+
+class ReplicationInUseError(ConfigError):
+    """Another process has the store or the address of this gateway's replicas."""
+
+
+def open_store(section: ReplicationSection, name: str) -> DurableStore:
+    """Open and check the store of the gateway `name`. Blocks.
+
+    Raises:
+        ReplicationInUseError: another process has the store.
+        ConfigError: the store is of another fleet, gateway or form.
+        StoreUnavailableError: another attempt may succeed.
+    """
+    folder = Path(section.folder.replace("{name}", name))
+    try:
+        return DurableStore(folder, section.fleet, name)
+    except StoreInUseError as error:
+        raise ReplicationInUseError(f"copies: {error}") from None
+    except StoreError as error:
+        raise ConfigError(f"copies: {error}") from None
+
+
+def peer_addresses(section: ReplicationSection, name: str) -> dict[str, Address]:
+    """Return the replication addresses of all gateways, of `name` among them.
+
+    Raises:
+        ConfigError: an address is malformed, or there is none for `name`.
+    """
+    addresses = {peer.name: parse_address(peer.address, f"peer {peer.name}") for peer in section.peer}
+    if name not in addresses:
+        raise ConfigError(f"copies: no peer is named {name!r}, as this gateway is")
+    return addresses
--- a/mapleshunt/net/startup.py
+++ b/mapleshunt/net/startup.py
@@ -13,28 +13,32 @@
 START_TIMEOUT_S = 8.0  # after which a step that still fails ends the start: most have to be ready in 10 s
 START_RETRY_DELAY_S = 0.02
 
-Made = TypeVar("Made")
+Result = TypeVar("Result")
 
 
 class StartupSteps:
     """The steps of one start, which share `START_TIMEOUT_S`."""
 
     def __init__(self, counters: Counters) -> None:
-        self.counters = counters
-        self.deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
+        """Begin to count the time."""
+        self._counters = counters
+        self._deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
 
-    async def run(self, name: str, step: Callable[[], Made]) -> Made:
-        """What the step returns. Raises the OSError that the step raised, if it does not pass in time.
+    async def run(self, name: str, step: Callable[[], Result]) -> Result:
+        """Return what the step returns.
 
         A step that failed must have left nothing behind. Cancelling it between two attempts does no harm.
+
+        Raises:
+            OSError: the step raised it, and it is not transient or did not pass in time.
         """
         while True:
             try:
                 return step()
             except OSError as error:
-                late = asyncio.get_running_loop().time() > self.deadline
-                if late or not is_transient(error):
+                is_late = asyncio.get_running_loop().time() > self._deadline
+                if is_late or not is_transient(error):
                     raise
-                self.counters.add("start_retries")
+                self._counters.add("start_retries")
                 log.log_event("start_retried", step=name, why=error)
             await asyncio.sleep(START_RETRY_DELAY_S)
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -186,23 +186,22 @@
             return
         try:
             from ..extensions import Extensions
-            from ..net.maintenance import GatewayControls
+            from ..net.maintenance.controls import GatewayControls, Occupancy
 
             controls = GatewayControls(
                 lambda: self.controller.drain(DrainRequester.MAINTENANCE),
                 lambda: self.controller.resume(DrainRequester.MAINTENANCE),
-                self._occupancy,
+                lambda: Occupancy(
+                    len(self.driver.open_requests),
+                    len(self.connections.connections),
+                    not self.lifecycle.is_serving(),
+                ),
                 self._load,
             )
             self.extensions = Extensions(self.reloader.config, self.driver, self.counters, controls)
         except ModuleNotFoundError as error:
             raise ConfigError(f"the operators' settings need the extra 'tools' ({error})") from None
 
-    def _occupancy(self) -> tuple[int, int, bool]:
-        """Return the open requests, the client connections, and whether clients are sent elsewhere."""
-        open_requests = len(self.driver.open_requests)
-        return open_requests, len(self.connections.connections), not self.lifecycle.is_serving()
-
     def _load(self) -> float:
         """Return the fraction of this gateway's concurrency limit that attempts in flight use."""
         now = self.driver.gateway.figures(self.driver.now())
--- a/mapleshunt/transient_errors.py
+++ b/mapleshunt/transient_errors.py
@@ -20,5 +20,5 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Is it worth trying again in a moment?"""
+    """Tell whether the same call may succeed in a moment."""
     return error.errno in TRANSIENT_ERRNOS
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -7,7 +7,6 @@
 import itertools
 from pathlib import Path
 
-from mapleshunt.net.replication.group_host import GroupHost
 from mapleshunt.net.replication.host import ReplicationHost
 from mapleshunt.replication import messages as m
 from mapleshunt.replication.roles import Role
@@ -22,12 +21,12 @@
     """Group 0 on gateways that begin at the same time and hear each other after the same delay."""
 
     def __init__(self, copies: list[ReplicationHost], missing: str) -> None:
-        voters = (*(one.me for one in copies), missing)
+        voters = (*(one.knowledge.replica() for one in copies), missing)
         stored = m.PersistentState(m.Snapshot(1, 1, 0.0, m.Members(voters), b""), term=1)
-        self.nodes = {one.me: GroupHost(one, 0, stored).node for one in copies}
+        self.nodes = {one.knowledge.replica(): one.groups.open(0, stored).node for one in copies}
         self.start = (
             max(one.election.deadline for one in self.nodes.values())
-            - 2 * copies[0].timing.election_timeout_s
+            - 2 * copies[0].services.raft_config.election_timeout_s
         )
         self.events: list[tuple[float, int, str, m.Event]] = []
         self.order = itertools.count()
@@ -61,10 +60,10 @@
     async def run() -> str:
         copies = [copies_in(tmp_path / name, name) for name in NAMES[:2]]
         play = Play(copies, missing=f"{NAMES[2]}/gone")
-        leader = play.leader(play.start + ELECTIONS * 2 * copies[0].timing.election_timeout_s)
+        leader = play.leader(play.start + ELECTIONS * 2 * copies[0].services.raft_config.election_timeout_s)
         for one in copies:
-            one.links.close()
-            one.disk.close()
+            one.peers.close()
+            one.store.close()
         return leader
 
     assert asyncio.run(run())
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -19,7 +19,7 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.replication.connections import PeerConnection
+from mapleshunt.net.replication.connection import ConnectionHandlers, PeerConnection
 from mapleshunt.replicated_state import commands as w
 from mapleshunt.replicated_state.results import Applied
 from mapleshunt.replication import messages as m
@@ -320,27 +320,28 @@
 def test_nothing_passes_on_a_link_that_was_greeted_as_another_incarnation() -> None:
     """A connection that came up while a disk was renewed: the lost incarnation's votes were given there."""
 
-    class Stub:
-        name, fleet, counters = "n0", "f", Counters()
-        incarnation = "old"
-        heard: list[object] = []  # noqa: RUF012
+    incarnation = ["old"]
+    heard: list[object] = []
 
-        def greeting(self) -> wire.Handshake:
-            return wire.Handshake("f", 1, 1, "n0", self.incarnation, 3, {}, 0)
-
-        def met(self, link: PeerConnection) -> None:
-            self.heard.append(link.hello)
+    def handshake() -> wire.Handshake:
+        return wire.Handshake("f", 1, 1, "n0", incarnation[0], 3, {}, 0)
 
     async def run() -> str:
         ours, theirs = socket.socketpair()
-        stub = Stub()
-        link = PeerConnection(stub, IOStream(ours))  # type: ignore[arg-type]
+        handlers = ConnectionHandlers(
+            handshake=handshake,
+            on_handshake=lambda connection: heard.append(connection.hello),
+            on_message=lambda *message: heard.append(message),
+            on_request=lambda *request: heard.append(request),
+            on_response=heard.append,
+        )
+        link = PeerConnection(IOStream(ours), "f", handlers, Counters())
         task = asyncio.create_task(link.run())
         await asyncio.sleep(0)
-        stub.incarnation = "new"
+        incarnation[0] = "new"
         theirs.sendall(wire.encode_frame(HELLO))
         reason = await task
-        assert not stub.heard
+        assert not heard
         theirs.close()
         return reason
 
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -16,9 +16,10 @@
 from mapleshunt import extensions
 from mapleshunt.net import config
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.replication.connections import PeerConnection
+from mapleshunt.net.replication.connection import PeerConnection
 from mapleshunt.net.replication.group_host import GroupHost
-from mapleshunt.net.replication.host import ReplicationHost, open_store
+from mapleshunt.net.replication.host import ReplicationHost
+from mapleshunt.net.replication.store_access import open_store
 from mapleshunt.replicated_state import commands as words
 from mapleshunt.replication import messages as m
 from mapleshunt.replication import wire
@@ -51,9 +52,9 @@
 
 def host_in(copies: ReplicationHost) -> GroupHost:
     """A replica of group 0, which has not begun; the other voters are not there."""
-    members = m.Members((copies.me, "g1/1", "g2/1"))
-    stored = copies.disk.create(0, m.Snapshot(1, 1, 0.0, members, b""))
-    host = copies.hosts[0] = GroupHost(copies, 0, stored)
+    members = m.Members((copies.knowledge.replica(), "g1/1", "g2/1"))
+    stored = copies.store.create(0, m.Snapshot(1, 1, 0.0, members, b""))
+    host = copies.groups.hosts[0] = copies.groups.open(0, stored)
     return host
 
 
@@ -65,14 +66,14 @@
     async def run() -> None:
         copies = copies_in(tmp_path)
         copies.start()
-        before = copies.disk.incarnation
-        copies._create(1, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
-        copies._older("g1", copies.disk.boot + (1 << 32))
-        await until(lambda: copies.disk.incarnation != before and not copies.renewing)
-        for host in copies.hosts.values():
+        before = copies.store.incarnation
+        copies.groups.create(1, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
+        copies.groups.renew("g1", copies.store.boot + (1 << 32))
+        await until(lambda: copies.store.incarnation != before and not copies.groups.renewing)
+        for host in copies.groups.hosts.values():
             host.step(m.MessageReceived("g1/1", m.AppendEntries(7, 0, 0, (m.Entry(1, 7, 0.0, b"x"),), 0, 1)))
-        commits = copies.writer.commits
-        await until(lambda: not copies.hosts or copies.writer.commits > commits)
+        commits = copies.tasks.writer.commits
+        await until(lambda: not copies.groups.hosts or copies.tasks.writer.commits > commits)
         copies.close()
 
     asyncio.run(run())
@@ -105,10 +106,10 @@
     async def run() -> None:
         made = extensions.Extensions(parsed, None, Counters(), None)  # type: ignore[arg-type]
         made.start()
-        assert made.copies is None
+        assert made.replication is None
         await asyncio.sleep(0.05)  # the next attempt has begun by now, or begins before the event is set
         loop_went_on.set()
-        await until(lambda: made.copies is not None)
+        await until(lambda: made.replication is not None)
         made.close()
 
     asyncio.run(run())
@@ -120,7 +121,7 @@
 
     def __init__(self) -> None:
         self.ours, self.theirs = socket.socketpair()
-        super().__init__(cast(Any, None), IOStream(self.ours))
+        super().__init__(IOStream(self.ours), FLEET, cast(Any, None), Counters())
         self.replies: list[wire.ClientResponse] = []
 
     def write(self, frame: wire.Frame) -> None:
@@ -140,7 +141,7 @@
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term + 1, True, True)))
     await until(lambda: host.node.outbox.durable_write == host.node.outbox.last_write)
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term, True, False)))
-    assert host.leads()
+    assert host.is_leader()
     await follow(host, follower)
 
 
@@ -167,13 +168,13 @@
         await lead(host, "g1/1")
         reader, writer = Client(), Client()
         monkeypatch.setattr(host, "_read", lambda what: bytes(2 * wire.MAX_FRAME_BYTES))
-        host.called(reader, wire.ClientRequest(1, 0, read="works"))
-        host.called(
+        host.handle(reader, wire.ClientRequest(1, 0, read="works"))
+        host.handle(
             writer, wire.ClientRequest(2, 0, words.encode(words.Command("s", 1, 1, words.OpenSession())))
         )
         with contextlib.suppress(ValueError):  # as the follower's link contains it
             await follow(host, "g1/1")
-        assert "s" in host.holdings.sessions
+        assert "s" in host.state.sessions
         assert [one.how for one in writer.replies] == ["done"]
         assert [one.how for one in reader.replies[-1:]] == ["unknown"]
         for one in (reader, writer):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -8,13 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from types import SimpleNamespace
-from typing import Any
 
 import pytest
 
 from mapleshunt import Plan
 from mapleshunt.net.counters import Counters
-from mapleshunt.net.maintenance import ProposalSession
+from mapleshunt.net.maintenance.proposal_session import ProposalSession
 from mapleshunt.net.replication.leases import LeaseClient
 from mapleshunt.net.replication.local_calls import CALL_TIMEOUT_S, LocalCalls
 from mapleshunt.policy import QuotaLeaseGranted, RequestReceived, Settings
@@ -34,7 +33,6 @@
     """Stands for the copies of a gateway: one group, which answers a call when the test says so."""
 
     name: str = "g0"
-    section: Any = field(default_factory=lambda: SimpleNamespace(groups=1))
     holdings: ReplicatedState = field(default_factory=ReplicatedState)
     waiting: dict[int, Callable[[wire.ClientResponse], None]] = field(default_factory=dict)
     calls: dict[int, bytes] = field(default_factory=dict)  # not answered yet, the oldest first
@@ -43,13 +41,13 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def leads(self, _: int) -> str:
+    def leader_of(self, _: int) -> str:
         return self.name
 
-    def learn(self, group: int, reply: wire.ClientResponse) -> None:
+    def apply_redirect(self, group: int, reply: wire.ClientResponse) -> None:
         raise AssertionError(f"group {group} refused: {reply}")
 
-    def call(self, _group: int, command: bytes, _to: str, done: Callable[[wire.ClientResponse], None]) -> int:
+    def send(self, _group: int, command: bytes, _to: str, done: Callable[[wire.ClientResponse], None]) -> int:
         self.number += 1
         self.waiting[self.number], self.calls[self.number] = done, command
         return self.number
@@ -96,7 +94,7 @@
 
 def want(leases: LeaseClient, customer: str) -> None:
     """A request of that customer comes."""
-    leases._asked(RequestReceived(1, "look", PLAN.name, customer, 100.0))
+    leases.delay_admission(RequestReceived(1, "look", PLAN.name, customer, 100.0))
 
 
 async def until(done: Callable[[], bool], step: Callable[[], object] = lambda: None) -> None:
@@ -116,14 +114,14 @@
 
     async def run() -> None:
         group, decisions = Group(), Decisions()
-        leases = LeaseClient(group, decisions, Counters())  # type: ignore[arg-type]
+        leases = LeaseClient(group, 1, decisions, Counters())  # type: ignore[arg-type]
         leases.start()
         want(leases, CUSTOMERS[0])
         group.answer_all()  # the session is open
         await until(lambda: bool(group.calls))
         group.answer_all()
         group.forget_sessions()
-        leases.leaser.customers.clear()
+        leases.holder.customers.clear()
         for customer in CUSTOMERS:
             want(leases, customer)
         first, second = group.calls
@@ -152,7 +150,7 @@
 
     async def run() -> None:
         group, decisions = Group(), Decisions()
-        leases = LeaseClient(group, decisions, Counters())  # type: ignore[arg-type]
+        leases = LeaseClient(group, 1, decisions, Counters())  # type: ignore[arg-type]
         leases.start()
         want(leases, "c0")
         group.answer_all()
@@ -189,7 +187,7 @@
         line.propose(w.SetRecord("b", "1", 0), results.append)
 
         def step() -> None:
-            line.tend(group.now())
+            line.tick(group.now())
             group.answer_all()
 
         await until(lambda: len(results) == 2, step)
@@ -203,7 +201,7 @@
 
     async def run() -> None:
         group, decisions = Group(), Decisions()
-        leases = LeaseClient(group, decisions, Counters())  # type: ignore[arg-type]
+        leases = LeaseClient(group, 1, decisions, Counters())  # type: ignore[arg-type]
         leases.start()
         monkeypatch.setattr(state, "MAX_SESSIONS", 0)
         monkeypatch.setattr(state, "SESSION_TIMEOUT_MS", math.inf)
@@ -229,6 +227,6 @@
     for number in range(1000):  # one a second, of which the last are still waited for
         last = calls.begin(float(number), replies.append)
     assert len(calls) <= CALL_TIMEOUT_S
-    calls.reply(wire.ClientResponse(1, "done"))
-    calls.reply(wire.ClientResponse(last, "done"))
+    calls.deliver(wire.ClientResponse(1, "done"))
+    calls.deliver(wire.ClientResponse(last, "done"))
     assert [one.number for one in replies] == [last]
