--- a/mapleshunt/net/maintenance/coordinator.py
+++ b/mapleshunt/net/maintenance/coordinator.py
@@ -52,7 +52,7 @@
         log.log_event(
             "maintenance_budget",
             result="Denied" if isinstance(result, Denied) else "Done",
-            why=getattr(result, "why", ""),
+            why=result.reason if isinstance(result, Denied) else "",
         )
 
     def stop(self) -> None:
@@ -62,9 +62,9 @@
     def tick(self, now: float, jobs: MaintenanceJobs) -> None:
         """Propose what is missing in the log or has changed."""
         has_own_budget = jobs.budget == self._section.budget()
-        if not has_own_budget and not jobs.chosen and not self._sessions.at(0).is_busy():
+        if not has_own_budget and not jobs.budget_was_set and not self._sessions.at(0).is_busy():
             self._propose_budget(self._section)
-        if not jobs.open() or now - self._viewed_at < VIEW_INTERVAL_S:
+        if not jobs.open_jobs() or now - self._viewed_at < VIEW_INTERVAL_S:
             return
         self._viewed_at = now
         self._poll_statuses()
@@ -82,9 +82,9 @@
         )
         if not self._sessions.at(0).is_busy():
             self._sessions.at(0).propose(view, lambda _: None)
-        if jobs.blocked != self._logged_reason:
-            self._logged_reason = jobs.blocked
-            log.log_event("maintenance_waits", why=jobs.blocked or "no more")
+        if jobs.blocked_reason != self._logged_reason:
+            self._logged_reason = jobs.blocked_reason
+            log.log_event("maintenance_waits", why=jobs.blocked_reason or "no more")
 
     def _poll_statuses(self) -> None:
         for peer in self._replication.peers.connected_peers():
--- a/mapleshunt/net/maintenance/host.py
+++ b/mapleshunt/net/maintenance/host.py
@@ -61,7 +61,7 @@
             self._machine.tick(now)
             group = self._replication.groups.get(0)
             if group is not None and group.is_leader():
-                self._coordinator.tick(now, group.state.works)
+                self._coordinator.tick(now, group.state.maintenance)
             else:
                 self._coordinator.stop()
         except Exception:
--- a/mapleshunt/net/maintenance/machine.py
+++ b/mapleshunt/net/maintenance/machine.py
@@ -76,9 +76,11 @@
             return
         stamp, job, self._is_long, self._has_requests = JOB_DECODER.decode(response.data)
         if job is not None and (self._job is None or self._job.state != job.state):
-            log.log_event("maintenance_place", request=job.request, state=job.state, fence=job.fence)
+            log.log_event(
+                "maintenance_place", request=job.request_id, state=job.state, fence=job.fencing_token
+            )
         self._job, self._has_read = job, True
-        self._agent.told(polled_at, stamp, job)
+        self._agent.update_grant(polled_at, stamp, job)
 
     def _follow_agent(self, now: float) -> None:
         for action in self._agent.step(now, self._job, self._is_long, self._remaining_work()):
@@ -99,20 +101,20 @@
         )
 
     def _carry_out(self, action: AgentAction) -> None:
-        match action.how:
+        match action.kind:
             case "drain":
-                log.log_event("maintenance_drains", fence=self._agent.fence)
+                log.log_event("maintenance_drains", fence=self._agent.fencing_token)
                 self._controls.drain()
             case "resume":
-                log.log_event("maintenance_resumes", fence=self._agent.fence)
+                log.log_event("maintenance_resumes", fence=self._agent.fencing_token)
                 self._controls.resume()
             case "hand_over":
-                self._hand_over(with_replicas=action.what == "copies")
+                self._hand_over(with_replicas=action.state == "copies")
             case "take_back":
                 self._take_replicas_back()
             case "tell" if not self._sessions.at(0).is_busy():
                 progress = maintenance_commands.ReportProgress(
-                    self._gateway, action.fence, action.what, action.why
+                    self._gateway, action.fencing_token, action.state, action.reason
                 )
                 self._sessions.at(0).propose(progress, lambda _: self._poll(self._requests.now()))
 
--- a/mapleshunt/net/maintenance/proposal_session.py
+++ b/mapleshunt/net/maintenance/proposal_session.py
@@ -90,7 +90,7 @@
         if not self._is_open:
             self._is_open = isinstance(result, Applied)
             self._next_send_at = now if self._is_open else now + OPEN_RETRY_DELAY_S
-        elif isinstance(result, Denied) and result.why == "session":
+        elif isinstance(result, Denied) and result.reason == "session":
             self._take_name()
         else:
             self._waiting.popleft().on_result(result)
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -53,7 +53,7 @@
         """Load the stored state. The replica takes part once `begin` is called."""
         self.group = group
         self.state = ReplicatedState()
-        self.state.thaw(stored.snapshot.data)
+        self.state.restore(stored.snapshot.data)
         replica, now = services.replica(), services.now()
         self.node = RaftNode(replica, stored, services.raft_config, seed, now)
         self.begun = False  # it takes part; before that it neither receives nor sends anything
@@ -127,12 +127,12 @@
             case m.Apply(entry, number):
                 self._apply(entry, number)
             case m.RestoreSnapshot(snapshot):
-                self.state.thaw(snapshot.data)
+                self.state.restore(snapshot.data)
                 services.counters.add("copies_installed")
             case m.RequestResult(number, how, _, hint):
                 self._finish(number, how, hint)
             case m.CreateSnapshot(index):
-                asyncio.get_running_loop().call_soon(self._encode_snapshot, index, self.state.freeze())
+                asyncio.get_running_loop().call_soon(self._encode_snapshot, index, self.state.snapshot())
             case m.RoleChanged(role, term, leader, why):
                 leads = m.gateway_of(leader) or "none"
                 log.log_event("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
@@ -205,7 +205,7 @@
             "commit": node.commit_index,
             "last": node.log.last_index(),
             "snapshot": node.log.snapshot.index,
-            "stores": len(self.state.stores),
+            "stores": len(self.state.buckets),
             "quorum": has_quorum,
             "last_term": node.log.last_term(),
             "stamp": node.log.last_stamp(),
--- a/mapleshunt/net/replication/lease_session.py
+++ b/mapleshunt/net/replication/lease_session.py
@@ -104,7 +104,7 @@
         result = decode_result(response.data)
         if pending.proposal is None:
             self._open_responded(number, result, now)
-        elif isinstance(result, Denied) and result.why == "session":
+        elif isinstance(result, Denied) and result.reason == "session":
             self._handlers.on_forgotten(self)
         else:
             del self._pending[number]
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -105,14 +105,14 @@
         self._plans[request.customer] = request.plan
         now = self._driver.now()
         self._carry_out(
-            self.holder.demand(
+            self.holder.request_units(
                 now, request.customer, plan.rate, plan.burst, request.gateway_set_size, request.units
             )
         )
         if not self._is_answered or request.remaining_time <= 2 * MAX_REQUEST_DELAY_MS:
             return False
         delayed = self._delayed.get(request.customer)
-        if delayed is None and not self.holder.waits(now, request.customer, request.units):
+        if delayed is None and not self.holder.is_waiting(now, request.customer, request.units):
             return False
         one = DelayedRequest(now + MAX_REQUEST_DELAY_MS, request.request_id, request.units)
         self._delayed.setdefault(request.customer, []).append(one)
@@ -128,8 +128,8 @@
         while delayed:
             first = delayed[0]
             if now < first.deadline and self._leased_units(customer, now) < first.units:
-                self._carry_out(self.holder.more(now, customer, first.units))
-                if self.holder.waits(now, customer, first.units):
+                self._carry_out(self.holder.request_more(now, customer, first.units))
+                if self.holder.is_waiting(now, customer, first.units):
                     self._delayed[customer] = delayed + self._delayed.pop(customer, [])
                     return
             del delayed[0]
@@ -140,7 +140,7 @@
     def _result_received(self, proposal: ProposeOperation, result: Result | None) -> None:
         self._note_answered(result is not None)
         self._counters.add("leases_denied", int(isinstance(result, Denied)))
-        self._carry_out(self.holder.answered(self._driver.now(), proposal, result))
+        self._carry_out(self.holder.apply_result(self._driver.now(), proposal, result))
         if isinstance(proposal.operation, commands.AcquireLease):
             self._resume(proposal.customer)
 
@@ -164,9 +164,9 @@
         plan = self._plans.get(update.customer)
         if plan is None:
             return
-        self._counters.add("leases_had", int(update.lease > 0))
+        self._counters.add("leases_had", int(update.lease_id > 0))
         self._driver.apply_event(
-            QuotaLeaseGranted(update.customer, plan, update.lease, update.units, update.until)
+            QuotaLeaseGranted(update.customer, plan, update.lease_id, update.units, update.usable_until)
         )
 
     def _session_forgotten(self, session: LeaseSession) -> None:
--- a/mapleshunt/net/replication/reads.py
+++ b/mapleshunt/net/replication/reads.py
@@ -24,13 +24,13 @@
     """
     kind, _, name = query.partition(" ")
     if kind == "store":
-        return msgspec.msgpack.encode(state.store(last_stamp, name))
+        return msgspec.msgpack.encode(state.bucket_at(last_stamp, name))
     if kind == "place":
-        place, now = state.works.place_of(name), stamp()
-        is_long = place is not None and state.works.requests[place.request].ask.long
-        return msgspec.msgpack.encode((now, place, is_long, bool(state.works.open())))
+        job, now = state.maintenance.job_of(name), stamp()
+        is_long = job is not None and state.maintenance.requests[job.request_id].details.move_replicas
+        return msgspec.msgpack.encode((now, job, is_long, bool(state.maintenance.open_jobs())))
     if kind == "works":
-        return msgspec.msgpack.encode((stamp(), summarize(state.works.freeze(), MAX_SUMMARY_BYTES)))
+        return msgspec.msgpack.encode((stamp(), summarize(state.maintenance.snapshot(), MAX_SUMMARY_BYTES)))
     if kind == "record":
         return msgspec.msgpack.encode(state.records.get(name))
     return msgspec.msgpack.encode(None)
