--- a/mapleshunt/net/maintenance/coordinator.py
+++ b/mapleshunt/net/maintenance/coordinator.py
@@ -92,7 +92,7 @@
 
     def _poll_status(self, peer: str) -> None:
         def status_received(response: wire.ClientResponse) -> None:
-            if response.how == "done":
+            if response.status == "done":
                 status = msgspec.msgpack.decode(response.data)
                 self._statuses[peer] = (self._requests.now(), status)
 
--- a/mapleshunt/net/maintenance/machine.py
+++ b/mapleshunt/net/maintenance/machine.py
@@ -69,7 +69,7 @@
         )
 
     def _job_received(self, polled_at: float, response: wire.ClientResponse) -> None:
-        if response.how != "done":
+        if response.status != "done":
             self._requests.apply_redirect(0, response)
             retry_at = self._requests.now() - IDLE_POLL_INTERVAL_S + REFUSED_POLL_DELAY_S
             self._polled_at = min(self._polled_at, retry_at)
@@ -138,7 +138,7 @@
         key = f"{EVACUATED_PREFIX}{self._gateway}"
 
         def record_received(response: wire.ClientResponse) -> None:
-            if response.how != "done" or self._sessions.at(group).is_busy():
+            if response.status != "done" or self._sessions.at(group).is_busy():
                 return
             record: Record | None = msgspec.msgpack.decode(response.data, type=Record | None)
             if (record.value if record is not None else "") == expected:
--- a/mapleshunt/net/maintenance/proposal_session.py
+++ b/mapleshunt/net/maintenance/proposal_session.py
@@ -78,7 +78,7 @@
         if number != self._last_number or not self._in_flight:
             return
         now = self._requests.now()
-        if response.how != "done":
+        if response.status != "done":
             self._requests.apply_redirect(self._group, response)
             self._next_send_at = min(self._next_send_at, now + REFUSED_RETRY_DELAY_S)
             return
--- a/mapleshunt/net/replication/connections.py
+++ b/mapleshunt/net/replication/connections.py
@@ -130,7 +130,7 @@
         reason = await connection.run()
         self._unidentified.pop(connection, None)
         hello = connection.hello
-        peer = hello.name if hello is not None and hello.incarnation else ""
+        peer = hello.gateway if hello is not None and hello.incarnation else ""
         if self._by_peer.get(peer) is connection:
             del self._by_peer[peer]
         if peer or reason != "closed":
@@ -142,13 +142,13 @@
         assert hello is not None
         if not hello.incarnation:
             return  # a client
-        if hello.name not in self._addresses.peers or connection.dialed_peer not in ("", hello.name):
-            raise wire.ProtocolError(f"{hello.name!r} is not expected here")
+        if hello.gateway not in self._addresses.peers or connection.dialed_peer not in ("", hello.gateway):
+            raise wire.ProtocolError(f"{hello.gateway!r} is not expected here")
         self._unidentified.pop(connection, None)
-        if (before := self._by_peer.get(hello.name)) is not None:
+        if (before := self._by_peer.get(hello.gateway)) is not None:
             before.close()  # the other end has begun anew
-        self._by_peer[hello.name] = connection
-        log.log_event("link_up", peer=hello.name, incarnation=hello.incarnation, boot=hello.boot)
+        self._by_peer[hello.gateway] = connection
+        log.log_event("link_up", peer=hello.gateway, incarnation=hello.incarnation, boot=hello.boot)
         self._handlers.on_peer(hello)
 
     def connected_peers(self) -> list[str]:
--- a/mapleshunt/net/replication/fleet_knowledge.py
+++ b/mapleshunt/net/replication/fleet_knowledge.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from ...replication import boots, wire
 from ...replication import messages as m
-from ...replication import wire
 from .store_tasks import StoreTasks
 
 
@@ -40,14 +40,14 @@
 
     def merge(self, hello: wire.Handshake) -> int:
         """Take over what another gateway knows; return the boot of this store that it has met."""
-        told = dict(hello.known)
+        told = dict(hello.known_boots)
         own_boot = told.pop(self._store.incarnation, 0)
-        known = wire.remember_boot(
-            wire.merge_known_boots(self._known_boots, told), hello.incarnation, hello.boot
+        known = boots.remember_boot(
+            boots.merge_known_boots(self._known_boots, told), hello.incarnation, hello.boot
         )
-        changed = known != self._known_boots or hello.formed | self._formed != self._formed
+        changed = known != self._known_boots or hello.formed_groups | self._formed != self._formed
         self._known_boots = known  # also if nothing changed: the order of the boots counts
-        self._formed |= hello.formed
+        self._formed |= hello.formed_groups
         if changed:
             self._save()
         return own_boot
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -168,7 +168,7 @@
 
     def _finish(self, number: int, how: str, hint: str) -> None:
         if how == "read" and number in self.pending:
-            self._respond(number, "done", "", self._read(self.pending[number][1].read))
+            self._respond(number, "done", "", self._read(self.pending[number][1].query))
         else:
             self._respond(number, how, m.gateway_of(hint), b"")
 
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
+from ...replication import boots, generations, wire
 from ...replication import messages as m
-from ...replication import wire
 from ...replication.config import RaftConfig
 from ...settings.operators import Copies as ReplicationSection
 from ...storage.durable_store import DurableStore, StoreUnavailableError
@@ -158,7 +158,7 @@
 
     def _send(self, group: int, to: m.Replica, message: m.Message) -> None:
         gateway, _, incarnation = to.rpartition("/")
-        channel = wire.channel_of(group, self.knowledge.generation(group))
+        channel = generations.channel_of(group, self.knowledge.generation(group))
         self.peers.send(gateway, incarnation, channel, message)
 
     def _disconnect(self) -> None:
@@ -166,15 +166,15 @@
 
     def _peer_connected(self, hello: wire.Handshake) -> None:
         own_boot = self.knowledge.merge(hello)
-        self.presence.peer_connected(hello.name, _now())
-        if wire.is_store_outdated(self.store.boot, own_boot):
-            self.groups.renew(hello.name, own_boot)
+        self.presence.peer_connected(hello.gateway, _now())
+        if boots.is_store_outdated(self.store.boot, own_boot):
+            self.groups.renew(hello.gateway, own_boot)
         for group, generation in hello.generations.items():
             if 0 <= group < self.section.groups and generation > self.knowledge.generation(group):
                 self.groups.supersede(group, generation)
 
     def _message_received(self, hello: wire.Handshake, channel: int, message: m.Message) -> None:
-        group, generation = wire.group_and_generation(channel)
+        group, generation = generations.group_and_generation(channel)
         if not 0 <= group < self.section.groups:
             raise wire.ProtocolError(f"there is no group {group}")
         current = self.knowledge.generation(group)
@@ -186,7 +186,7 @@
         if host is None:
             self.groups.create(group)
         else:
-            host.step(m.MessageReceived(f"{hello.name}/{hello.incarnation}", message))
+            host.step(m.MessageReceived(f"{hello.gateway}/{hello.incarnation}", message))
 
     def _request_received(
         self, connection: PeerConnection, request: wire.ClientRequest | wire.AdminRequest
--- a/mapleshunt/net/replication/lease_session.py
+++ b/mapleshunt/net/replication/lease_session.py
@@ -97,8 +97,8 @@
         if pending is None:
             return
         now = _now()
-        if response.how != "done":
-            self._leader_hint = response.hint
+        if response.status != "done":
+            self._leader_hint = response.leader_hint
             pending.next_send_at = min(pending.next_send_at, now + TICK_INTERVAL_S)
             return
         result = decode_result(response.data)
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from ...policy import QuotaLeaseGranted, RequestReceived
+from ...policy.customers import Customer
 from ...policy.gossip_codec import tag_of
-from ...policy.state import Customer
 from ...replicated_state import commands
 from ...replicated_state.leases import Action, LeaseHolder, LeaseUpdate, ProposeOperation
 from ...replicated_state.results import Denied, Result
@@ -70,27 +70,24 @@
     # What the decisions hold
 
     def _customer(self, customer: str) -> Customer | None:
-        return self._driver.gateway.customers.get(tag_of(customer))
+        return self._driver.gateway.customers.by_tag.get(tag_of(customer))
 
     def _remaining_units(self, customer: str, lease: int) -> float:
         known = self._customer(customer)
-        return known.leases.get(lease, (0.0, 0.0))[0] if known is not None else 0.0
+        return known.leases.units_left(lease) if known is not None else 0.0
 
     def _take_lease(self, customer: str, lease: int) -> float:
         """Remove a lease from the decisions, and return the units that were left."""
         known = self._customer(customer)
-        return known.leases.pop(lease, (0.0, 0.0))[0] if known is not None else 0.0
+        return known.leases.end(lease) if known is not None else 0.0
 
     def _leased_units(self, customer: str, at: float) -> float:
         known = self._customer(customer)
-        return (known.leased(at) or 0.0) if known is not None else 0.0
+        return (known.leases.available(at) or 0.0) if known is not None else 0.0
 
     def _take_owed_units(self, customer: str) -> float:
         known = self._customer(customer)
-        if known is None:
-            return 0.0
-        owed, known.owed = known.owed, 0.0
-        return owed
+        return known.leases.take_owed_units() if known is not None else 0.0
 
     # Requests
 
--- a/mapleshunt/net/replication/membership_manager.py
+++ b/mapleshunt/net/replication/membership_manager.py
@@ -100,7 +100,7 @@
         if holders[0] != me or not all(name == me or name in connected for name in holders):
             return
         has_majority = 2 * (len(connected) + 1) > len(zones)
-        if not has_majority or any(hello.formed >> group & 1 for hello in connected.values()):
+        if not has_majority or any(hello.formed_groups >> group & 1 for hello in connected.values()):
             return
         voters = tuple(
             self._services.replica() if name == me else f"{name}/{connected[name].incarnation}"
--- a/mapleshunt/net/replication/replica_groups.py
+++ b/mapleshunt/net/replication/replica_groups.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Callable, Iterator
 
+from ...replication import generations
 from ...replication import messages as m
-from ...replication import wire
 from .. import log
 from ..counters import Counters
 from .fleet_knowledge import FleetKnowledge
@@ -133,7 +133,7 @@
             return False
         if state_token != host.state_token() or self.has_quorum(host):
             return False
-        generation = wire.next_generation(
+        generation = generations.next_generation(
             self._knowledge.generation(group), self._random.getrandbits(GENERATION_RANDOM_BITS)
         )
         log.log_event(
--- a/mapleshunt/net/replication/requests.py
+++ b/mapleshunt/net/replication/requests.py
@@ -59,17 +59,17 @@
 
     def _administer(self, request: wire.AdminRequest) -> wire.ClientResponse:
         number = request.number
-        if request.what == "status":
+        if request.operation == "status":
             return wire.ClientResponse(number, "done", "", self._encode_status())
-        if request.what == "recover":
-            recovered = self._groups.recover(request.group, request.copy)
+        if request.operation == "recover":
+            recovered = self._groups.recover(request.group, request.replica)
             return wire.ClientResponse(number, "done" if recovered else "refused")
         host = self._groups.get(request.group)
         if host is None or host.node.role is not Role.LEADER:
             hint = m.gateway_of(host.node.leader) if host is not None else ""
             return wire.ClientResponse(number, "refused", hint)
-        if request.what == "transfer":
-            host.step(m.TransferLeadership(request.copy))
+        if request.operation == "transfer":
+            host.step(m.TransferLeadership(request.replica))
             return wire.ClientResponse(number, "done")
         return wire.ClientResponse(number, "refused")
 
@@ -132,8 +132,8 @@
 
     def apply_redirect(self, group: int, response: wire.ClientResponse) -> None:
         """A request was refused: send the next one where the response points, or anywhere."""
-        if response.hint:
-            self._redirects[group] = response.hint
+        if response.leader_hint:
+            self._redirects[group] = response.leader_hint
         else:
             self._redirects.pop(group, None)
 
--- a/mapleshunt/net/replication/snapshot_sender.py
+++ b/mapleshunt/net/replication/snapshot_sender.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ...replication import messages as m
-from ...replication.pace import SnapshotPacer
+from ...replication.snapshot_pacer import SnapshotPacer
 
 BURST_S = 0.25  # of the rate: how much may go at once after a pause
 TIMER_MARGIN_S = 0.001  # so that the pacer has something to take when the timer fires
@@ -34,9 +34,9 @@
 
     def _send_ready(self) -> None:
         loop = asyncio.get_running_loop()
-        for (group, to), chunk in self._pacer.take(loop.time()):
+        for (group, to), chunk in self._pacer.take_ready(loop.time()):
             self._send(group, to, chunk)
-        wait = self._pacer.wait()
+        wait = self._pacer.delay_s()
         if wait is not None and self._timer is None and not self._closed:
             self._timer = loop.call_later(wait + TIMER_MARGIN_S, self._timer_fired)
 
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -55,9 +55,9 @@
     def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
         result = one.state.apply(entry.stamp, entry.data) if entry.data else None
         event = self.by_call.pop(call, None) if call is not None else None
-        if event is None or event.ended or result is None:
+        if event is None or event.ended_at or result is None:
             return
-        event.result, event.ended = result, self.now
+        event.result, event.ended_at = result, self.now
         self.open.pop(event.session, None)
         if isinstance(result, LeaseGranted) and isinstance(event.operation, w.AcquireLease):
             self.leases.append((event.operation.customer, result.lease_id, result.units))
@@ -89,7 +89,7 @@
         self.ask(event)
 
     def ask(self, event: HistoryEvent) -> None:
-        if event.ended:
+        if event.ended_at:
             return
         alive = [one for one in self.machines.values() if one.node is not None]
         leaders = [one for one in alive if one.node is not None and one.node.role is Role.LEADER]
@@ -155,7 +155,7 @@
             return Denied("order")
         if isinstance(command.operation, w.OpenSession):
             return Applied()
-        return self._do(stamp, command.session, command.operation)
+        return self._execute(stamp, command.session, command.operation)
 
 
 class DoneAgain(StateMachinePlay):
--- a/mapleshunt/testbed/faults/schedule.py
+++ b/mapleshunt/testbed/faults/schedule.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 
 from ...simulation.history_checker import HistoryEvent, find_violations
-from ..gateway_process import GatewayError
+from ..errors import GatewayError
 from ..replica_client import ReplicaClient
 from ..replica_workload import BURST, read_final_state, run_workload
 from .fault_injection import FaultInjector, FaultKind
@@ -88,7 +88,7 @@
             await self.fleet.wait_for_answers(CALLS_BETWEEN_FAULTS, SETTLE_TIMEOUT_S)
 
     def _unanswered_calls(self) -> list[str]:
-        unanswered = [f"{event.session} {event.number}" for event in self.fleet.history if not event.ended]
+        unanswered = [f"{event.session} {event.number}" for event in self.fleet.history if not event.ended_at]
         return unanswered[:MAX_LISTED_CALLS]
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -22,8 +22,8 @@
 from mapleshunt.simulation.rule_checker import RuleChecker
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
-from mapleshunt.testbed.clock import Clock
-from mapleshunt.testbed.gateway_process import GatewayError
+from mapleshunt.testbed.clock import DayClock
+from mapleshunt.testbed.errors import GatewayError
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -33,7 +33,7 @@
 
 def scenario(*faults: Fault, seconds: float = 4.0, **changes: Any) -> Scenario:
     base = resized(SCENARIOS["quiet"], gateways=2, servers=4, seconds=seconds)
-    return replace(base, troubles=lambda rng, scenario: list(faults), **changes)
+    return replace(base, fault_plan=lambda rng, scenario: list(faults), **changes)
 
 
 def test_demo_answers_every_request_exactly_once() -> None:
@@ -54,19 +54,26 @@
 def test_a_gateway_killed_with_requests_open_a_crash_and_a_drain_break_no_rule(tmp_path: Path) -> None:
     day = draw_day(scenario(
         Fault(800, "crash", 1200, (0,)), Fault(1000, "restart", 600, (1,)), Fault(1500, "drain", 300, (1,)),
-        Fault(1200, "add", size=1), Fault(500, "loss", 2000, size=0.5), Fault(600, "counter_down", 900),
-        fixed={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
+        Fault(1200, "add", magnitude=1), Fault(500, "loss", 2000, magnitude=0.5),
+        Fault(600, "counter_down", 900),
+        fixed_parameters={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
     ), 5)  # fmt: skip
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
-    tries = found.watchman.tries
-    assert any(t.gateway == 1 and t.taken and t.answer is None for t in tries), "nothing was open at the kill"
+    tries = found.rule_checker.client_attempts
+    assert any(t.gateway == 1 and t.accepted and t.result is None for t in tries), (
+        "nothing was open at the kill"
+    )
     # A machine that stands still may keep the gateway from a few answers until their clients have gone.
-    silent = [t for t in tries if t.taken and t.gateway == 0 and t.answer is None]
+    silent = [t for t in tries if t.accepted and t.gateway == 0 and t.result is None]
     assert all(t in found.timed_out for t in silent) and len(silent) <= len(tries) / 100
-    assert any(t.gateway == 1 and t.answer is not None and t.sent > 1700 for t in tries), "it is back"
-    assert found.gateways[1].starts == 2 and found.unknown_requests == 0 and found.oversized_datagrams == 0
-    after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent > 1500 + 300 + 550 + 400]
+    assert any(t.gateway == 1 and t.result is not None and t.sent_at > 1700 for t in tries), "it is back"
+    assert (
+        found.gateways[1].starts == 2
+        and found.unknown_requests == 0
+        and found.gossip.oversized_datagrams == 0
+    )
+    after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent_at > 1500 + 300 + 550 + 400]
     assert not after, "sent to a draining server"
     assert any(a.server == 4 for t in tries for a in t.attempts), "the new server was not used"
     assert summary.exactly_once(found) is False  # the kill left some without an answer, and that shows
@@ -98,9 +105,10 @@
         server = await asyncio.start_server(gateway, "127.0.0.1", 0)
         heard: list[str] = []
         day: Any = SimpleNamespace(
-            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])], clock=Clock(), timed_out=[],
-            day=SimpleNamespace(rules=RuleLimits(answer_slack=2000.0)), command=lambda *_: b"PING\r\n",
-            watchman=SimpleNamespace(answered=lambda one, final, at: heard.append(final)),
+            gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])],
+            clock=DayClock(), timed_out=[],
+            day=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)), command=lambda *_: b"PING\r\n",
+            rule_checker=SimpleNamespace(client_answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
         one: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
         found = clients.SocketClients(day)
@@ -118,7 +126,7 @@
     whoever its view refuses shows that the day would tell.
     """
     day = draw_day(resized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
-    program = checkout(tmp_path, ("policy/gateway.py", "lack > 0 or 0 <", "0 <")) if bad else ROOT
+    program = checkout(tmp_path, QUOTA_IGNORED) if bad else ROOT
     _, score = fleet.play_day(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
@@ -126,10 +134,12 @@
 
 def test_a_silent_machine_is_left_alone_and_found_again(tmp_path: Path) -> None:
     fault = Fault(500, "silent", 1500, (0,))
-    day = draw_day(scenario(fault, seconds=5.0, fixed={"silent_notice_ms": 5000, "add_ms": 100}), 6)
+    day = draw_day(
+        scenario(fault, seconds=5.0, fixed_parameters={"silent_notice_ms": 5000, "add_ms": 100}), 6
+    )
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
-    at = [a.sent for t in found.watchman.tries for a in t.attempts if a.server == 0]
+    at = [a.sent_at for t in found.rule_checker.client_attempts for a in t.attempts if a.server == 0]
     assert sum(1200 < one < 2000 for one in at) < sum(one < 500 for one in at)
     assert any(one > 2500 for one in at)
 
@@ -138,7 +148,7 @@
     day = draw_day(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
-    assert all(t.answer is not None for t in found.watchman.tries if t.taken)
+    assert all(t.result is not None for t in found.rule_checker.client_attempts if t.accepted)
 
 
 def checkout(tmp_path: Path, *changes: tuple[str, str, str]) -> Path:
@@ -158,17 +168,20 @@
     return target
 
 
-APPENDED = "        job.attempts, job.again = [*job.attempts, Attempt(server, self.now)], False\n"
-TWICE = """        if len(job.attempts) == 1:
-            job.attempts = [*job.attempts, Attempt(server, self.now)]
-            self.actions.append(i.Send(job.ref, server.entry.server))
+APPENDED = "        request.attempts.append(Attempt(endpoint, now))\n"
+TWICE = """        if len(request.attempts) == 1:
+            request.attempts.append(Attempt(endpoint, now))
+            self._actions.append(StartAttempt(request.request_id, endpoint.info.endpoint))
 """
+QUOTA_IGNORED = (
+    "policy/quota_check.py", "if lack > 0 or self._has_too_many_open", "if self._has_too_many_open"
+)  # fmt: skip
 BAD = {
-    "two_out": [("policy/gateway.py", APPENDED, APPENDED + TWICE)],
+    "two_out": [("policy/dispatch.py", APPENDED, APPENDED + TWICE)],
     "lost": [("net/request/respond.py", "        context.response_sink.serve(value)\n",
               "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
-    "drain": [("policy/gateway.py", 's.entry.state == "ready"', 's.entry.state in ("ready", "draining")'),
+    "drain": [("policy/endpoints.py", 'one.info.state == "ready"', 'one.info.state in ("ready", "draining")'),
               ("net/upstream/endpoint_group.py", 'pool.endpoint.state == "ready"',
                'pool.endpoint.state != "gone"')],
 }  # fmt: skip
@@ -178,13 +191,13 @@
     # They arrive after the kill. The list was forgotten with the process: each such attempt broke the rule.
     day = draw_day(scenario(), 8)
     watchman = RuleChecker(day, day.settings()[0])
-    watchman.told_list(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
-    ask = RequestRecord(day.traffic.asks[0]).ask
+    watchman.endpoint_list_delivered(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
+    ask = RequestRecord(day.traffic.requests[0]).request
     for server, broken in (1, 0), (2, 1), (3, 2):
         one = ClientAttempt(server, ask, 1, 0, 2000.0, 1000.0)
         attempt = UpstreamAttempt(server, 0, 2000.0, BackendRequest((server, 0), 1.0, 3000.0, None, 1.0, 0))
-        watchman.sending(one, attempt, 0, 2000.0)
-        assert watchman.breaks["drain"] == broken, watchman.stories
+        watchman.attempt_sent(one, attempt, 0, 2000.0)
+        assert watchman.violations["drain"] == broken, watchman.descriptions
 
 
 @pytest.mark.parametrize("rule", BAD)
@@ -199,7 +212,7 @@
     broken = checkout(
         tmp_path / "a",
         (
-            "bootstrap.py",
+            "server/bootstrap.py",
             "def run_gateway() -> int:\n",
             "def run_gateway() -> int:\n    raise SystemExit(3)\n",
         ),
@@ -225,13 +238,13 @@
     day = draw_day(scenario(seconds=2.0, rate=60.0), 10)
     found, _ = fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
     rows = [row for n in range(2) for row in form.read((tmp_path / f"n{n}.rec").read_bytes()).rows]
-    tries = [t for t in found.watchman.tries if t.taken]
+    tries = [t for t in found.rule_checker.client_attempts if t.accepted]
     assert len(rows) == len(tries)
     for final in ("served", "refused", "failed"):
-        assert sum(r.final == final for r in rows) == sum(t.answer == final for t in tries)
+        assert sum(r.final == final for r in rows) == sum(t.result == final for t in tries)
     sent = [a for r in rows for a in r.attempts if a.status != "unsent"]
     assert abs(len(sent) - sum(len(t.attempts) for t in tries)) <= 2
-    assert sum(r.cost for r in rows) == sum(t.ask.units for t in tries if t.answer == "served")
+    assert sum(r.cost for r in rows) == sum(t.request.units for t in tries if t.result == "served")
 
 
 def test_an_operators_file_that_makes_no_sense_is_one_line_and_exit_status_2(tmp_path: Path) -> None:
