--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -78,7 +78,7 @@
 
     def __init__(self) -> None:
         self.settings = Settings(gateway_index=0, gateway_count=1, classes={}, plans={PLAN.name: PLAN})
-        self.gateway = SimpleNamespace(customers={})
+        self.gateway = SimpleNamespace(customers=SimpleNamespace(by_tag={}))
         self.delay_admission: Callable[[RequestReceived], bool] = lambda _: False
         self.leased: list[QuotaLeaseGranted] = []
 
