--- a/tests/test_client.py
+++ b/tests/test_client_connection.py
@@ -88,7 +88,7 @@
         await asyncio.sleep(0)
 
 
-def test_client_that_does_not_read_is_read_from_no_further() -> None:
+def test_connection_stops_reading_while_client_does_not_read_responses() -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         decisions = cast(Decisions, connection.registry.driver)
         loop = asyncio.get_running_loop()
@@ -113,7 +113,7 @@
     play(steps)
 
 
-def test_client_that_does_not_read_is_ended_though_its_connection_is_ending(
+def test_closing_connection_is_closed_after_response_read_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Only connections whose end had not begun were looked at: one with answers that nobody reads and a last
@@ -136,7 +136,7 @@
     play(steps)
 
 
-def test_defect_met_by_one_command_fails_that_command_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_one_command_fails_only_that_command(monkeypatch: pytest.MonkeyPatch) -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         calls = iter([ZeroDivisionError, None])
 
@@ -155,7 +155,9 @@
     assert play(steps).counters.counts["exceptions"] == 1
 
 
-def test_client_that_goes_on_sending_after_its_last_line_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_is_closed_after_linger_timeout_while_client_keeps_sending(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         theirs.send(b"nonsense" * 2000)
         while not connection.stream.closed():
@@ -166,7 +168,7 @@
     assert play(steps).counters.counts["malformed_commands"] == 1
 
 
-def test_idle_connection_makes_room_and_a_busy_one_does_not() -> None:
+def test_idle_connection_is_evicted_and_busy_one_is_not() -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         ours, other = socket.socketpair()
         registry_of(connection).add(IOStream(ours))
@@ -186,7 +188,9 @@
     play(steps)
 
 
-def test_silent_connections_make_room_before_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connections_are_evicted_before_those_that_sent_commands(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # Hundreds connect and say nothing: the oldest went first, and it was the usual clients that lost theirs.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         monkeypatch.setattr(limits, "EVICT_SILENT_AFTER_S", -1.0)
@@ -204,7 +208,7 @@
     play(steps)
 
 
-def test_many_connections_at_rest_give_up_their_places_and_a_busy_one_does_not() -> None:
+def test_idle_connections_beyond_limit_are_reaped_and_busy_one_is_not() -> None:
     # A client that asks once and keeps its connection took a place that others found taken.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         pairs = [socket.socketpair() for _ in range(4)]
@@ -230,7 +234,7 @@
     play(steps)
 
 
-def test_connection_with_bytes_not_read_yet_is_not_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_with_unread_bytes_is_not_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Ending it lost the request that had come and lay unread.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         monkeypatch.setattr(limits, "IDLE_TIMEOUT_S", -1.0)
@@ -271,7 +275,7 @@
     ("sent", "got"),
     [(b"", b""), (b"*2\r\n$4\r\nPI", b"-ERR a command was begun and not ended\r\n")],
 )
-def test_silence_and_half_a_command_are_ended_in_time(
+def test_silent_connection_and_incomplete_command_are_closed_after_idle_timeout(
     sent: bytes, got: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
@@ -288,7 +292,7 @@
     play(steps)
 
 
-def test_hundreds_of_commands_at_once_take_turns_with_other_work() -> None:
+def test_pipelined_commands_yield_to_other_connections() -> None:
     # They were taken in one go, and all other connections waited for a quarter of a second.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         theirs.send(50 * resp.encode_command([b"PING"]))
@@ -299,7 +303,7 @@
     play(steps)
 
 
-def test_client_that_goes_on_asking_for_what_is_not_to_be_had_is_ended(
+def test_connection_is_closed_after_too_many_unacceptable_commands(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
@@ -315,7 +319,7 @@
     play(steps)
 
 
-def test_id_of_an_open_request_is_refused_and_free_again_after_its_answer() -> None:
+def test_id_of_open_request_is_rejected_and_reusable_after_response() -> None:
     # Sent on, it would have been a second attempt of the request that is open.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         decisions, whole = cast(Decisions, connection.registry.driver), query()
@@ -354,7 +358,7 @@
     return data
 
 
-def test_client_that_leaves_while_its_commands_wait_is_seen_at_once() -> None:
+def test_disconnect_is_seen_while_pipeline_is_full() -> None:
     # While it waited for room nothing read the connection: 32 requests of one that had left were served on.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         decisions = cast(Decisions, connection.registry.driver)
@@ -367,7 +371,7 @@
     play(steps)
 
 
-def test_flood_beyond_what_is_read_ahead_whose_client_goes_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_disconnect_is_seen_behind_flood_beyond_read_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its end stood in the kernel behind what nobody read.
     monkeypatch.setattr(limits, "HANG_UP_CHECK_INTERVAL_S", 0.0)
 
@@ -391,7 +395,7 @@
     play(steps)
 
 
-def test_names_of_another_deployment_are_taken_and_passed_on_as_they_are() -> None:
+def test_utf8_names_of_class_and_plan_are_forwarded_unchanged() -> None:
     # What is not ASCII was refused, and with it every request of such a class or plan.
     named = "c=kasse-öffnen,t=größe,d=480".encode()
     words = [memoryview(word) for word in (b"SVC.QUERY", WHO, b"0" * 16, named)]
@@ -402,7 +406,7 @@
         svc.parse_request([*words[:3], memoryview(named.replace(b"\xc3", b""))])
 
 
-def test_client_that_sends_without_end_and_goes_is_seen_to_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_disconnect_is_seen_after_endless_flood(monkeypatch: pytest.MonkeyPatch) -> None:
     # Beyond what is refused nothing was read, and its requests were sent on for as long as they waited.
     async def steps(_: client.ClientConnection, __: socket.socket) -> None:
         decisions, (ours, theirs) = Decisions(), tcp_pair()
@@ -433,7 +437,7 @@
     play(steps)
 
 
-def test_time_of_a_command_that_waited_behind_others_has_run_meanwhile(
+def test_time_waited_behind_other_commands_is_taken_off_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Its patience was counted from when it was taken.
@@ -450,7 +454,7 @@
     play(steps)
 
 
-def test_each_command_that_was_read_before_the_last_call_has_its_answer() -> None:
+def test_commands_read_before_shutdown_get_their_responses() -> None:
     # A whole command that had been read was dropped, and others behind it, with the connection's end.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         decisions, ping = cast(Decisions, connection.registry.driver), resp.encode_command([b"PING"])
@@ -471,7 +475,7 @@
 
 
 @pytest.mark.parametrize("how", ["drained", "made_room", "idle", "last_call"])
-def test_request_that_crosses_an_end_is_not_taken_and_takes_no_answer_along(
+def test_request_that_crosses_close_is_not_read_and_resets_no_response(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client has not read its answer, and asks again in the instant in which the gateway ends.
@@ -516,7 +520,7 @@
     play(steps)
 
 
-def test_client_that_rests_and_then_writes_slowly_is_not_cut_off_while_it_goes_on() -> None:
+def test_slow_command_after_idle_time_is_not_cut_off() -> None:
     # Its time for a command was counted from the opening of the connection.
     async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
         connection.last_activity_at = connection.command_started_at = (
--- a/tests/test_listening.py
+++ b/tests/test_client_listener.py
@@ -45,7 +45,7 @@
             await asyncio.sleep(0)
 
 
-def test_without_a_descriptor_left_the_listener_rests_and_the_connection_is_taken_later(
+def test_listener_pauses_without_descriptors_and_accepts_later(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The listener stayed ready: the loop did nothing but try again, with a line in the log each time.
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("where", ["take", "descriptors"])
-def test_a_defect_met_by_one_connection_does_not_end_a_shutdown(where: str) -> None:
+def test_exception_in_one_connection_does_not_stop_shutdown(where: str) -> None:
     # The last accepts before the listener closes are made on the way to the process's end: what they raised
     # ended it at once, with all requests that were open.
     async def run() -> list[bool]:
@@ -107,7 +107,7 @@
     assert asyncio.run(run()) == [True] * 3
 
 
-def test_one_failed_accept_delays_the_backlog_for_less_than_repeated_ones() -> None:
+def test_accept_retry_delay_grows_with_failures() -> None:
     # Each failure paused the listener for 0.1 s. A fifth of all calls failing, some connections a second got
     # through, and the requests of the others waited in the backlog until their clients gave up.
     async def run() -> list[float]:
@@ -147,7 +147,7 @@
     return GatewayServer(config.parse(json.dumps(text), env))
 
 
-def test_time_that_a_request_stood_in_the_backlog_is_taken_off_its_patience(
+def test_time_in_backlog_is_taken_off_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # While no descriptor was left requests waited to be accepted, and their patience was counted from then:
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_request_that_the_kernel_accepted_before_the_listener_closes_is_answered(
+def test_request_in_backlog_is_answered_before_listener_closes(
     monkeypatch: pytest.MonkeyPatch, full: bool
 ) -> None:
     # It stood in the kernel's queue, and the listener's close reset it; also where one that rests had its
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("errors", [CONNECTION_ERRORS, RESOURCE_ERRORS], ids=["connection", "resources"])
-def test_request_in_the_backlog_is_answered_when_accept_fails_during_shutdown(errors: list[int]) -> None:
+def test_request_in_backlog_is_answered_when_accept_fails_during_shutdown(errors: list[int]) -> None:
     # The last calls of accept before the listener closes stopped at the first error that stands for lack of
     # resources: the close reset the connections that were still in the backlog, requests and all.
     async def run() -> bytes:
@@ -240,7 +240,7 @@
     assert asyncio.run(run()) == b"-ERR not ready\r\n"
 
 
-def test_the_systems_limit_on_descriptors_binds_whatever_the_configuration_says() -> None:
+def test_system_descriptor_limit_overrides_configuration() -> None:
     async def run() -> tuple[int, int]:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (200, hard))
@@ -254,7 +254,7 @@
     assert clients + servers <= 200 - 32
 
 
-def test_a_line_is_logged_whole_when_no_descriptor_is_left() -> None:
+def test_line_is_logged_without_descriptors() -> None:
     # The codec that quotes values was imported at its first use: the line that tells of the lack was lost.
     code = """
 import resource
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -42,7 +42,7 @@
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
-def test_watches_go_on_through_silence_nonsense_and_ends() -> None:
+def test_watch_continues_after_silence_malformed_lists_and_closes() -> None:
     # Each answer is given to one call. None: the agent stays silent; b"": it ends the connection.
     answers: list[bytes | None] = [
         answer(41, True),
@@ -122,7 +122,7 @@
     ]
 
 
-def test_watch_that_falls_silent_is_found_before_what_it_had_to_tell_counts_as_told() -> None:
+def test_silent_watch_is_noticed_within_notification_budget() -> None:
     # It was found after 21 s; for all that time draining servers were asked, and new ones were not.
     assert WATCH_WAIT_MS + SILENCE_TIMEOUT_MS <= 2000
     discovery = EndpointWatcher(("", 0), lambda found: None, Counters(), Backoff(1, random.Random(1)))
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_forty_that_restart_together_are_all_current_though_the_service_is_slow(seed: int) -> None:
+def test_forty_gateways_restarted_together_are_current_within_budget(seed: int) -> None:
     """The service takes a call each 100 ms in turn; one that would wait 2 s is refused, and costs its turn.
 
     With a fixed pause of 100 ms the line stayed full, and hardly any gateway had a list all day.
@@ -153,7 +153,7 @@
         assert sum(1000 * second <= at < 1000 * (second + 1) for at in made) <= 60
 
 
-def test_pauses_of_a_few_gateways_are_short_and_begin_anew_after_an_answer() -> None:
+def test_backoff_of_small_fleet_is_short_and_resets_after_answer() -> None:
     backoff = Backoff(3, random.Random(1))
     first = [backoff.next_delay_ms() for _ in range(50)]
     assert first[0] <= 150 and max(first) <= 2000
@@ -161,7 +161,7 @@
     assert backoff.next_delay_ms() <= 150
 
 
-def test_a_gateway_whose_list_is_pushed_asks_its_agent_at_once_however_large_the_fleet() -> None:
+def test_gateway_with_pushed_list_calls_agent_without_fleet_spread() -> None:
     # The first call of 200 gateways waited up to 5 s for its turn at an agent that answers each at no cost:
     # 384 requests went to draining servers that the answer would have named.
     backoff = Backoff(0, random.Random(1))
@@ -187,7 +187,7 @@
         return await asyncio.start_server(self.serve, "127.0.0.1", 0)
 
 
-def test_watch_comes_back_when_no_descriptor_was_left_for_its_call() -> None:
+def test_watch_resumes_after_lack_of_descriptors() -> None:
     # The socket was made outside of the `try`: its OSError ended the task, and no list came ever again.
     told: list[EndpointList] = []
 
@@ -217,7 +217,7 @@
     assert told[0].revision == 7 and counts["out_of_descriptors"] >= 1
 
 
-def test_agent_that_is_behind_what_is_known_is_asked_for_the_whole_list() -> None:
+def test_agent_behind_known_revision_is_asked_for_complete_list() -> None:
     # A new agent may count from before: the changes since are not among those it goes on to tell.
     async def run() -> list[str]:
         agent = Agent()
@@ -244,9 +244,7 @@
 
 
 @pytest.mark.parametrize("read", [False, True])
-def test_what_an_agent_tells_that_is_no_longer_asked_changes_nothing(
-    monkeypatch: pytest.MonkeyPatch, read: bool
-) -> None:
+def test_answer_of_replaced_agent_is_ignored(monkeypatch: pytest.MonkeyPatch, read: bool) -> None:
     """SIGHUP moves discovery twice in a row, while the first one's answer comes: before it is read, and
     between its reading and the turn of the task that waits for it.
     """
@@ -313,7 +311,7 @@
 
 @pytest.mark.parametrize("callers", [0, 2, 40, 200])
 @pytest.mark.parametrize("lost", LOST)
-def test_news_is_told_within_the_budget_whatever_ended_the_watch(callers: int, lost: str) -> None:
+def test_change_is_notified_within_budget_after_any_watch_end(callers: int, lost: str) -> None:
     # With 200 gateways a pause took up to 50 s and the call after it 7 s. A move counts 4 s later.
     for seed in range(500):
         chance = random.Random(seed)
--- a/tests/test_peers.py
+++ b/tests/test_gossip_transport.py
@@ -52,7 +52,7 @@
     asyncio.run(run())
 
 
-def test_of_two_processes_the_last_to_bind_hears_and_the_first_again_once_it_is_gone() -> None:
+def test_last_process_to_bind_receives_and_first_again_after_its_close() -> None:
     async def run() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.bind(("127.0.0.1", 0))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,7 +22,7 @@
     ("data", "status", "body", "keep"),
     [(PLAIN, 200, b"body", True), (CHUNKED, 200, b"body", True), (LAST, 503, b"", False)],
 )
-def test_response_is_read_once_whole(data: bytes, status: int, body: bytes, keep: bool) -> None:
+def test_response_is_parsed_once_complete(data: bytes, status: int, body: bytes, keep: bool) -> None:
     room = bytearray(data + b"HTTP")
     found = http.parse_response(room, 0, len(room))
     assert found is not None and found[1] == len(data)
@@ -42,13 +42,13 @@
         b"x" * http.MAX_HEAD_BYTES,
     ],
 )
-def test_bytes_that_are_no_response_are_told(data: bytes) -> None:
+def test_malformed_response_raises_protocol_error(data: bytes) -> None:
     with pytest.raises(http.ProtocolError):
         http.parse_response(bytearray(data), 0, len(data))
 
 
 @given(st.binary(max_size=60))
-def test_no_bytes_break_the_parser(tail: bytes) -> None:
+def test_parser_survives_arbitrary_bytes(tail: bytes) -> None:
     data = bytearray(b"HTTP/1.1 200 OK\r\n" + tail + b"\r\n\r\n")
     try:
         found = http.parse_response(data, 0, len(data))
@@ -69,7 +69,7 @@
     }
 
 
-def test_list_becomes_the_members_event_with_numbers_from_ids() -> None:
+def test_list_becomes_endpoint_update_with_numbers_from_ids() -> None:
     found = parse_endpoint_list(
         {
             "revision": 4,
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_the_largest_list_is_read_while_half_of_it_is_replaced_however_it_is_indented(chunked: bool) -> None:
+def test_largest_list_fits_while_half_of_it_is_replaced(chunked: bool) -> None:
     """3,200 servers, and 1,600 that drain beside those that take their places."""
     rows = [
         row(f"s-{n:08x}", host_port=f"10.11.{n // 250}.{n % 250}:6379", locality="zone-a", flavor="std-3core",
@@ -119,6 +119,6 @@
         {"revision": 1, "complete": True, "members": [row("s", host_port="x")]},
     ],
 )
-def test_malformed_list_is_a_value_error(bad: dict[str, object]) -> None:
+def test_malformed_list_raises_value_error(bad: dict[str, object]) -> None:
     with pytest.raises(ValueError, match="malformed"):
         parse_endpoint_list(bad)
--- a/tests/test_driver.py
+++ b/tests/test_policy_driver.py
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(("first", "status"), [("answer", "ok"), ("client", "cancelled")])
-def test_client_that_leaves_in_the_step_in_which_its_answer_is_read(
+def test_disconnect_in_turn_of_reply_gives_one_outcome(
     monkeypatch: pytest.MonkeyPatch, first: str, status: str
 ) -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
@@ -139,7 +139,7 @@
     play(does, steps)
 
 
-def test_client_that_leaves_between_two_actions_of_one_decision_leaves_no_try_out() -> None:
+def test_disconnect_between_two_actions_leaves_no_attempt_in_flight() -> None:
     """Refusing one of its requests finds the connection closed, and the other is sent on by the next action:
     the decisions were never told how that try ended, and kept its slot at the till server for good.
     """
@@ -161,7 +161,7 @@
     play(does, steps)
 
 
-def test_request_the_decisions_forget_is_answered_before_its_client_gives_up() -> None:
+def test_request_that_policy_forgets_fails_before_deadline() -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         context, told = ask(driver, patience=RESPONSE_GUARD_MS + 10)
         await answered(told)
@@ -171,7 +171,7 @@
     play(lambda event: [], steps)
 
 
-def test_exception_in_the_decisions_fails_its_request_and_no_other() -> None:
+def test_exception_in_policy_fails_only_its_request() -> None:
     def does(event: Event) -> list[Any]:
         if isinstance(event, RequestReceived) and event.request_id == 1:
             raise RuntimeError("odd")
@@ -183,7 +183,7 @@
     assert play(does, steps).counters.counts["exceptions"] == 1
 
 
-def test_refusals_are_counted_by_their_reason() -> None:
+def test_rejections_are_counted_by_reason() -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         assert [ask(driver, ref)[1].answers for ref in (1, 2)] == [["rejected 5"], ["rejected 5"]]
 
@@ -199,7 +199,7 @@
     assert counts["rejected_quota"] == counts["rejected_queue"] == 1 and counts["answers_rejected"] == 2
 
 
-def test_exception_in_an_action_does_not_stop_those_behind_it() -> None:
+def test_exception_in_action_does_not_stop_later_actions() -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         driver.send_gossip = lambda peer, text: 1 / 0  # type: ignore[assignment]
         assert ask(driver)[1].answers == ["failed"]
@@ -210,7 +210,7 @@
     )
 
 
-def test_there_is_one_final_answer_only() -> None:
+def test_only_first_response_is_sent() -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         context, told = ask(driver)
         respond.serve(context, memoryview(b"late"), driver.counters)
@@ -220,7 +220,7 @@
     play(lambda event: [RejectRequest(1, 5.0), FailRequest(1)], steps)
 
 
-def test_more_than_may_be_held_is_rejected_without_a_decision() -> None:
+def test_requests_beyond_limit_are_rejected_without_policy() -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         assert [ask(driver, ref, most=1)[1].answers for ref in (1, 2)] == [[], ["rejected 1000"]]
         assert len(decisions.told) == 1
@@ -228,7 +228,7 @@
     play(lambda event: [], steps)
 
 
-def test_each_send_ends_in_one_outcome_and_events_keep_their_order() -> None:
+def test_each_attempt_ends_in_one_event_and_events_keep_order() -> None:
     def does(event: Event) -> list[Any]:
         if isinstance(event, RequestReceived):
             return [StartAttempt(event.request_id, endpoint=77)]  # a server nobody named
@@ -249,7 +249,7 @@
     play(does, steps)
 
 
-def test_timer_fires_no_earlier_than_it_was_set_for() -> None:
+def test_timer_fires_no_earlier_than_set() -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         context, _ = ask(driver)
         while not isinstance(decisions.told[-1], TimerFired):
@@ -260,7 +260,7 @@
     play(lambda event: [SetTimer(event_time() + 5, 3)] if isinstance(event, RequestReceived) else [], steps)
 
 
-def test_timer_that_the_loop_fires_early_waits_for_its_time() -> None:
+def test_timer_that_loop_fires_early_is_set_again() -> None:
     # uvloop did: the decisions then saw a timer of the past, and answers came as late as the driver's guard.
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         real, early = driver.loop.call_later, 2
@@ -286,14 +286,14 @@
     return time.time() * 1000
 
 
-def test_clock_is_unix_time_because_starts_of_servers_are() -> None:
+def test_clock_is_unix_time() -> None:
     async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
         assert driver.now() == pytest.approx(time.time() * 1000, abs=10_000)
 
     play(lambda event: [], steps)
 
 
-def test_a_loop_that_was_held_up_is_told_by_how_much() -> None:
+def test_periodic_task_reports_lateness_of_loop() -> None:
     async def run() -> list[float]:
         late: list[float] = []
         work = PeriodicTask(lambda: time.sleep(0.1) if len(late) == 1 else None, 0.01, on_late=late.append)
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -56,7 +56,7 @@
     return process, port
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_down_and_it_is_found_again() -> None:
+def test_discovery_resumes_while_idle_clients_fill_descriptors() -> None:
     """The configuration tells of more descriptors than there are: only what the system allows binds."""
     discovery = free_port()
     with descriptors(96):
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("first", [signal.SIGHUP, signal.SIGTERM])
-def test_signals_in_one_instant_leave_nothing_unanswered(first: signal.Signals) -> None:
+def test_signals_at_once_leave_no_request_unanswered(first: signal.Signals) -> None:
     """A request is out when a new configuration and the end are told, in either order, before it is read."""
     toy = run("-m", "examples.toy_server", "0")
     assert toy.stdout is not None
@@ -127,7 +127,7 @@
             return dict(pair.split(b"=") for pair in bytes(read[0][3]).split(b","))
 
 
-def test_what_is_taken_late_has_its_answer_before_the_process_may_be_killed(tmp_path: Path) -> None:
+def test_late_request_is_answered_before_sigkill_may_come(tmp_path: Path) -> None:
     """SIGKILL may come 0.7 s past the longest deadline, 2 s here, after SIGTERM. What came more than 0.7 s
     after that and hung at its till server had its answer too late.
     """
@@ -158,7 +158,7 @@
                 one.close()
 
 
-def test_sighup_at_any_step_of_a_start_is_heeded_and_ends_nothing(tmp_path: Path) -> None:
+def test_sighup_at_any_step_of_start_is_applied(tmp_path: Path) -> None:
     """Until the loop had it, it ended the program. It is started as the deploy file says."""
     config, text = tmp_path / "config", EXAMPLE.read_text()
     os.mkfifo(config)  # who reads it waits for what is written: each step is held until the test goes on
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -20,7 +20,7 @@
 
 
 @given(WORDS, st.binary(max_size=20), st.integers(0, 7))
-def test_command_is_read_once_whole_and_not_before(words: list[bytes], after: bytes, before: int) -> None:
+def test_command_is_parsed_once_complete(words: list[bytes], after: bytes, before: int) -> None:
     data = resp.encode_command(words)
     room = bytearray(b"x" * before + data + after)
     found = resp.parse_command(room, before, len(room))
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("data", "reply"), REPLIES)
-def test_reply_is_read_once_whole_and_not_before(data: bytes, reply: resp.Reply) -> None:
+def test_reply_is_parsed_once_complete(data: bytes, reply: resp.Reply) -> None:
     room = bytearray(data)
     assert resp.parse_reply(room, 0, len(room)) == (reply, len(room))
     assert all(resp.parse_reply(room, 0, end) is None for end in range(len(room)))
@@ -62,13 +62,13 @@
         b"*" + b"1" * resp.MAX_LINE_BYTES,
     ],
 )
-def test_bytes_that_are_no_command_are_told_at_once(data: bytes) -> None:
+def test_malformed_command_raises_protocol_error_at_once(data: bytes) -> None:
     with pytest.raises(resp.ProtocolError):
         resp.parse_command(bytearray(data), 0, len(data))
 
 
 @given(st.binary(max_size=60))
-def test_no_bytes_break_the_parsers(data: bytes) -> None:
+def test_parsers_survive_arbitrary_bytes(data: bytes) -> None:
     for parse in (resp.parse_command, resp.parse_reply):
         try:
             found = parse(bytearray(data), 0, len(data))
@@ -77,14 +77,14 @@
         assert found is None or 0 < found[1] <= len(data)
 
 
-def test_error_line_stays_one_line() -> None:
+def test_error_reply_is_one_line() -> None:
     assert resp.encode_error("ERR a\r\nb") == b"-ERR a  b\r\n"
 
 
 # The buffer
 
 
-def test_fill_counts_from_the_buffer_that_replaced_the_full_one() -> None:
+def test_fill_counts_from_replacement_of_full_buffer() -> None:
     # `self.end += await read(self.room())` took the old buffer's end: zero bytes were read as a command.
     async def play() -> list[bytes]:
         ours, theirs = socket.socketpair()
@@ -105,7 +105,7 @@
 
 
 @given(st.lists(st.integers(1, CHUNK_BYTES), min_size=1, max_size=12))
-def test_slices_outlive_the_buffer_they_were_read_into(sizes: list[int]) -> None:
+def test_slices_outlive_their_buffer(sizes: list[int]) -> None:
     buffer, held = ReadBuffer(3 * CHUNK_BYTES), []
     for number, size in enumerate(sizes):
         data = bytes([number]) * size
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -104,7 +104,7 @@
         (b":1\r\n", AttemptResult(AttemptStatus.ERROR)),
     ],
 )
-def test_reply_or_end_after_the_last_byte(data: bytes, ending: AttemptResult) -> None:
+def test_attempt_result_by_reply_after_last_byte(data: bytes, ending: AttemptResult) -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
@@ -116,7 +116,7 @@
     assert play(steps) == [ending]
 
 
-def test_refused_connection_proves_that_it_never_ran() -> None:
+def test_refused_connection_is_unreachable() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         listener.close()
         return [await attempt_at(group, number)[1]]
@@ -124,7 +124,7 @@
     assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
-def test_connection_that_never_comes_up_is_bounded_and_never_ran() -> None:
+def test_dial_timeout_is_unreachable() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.dial_timeout_ms = 0.0
         return [await attempt_at(group, number)[1]]
@@ -132,7 +132,7 @@
     assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
-def test_unknown_server_and_spent_descriptors_leave_it_unsent() -> None:
+def test_unknown_endpoint_and_lack_of_descriptors_leave_attempt_unsent() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.max_connections = 0
         return [await attempt_at(group, number + 1)[1], await attempt_at(group, number)[1]]
@@ -140,7 +140,7 @@
     assert play(steps) == [AttemptResult(AttemptStatus.UNSENT), AttemptResult(AttemptStatus.UNSENT)]
 
 
-def test_given_up_before_it_is_written_it_never_ran_after_that_it_may_have() -> None:
+def test_cancelled_attempt_is_unsent_before_write_and_cancelled_after() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         early, task = attempt_at(group, number)
         await asyncio.sleep(0)  # it dials
@@ -169,7 +169,7 @@
     ]
 
 
-def test_connection_is_used_again_unless_its_end_has_come() -> None:
+def test_connection_is_reused_unless_endpoint_closed_it() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         server = await accept(listener)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("more", [b"*3\r\n$5\r\nval", b"\r\n", b"+", GOOD])
-def test_what_follows_an_answer_never_reaches_the_next_try(more: bytes) -> None:
+def test_bytes_behind_reply_never_reach_next_attempt(more: bytes) -> None:
     # A part of a reply stayed in the buffer, and the next answer was read as its end.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, first = attempt_at(group, number)
@@ -210,7 +210,7 @@
     assert [one.status for one in play(steps)] == ["ok", "ok"]
 
 
-def test_connection_that_has_only_just_answered_rests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_is_not_reused_before_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     # Noise that came a moment behind an answer would have been taken for the next one's.
     monkeypatch.setattr(upstream, "REUSE_DELAY_S", 3600.0)
 
@@ -226,7 +226,7 @@
     assert play(steps) == []
 
 
-def test_reply_that_does_not_end_is_spoilt_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_reply_is_malformed_after_stall_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "REPLY_STALL_TIMEOUT_S", 0.01)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
@@ -239,7 +239,7 @@
     assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
-def test_connections_that_end_without_a_word_are_trusted_for_a_shorter_time(
+def test_max_idle_time_is_reduced_after_stale_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Each try on one of them ended as reset: it may have run, and its till server was held for dead.
@@ -270,7 +270,7 @@
     assert [one.status for one in play(steps)] == ["ok", "reset"]
 
 
-def test_servers_that_are_gone_are_forgotten_and_their_connections_end() -> None:
+def test_removed_endpoints_are_forgotten_and_their_connections_closed() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
@@ -287,7 +287,7 @@
     assert play(steps) == []
 
 
-def test_reply_to_nothing_ends_the_connection() -> None:
+def test_unsolicited_reply_closes_connection() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
@@ -306,7 +306,7 @@
     return server
 
 
-def test_idle_connections_are_closed_in_time_and_when_the_server_goes() -> None:
+def test_idle_connections_are_closed_when_stale_or_endpoint_removed() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         for close in (group.close_stale_idle, lambda: group.apply_endpoint_list("complete", [])):
             connection = group.new_connection(number)
@@ -347,7 +347,7 @@
     [(one, False) for one in CROSSINGS]
     + [(one, True) for one in CROSSINGS if one not in ("restarted", "moved")],
 )
-def test_no_byte_goes_out_for_what_is_no_longer_wanted(crossing: str, kept: bool) -> None:
+def test_nothing_is_written_for_attempt_that_is_no_longer_wanted(crossing: str, kept: bool) -> None:
     """Between the decision and the bytes lie a turn of the loop and, without a kept connection, a dial.
 
     Only the time was asked for again: a server told to drain meanwhile got the request, and so did one
@@ -386,7 +386,7 @@
     assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
 
-def test_long_answer_that_comes_slowly_but_goes_on_is_not_spoilt() -> None:
+def test_slow_long_reply_is_accepted_while_it_progresses() -> None:
     # It counted as spoilt 0.1 s after its first part, however it went on.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
@@ -408,7 +408,7 @@
     assert [one.status for one in play(steps)] == ["ok"]
 
 
-def test_answer_that_goes_on_without_end_is_spoilt_while_there_is_time_left() -> None:
+def test_endless_reply_is_malformed_before_deadline() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
@@ -421,7 +421,7 @@
 
 
 @pytest.mark.parametrize("crossing", ["drained", "gone", "left", "given up", "window over", "patience over"])
-def test_what_is_no_longer_wanted_is_not_dialled_for(crossing: str) -> None:
+def test_attempt_that_is_no_longer_wanted_is_not_dialled(crossing: str) -> None:
     # A try given up before its task began dialled all the same: work for the till server, and for nobody.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         (context, attempt), clock = request_at(number), [179.3]
@@ -445,7 +445,7 @@
         (errno.ECONNREFUSED, "unreachable"),
     ],
 )
-def test_connect_that_fails_for_a_lack_of_this_machine_tells_nothing_about_the_server(
+def test_local_connect_error_leaves_attempt_unsent(
     error: int, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Two such failures in a row ejected a sound server, and every peer was told that it was silent.
@@ -462,7 +462,7 @@
 
 
 @pytest.mark.parametrize(("data", "status"), [(GOOD, "ok"), (b"", "timeout")])
-def test_try_given_up_in_the_step_in_which_its_end_is_read(
+def test_attempt_cancelled_in_turn_of_its_reply_keeps_reply(
     data: bytes, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An answer that was read counts; what a reset ended may have run, whoever gave it up meanwhile."""
