--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -1,7 +1,7 @@
 """The watch on the endpoint list: one call to discovery after another.
 
-Discovery is one service for all gateways. A whole list costs it every line, and a call that it turned away
-is no reason to ask for more, nor at once, nor in step with the others.
+Discovery is one service for all gateways. A complete list costs it every line, and a call that it rejected
+is no reason to request more, nor at once, nor in step with the others.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 ENDPOINTS_PATH = "/catalog/members"
 HTTP_OK = 200
-UNKNOWN_REVISION_STATUSES = (400, 404, 410)  # may mean that the revision asked from is not known
+UNKNOWN_REVISION_STATUSES = (400, 404, 410)  # may mean that the call's revision is not known
 MAX_STREAM_BUFFER_BYTES = 2 * http.MAX_MESSAGE_BYTES  # a response, and what may follow it
 
 
@@ -47,7 +47,7 @@
             on_update: called with each list or change.
             counters: the gateway's counters.
             backoff: the delays between calls, and their time limits.
-            revision: that of the list known; without one the whole list is asked for.
+            revision: that of the list known; without one the complete list is requested.
         """
         self.agent, self.on_update, self.counters = agent, on_update, counters
         self.backoff, self.revision = backoff, revision
@@ -78,20 +78,21 @@
         try:
             return await self._watch(stream)
         except TimeoutError:
-            return DiscoveryEnd(DiscoveryEndReason.AGENT_SILENT)
+            reason = DiscoveryEndReason.AGENT_SILENT
         except StreamClosedError as closed:
+            reason = DiscoveryEndReason.AGENT_CLOSED
             if closed.real_error:
-                return DiscoveryEnd(DiscoveryEndReason.AGENT_UNREACHABLE)
-            return DiscoveryEnd(DiscoveryEndReason.AGENT_CLOSED)
+                reason = DiscoveryEndReason.AGENT_UNREACHABLE
         except (http.ProtocolError, MessageTooLongError, ValueError) as error:
             log.log_event("malformed_list", why=error)
-            return DiscoveryEnd(DiscoveryEndReason.MALFORMED_LIST)
+            reason = DiscoveryEndReason.MALFORMED_LIST
         except Exception:
             self.counters.add("exceptions")
             log.log_exception("discovery_exception")
-            return DiscoveryEnd(DiscoveryEndReason.EXCEPTION)
+            reason = DiscoveryEndReason.EXCEPTION
         finally:
             stream.close()
+        return DiscoveryEnd(reason)
 
     async def _watch(self, stream: IOStream) -> DiscoveryEnd:
         """Make call after call on one connection; return why it ended."""
@@ -102,8 +103,8 @@
         while True:
             response = await self._exchange(stream, buffer, watching)
             if response.status != HTTP_OK:
-                # Only where it may not know the revision does the next call ask for the whole list: after
-                # every 503 of a discovery that is overbooked, all gateways asked for what costs it most.
+                # Only where it may not know the revision does the next call request the complete list: after
+                # every 503 of a discovery that is overbooked, all gateways requested what costs it most.
                 if response.status in UNKNOWN_REVISION_STATUSES:
                     self.revision = None
                 return DiscoveryEnd(DiscoveryEndReason.HTTP_STATUS, response.status)
@@ -135,7 +136,7 @@
         return found[0]
 
     def _advance(self, update: EndpointList) -> None:
-        """Note the revision to ask from next; None for the whole list."""
-        # An agent that is behind what is known cannot name what changed since: the whole list does.
+        """Note the revision of the next call; None for the complete list."""
+        # An agent that is behind what is known cannot name what changed since: the complete list does.
         is_behind = self.revision is not None and update.revision < self.revision
         self.revision = None if is_behind and not update.complete else update.revision
--- a/mapleshunt/net/gossip_transport.py
+++ b/mapleshunt/net/gossip_transport.py
@@ -33,11 +33,13 @@
         """Bind the address and receive from now on.
 
         Args:
-            listen: this gateway's address. peers: the addresses of all gateways, by their number.
-            broadcast: the address for messages to everyone. on_message: called with a sender's number and
-            its message. counters: the gateway's counters. shared: another process of this gateway may have
-            the address too. The last to bind it receives; with
-                SO_REUSEPORT, the option not taken, the kernel would divide the senders between both.
+            listen: this gateway's address.
+            peers: the addresses of all gateways, by their number.
+            broadcast: the address for messages to everyone.
+            on_message: called with a sender's number and its message.
+            counters: the gateway's counters.
+            shared: another process of this gateway may have the address too. The last to bind it receives;
+                with SO_REUSEPORT, the option not taken, the kernel would divide the senders between both.
 
         Raises:
             OSError: the address cannot be had.
