--- a/mapleshunt/replicated_state/state_machine.py
+++ b/mapleshunt/replicated_state/state_machine.py
@@ -173,7 +173,7 @@
         self.sessions = self.sessions.set(name, Session(0, stamp))
         return Applied()
 
-    def _execute(self, stamp: float, session: str, operation: commands.Operation) -> Result:  # noqa: PLR0911 - one return a kind of operation
+    def _execute(self, stamp: float, session: str, operation: commands.Operation) -> Result:
         match operation:
             case commands.AcquireLease():
                 return self._acquire_lease(stamp, session, operation)
