--- a/mapleshunt/net/replication/fleet_knowledge.py
+++ b/mapleshunt/net/replication/fleet_knowledge.py
@@ -16,8 +16,8 @@
         self._fleet = fleet
         self._tasks = tasks
         self._store = tasks.store
-        self._known_boots = dict(self._store.known)  # the highest boot of each incarnation that was met
-        self._formed = self._store.formed  # by bit: the groups that exist
+        self._known_boots = dict(self._store.known_boots)  # the highest boot of each incarnation that was met
+        self._formed = self._store.formed_groups  # by bit: the groups that exist
         self._generations = dict(self._store.generations)  # of groups that were recovered by hand
 
     def replica(self) -> m.Replica:
@@ -54,7 +54,7 @@
 
     def _save(self) -> None:
         known, formed = dict(self._known_boots), self._formed
-        self._tasks.run(lambda: self._store.know(known, formed))
+        self._tasks.run(lambda: self._store.save_known(known, formed))
 
     def generation(self, group: int) -> int:
         """Return how often the group was recovered by hand, in effect; 0 for never."""
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -14,7 +14,8 @@
 from ...replication import messages as m
 from ...replication.config import RaftConfig
 from ...settings.operators import Copies as ReplicationSection
-from ...storage.durable_store import DurableStore, StoreUnavailableError
+from ...storage.durable_store import DurableStore
+from ...storage.errors import StoreUnavailableError
 from ...transient_errors import is_transient
 from .. import log
 from ..config import ConfigError
@@ -208,7 +209,7 @@
             "writes": writer.writes,
             "failures": writer.failures,
             **self.status_source(),
-            "slowest_commit_ms": round(1000 * writer.slowest, 1),
+            "slowest_commit_ms": round(1000 * writer.slowest_commit_s, 1),
             "groups": [
                 host.status(self.groups.has_quorum(host)) for _, host in sorted(self.groups.hosts.items())
             ],
--- a/mapleshunt/net/replication/replica_groups.py
+++ b/mapleshunt/net/replication/replica_groups.py
@@ -53,7 +53,7 @@
 
     def load(self) -> None:
         """Open the replicas that the store holds."""
-        for group, stored in self._store.loaded.items():
+        for group, stored in self._store.groups.items():
             self.hosts[group] = self.open(group, stored)
 
     def get(self, group: int) -> GroupHost | None:
--- a/mapleshunt/net/replication/store_access.py
+++ b/mapleshunt/net/replication/store_access.py
@@ -5,7 +5,8 @@
 from pathlib import Path
 
 from ...settings.operators import Copies as ReplicationSection
-from ...storage.durable_store import DurableStore, StoreError, StoreInUseError
+from ...storage.durable_store import DurableStore
+from ...storage.errors import StoreInUseError, StoreUnusableError
 from ..config import Address, ConfigError, parse_address
 
 
@@ -26,7 +27,7 @@
         return DurableStore(folder, section.fleet, name)
     except StoreInUseError as error:
         raise ReplicationInUseError(f"copies: {error}") from None
-    except StoreError as error:
+    except StoreUnusableError as error:
         raise ConfigError(f"copies: {error}") from None
 
 
--- a/mapleshunt/net/replication/store_tasks.py
+++ b/mapleshunt/net/replication/store_tasks.py
@@ -55,7 +55,7 @@
             for callback in callbacks:
                 self._call_in_loop(callback, result)
 
-        self.writer.call(run_task)
+        self.writer.run_task(run_task)
 
     def mute(self) -> None:
         """Hand back no more results."""
