--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from tornado.iostream import IOStream
 
-from mapleshunt.net.client import connection as client
+from mapleshunt.net.client import connection as connection_module
 from mapleshunt.net.client import limits
 from mapleshunt.net.client.connections import ClientConnections
 from mapleshunt.net.counters import Counters
@@ -37,8 +37,8 @@
 IDS = itertools.count()
 
 
-class Decisions:
-    """Stands for the driver: holds what was taken until a step answers it."""
+class FakeDriver:
+    """Stands for the driver: holds the requests until a step responds to them."""
 
     def __init__(self) -> None:
         self.settings = Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS)
@@ -61,25 +61,25 @@
     return resp.encode_command([b"SVC.QUERY", WHO, b"%016x" % next(IDS), extra])
 
 
-def play(steps: Callable[[client.ClientConnection, socket.socket], Awaitable[None]]) -> Decisions:
+def play(steps: Callable[[connection_module.ClientConnection, socket.socket], Awaitable[None]]) -> FakeDriver:
     """Run steps on a connection of its own and the client's end of it."""
-    decisions = Decisions()
+    driver = FakeDriver()
 
     async def run() -> None:
-        ours, theirs = socket.socketpair()
-        theirs.setblocking(False)
-        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        ours, client_end = socket.socketpair()
+        client_end.setblocking(False)
+        service = ClientConnections(cast(PolicyDriver, driver), driver.counters, 1, 1000)
         service.add(IOStream(ours, max_write_buffer_size=limits.MAX_UNWRITTEN_BYTES))
         (connection,) = service.connections
-        await steps(connection, theirs)
+        await steps(connection, client_end)
         connection.close(ClientCloseReason.PROCESS_STOPPED)
-        theirs.close()
+        client_end.close()
 
     asyncio.run(run())
-    return decisions
+    return driver
 
 
-def registry_of(connection: client.ClientConnection) -> ClientConnections:
+def registry_of(connection: connection_module.ClientConnection) -> ClientConnections:
     return cast(ClientConnections, connection.registry)
 
 
@@ -89,17 +89,17 @@
 
 
 def test_connection_stops_reading_while_client_does_not_read_responses() -> None:
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions = cast(Decisions, connection.registry.driver)
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        driver = cast(FakeDriver, connection.registry.driver)
         loop = asyncio.get_running_loop()
         commands = b"".join(query() for _ in range(1000))
-        sending = loop.create_task(loop.sock_sendall(theirs, commands))
+        sending = loop.create_task(loop.sock_sendall(client_end, commands))
         while (
             connection.pending_write is None or connection.pending_write.done()
         ):  # until the kernel holds no more
             await rest()
-            for context in list(decisions.open_requests.values()):
-                decisions.open_requests.pop(context.request_id).response_sink.serve(
+            for context in list(driver.open_requests.values()):
+                driver.open_requests.pop(context.request_id).response_sink.serve(
                     memoryview(bytes(resp.MAX_VALUE_BYTES))
                 )
         await rest()
@@ -118,13 +118,13 @@
 ) -> None:
     # Only connections whose end had not begun were looked at: one with answers that nobody reads and a last
     # line behind them kept its place for as long as the client liked.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         connection.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        theirs.send(query())
+        client_end.send(query())
         await rest()
         (slot,) = connection.slots
         slot.put(bytes(1 << 20))
-        theirs.send(b"nonsense\r\n")
+        client_end.send(b"nonsense\r\n")
         await rest()
         assert connection.closing and connection.is_writing()
         connection.close_if_overdue(connection.loop.time())
@@ -137,7 +137,7 @@
 
 
 def test_exception_in_one_command_fails_only_that_command(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         calls = iter([ZeroDivisionError, None])
 
         def odd(*args: Any) -> RequestContext:
@@ -145,12 +145,12 @@
                 raise error
             return parse(*args)
 
-        monkeypatch.setattr(client, "parse", odd)
-        theirs.send(query() + query())
+        monkeypatch.setattr(connection_module, "parse", odd)
+        client_end.send(query() + query())
         await rest()
-        (context,) = cast(Decisions, connection.registry.driver).open_requests.values()
+        (context,) = cast(FakeDriver, connection.registry.driver).open_requests.values()
         context.response_sink.fail()
-        assert theirs.recv(100) == b"-ERR failed\r\n-ERR failed\r\n"
+        assert client_end.recv(100) == b"-ERR failed\r\n-ERR failed\r\n"
 
     assert play(steps).counters.counts["exceptions"] == 1
 
@@ -158,29 +158,29 @@
 def test_connection_is_closed_after_linger_timeout_while_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        theirs.send(b"nonsense" * 2000)
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        client_end.send(b"nonsense" * 2000)
         while not connection.stream.closed():
             await asyncio.sleep(0)
-        assert theirs.recv(100) == b"-ERR a command begins with *\r\n" and theirs.recv(1) == b""
+        assert client_end.recv(100) == b"-ERR a command begins with *\r\n" and client_end.recv(1) == b""
 
     monkeypatch.setattr(limits, "LINGER_TIMEOUT_S", 0.01)
     assert play(steps).counters.counts["malformed_commands"] == 1
 
 
 def test_idle_connection_is_evicted_and_busy_one_is_not() -> None:
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         ours, other = socket.socketpair()
         registry_of(connection).add(IOStream(ours))
-        theirs.send(query())
+        client_end.send(query())
         await rest()
         assert not registry_of(connection).evict_idle()
-        (context,) = cast(Decisions, connection.registry.driver).open_requests.values()
+        (context,) = cast(FakeDriver, connection.registry.driver).open_requests.values()
         context.response_sink.fail()
         assert registry_of(connection).evict_idle() and not connection.stream.closed()
-        assert theirs.recv(100) == b"-ERR failed\r\n" and theirs.recv(1) == b""
+        assert client_end.recv(100) == b"-ERR failed\r\n" and client_end.recv(1) == b""
         assert not registry_of(connection).evict_idle()  # the newest stays: its request may be on its way
-        theirs.close()
+        client_end.close()
         await rest()
         assert connection.stream.closed() and connection.close_reason == "made_room"
         other.close()
@@ -191,10 +191,10 @@
 def test_silent_connections_are_evicted_before_those_that_sent_commands(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Hundreds connect and say nothing: the oldest went first, and it was the usual clients that lost theirs.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    # Hundreds connect and send nothing: the oldest went first, and it was the usual clients that lost theirs.
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         monkeypatch.setattr(limits, "EVICT_SILENT_AFTER_S", -1.0)
-        theirs.send(resp.encode_command([b"PING"]))
+        client_end.send(resp.encode_command([b"PING"]))
         await rest()
         pairs = [socket.socketpair() for _ in range(3)]
         for ours, _ in pairs:
@@ -209,13 +209,13 @@
 
 
 def test_idle_connections_beyond_limit_are_reaped_and_busy_one_is_not() -> None:
-    # A client that asks once and keeps its connection took a place that others found taken.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    # A client that sent one command and keeps its connection took a place that others needed.
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         pairs = [socket.socketpair() for _ in range(4)]
         for ours, other in pairs:
             registry_of(connection).add(IOStream(ours))
             other.send(resp.encode_command([b"PING"]))
-        theirs.send(query())
+        client_end.send(query())
         await rest()
         registry_of(connection).reap_overdue(2, 3600.0)
         assert len(connection.registry.connections) == 5
@@ -236,12 +236,12 @@
 
 def test_connection_with_unread_bytes_is_not_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Ending it lost the request that had come and lay unread.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         monkeypatch.setattr(limits, "IDLE_TIMEOUT_S", -1.0)
         ours, other = socket.socketpair()
         registry_of(connection).add(IOStream(ours))
         await rest()
-        theirs.send(query())
+        client_end.send(query())
         assert not registry_of(connection).evict_idle()
         registry_of(connection).reap_overdue(9, 0.5)
         registry_of(connection).close_idle(draining=True, rejecting_new_requests=False)
@@ -255,7 +255,7 @@
 def test_closed_stream_is_skipped_before_its_task_has_run() -> None:
     # IOStream drops its socket as soon as it reads the end of the stream; the connection's task runs one turn
     # of the loop later. A search for an idle connection in between raised AttributeError in the acceptor.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         ours, other = socket.socketpair()
         registry_of(connection).add(IOStream(ours))
         await rest()
@@ -278,24 +278,24 @@
 def test_silent_connection_and_incomplete_command_are_closed_after_idle_timeout(
     sent: bytes, got: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        theirs.send(sent)
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        client_end.send(sent)
         await rest()
         registry_of(connection).reap_overdue(9, 0.5)
         assert not connection.stream.closed()
         monkeypatch.setattr(limits, "IDLE_TIMEOUT_S", -1.0)
         registry_of(connection).reap_overdue(9, 0.5)
         await rest()
-        assert theirs.recv(100) == got
-        assert got == b"" or theirs.recv(1) == b""
+        assert client_end.recv(100) == got
+        assert got == b"" or client_end.recv(1) == b""
 
     play(steps)
 
 
 def test_pipelined_commands_yield_to_other_connections() -> None:
     # They were taken in one go, and all other connections waited for a quarter of a second.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        theirs.send(50 * resp.encode_command([b"PING"]))
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        client_end.send(50 * resp.encode_command([b"PING"]))
         while not connection.command_count:
             await asyncio.sleep(0)
         assert connection.command_count < 5
@@ -306,9 +306,9 @@
 def test_connection_is_closed_after_too_many_unacceptable_commands(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         monkeypatch.setattr(limits, "UNACCEPTABLE_COMMAND_DELAY_S", 0.0)
-        theirs.send(600 * query(b"c=odd,t=wide,d=9"))
+        client_end.send(600 * query(b"c=odd,t=wide,d=9"))
         while not connection.closing:
             await asyncio.sleep(0)
         assert (
@@ -321,15 +321,15 @@
 
 def test_id_of_open_request_is_rejected_and_reusable_after_response() -> None:
     # Sent on, it would have been a second attempt of the request that is open.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions, whole = cast(Decisions, connection.registry.driver), query()
-        theirs.send(2 * whole)
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        driver, whole = cast(FakeDriver, connection.registry.driver), query()
+        client_end.send(2 * whole)
         await rest()
-        (context,) = decisions.open_requests.values()
+        (context,) = driver.open_requests.values()
         context.response_sink.reject(5)
         assert context.claim_response()
         await rest()
-        assert theirs.recv(100) == b"-BUSY 5\r\n-ERR a request of this id is open\r\n"
+        assert client_end.recv(100) == b"-BUSY 5\r\n-ERR a request of this id is open\r\n"
         assert not connection.registry.open_client_ids
 
     play(steps)
@@ -338,9 +338,9 @@
 def tcp_pair() -> tuple[socket.socket, socket.socket]:
     """The gateway's end and the client's: unlike a Unix pair, it is reset by a close over unread bytes."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        theirs = socket.create_connection(listener.getsockname())
-        theirs.setblocking(False)
-        return listener.accept()[0], theirs
+        client_end = socket.create_connection(listener.getsockname())
+        client_end.setblocking(False)
+        return listener.accept()[0], client_end
 
 
 async def until(holds: Callable[[], object]) -> None:
@@ -349,54 +349,54 @@
             await asyncio.sleep(0)
 
 
-def received(theirs: socket.socket) -> bytes:
+def received(client_end: socket.socket) -> bytes:
     """All that comes up to the end of the connection; a reset raises."""
-    theirs.settimeout(30)
+    client_end.settimeout(30)
     data = b""
-    while got := theirs.recv(65536):
+    while got := client_end.recv(65536):
         data += got
     return data
 
 
 def test_disconnect_is_seen_while_pipeline_is_full() -> None:
     # While it waited for room nothing read the connection: 32 requests of one that had left were served on.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions = cast(Decisions, connection.registry.driver)
-        theirs.send(b"".join(query() for _ in range(limits.MAX_PIPELINED_COMMANDS + 9)))
-        await until(lambda: connection.pause_reason is client.PauseReason.PIPELINE_FULL)
-        theirs.close()
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        driver = cast(FakeDriver, connection.registry.driver)
+        client_end.send(b"".join(query() for _ in range(limits.MAX_PIPELINED_COMMANDS + 9)))
+        await until(lambda: connection.pause_reason is connection_module.PauseReason.PIPELINE_FULL)
+        client_end.close()
         await until(lambda: connection not in connection.registry.connections)
-        assert len(decisions.left) == limits.MAX_PIPELINED_COMMANDS
+        assert len(driver.left) == limits.MAX_PIPELINED_COMMANDS
 
     play(steps)
 
 
 def test_disconnect_is_seen_behind_flood_beyond_read_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Its end stood in the kernel behind what nobody read.
+    # The end of the stream was in the kernel behind what nobody read.
     monkeypatch.setattr(limits, "HANG_UP_CHECK_INTERVAL_S", 0.0)
 
-    async def steps(_: client.ClientConnection, __: socket.socket) -> None:
-        decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+    async def steps(_: connection_module.ClientConnection, __: socket.socket) -> None:
+        driver, (ours, client_end) = FakeDriver(), tcp_pair()
+        service = ClientConnections(cast(PolicyDriver, driver), driver.counters, 1, 1000)
         service.add(IOStream(ours))
         (connection,) = service.connections
         flood = b"".join(query() for _ in range(3 * resp.MAX_MESSAGE_BYTES // len(query())))
-        await asyncio.get_running_loop().sock_sendall(theirs, flood)
+        await asyncio.get_running_loop().sock_sendall(client_end, flood)
         buffer = connection.buffer
         await until(lambda: connection.consumed_bytes + buffer.end - buffer.start == len(flood))
-        assert not decisions.left and len(decisions.open_requests) == limits.MAX_PIPELINED_COMMANDS < len(
+        assert not driver.left and len(driver.open_requests) == limits.MAX_PIPELINED_COMMANDS < len(
             connection.slots
         )
         assert connection.buffer.max_bytes >= buffer.end - buffer.start
-        theirs.close()
+        client_end.close()
         await until(lambda: connection not in connection.registry.connections)
-        assert len(decisions.left) == limits.MAX_PIPELINED_COMMANDS
+        assert len(driver.left) == limits.MAX_PIPELINED_COMMANDS
 
     play(steps)
 
 
 def test_utf8_names_of_class_and_plan_are_forwarded_unchanged() -> None:
-    # What is not ASCII was refused, and with it every request of such a class or plan.
+    # What is not ASCII was rejected, and with it every request of such a class or plan.
     named = "c=kasse-öffnen,t=größe,d=480".encode()
     words = [memoryview(word) for word in (b"SVC.QUERY", WHO, b"0" * 16, named)]
     read = svc.parse_request(words)
@@ -407,23 +407,23 @@
 
 
 def test_disconnect_is_seen_after_endless_flood(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Beyond what is refused nothing was read, and its requests were sent on for as long as they waited.
-    async def steps(_: client.ClientConnection, __: socket.socket) -> None:
-        decisions, (ours, theirs) = Decisions(), tcp_pair()
+    # Beyond what is rejected nothing was read, and its requests were forwarded for as long as they waited.
+    async def steps(_: connection_module.ClientConnection, __: socket.socket) -> None:
+        driver, (ours, client_end) = FakeDriver(), tcp_pair()
         slept = list[float]()
 
         async def sleep(delay: float) -> None:
             slept.append(delay)
             await rested(0)
 
-        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+        service = ClientConnections(cast(PolicyDriver, driver), driver.counters, 1, 1000)
         service.add(IOStream(ours))
-        theirs.setblocking(True)
+        client_end.setblocking(True)
         flood = b"".join(query() for _ in range(3 * limits.MAX_REJECTED_COMMANDS // 2)) + bytes(1 << 22)
 
         def send() -> None:
-            theirs.sendall(flood)
-            theirs.close()
+            client_end.sendall(flood)
+            client_end.close()
 
         sending, rested = threading.Thread(target=send), asyncio.sleep
         monkeypatch.setattr(asyncio, "sleep", sleep)
@@ -431,7 +431,7 @@
         await until(lambda: not service.connections)
         monkeypatch.undo()
         sending.join()
-        assert len(decisions.left) == limits.MAX_PIPELINED_COMMANDS == len(decisions.open_requests)
+        assert len(driver.left) == limits.MAX_PIPELINED_COMMANDS == len(driver.open_requests)
         assert sum(slept) <= 0.2, "that is how long it went on beside what the reading takes"
 
     play(steps)
@@ -440,35 +440,35 @@
 def test_time_waited_behind_other_commands_is_taken_off_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Its patience was counted from when it was taken.
+    # Its timeout was counted from when it was processed.
     monkeypatch.setattr(limits, "UNACCEPTABLE_COMMAND_DELAY_S", 3600.0)
 
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        theirs.send(query(b"c=odd,t=wide,d=9") + query())
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        client_end.send(query(b"c=odd,t=wide,d=9") + query())
         await until(lambda: connection.pause_reason)
         connection.arrivals = deque((end, at - 0.3) for end, at in connection.arrivals)
         connection._resume()
-        (context,) = cast(Decisions, connection.registry.driver).open_requests.values()
+        (context,) = cast(FakeDriver, connection.registry.driver).open_requests.values()
         assert context.request.remaining_time <= 180.0
 
     play(steps)
 
 
 def test_commands_read_before_shutdown_get_their_responses() -> None:
-    # A whole command that had been read was dropped, and others behind it, with the connection's end.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
-        decisions, ping = cast(Decisions, connection.registry.driver), resp.encode_command([b"PING"])
+    # A complete command that had been read was dropped, and others behind it, with the connection's end.
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
+        driver, ping = cast(FakeDriver, connection.registry.driver), resp.encode_command([b"PING"])
         connection.registry.is_ready = lambda: False
-        theirs.send(query())
-        await until(lambda: decisions.open_requests)
+        client_end.send(query())
+        await until(lambda: driver.open_requests)
         registry_of(connection).close_idle(draining=True, rejecting_new_requests=True)
-        theirs.send(query() + ping + query())
+        client_end.send(query() + ping + query())
         await until(lambda: connection.command_count == 4)
-        (context,) = decisions.open_requests.values()  # none of the others was put before the decisions
+        (context,) = driver.open_requests.values()  # none of the others was handed to the driver
         context.response_sink.serve(memoryview(b"v"))
         await rest()
         no = b"-ERR not ready\r\n"
-        assert received(theirs) == resp.encode_bulk(b"v") + b"-BUSY 1\r\n" + no + b"-BUSY 1\r\n"
+        assert received(client_end) == resp.encode_bulk(b"v") + b"-BUSY 1\r\n" + no + b"-BUSY 1\r\n"
         assert connection.linger_timer is not None
 
     play(steps)
@@ -478,26 +478,26 @@
 def test_request_that_crosses_close_is_not_read_and_resets_no_response(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client has not read its answer, and asks again in the instant in which the gateway ends.
+    """The client has not read its answer, and sends again at the moment at which the gateway closes.
 
     The gateway looked for unread bytes and closed: what came between reset the connection, and the reset
     took along what the client had not got yet.
     """
 
-    async def steps(_: client.ClientConnection, __: socket.socket) -> None:
-        decisions, (ours, theirs) = Decisions(), tcp_pair()
-        service = ClientConnections(cast(PolicyDriver, decisions), decisions.counters, 1, 1000)
+    async def steps(_: connection_module.ClientConnection, __: socket.socket) -> None:
+        driver, (ours, client_end) = FakeDriver(), tcp_pair()
+        service = ClientConnections(cast(PolicyDriver, driver), driver.counters, 1, 1000)
         service.add(IOStream(ours))
         (connection,) = service.connections
         long = resp.encode_bulk(memoryview(bytes(resp.MAX_VALUE_BYTES)))
-        theirs.send(query())
-        await until(lambda: decisions.open_requests)
-        decisions.open_requests.popitem()[1].response_sink.serve(memoryview(bytes(resp.MAX_VALUE_BYTES)))
+        client_end.send(query())
+        await until(lambda: driver.open_requests)
+        driver.open_requests.popitem()[1].response_sink.serve(memoryview(bytes(resp.MAX_VALUE_BYTES)))
         await until(lambda: not connection.is_busy())
         crossing = iter([b"", query()])
 
         def peek() -> bool:  # it comes when the gateway has looked
-            theirs.send(next(crossing, b"") or next(crossing, b""))
+            client_end.send(next(crossing, b"") or next(crossing, b""))
             return False
 
         monkeypatch.setattr(connection, "has_unread_bytes", peek)
@@ -511,10 +511,10 @@
             case "idle":
                 connection.close_if_overdue(connection.last_activity_at + limits.IDLE_TIMEOUT_S)
         assert connection.close_reason == how and connection.linger_timer is not None
-        theirs.sendall(query())
+        client_end.sendall(query())
         await rest()
-        assert await asyncio.to_thread(received, theirs) == long and not decisions.open_requests
-        theirs.close()
+        assert await asyncio.to_thread(received, client_end) == long and not driver.open_requests
+        client_end.close()
         await until(lambda: connection not in connection.registry.connections)
 
     play(steps)
@@ -522,14 +522,14 @@
 
 def test_slow_command_after_idle_time_is_not_cut_off() -> None:
     # Its time for a command was counted from the opening of the connection.
-    async def steps(connection: client.ClientConnection, theirs: socket.socket) -> None:
+    async def steps(connection: connection_module.ClientConnection, client_end: socket.socket) -> None:
         connection.last_activity_at = connection.command_started_at = (
             connection.last_activity_at - 100 * limits.IDLE_TIMEOUT_S
         )
         whole, rests = query(), list[float]()
         for at in range(0, len(whole) - 1, 20):
             rests.append(connection.last_activity_at)
-            theirs.send(whole[at : min(at + 20, len(whole) - 1)])
+            client_end.send(whole[at : min(at + 20, len(whole) - 1)])
             await until(lambda: connection.last_activity_at > rests[-1])
             connection.close_if_overdue(asyncio.get_running_loop().time())
             assert not connection.closing
@@ -560,7 +560,7 @@
             limits.EVICT_SILENT_AFTER_S,
         ) = 3600.0, 0.0, 1000, -1.0
         self.loop = asyncio.new_event_loop()
-        self.decisions = Decisions()
+        self.driver = FakeDriver()
         self.order: deque[list[Any]] = deque()  # [context or None, the answer's bytes or None]
         self.expected = self.received = b""
         self.rest = b""  # of a command that was sent in part
@@ -576,9 +576,9 @@
                 await asyncio.sleep(0)
 
         self.loop.run_until_complete(run())
-        while self.theirs.fileno() >= 0:
+        while self.client_end.fileno() >= 0:
             try:
-                data = self.theirs.recv(65536)
+                data = self.client_end.recv(65536)
             except BlockingIOError:
                 return
             except ConnectionResetError:
@@ -591,11 +591,11 @@
     @initialize(calm=st.integers(0, 12))
     def connect(self, calm: int) -> None:
         self.calm = calm  # steps before the connection's end may begin
-        ours, self.theirs = socket.socketpair()
-        self.theirs.setblocking(False)
+        ours, self.client_end = socket.socketpair()
+        self.client_end.setblocking(False)
 
         def start() -> None:
-            self.service = ClientConnections(cast(PolicyDriver, self.decisions), Counters(), 1, 1000)
+            self.service = ClientConnections(cast(PolicyDriver, self.driver), Counters(), 1, 1000)
             self.service.add(IOStream(ours))
             (self.connection,) = self.service.connections
 
@@ -613,12 +613,12 @@
             self.half, self.ended = bool(self.expected), not self.expected
 
     def sends(self, data: bytes, answer: bytes | None, whole: bool = True) -> None:
-        before = set(self.decisions.open_requests)
-        self.do(lambda: self.theirs.send(data))
+        before = set(self.driver.open_requests)
+        self.do(lambda: self.client_end.send(data))
         if whole and not self.malformed:
-            new = set(self.decisions.open_requests) - before
+            new = set(self.driver.open_requests) - before
             assert len(new) == (answer is None)
-            self.order.append([self.decisions.open_requests[new.pop()] if new else None, answer])
+            self.order.append([self.driver.open_requests[new.pop()] if new else None, answer])
 
     open_now = precondition(
         lambda self: not (self.ended or self.half or self.left or self.rest or self.malformed)
@@ -675,17 +675,17 @@
     @precondition(lambda self: self.calm <= 0)
     @rule(data=st.sampled_from([b"GET / HTTP/1.1\r\n", b"*1\r\n$70000\r\n"]))
     def is_malformed(self, data: bytes) -> None:
-        self.do(lambda: self.theirs.send(data))
+        self.do(lambda: self.client_end.send(data))
         self.malformed = True
         why = b"a command begins with *" if data[:1] == b"G" else b"a value is longer than 65536 bytes"
         self.order.append([None, b"-ERR " + why + b"\r\n"])
         self.model()
 
-    @precondition(lambda self: self.decisions.open_requests)
+    @precondition(lambda self: self.driver.open_requests)
     @rule(pick=st.integers(0, 99), how=st.sampled_from(["serve", "reject", "fail"]))
     def answers(self, pick: int, how: str) -> None:
-        ref = sorted(self.decisions.open_requests)[pick % len(self.decisions.open_requests)]
-        context = self.decisions.open_requests.pop(ref)
+        ref = sorted(self.driver.open_requests)[pick % len(self.driver.open_requests)]
+        context = self.driver.open_requests.pop(ref)
         if context.claim_response():
             step, data = {
                 "serve": (
@@ -711,9 +711,9 @@
     @rule()
     def leaves(self) -> None:
         owed = [place[0] for place in self.order if place[0] is not None and place[0].awaiting_response]
-        self.do(self.theirs.close)
+        self.do(self.client_end.close)
         self.left = self.ended = True
-        assert self.decisions.left == owed
+        assert self.driver.left == owed
 
     @invariant()
     def holds(self) -> None:
@@ -725,7 +725,7 @@
     def teardown(self) -> None:
         if hasattr(self, "connection"):
             self.do(lambda: self.connection.close(ClientCloseReason.PROCESS_STOPPED))
-            self.theirs.close()
+            self.client_end.close()
         self.loop.close()
         (
             limits.LINGER_TIMEOUT_S,
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -52,11 +52,11 @@
     monkeypatch.setattr(listening, "MIN_ACCEPT_RETRY_DELAY_S", 3600.0)
 
     async def run() -> None:
-        counters, spent, taken = Counters(), list[bool](), list[socket.socket]()
+        counters, spent, timeouts = Counters(), list[bool](), list[socket.socket]()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             acceptor = listening.Acceptor(
-                listener, taken.append, counters, on_descriptors_exhausted=lambda: spent.append(True)
+                listener, timeouts.append, counters, on_descriptors_exhausted=lambda: spent.append(True)
             )
             acceptor.start()
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -68,12 +68,12 @@
                         await asyncio.sleep(0)
                 finally:
                     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-                assert counters.counts["accepts_failed"] == len(spent) == 1 and not taken
+                assert counters.counts["accepts_failed"] == len(spent) == 1 and not timeouts
                 assert acceptor.retry_timer is not None
                 acceptor.retry_timer.cancel()
                 acceptor._resume()
-                await until(lambda: taken)
-                taken[0].close()
+                await until(lambda: timeouts)
+                timeouts[0].close()
             acceptor.stop()
 
     asyncio.run(run())
@@ -84,11 +84,11 @@
     # The last accepts before the listener closes are made on the way to the process's end: what they raised
     # ended it at once, with all requests that were open.
     async def run() -> list[bool]:
-        taken: list[bool] = []
+        timeouts: list[bool] = []
 
         def take(connection: socket.socket) -> None:
             connection.close()
-            taken.append(True)
+            timeouts.append(True)
             raise AttributeError
 
         counters = Counters()
@@ -102,31 +102,31 @@
             for one in clients:
                 one.close()
         assert counters.counts["exceptions"] == 3 + len(errors)
-        return taken
+        return timeouts
 
     assert asyncio.run(run()) == [True] * 3
 
 
 def test_accept_retry_delay_grows_with_failures() -> None:
     # Each failure paused the listener for 0.1 s. A fifth of all calls failing, some connections a second got
-    # through, and the requests of the others waited in the backlog until their clients gave up.
+    # through, and the requests of the others waited in the backlog until their clients disconnected.
     async def run() -> list[float]:
-        loop, taken, delays = asyncio.get_running_loop(), list[socket.socket](), list[float]()
+        loop, timeouts, delays = asyncio.get_running_loop(), list[socket.socket](), list[float]()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            acceptor = listening.Acceptor(listener, taken.append, Counters())
+            acceptor = listening.Acceptor(listener, timeouts.append, Counters())
             failing = FailingListener(listener, [errno.ENFILE] * 12)
             acceptor.listener = cast(socket.socket, failing)
             acceptor.start()
             with socket.create_connection(listener.getsockname()):
-                while not taken:
+                while not timeouts:
                     await until(lambda: acceptor.retry_timer is not None)
                     assert acceptor.retry_timer is not None
                     delays.append(acceptor.retry_timer.when() - loop.time())
                     acceptor.retry_timer.cancel()
                     acceptor._resume()
-                    await until(lambda: taken or acceptor.retry_timer is not None)
-                taken.pop().close()
+                    await until(lambda: timeouts or acceptor.retry_timer is not None)
+                timeouts.pop().close()
                 failing.errors.append(errno.ENFILE)
                 with socket.create_connection(listener.getsockname()):
                     await until(lambda: acceptor.retry_timer is not None)
@@ -150,8 +150,8 @@
 def test_time_in_backlog_is_taken_off_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # While no descriptor was left requests waited to be accepted, and their patience was counted from then:
-    # servers were told deadlines up to 0.4 s too long, and answers came after their clients had left.
+    # While no descriptor was left requests waited to be accepted, and their timeout was counted from then:
+    # endpoints got deadlines up to 0.4 s too long, and responses came after their clients had disconnected.
     async def run() -> float:
         one = gateway_server()
         task = asyncio.create_task(one.run())
@@ -161,17 +161,17 @@
         with socket.create_connection(one.clients.listeners[0].getsockname()) as late:
             late.sendall(query(7, b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"))
             await asyncio.sleep(0.5)
-            taken: list[float] = []
+            timeouts: list[float] = []
 
             def submit(context: RequestContext) -> None:
-                taken.append(context.request.remaining_time)
+                timeouts.append(context.request.remaining_time)
 
             monkeypatch.setattr(one.driver, "submit", submit)
             acceptor.start()
-            await until(lambda: taken)
+            await until(lambda: timeouts)
         one.stop_requested.set()
         await task
-        return taken[0]
+        return timeouts[0]
 
     assert 4000 < asyncio.run(run()) <= 4600
 
@@ -180,7 +180,7 @@
 def test_request_in_backlog_is_answered_before_listener_closes(
     monkeypatch: pytest.MonkeyPatch, full: bool
 ) -> None:
-    # It stood in the kernel's queue, and the listener's close reset it; also where one that rests had its
+    # It was in the kernel's queue, and the listener's close reset it; also where an idle one had its
     # place.
     async def run() -> bytes:
         one = gateway_server()
@@ -216,7 +216,7 @@
 
 @pytest.mark.parametrize("errors", [CONNECTION_ERRORS, RESOURCE_ERRORS], ids=["connection", "resources"])
 def test_request_in_backlog_is_answered_when_accept_fails_during_shutdown(errors: list[int]) -> None:
-    # The last calls of accept before the listener closes stopped at the first error that stands for lack of
+    # The last calls of accept before the listener closes stopped at the first error that means a lack of
     # resources: the close reset the connections that were still in the backlog, requests and all.
     async def run() -> bytes:
         one = gateway_server()
@@ -255,7 +255,7 @@
 
 
 def test_line_is_logged_without_descriptors() -> None:
-    # The codec that quotes values was imported at its first use: the line that tells of the lack was lost.
+    # The codec that quotes values was imported at its first use: the line about the lack was lost.
     code = """
 import resource
 from mapleshunt.net import log
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -30,7 +30,7 @@
 
 
 class Prompt(Backoff):
-    """Calls again at once: what is asked is looked at, not when."""
+    """Calls again at once: the tests look at what is called, not when."""
 
     def next_delay_ms(self, since: float = NOTIFICATION_BUDGET_MS) -> float:
         return super().next_delay_ms(since) / 1000
@@ -58,21 +58,21 @@
         answer(0, False, b"410 Gone"),
         answer(50, True),
     ]
-    asked: list[str] = []
-    told: list[EndpointList] = []
+    paths: list[str] = []
+    updates: list[EndpointList] = []
 
-    def tell(found: EndpointList) -> None:
-        told.append(found)
+    def on_update(found: EndpointList) -> None:
+        updates.append(found)
         discovery.watch_timeout_s = (
             0.05 if answers[:1] == [None] else 60.0
         )  # short only where silence follows
 
-    discovery = EndpointWatcher(("", 0), tell, Counters(), Prompt(1, random.Random(1)))
+    discovery = EndpointWatcher(("", 0), on_update, Counters(), Prompt(1, random.Random(1)))
 
     async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while answers:
-                asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
+                paths.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
                 data = answers.pop(0)
                 if data is None:
                     discovery.watch_timeout_s = 60.0
@@ -88,13 +88,13 @@
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
         discovery.agent = server.sockets[0].getsockname()
         task = asyncio.create_task(discovery.run())
-        while len(told) < 7:
+        while len(updates) < 7:
             await asyncio.sleep(0.01)
         task.cancel()
         server.close()
 
     asyncio.run(run())
-    assert [(one.revision, one.complete) for one in told] == [
+    assert [(one.revision, one.complete) for one in updates] == [
         (41, True),
         (43, False),
         (44, False),
@@ -104,9 +104,9 @@
         (50, True),
     ]
     # Whatever ended it, the watch goes on from the revision held, unless discovery does not know that. The
-    # first call on a connection waits for no news: what came while there was no watch is told at once.
+    # first call on a connection waits for no change: what came while there was no watch is returned at once.
     first, on = "/catalog/members?index={}&wait=0", f"/catalog/members?index={{}}&wait={WATCH_WAIT_MS:.0f}"
-    assert asked == [
+    assert paths == [
         "/catalog/members",
         first.format(41),
         on.format(43),
@@ -123,7 +123,7 @@
 
 
 def test_silent_watch_is_noticed_within_notification_budget() -> None:
-    # It was found after 21 s; for all that time draining servers were asked, and new ones were not.
+    # It was noticed after 21 s; for all that time draining endpoints got requests, and new ones got none.
     assert WATCH_WAIT_MS + SILENCE_TIMEOUT_MS <= 2000
     discovery = EndpointWatcher(("", 0), lambda found: None, Counters(), Backoff(1, random.Random(1)))
     assert discovery.watch_timeout_s == (WATCH_WAIT_MS + SILENCE_TIMEOUT_MS) / 1000
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_forty_gateways_restarted_together_are_current_within_budget(seed: int) -> None:
-    """The service takes a call each 100 ms in turn; one that would wait 2 s is refused, and costs its turn.
+    """The service takes a call each 100 ms in turn; one that would wait 2 s is rejected, and costs its turn.
 
     With a fixed pause of 100 ms the line stayed full, and hardly any gateway had a list all day.
     """
@@ -189,13 +189,13 @@
 
 def test_watch_resumes_after_lack_of_descriptors() -> None:
     # The socket was made outside of the `try`: its OSError ended the task, and no list came ever again.
-    told: list[EndpointList] = []
+    updates: list[EndpointList] = []
 
     async def run() -> Counters:
         agent, counters = Agent(), Counters()
         server = await agent.start()
         address = server.sockets[0].getsockname()
-        discovery = EndpointWatcher(address, told.append, counters, Prompt(0, random.Random(1)))
+        discovery = EndpointWatcher(address, updates.append, counters, Prompt(0, random.Random(1)))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))  # those that are open stay; there is no new
         try:
@@ -207,24 +207,24 @@
         assert not task.done()
         _, writer = await agent.calls.get()
         writer.write(answer(7, True))
-        while not told:
+        while not updates:
             await asyncio.sleep(0)
         task.cancel()
         server.close()
         return counters
 
     counts = asyncio.run(run()).counts
-    assert told[0].revision == 7 and counts["out_of_descriptors"] >= 1
+    assert updates[0].revision == 7 and counts["out_of_descriptors"] >= 1
 
 
 def test_agent_behind_known_revision_is_asked_for_complete_list() -> None:
-    # A new agent may count from before: the changes since are not among those it goes on to tell.
+    # A new agent may count from before: the changes since are not among those that it goes on to send.
     async def run() -> list[str]:
         agent = Agent()
         server = await agent.start()
-        told: list[EndpointList] = []
+        updates: list[EndpointList] = []
         discovery = EndpointWatcher(
-            server.sockets[0].getsockname(), told.append, Counters(), Prompt(0, random.Random(1)), 41
+            server.sockets[0].getsockname(), updates.append, Counters(), Prompt(0, random.Random(1)), 41
         )
         task = asyncio.create_task(discovery.run())
         paths = []
@@ -248,7 +248,7 @@
     """SIGHUP moves discovery twice in a row, while the first one's answer comes: before it is read, and
     between its reading and the turn of the task that waits for it.
     """
-    told: list[int] = []
+    updates: list[int] = []
 
     async def run() -> None:
         agents = [Agent() for _ in range(3)]
@@ -256,7 +256,7 @@
         first, second, third = (server.sockets[0].getsockname() for server in servers)
         base = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
         watch = GatewayServer(base).endpoint_watch
-        monkeypatch.setattr(watch, "apply_list", lambda found: told.append(found.revision))
+        monkeypatch.setattr(watch, "apply_list", lambda found: updates.append(found.revision))
 
         def move(*_: object) -> None:
             watch.follow(replace(base, discovery_address=second))
@@ -280,7 +280,7 @@
         if not read:
             move()
         (await agents[2].calls.get())[1].write(answer(3, True))
-        while not told:
+        while not updates:
             await asyncio.sleep(0)
         assert watch.task is not None
         watch.task.cancel()
@@ -288,7 +288,7 @@
             server.close()
 
     asyncio.run(run())
-    assert told == [3]
+    assert updates == [3]
 
 
 LOST = ("silent", "reset", "refused", "moved")
--- a/tests/test_gossip_transport.py
+++ b/tests/test_gossip_transport.py
@@ -63,7 +63,7 @@
                 say = lambda *_: heard.append(name)  # noqa: E731
                 return GossipTransport(listen, addresses, addresses[0], say, Counters(), shared=True)
 
-            async def told() -> str:
+            async def received_by() -> str:
                 peer.sendto(b"hi", here)
                 while not heard:
                     await asyncio.sleep(0)
@@ -71,13 +71,13 @@
 
             first = process("first", ("127.0.0.1", 0))
             here = first.socket.getsockname()
-            assert await told() == "first"
+            assert await received_by() == "first"
             second = process("second", here)
-            assert [await told() for _ in range(9)] == ["second"] * 9
+            assert [await received_by() for _ in range(9)] == ["second"] * 9
             first.send(0, "still")  # it may go on telling by the same address
             assert peer.recvfrom(99) == (b"still", here)
             second.close()
-            assert [await told() for _ in range(9)] == ["first"] * 9
+            assert [await received_by() for _ in range(9)] == ["first"] * 9
             first.close()
 
     asyncio.run(run())
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -83,7 +83,7 @@
         (3, "a", "draining", 1764000000000.0),
     ]
     again = EndpointGroup(Counters(), 250, 1000, 10).apply_endpoint_list("complete", found.endpoints[::-1])
-    # Peers tell each other of servers by number, so it must not rest on order or on the process.
+    # Gateways gossip about endpoints by number, so it must not rest on order or on the process.
     assert [e.endpoint for e in again.endpoints] == [e.endpoint for e in event.endpoints][::-1]
     assert event.endpoints[0].endpoint == 3624031694
 
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -1,4 +1,4 @@
-"""The driver: one final answer whatever breaks, events in order, and the clock that starts are told on."""
+"""The driver: one response whatever breaks, events in order, and the clock that starts are given on."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 from .conftest import CLASSES, PLANS
 
 
-class Told:
-    """A client's side that keeps what it was answered."""
+class RecordingSink:
+    """A response sink that keeps the responses."""
 
     def __init__(self) -> None:
         self.answers: list[str] = []
@@ -55,19 +55,19 @@
         self.answers.append("failed")
 
 
-class Scripted:
-    """Decisions that do what a test says, and keep what they were told."""
+class ScriptedPolicy:
+    """A policy that does what a test prescribes, and keeps its events."""
 
     def __init__(self, does: Callable[[Event], list[Any]]) -> None:
-        self.does, self.told, self.endpoints = does, list[Event](), EndpointTable()
+        self.does, self.events, self.endpoints = does, list[Event](), EndpointTable()
 
     def handle(self, now: float, event: Event) -> list[Any]:
-        self.told.append(event)
+        self.events.append(event)
         return self.does(event)
 
 
 def play(
-    does: Callable[[Event], list[Any]], steps: Callable[[PolicyDriver, Scripted], Awaitable[None]]
+    does: Callable[[Event], list[Any]], steps: Callable[[PolicyDriver, ScriptedPolicy], Awaitable[None]]
 ) -> PolicyDriver:
     async def run() -> PolicyDriver:
         counters = Counters()
@@ -75,7 +75,7 @@
         driver = PolicyDriver(
             Settings(gateway_index=0, gateway_count=1, classes=CLASSES, plans=PLANS), 1, group, counters
         )
-        scripted = Scripted(does)
+        scripted = ScriptedPolicy(does)
         driver.gateway = scripted  # type: ignore[assignment]
         await steps(driver, scripted)
         return driver
@@ -84,17 +84,17 @@
 
 
 def ask(
-    driver: PolicyDriver, ref: int = 1, patience: float = 5000, most: int = 10
-) -> tuple[RequestContext, Told]:
-    told = Told()
-    request = RequestReceived(ref, "look", "wide", "c", patience)
-    context = RequestContext(ref, request, CommandMessage([], {}), told, driver.now())
-    admit(context, driver, most)
-    return context, told
+    driver: PolicyDriver, ref: int = 1, timeout_ms: float = 5000, max_open_requests: int = 10
+) -> tuple[RequestContext, RecordingSink]:
+    sink = RecordingSink()
+    request = RequestReceived(ref, "look", "wide", "c", timeout_ms)
+    context = RequestContext(ref, request, CommandMessage([], {}), sink, driver.now())
+    admit(context, driver, max_open_requests)
+    return context, sink
 
 
-async def answered(told: Told) -> None:
-    while not told.answers:
+async def answered(sink: RecordingSink) -> None:
+    while not sink.answers:
         await asyncio.sleep(0.001)
 
 
@@ -102,11 +102,11 @@
 def test_disconnect_in_turn_of_reply_gives_one_outcome(
     monkeypatch: pytest.MonkeyPatch, first: str, status: str
 ) -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             member = Endpoint("s-1", listener.getsockname(), "", 0, "ready", 0.0)
             driver.group.apply_endpoint_list("complete", [member])
-            context, told = ask(driver)
+            context, sink = ask(driver)
             with (await asyncio.to_thread(listener.accept))[0] as server:
                 await asyncio.to_thread(server.recv, 65536)
                 connection: Any = driver.attempts_in_flight[1, 0].connection
@@ -122,10 +122,10 @@
                 server.send(b"*1\r\n$1\r\nv\r\n")
                 while driver.attempts_in_flight:
                     await asyncio.sleep(0)
-            gone, ended = decisions.told[1:]
+            gone, ended = policy.events[1:]
             assert gone == ClientDisconnected(1) and isinstance(ended, AttemptEnded)
             assert (ended.status, ended.request_completed) == (status, True)
-            assert not (told.answers or driver.open_requests or driver.group.connections)
+            assert not (sink.answers or driver.open_requests or driver.group.connections)
             assert not driver.counters.counts["exceptions"]
 
     def does(event: Event) -> list[Any]:
@@ -141,19 +141,19 @@
 
 def test_disconnect_between_two_actions_leaves_no_attempt_in_flight() -> None:
     """Refusing one of its requests finds the connection closed, and the other is sent on by the next action:
-    the decisions were never told how that try ended, and kept its slot at the till server for good.
+    the policy never learned how that attempt ended, and kept its slot at the endpoint for good.
     """
 
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
-        refused, _ = ask(driver, 1)
-        refused.response_sink.reject = lambda retry_after_ms: driver.client_disconnected(sent)  # type: ignore[method-assign]
-        sent, told = ask(driver, 2)
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
+        rejected, _ = ask(driver, 1)
+        rejected.response_sink.reject = lambda retry_after_ms: driver.client_disconnected(sent)  # type: ignore[method-assign]
+        sent, sink = ask(driver, 2)
         driver.apply_event(TimerFired(0))
-        gone, ended = decisions.told[-2:]
+        gone, ended = policy.events[-2:]
         assert gone == ClientDisconnected(2) and isinstance(ended, AttemptEnded)
         assert (ended.request_id, ended.attempt, ended.endpoint) == (2, 0, 7)
         assert ended.status == "unsent" and ended.request_completed
-        assert not driver.open_requests and not driver.attempts_in_flight and not told.answers
+        assert not driver.open_requests and not driver.attempts_in_flight and not sink.answers
 
     def does(event: Event) -> list[Any]:
         return [RejectRequest(1), StartAttempt(2, 7)] if isinstance(event, TimerFired) else []
@@ -162,10 +162,10 @@
 
 
 def test_request_that_policy_forgets_fails_before_deadline() -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
-        context, told = ask(driver, patience=RESPONSE_GUARD_MS + 10)
-        await answered(told)
-        assert told.answers == ["failed"] and decisions.told[-1] == ClientDisconnected(context.request_id)
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
+        context, sink = ask(driver, timeout_ms=RESPONSE_GUARD_MS + 10)
+        await answered(sink)
+        assert sink.answers == ["failed"] and policy.events[-1] == ClientDisconnected(context.request_id)
         assert driver.counters.counts["guard_answers"] == 1 and not driver.open_requests
 
     play(lambda event: [], steps)
@@ -177,14 +177,14 @@
             raise RuntimeError("odd")
         return [RejectRequest(event.request_id, 20.0)] if isinstance(event, RequestReceived) else []
 
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
         assert [ask(driver, ref)[1].answers for ref in (1, 2)] == [["failed"], ["rejected 20"]]
 
     assert play(does, steps).counters.counts["exceptions"] == 1
 
 
 def test_rejections_are_counted_by_reason() -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
         assert [ask(driver, ref)[1].answers for ref in (1, 2)] == [["rejected 5"], ["rejected 5"]]
 
     def does(event: Event) -> list[Any]:
@@ -200,7 +200,7 @@
 
 
 def test_exception_in_action_does_not_stop_later_actions() -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
         driver.send_gossip = lambda peer, text: 1 / 0  # type: ignore[assignment]
         assert ask(driver)[1].answers == ["failed"]
 
@@ -211,19 +211,19 @@
 
 
 def test_only_first_response_is_sent() -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
-        context, told = ask(driver)
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
+        context, sink = ask(driver)
         respond.serve(context, memoryview(b"late"), driver.counters)
         driver.client_disconnected(context)
-        assert told.answers == ["rejected 5"] and len(decisions.told) == 1
+        assert sink.answers == ["rejected 5"] and len(policy.events) == 1
 
     play(lambda event: [RejectRequest(1, 5.0), FailRequest(1)], steps)
 
 
 def test_requests_beyond_limit_are_rejected_without_policy() -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
-        assert [ask(driver, ref, most=1)[1].answers for ref in (1, 2)] == [[], ["rejected 1000"]]
-        assert len(decisions.told) == 1
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
+        assert [ask(driver, ref, max_open_requests=1)[1].answers for ref in (1, 2)] == [[], ["rejected 1000"]]
+        assert len(policy.events) == 1
 
     play(lambda event: [], steps)
 
@@ -235,34 +235,34 @@
         first = isinstance(event, AttemptEnded) and event.attempt == 0
         return [StartAttempt(1, endpoint=78), FailRequest(1)] if first else []
 
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
-        _, told = ask(driver)
-        while driver.attempts_in_flight or not told.answers:
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
+        _, sink = ask(driver)
+        while driver.attempts_in_flight or not sink.answers:
             await asyncio.sleep(0)
         ends = [
             (e.status, e.attempt, e.endpoint, e.request_completed)
-            for e in decisions.told
+            for e in policy.events
             if isinstance(e, AttemptEnded)
         ]
-        assert ends == [("unsent", 0, 77, False), ("unsent", 1, 78, True)] and told.answers == ["failed"]
+        assert ends == [("unsent", 0, 77, False), ("unsent", 1, 78, True)] and sink.answers == ["failed"]
 
     play(does, steps)
 
 
 def test_timer_fires_no_earlier_than_set() -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
         context, _ = ask(driver)
-        while not isinstance(decisions.told[-1], TimerFired):
+        while not isinstance(policy.events[-1], TimerFired):
             await asyncio.sleep(0.001)
-        assert driver.now() >= context.received_at + 5 - 0.01 and decisions.told[-1] == TimerFired(3)
+        assert driver.now() >= context.received_at + 5 - 0.01 and policy.events[-1] == TimerFired(3)
         driver.client_disconnected(context)
 
     play(lambda event: [SetTimer(event_time() + 5, 3)] if isinstance(event, RequestReceived) else [], steps)
 
 
 def test_timer_that_loop_fires_early_is_set_again() -> None:
-    # uvloop did: the decisions then saw a timer of the past, and answers came as late as the driver's guard.
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+    # uvloop did: the policy then saw a timer of the past, and answers came as late as the driver's guard.
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
         real, early = driver.loop.call_later, 2
 
         def call_later(delay: float, *what: Any) -> asyncio.TimerHandle:
@@ -274,10 +274,10 @@
         monkeypatch.setattr(driver.loop, "call_later", call_later)
         at = driver.now() + 20
         driver._execute([SetTimer(at, 7)])
-        while not decisions.told:
+        while not policy.events:
             await asyncio.sleep(0.001)
         monkeypatch.undo()
-        assert decisions.told == [TimerFired(7)] and driver.now() >= at and early < 0
+        assert policy.events == [TimerFired(7)] and driver.now() >= at and early < 0
 
     play(lambda event: [], steps)
 
@@ -287,7 +287,7 @@
 
 
 def test_clock_is_unix_time() -> None:
-    async def steps(driver: PolicyDriver, decisions: Scripted) -> None:
+    async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
         assert driver.now() == pytest.approx(time.time() * 1000, abs=10_000)
 
     play(lambda event: [], steps)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The RESP parser: whole messages, any split of them, and bytes that are none."""
+"""The RESP parser: complete messages, any split of them, and malformed bytes."""
 
 from __future__ import annotations
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""How a try's end is classified: rule 2 rests on it. Each till server here plays one fate on a socket."""
+"""How the result of an attempt is classified. Each endpoint here plays one case on a socket."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def play(steps: Steps) -> list[AttemptResult]:
-    """Run steps against a group of one till server, whose listening socket the steps are given."""
+    """Run steps against a group of one endpoint, whose listening socket the steps get."""
 
     async def run() -> list[AttemptResult]:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "ending"),
+    ("data", "result"),
     [
         (GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
         (b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nqps=1\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
@@ -95,7 +95,7 @@
         (b"*1\r\n$1\r\nv\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
         (b"*3\r\n$1\r\nv\r\n$4\r\n\x00=\xff,\r\n:5\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
         (GOOD + GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
-        # Spoilt: it may have run, and the till server lives.
+        # Malformed: it may have run, and the endpoint lives.
         (b"nonsense\r\n", AttemptResult(AttemptStatus.ERROR)),
         (b"*1\r\n$70000\r\n", AttemptResult(AttemptStatus.ERROR)),
         (b"*3\r\n$3000000000\r\nvvvv", AttemptResult(AttemptStatus.ERROR)),
@@ -104,7 +104,7 @@
         (b":1\r\n", AttemptResult(AttemptStatus.ERROR)),
     ],
 )
-def test_attempt_result_by_reply_after_last_byte(data: bytes, ending: AttemptResult) -> None:
+def test_attempt_result_by_reply_after_last_byte(data: bytes, result: AttemptResult) -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
@@ -113,7 +113,7 @@
             server.shutdown(socket.SHUT_WR)
             return [await task]
 
-    assert play(steps) == [ending]
+    assert play(steps) == [result]
 
 
 def test_refused_connection_is_unreachable() -> None:
@@ -145,7 +145,7 @@
         early, task = attempt_at(group, number)
         await asyncio.sleep(0)  # it dials
         early.cancel(AttemptStatus.CANCELLED)
-        endings = [await task]
+        results = [await task]
         statuses = (AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT)
         for status in statuses:
             late, task = attempt_at(group, number)
@@ -157,10 +157,10 @@
                 server = await accept(listener)
                 await taken(server)
                 late.cancel(status)
-            endings.append(await task)
+            results.append(await task)
             assert await asyncio.to_thread(server.recv, 1) == b""  # the connection ends with it
             server.close()
-        return endings
+        return results
 
     assert play(steps) == [
         AttemptResult(AttemptStatus.UNSENT),
@@ -175,19 +175,19 @@
         server = await accept(listener)
         await taken(server)
         server.send(GOOD)
-        endings = [await task]
+        results = [await task]
         await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
         _, task = attempt_at(group, number)
         await taken(server)  # on the same connection
         server.send(GOOD)
-        endings.append(await task)
+        results.append(await task)
         server.close()  # unread on our side: a try written now would end as one that may have run
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
             server.send(GOOD)
-            endings.append(await task)
-        return endings
+            results.append(await task)
+        return results
 
     assert [one.status for one in play(steps)] == ["ok", "ok", "ok"]
 
@@ -200,12 +200,12 @@
         with await accept(listener) as server:
             await taken(server)
             server.send(GOOD + more)
-            endings = [await first]
+            results = [await first]
             _, second = attempt_at(group, number)
             with await accept(listener) as other:
                 await taken(other)
                 other.send(GOOD)
-                return [*endings, await second]
+                return [*results, await second]
 
     assert [one.status for one in play(steps)] == ["ok", "ok"]
 
@@ -242,7 +242,7 @@
 def test_max_idle_time_is_reduced_after_stale_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Each try on one of them ended as reset: it may have run, and its till server was held for dead.
+    # Each attempt on one of them ended as reset: it may have run, and its endpoint was taken for dead.
     monkeypatch.setattr(upstream_connection, "STALE_RESET_WITHIN_S", 10.0)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
@@ -250,22 +250,22 @@
         with await accept(listener) as server:
             await taken(server)
             server.send(GOOD)
-            endings = [await task]
+            results = [await task]
             await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
             _, task = attempt_at(group, number)
             await taken(server)
-        endings.append(await task)
+        results.append(await task)
         now = asyncio.get_running_loop().time()
         assert (
             upstream.REUSE_DELAY_S <= group.max_idle_s(now) < 1.0
-        )  # it had stood idle for less than a second
+        )  # it had been idle for less than a second
         assert group.max_idle_s(now + 100 * upstream.MAX_IDLE_DOUBLING_S) == group.idle_timeout_ms / 1000
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
             group.release(connection)
             connection.idle_since -= 5.0
             assert group.take_idle(number) is None
-        return endings
+        return results
 
     assert [one.status for one in play(steps)] == ["ok", "reset"]
 
@@ -335,9 +335,9 @@
     "restarted": lambda group, number, *_: listed_as(started_at_ms=5.0)(group, number),
     "moved": lambda group, number, *_: listed_as(address=("127.0.0.1", 1))(group, number),
     "left": lambda _group, _number, context, *_: context.claim_response(),
-    "given up": lambda _group, _number, _context, attempt, _clock: attempt.cancel(AttemptStatus.CANCELLED),
+    "cancelled": lambda _group, _number, _context, attempt, _clock: attempt.cancel(AttemptStatus.CANCELLED),
     "window over": lambda _group, _number, _context, attempt, _clock: setattr(attempt, "send_before", 179.0),
-    "patience over": lambda _group, _number, _context, _attempt, clock: clock.append(479.5),
+    "deadline passed": lambda _group, _number, _context, _attempt, clock: clock.append(479.5),
 }
 
 
@@ -350,7 +350,7 @@
 def test_nothing_is_written_for_attempt_that_is_no_longer_wanted(crossing: str, kept: bool) -> None:
     """Between the decision and the bytes lie a turn of the loop and, without a kept connection, a dial.
 
-    Only the time was asked for again: a server told to drain meanwhile got the request, and so did one
+    Only the time was checked again: a server that began to drain meanwhile got the request, and so did one
     whose client had left, or whose window for repeats had ended.
     """
 
@@ -368,26 +368,26 @@
             await asyncio.sleep(0)  # it dials
             assert attempt.connection is not None
         CROSSINGS[crossing](group, number, context, attempt, clock)
-        ending = await task
+        result = await task
         group.close()
         if not kept:
             server.close()
             listener.settimeout(0.0)
             try:
                 server = listener.accept()[0]
-            except BlockingIOError:  # given up, it ended before it came up
-                return [ending]
+            except BlockingIOError:  # cancelled, it ended before it came up
+                return [result]
             server.settimeout(10)
         with contextlib.suppress(ConnectionResetError):
             assert await asyncio.to_thread(server.recv, 100) == b""
         server.close()
-        return [ending]
+        return [result]
 
     assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
 
 def test_slow_long_reply_is_accepted_while_it_progresses() -> None:
-    # It counted as spoilt 0.1 s after its first part, however it went on.
+    # It counted as malformed 0.1 s after its first part, however it went on.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
         with await accept(listener) as server:
@@ -400,7 +400,7 @@
                     await asyncio.sleep(0)
                 assert connection.stall_timer is not None
                 ends.append(connection.stall_timer.when())
-            assert ends == sorted(set(ends))  # each part moves the moment at which it counts as spoilt
+            assert ends == sorted(set(ends))  # each part moves the moment at which it counts as malformed
             assert ends[-1] <= connection.reply_deadline  # which half of what is left of the try bounds
             server.send(GOOD[-1:])
             return [await task]
@@ -420,16 +420,18 @@
     assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
-@pytest.mark.parametrize("crossing", ["drained", "gone", "left", "given up", "window over", "patience over"])
+@pytest.mark.parametrize(
+    "crossing", ["drained", "gone", "left", "cancelled", "window over", "deadline passed"]
+)
 def test_attempt_that_is_no_longer_wanted_is_not_dialled(crossing: str) -> None:
-    # A try given up before its task began dialled all the same: work for the till server, and for nobody.
+    # An attempt cancelled before its task began dialled all the same: work for the endpoint, and for nobody.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         (context, attempt), clock = request_at(number), [179.3]
         task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
         CROSSINGS[crossing](group, number, context, attempt, clock)
-        ending = await task
+        result = await task
         assert not group.counters.counts["dials"]
-        return [ending]
+        return [result]
 
     assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
@@ -448,7 +450,7 @@
 def test_local_connect_error_leaves_attempt_unsent(
     error: int, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Two such failures in a row ejected a sound server, and every peer was told that it was silent.
+    # Two such failures in a row ejected a sound server, and every peer learned that it was silent.
     def connect(stream: IOStream, address: object) -> asyncio.Future[IOStream]:
         stream.close(exc_info=OSError(error, os.strerror(error)))
         raise StreamClosedError(real_error=OSError(error, os.strerror(error)))
@@ -458,14 +460,14 @@
         _, task = attempt_at(group, number)
         return [await task]
 
-    assert [ending.status for ending in play(steps)] == [status]
+    assert [result.status for result in play(steps)] == [status]
 
 
 @pytest.mark.parametrize(("data", "status"), [(GOOD, "ok"), (b"", "timeout")])
 def test_attempt_cancelled_in_turn_of_its_reply_keeps_reply(
     data: bytes, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An answer that was read counts; what a reset ended may have run, whoever gave it up meanwhile."""
+    """An answer that was read counts; what a reset ended may have run, whatever cancelled it meanwhile."""
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
@@ -482,8 +484,8 @@
 
             monkeypatch.setattr(connection, ended, read_and_given_up)
             server.send(data)
-        ending = await task
+        result = await task
         assert attempt.cancel_status == "timeout" and not group.connections
-        return [ending]
+        return [result]
 
     assert [one.status for one in play(steps)] == [status]
