--- /dev/null
+++ b/tests/policy/test_attempt_results.py
@@ -0,0 +1,21 @@
+"""What attempts teach."""
+
+from __future__ import annotations
+
+import pytest
+
+from mapleshunt.policy.gossip_codec import (
+    tag_of,
+)
+
+from ..conftest import Driver
+from .helpers import sends
+
+
+def test_cost_estimate_follows_the_newest_answer(driver: Driver) -> None:
+    (send,) = sends(driver.ask())
+    before = driver.gateway.customers.by_tag[tag_of("c")].cost_estimate
+    driver.answer(send, latency=400)
+    assert driver.gateway.customers.by_tag[tag_of("c")].cost_estimate == pytest.approx(
+        0.9 * 400 + 0.1 * before
+    )
--- a/tests/test_cold_servers.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -1,4 +1,4 @@
-"""What all gateways together send to a till server that starts cold."""
+"""What all gateways together send to an endpoint in slow start."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from mapleshunt import EndpointInfo, EndpointUpdate
 from mapleshunt.net.clock import UnixClock
 
-from .conftest import Driver
+from ..conftest import Driver
 
 
 @pytest.mark.parametrize("restarted", [False, True])
 @pytest.mark.parametrize(("instances", "seeds"), [(2, 2), (20, 1), (30, 1), (200, 2)])
-def test_the_sum_of_all_gateways_stays_within_the_bound(instances: int, seeds: int, restarted: bool) -> None:
+def test_sum_of_all_gateways_attempts_stays_within_the_bound(instances: int, seeds: int, restarted: bool) -> None:
     """It grew with the fleet: 0.38 of the bound at 2 gateways, 0.77 at 200, and over N alone.
 
     Each went by what it sent to warm servers, read as of its last request: of late, though that is long ago.
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("instances", [2, 20])
-def test_settings_by_which_a_cold_server_bears_less_are_heeded(instances: int) -> None:
+def test_endpoint_that_bears_less_by_the_settings_is_sent_less(instances: int) -> None:
     """1.5 times the ramp's part went to it whatever it bore: over 1.0 of what that is, chance aside."""
     bound, alone = worst(Case(instances, load=0.9, multiple=1.2), 0)
     assert 0.2 < bound <= 0.6 and alone <= 0.9
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("step", [HOUR_MS, -HOUR_MS, 5000.0, -5000.0])
-def test_server_that_starts_after_the_wall_clock_was_stepped_is_cold(
+def test_endpoint_that_starts_after_the_wall_clock_was_stepped_is_warming_up(
     monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
     # Its start was told in a time that the gateway's clock, which began before the step, took for long ago:
--- /dev/null
+++ b/tests/policy/test_timers.py
@@ -0,0 +1,29 @@
+"""Timers of the decisions."""
+
+from __future__ import annotations
+
+from mapleshunt import (
+    ClientDisconnected,
+    RejectRequest,
+    SetTimer,
+)
+
+from ..conftest import Driver
+from .helpers import sends
+
+
+def test_late_timer_does_not_lose_a_request() -> None:
+    driver = Driver(servers=0)
+    driver.ask(remaining_time=900)
+    driver.now += 890  # no timer came
+    assert [a.request_id for a in driver.feed(ClientDisconnected(999)) if isinstance(a, RejectRequest)] == [1]
+
+
+def test_idle_gateway_sleeps() -> None:
+    driver = Driver(gateway_count=300, gossip_enabled=True)
+    (send,) = sends(driver.ask("look", remaining_time=1500))
+    driver.answer(send)
+    before = len(driver.all)
+    driver.wait(60000)
+    assert [a for a in driver.all[before:] if not isinstance(a, SetTimer)] == []
+    assert len(driver.all) - before < 5 and not driver.timers
