--- a/tests/test_store.py
+++ b/tests/test_durable_store.py
@@ -1,4 +1,4 @@
-"""The store: whole, or another incarnation, or one clear message; and a disk that is full or slow."""
+"""The durable store: loaded whole, or set aside, or rejected with one message; and a disk that is full."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     return m.Entry(index, term, 10.0 * index, data)
 
 
-def filled(folder: Path, count: int = 5) -> DurableStore:
+def filled_store(folder: Path, count: int = 5) -> DurableStore:
     disk = DurableStore(folder, "fleet", "a")
     disk.create(3, FIRST)
     disk.commit([(3, m.Write(n, 1, "a/1", (entry(n),))) for n in range(1, count + 1)])
     return disk
 
 
-def test_what_was_committed_is_there_again(tmp_path: Path) -> None:
-    disk = filled(tmp_path)
+def test_committed_writes_are_loaded_after_reopening(tmp_path: Path) -> None:
+    disk = filled_store(tmp_path)
     name, boot = disk.incarnation, disk.boot
     disk.commit([(3, m.Write(6, 2, "b/1", (entry(4, 2, b"y"),)))])  # replaces from there on
     disk.close()
@@ -52,8 +52,8 @@
     assert third.snapshot == whole and [one.index for one in third.entries] == [4]
 
 
-def test_a_commit_is_all_or_nothing(tmp_path: Path) -> None:
-    disk = filled(tmp_path)
+def test_commit_that_fails_leaves_nothing(tmp_path: Path) -> None:
+    disk = filled_store(tmp_path)
     bad: Any = m.Write(7, 9, "c/1", (entry(6), entry(6)))  # the second breaks a key
     with pytest.raises(apsw.Error):
         disk.commit([(3, m.Write(6, 8, "b/1")), (3, bad)])
@@ -82,8 +82,8 @@
 
 
 @pytest.mark.parametrize("sql", DAMAGE)
-def test_what_is_damaged_is_set_aside_and_another_incarnation_begins(tmp_path: Path, sql: str) -> None:
-    disk = filled(tmp_path)
+def test_damaged_store_is_set_aside_and_a_new_incarnation_begins(tmp_path: Path, sql: str) -> None:
+    disk = filled_store(tmp_path)
     was = disk.incarnation
     disk.close()
     change(tmp_path, sql)
@@ -94,10 +94,12 @@
 
 @settings(derandomize=True, deadline=None, max_examples=40, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 20_000), st.binary(min_size=1, max_size=64))
-def test_bytes_written_over_are_whole_or_another_incarnation(tmp_path: Path, at: int, noise: bytes) -> None:
+def test_overwritten_bytes_give_the_same_content_or_a_new_incarnation(
+    tmp_path: Path, at: int, noise: bytes
+) -> None:
     folder = tmp_path / "one"
     shutil.rmtree(folder, ignore_errors=True)
-    disk = filled(folder)
+    disk = filled_store(folder)
     was, before = disk.incarnation, disk.groups | {3: None}
     disk.close()
     with (folder / FILE_NAME).open("r+b") as file:
@@ -114,8 +116,8 @@
 
 
 @pytest.mark.parametrize("keep", [0.0, 0.3, 0.6, 0.9])
-def test_a_torn_write_ahead_log_holds_a_beginning_of_the_commits(tmp_path: Path, keep: float) -> None:
-    disk = filled(tmp_path / "live", 0)
+def test_torn_write_ahead_log_holds_a_prefix_of_the_commits(tmp_path: Path, keep: float) -> None:
+    disk = filled_store(tmp_path / "live", 0)
     for n in range(1, 30):
         disk.commit([(3, m.Write(n, 1, "a/1", (entry(n),)))])
     copy = tmp_path / "copy"
@@ -132,8 +134,8 @@
     assert indexes == list(range(1, len(indexes) + 1)) and len(indexes) < 29
 
 
-def test_what_must_not_be_touched_is_refused_in_one_line(tmp_path: Path) -> None:
-    disk = filled(tmp_path)
+def test_store_of_another_owner_or_format_is_rejected_with_one_message(tmp_path: Path) -> None:
+    disk = filled_store(tmp_path)
     with pytest.raises(StoreUnusableError, match="in use by another process"):
         DurableStore(tmp_path, "fleet", "a")
     disk.close()
@@ -154,7 +156,7 @@
 
 
 class FullVFS(apsw.VFS):
-    """A disk that takes no more while `full` is set."""
+    """A disk on which every write fails while `full` is set."""
 
     def __init__(self) -> None:
         self.full = threading.Event()
@@ -182,7 +184,9 @@
     one.unregister()
 
 
-def test_a_full_disk_acknowledges_nothing_and_goes_on_with_room(tmp_path: Path, vfs: FullVFS) -> None:
+def test_full_disk_acknowledges_nothing_and_writes_continue_once_there_is_room(
+    tmp_path: Path, vfs: FullVFS
+) -> None:
     disk = DurableStore(tmp_path, "fleet", "a", vfs="full-disk")
     disk.create(3, FIRST)
     done: list[tuple[int, int]] = []
@@ -209,8 +213,8 @@
     assert len(DurableStore(tmp_path, "fleet", "a", vfs="full-disk").groups[3].entries) == 2
 
 
-def test_renewed_it_holds_nothing_under_another_incarnation(tmp_path: Path) -> None:
-    disk = filled(tmp_path)
+def test_renewed_store_is_empty_under_another_incarnation(tmp_path: Path) -> None:
+    disk = filled_store(tmp_path)
     was = disk.incarnation
     disk.renew()
     disk.save_known({"x": 4}, 5)
--- a/tests/test_elections.py
+++ b/tests/test_election.py
@@ -55,7 +55,7 @@
         return ""
 
 
-def test_gateways_whose_configurations_share_a_seed_elect_a_leader(tmp_path: Path) -> None:
+def test_gateways_that_share_a_configured_seed_elect_a_leader(tmp_path: Path) -> None:
     """Two of three are left. With timeouts drawn alike both campaign at once, and neither gets a vote."""
 
     async def run() -> str:
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -27,7 +27,7 @@
 from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 
 from .processes import EXAMPLE, ROOT, free_port
-from .test_store import FIRST, filled
+from .test_durable_store import FIRST, filled_store
 
 OPENS = 60
 OPEN_AGAIN_AND_AGAIN = f"""
@@ -92,7 +92,7 @@
 def test_reads_that_fail_for_a_while_do_not_set_a_whole_store_aside(tmp_path: Path, library: Path) -> None:
     # SQLite tells an EIO of a read as a corrupt database. The store was taken for damaged and set aside: the
     # copy came back as another incarnation, without the votes and entries that it had promised to keep.
-    disk = filled(tmp_path / "store")
+    disk = filled_store(tmp_path / "store")
     incarnation = disk.incarnation
     disk.close()
     control = SyscallFaultControl(library, tmp_path / "control", 5, tmp_path / "store")
@@ -126,7 +126,7 @@
     """SQLite's syncs were made under Python's global lock: each held up the loop and all that it serves."""
     store = tmp_path / "store"
     store.mkdir()
-    filled(store).close()
+    filled_store(store).close()
     control = SyscallFaultControl(library, tmp_path / "control", 5, store)
     control.set(SyscallFaultRates(disk_slow=SYNC_S))
     done = script(WRITE_WHILE_LOOKING, store, control)
@@ -166,7 +166,7 @@
 
 def test_a_task_that_meets_damage_keeps_nothing_behind_it_from_being_written(tmp_path: Path) -> None:
     """Recovery by hand of a group whose rows are damaged ended the writer, and with it all groups."""
-    disk = filled(tmp_path)
+    disk = filled_store(tmp_path)
     done: list[tuple[int, int]] = []
     failed: list[str] = []
     writer = StoreWriter(disk, done.extend, failed.append)
--- a/tests/test_copies.py
+++ b/tests/test_raft_node.py
@@ -1,4 +1,4 @@
-"""Copies of a group: plays by seed, faults that are planted and must be found, and some plain cases."""
+"""A replica as a step function: elections, commits, the log's time, and disks that complete no write."""
 
 from __future__ import annotations
 
@@ -8,48 +8,10 @@
 from mapleshunt.replication.config import RaftConfig
 from mapleshunt.replication.node import RaftNode
 from mapleshunt.replication.roles import Role
-from mapleshunt.simulation.replication_planted_faults import NODES, play
-from mapleshunt.simulation.replication_plays import ReplicaGroupPlay
+from mapleshunt.simulation.replication_planted_faults import NODES
 
-# With the seed of the first play that finds each, of those that `benchmarks/copies_seeds.py` told.
-FOUND = {
-    "ReadsUnconfirmed": 7, "CommitsUnseen": 0, "ShorterLogsWin": 0, "VotesTwice": 1, "TwoChangesAtOnce": 376,
-    "OldIncarnation": 15, "OwnEntriesUnwritten": 522, "AppendedBeforeDurable": 696,
-    "VoteBeforeDurable": 4390,
-}  # fmt: skip
 
-
-@pytest.mark.parametrize("first", range(0, 200, 25))
-def test_plays_keep_every_rule(first: int) -> None:
-    broken = {seed: said for seed in range(first, first + 25) if (said := play(seed))}
-    assert not broken
-
-
-@pytest.mark.parametrize("plant", FOUND)
-def test_a_planted_fault_is_found(plant: str) -> None:
-    assert play(FOUND[plant], plant) and not play(FOUND[plant])
-
-
-def test_plays_meet_what_they_are_for() -> None:
-    groups = []
-    for seed in range(12):
-        groups.append(ReplicaGroupPlay(seed, copies=3 + 2 * (seed % 2)))
-        groups[-1].play()
-    assert sum(one.told for one in groups) > 200 and sum(one.elections for one in groups) > 20
-    assert sum(one.installs for one in groups) > 5 and sum(one.reads for one in groups) > 100
-    assert any(one.incarnations > 1 for one in groups)
-
-
-def test_the_same_seed_plays_the_same() -> None:
-    def story(seed: int) -> tuple[int, int, int, int, float]:
-        group = ReplicaGroupPlay(seed)
-        group.play()
-        return group.told, group.reads, group.elections, group.count, group.now
-
-    assert story(5) == story(5) and story(5) != story(6)
-
-
-def figure_8(make: type[RaftNode]) -> list[bytes]:
+def commits_of_an_older_term(make: type[RaftNode]) -> list[bytes]:
     """The thesis' figure 3.7 (in the paper, 8): what the first copy applies once its entry of term 2 is
     on three of five. One that leads term 3 elsewhere could still replace it.
     """
@@ -57,28 +19,32 @@
     first = m.Snapshot(0, 0, 0.0, m.Members(names), b"")
     mine = m.Entry(1, 2, 0.0, b"of term 2")
     leader = make("a/1", m.PersistentState(first, 3, "", (mine,)), RaftConfig(max_batch_bytes=1), 1, 0.0)
-    done = finish(leader, 5.0, leader.step(5.0, m.Tick()))
+    done = complete_writes(leader, 5.0, leader.step(5.0, m.Tick()))
     for name in names[1:3]:
-        done += finish(leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, True))))
+        done += complete_writes(
+            leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, True)))
+        )
     for name in names[1:3]:
-        done += finish(leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, False))))
+        done += complete_writes(
+            leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, False)))
+        )
     assert leader.role is Role.LEADER and leader.term == 4
     for name in names[1:3]:  # they have the older entry, and not yet that of this term
         done += leader.step(5.1, m.MessageReceived(name, m.AppendEntriesResponse(4, True, 1, 1)))
     return [one.entry.data for one in done if isinstance(one, m.Apply)]
 
 
-def test_an_older_terms_entry_is_not_committed_by_count() -> None:
-    assert figure_8(RaftNode) == []
-    assert figure_8(NODES["OlderTermByCount"]) == [b"of term 2"]
+def test_entry_of_an_older_term_is_not_committed_by_count() -> None:
+    assert commits_of_an_older_term(RaftNode) == []
+    assert commits_of_an_older_term(NODES["OlderTermByCount"]) == [b"of term 2"]
 
 
-def alone() -> RaftNode:
+def single_replica() -> RaftNode:
     stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1",)), b""))
     return RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
 
 
-def finish(node: RaftNode, now: float, outputs: list[m.Output]) -> list[m.Output]:
+def complete_writes(node: RaftNode, now: float, outputs: list[m.Output]) -> list[m.Output]:
     """Carry out the writes, and what they lead to."""
     done = list(outputs)
     while writes := [one for one in outputs if isinstance(one, m.Write)]:
@@ -87,25 +53,25 @@
     return done
 
 
-def test_one_copy_alone_leads_and_answers_once_it_has_written() -> None:
-    node = alone()
-    finish(node, 5.0, node.step(5.0, m.Tick()))
+def test_single_replica_applies_a_proposal_once_it_is_durable() -> None:
+    node = single_replica()
+    complete_writes(node, 5.0, node.step(5.0, m.Tick()))
     assert node.role is Role.LEADER
     asked = node.step(5.1, m.Propose(7, b"x"))
     assert not [one for one in asked if isinstance(one, m.Apply)]  # not before it is durable
-    applied = [one for one in finish(node, 5.2, asked) if isinstance(one, m.Apply)]
+    applied = [one for one in complete_writes(node, 5.2, asked) if isinstance(one, m.Apply)]
     assert [(one.entry.data, one.request_id) for one in applied] == [(b"x", 7)]
     assert m.RequestResult(8, m.RequestOutcome.READ_READY, node.commit_index) in node.step(
         5.3, m.ReadRequest(8)
     )
 
 
-def test_the_logs_time_neither_goes_back_nor_runs_ahead_of_what_passed() -> None:
-    node = alone()
-    finish(node, 5.0, node.step(5.0, m.Tick()))
+def test_log_time_neither_goes_back_nor_runs_ahead_of_elapsed_time() -> None:
+    node = single_replica()
+    complete_writes(node, 5.0, node.step(5.0, m.Tick()))
     stamps = []
     for now in (6.0, 6.5, 9.0):
-        finish(node, now, node.step(now, m.Propose(1, b"x")))
+        complete_writes(node, now, node.step(now, m.Propose(1, b"x")))
         stamps.append(node.log.last_stamp())
     assert stamps == pytest.approx([1000.0, 1500.0, 4000.0])
     again = RaftNode(
@@ -115,27 +81,27 @@
         1,
         500.0,
     )
-    finish(again, 505.0, again.step(505.0, m.Tick()))
-    finish(again, 505.5, again.step(505.5, m.Propose(1, b"x")))
+    complete_writes(again, 505.0, again.step(505.0, m.Tick()))
+    complete_writes(again, 505.5, again.step(505.5, m.Propose(1, b"x")))
     assert again.log.last_stamp() == pytest.approx(4500.0)  # while nobody led, it stood
 
 
-def test_a_leader_whose_disk_takes_no_more_hands_over() -> None:
+def test_leader_hands_over_while_its_disk_completes_no_write() -> None:
     """The word to campaign waited for its writes, which never came to an end: nobody else led for 20 s."""
     names = ("a/1", "b/1", "c/1")
     node = RaftNode(
         "a/1", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), RaftConfig(), 1, 0.0
     )
-    finish(node, 5.0, node.step(5.0, m.Tick()))
-    finish(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, True))))
-    finish(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, False))))
+    complete_writes(node, 5.0, node.step(5.0, m.Tick()))
+    complete_writes(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, True))))
+    complete_writes(node, 5.0, node.step(5.0, m.MessageReceived("b/1", m.VoteResponse(1, True, False))))
     assert node.role is Role.LEADER
     node.step(5.1, m.Propose(1, b"x"))  # not written
     node.step(5.2, m.MessageReceived("b/1", m.AppendEntriesResponse(1, True, 2, 1)))
     assert m.Send("b/1", m.TimeoutNow(1)) in node.step(5.3, m.TransferLeadership())
 
 
-def test_nobody_leads_a_term_that_is_not_on_its_own_disk() -> None:
+def test_candidate_does_not_lead_before_its_own_vote_is_durable() -> None:
     """Of five, three others voted: it led, and after a kill late votes could make it lead that term anew,
     with another entry in the same place.
     """
@@ -152,12 +118,12 @@
     assert node.role is Role.LEADER
 
 
-def test_one_that_never_was_a_member_does_not_campaign() -> None:
+def test_replica_without_members_does_not_campaign() -> None:
     node = RaftNode("b/2", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(()), b"")), RaftConfig(), 1, 0.0)
     assert node.step(100.0, m.Tick()) == [] and node.role == "follower" and node.term == 0
 
 
-def test_what_waits_for_a_disk_that_takes_nothing_stays_bounded() -> None:
+def test_responses_held_for_a_stalled_disk_stay_bounded() -> None:
     """A follower whose writes fail for an hour hears a heartbeat five times a second, in each group."""
     stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
     node = RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
@@ -168,12 +134,12 @@
         node.step(0.2 * number, m.MessageReceived("b/1", m.AppendEntries(1, 1, 1, (), 0, number)))
     assert len(node.outbox.held) < 10
     completed = m.WriteCompleted(node.outbox.last_write)
-    outputs = finish(node, 4000.0, node.step(4000.0, completed))
+    outputs = complete_writes(node, 4000.0, node.step(4000.0, completed))
     sent = [one.message for one in outputs if isinstance(one, m.Send)]
     assert m.AppendEntriesResponse(1, True, 1, rounds - 1) in sent
 
 
-def test_one_that_campaigns_without_a_disk_holds_back_a_bounded_number_of_messages() -> None:
+def test_vote_requests_held_for_a_stalled_disk_stay_bounded() -> None:
     stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
     node = RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
     for number in range(5000):
