--- a/mapleshunt/platform_terms.py
+++ b/mapleshunt/platform_terms.py
@@ -1,6 +1,6 @@
-"""The platform's words for settings, states and outcomes, and what they mean to the decisions.
+"""The platform's terms for settings, states and outcomes, translated to those of the decisions.
 
-Every host of the decisions leans on this: the simulator's wire, the sockets, the model and the rig.
+Every host of the decisions uses this: the simulator's wire, the sockets, the simulation and the testbed.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 
 from .policy import Effect, Plan, RequestClass, Settings
 
+# Values of the platform's fields, and of the settings and events of the decisions.
 EFFECTS = {"idempotent": "safe", "deduplicated": "keyed", "at_most_once": "unsafe"}
 STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 LISTS = {"Partial": "partial", "Complete": "complete", "Persisted": "persisted", "Error": "error"}
@@ -25,8 +26,8 @@
 }
 
 
-def settings_of(env: Mapping[str, Any]) -> Settings:
-    """The settings of an `Init`; keys that are not known are ignored."""
+def settings_of(env: Mapping[str, Any]) -> Settings:  # Any: an object of JSON
+    """Return the settings of an `Init`; keys that are not known are ignored."""
     limits, rules, facts = env["PolicyLimits"], env["Invariants"], env["Specifics"]
     classes = {
         c["Name"]: RequestClass(
@@ -78,8 +79,8 @@
     )
 
 
-def wire_of(settings: Settings, **limits: Any) -> dict[str, Any]:
-    """The object that `settings_of` reads, for hosts that hand it out; `limits` go to `PolicyLimits`."""
+def wire_of(settings: Settings, **limits: Any) -> dict[str, Any]:  # Any: values of JSON
+    """Return the object that `settings_of` reads; `limits` go to `PolicyLimits`."""
     effects = {value: key for key, value in EFFECTS.items()}
     return {
         "Me": settings.gateway_index,
--- a/mapleshunt/policy/admission.py
+++ b/mapleshunt/policy/admission.py
@@ -25,7 +25,7 @@
 
 
 class Admission:
-    """Takes in requests."""
+    """Admits requests, or rejects them early."""
 
     __slots__ = (
         "_classes",
--- a/mapleshunt/policy/attempt_results.py
+++ b/mapleshunt/policy/attempt_results.py
@@ -19,7 +19,7 @@
 
 
 class AttemptResults:
-    """Takes in how attempts ended."""
+    """Records how attempts ended."""
 
     __slots__ = (
         "_concurrency",
--- a/mapleshunt/policy/customers.py
+++ b/mapleshunt/policy/customers.py
@@ -34,12 +34,12 @@
         bucket: Its quota, exact at its owner, at most this elsewhere.
         fallback_bucket: Even share of the quota, for when no owner replies.
         ceiling_bucket: Part of the hard ceiling that is this gateway's to use.
-        recent_use: Units used of late: all that an owner knows of, or what it told.
+        recent_use: Units used of late: all that an owner heard of, or what it reported.
         leases: Units that were leased for it.
         quota_owners: Whom to ask: its primary owner, that again, and the backup owner; empty until it is met.
         gateway_set_size: Gateways that its requests are spread over.
-        owner_replied_at: When another gateway last told the bucket's level.
-        demand_ratio: Times its rate that its owner was asked for of late, when it told the bucket empty.
+        owner_replied_at: When another gateway last reported the bucket's level.
+        demand_ratio: Times its rate that its owner was asked for of late, when it reported the bucket empty.
         open_requests: Its requests that are open.
         cost_estimate: Smoothed cost of a request, ms (k in the design note).
         excess: What it was served beyond its turns (s in the design note).
--- a/mapleshunt/policy/gossip.py
+++ b/mapleshunt/policy/gossip.py
@@ -13,7 +13,7 @@
 
 # Part of a gateway's message intake that those who write to it use together: above it messages would be lost.
 INTAKE_PART_USED = 0.95
-# Peers that write to one gateway at full rate; of hundreds most have little to say.
+# Peers that write to one gateway at full rate; of hundreds most have little to send.
 WRITERS_PER_PEER = 3
 # ms of sending at full rate that the send budget saves up.
 SEND_BUDGET_MS = 250
@@ -83,7 +83,7 @@
             self.queue(peer, entry, now)
 
     def publish_health(self, tag: int, ratio: float, now: float) -> None:
-        """Tell all peers an endpoint's latency ratio, or that it is silent, if the send interval allows."""
+        """Send all peers an endpoint's latency ratio, or that it is silent, if the send interval allows."""
         interval = self.send_interval * (self._settings.gateway_count - 1)
         if self._settings.gossip_enabled and now - self._last_broadcast >= interval:
             self._last_broadcast = now
--- a/mapleshunt/policy/gossip_codec.py
+++ b/mapleshunt/policy/gossip_codec.py
@@ -1,7 +1,7 @@
 """The text of gossip between gateways: packed base-64 digits with a checksum.
 
-A message is the sender's latency ratio, the number of entries, the entries, words on endpoints (which the
-protocol calls so), and a checksum. No I/O and no decisions.
+A message is the sender's latency ratio, the number of entries, the entries, latency ratios of endpoints,
+and a checksum. No I/O and no decisions.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 # Digits of an entry, of an endpoint's ratio, and of the message's own ratio, count and checksum.
 ENTRY_DIGITS, ENDPOINT_DIGITS, FRAME_DIGITS = 13, 5, 5
 CHECKSUM_DIGITS = 3
-# Endpoints that a message says something of at most.
+# Endpoints whose latency ratios a message has at most.
 MAX_ENDPOINT_RATIOS = 2
 
 
 class EntryKind(enum.StrEnum):
-    """What an entry says. The order is that of the digits on the wire."""
+    """The kind of an entry. The order is that of the digits on the wire."""
 
     NOTE = "note"  # a member has used units; the owner answers with the level
     ASK = "ask"  # a member asks for units
     GRANTED = "granted"  # an owner grants what was asked for
     DENIED = "denied"  # an owner denies it
-    LEVEL = "level"  # an owner tells the bucket's level
+    LEVEL = "level"  # an owner publishes the bucket's level
     USED = "used"  # a member has used units and wants no answer
 
 
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipEntry:
-    """What a message says of one customer.
+    """An entry of a message, on one customer.
 
     Attributes:
-        kind: What it says.
+        kind: Its kind.
         customer_tag: The customer, by the tag of its name.
         request_number: The request that asks.
         units: Units asked for, or used since the last note (below 0: given back).
@@ -69,7 +69,7 @@
 
     Attributes:
         latency_ratio: The sender's mean latency over the objective.
-        entries: What it says of customers.
+        entries: Its entries on customers.
         endpoint_ratios: Endpoint tags with the latency ratio of an answer, or `SILENT`.
     """
 
--- a/mapleshunt/policy/gossip_receiver.py
+++ b/mapleshunt/policy/gossip_receiver.py
@@ -17,7 +17,7 @@
 
 
 class GossipReceiver:
-    """Hands what peers say to those whom it concerns."""
+    """Hands the entries of messages to the decisions that they concern."""
 
     __slots__ = (
         "_customers",
--- a/mapleshunt/policy/outlier_detection.py
+++ b/mapleshunt/policy/outlier_detection.py
@@ -23,7 +23,7 @@
 # An endpoint's mean latency ratio over the best one of late that earns it a rest.
 SLOW_RATIO_OVER_BEST = 5.0
 # Connections that fail one after the other before an endpoint is ejected: a single one may break though its
-# endpoint lives, and where that dies others break or are refused.
+# endpoint is healthy, and where that crashes others break or are refused.
 MAX_CONNECTION_FAILURES = 1
 # The backoff doubles with each ejection up to this power of two.
 MAX_BACKOFF_EXPONENT = 4
@@ -141,7 +141,7 @@
             self.check_silence(endpoint, now)
 
     def eject(self, endpoint: Endpoint, now: float, publish: bool = True) -> None:
-        """Eject an endpoint and migrate its attempts; tell all peers, or each would pay to find out."""
+        """Eject an endpoint and migrate its attempts; inform all peers, or each would pay to find out."""
         if endpoint.ejected_until > now:
             return
         settings, crash_after = self._settings, self._settings.overload_crash_after
--- a/mapleshunt/policy/owner_selection.py
+++ b/mapleshunt/policy/owner_selection.py
@@ -19,7 +19,7 @@
 def primary_owner_count(plan: Plan, settings: Settings) -> int:
     """Return how many gateways own a part each of a customer's quota.
 
-    One alone could not be told of all the use of a large quota. A ceiling has one owner: several might
+    One alone could not take in all the messages on a large quota. A ceiling has one owner: several might
     exceed it together.
     """
     largest = settings.max_request_units
--- a/mapleshunt/policy/quota.py
+++ b/mapleshunt/policy/quota.py
@@ -10,7 +10,8 @@
 from .gossip_codec import EntryKind, GossipEntry
 from .settings import Settings
 
-# Part of a largest request below which use is told by chance, in this amount: it sums up as well.
+# Part of a largest request below which use is reported by chance, in this amount: the sum is the same on
+# average.
 COARSE_UNITS_PART = 1 / 4
 
 
@@ -24,7 +25,7 @@
         self._coarse_units = settings.max_request_units * COARSE_UNITS_PART
 
     def charge(self, customer: Customer, units: float, now: float) -> None:
-        """Take units (below 0: give back), and tell the customer's owner."""
+        """Take units (below 0: give back), and report them to the customer's owner."""
         if customer.leases.spend(now, units):
             return
         bucket = customer.bucket
@@ -33,18 +34,18 @@
         if not owners or owners[0] == self._settings.gateway_index:
             customer.recent_use.add(now, units)
         elif self._settings.gossip_enabled and customer.plan.rate and units:
-            self._tell_owner(customer, units, now)
+            self._report_to_owner(customer, units, now)
 
     def settle(self, customer: Customer, units: float, cost: float, now: float) -> None:
         """Charge the difference between a request's true cost, if it is known, and what was charged."""
         if cost and self._settings.cost_known_after:
             self.charge(customer, cost - units, now)
 
-    def _tell_owner(self, customer: Customer, units: float, now: float) -> None:
+    def _report_to_owner(self, customer: Customer, units: float, now: float) -> None:
         kind = EntryKind.NOTE
         if customer.gateway_set_size > WRITERS_PER_PEER + 1:
             # Each message would come alone from so many: the owner sends no answer, and small amounts are
-            # told by chance.
+            # reported by chance.
             kind, coarse = EntryKind.USED, self._coarse_units
             if abs(units) < coarse:
                 units = math.copysign(coarse * (self._random.random() * coarse < abs(units)), units)
--- a/mapleshunt/policy/quota_check.py
+++ b/mapleshunt/policy/quota_check.py
@@ -21,19 +21,19 @@
 OVERDUE_REPLY_WAITS = 2.0
 # ms for which an owner that owes a reply is not asked again.
 SILENT_OWNER_MS = 1000.0
-# The others' use that an owner told counts this many times while its reply ages, for bursts.
+# The others' use that an owner reported counts this many times while its reply ages, for bursts.
 STALE_USE_FACTOR = 2.0
-# Part of the rate that the others may use though none was told.
+# Part of the rate that the others may use though none was reported.
 UNTOLD_USE_PART = 0.25
 # Part of a customer's gateways that may decide alike before they hear of each other.
 SIMULTANEOUS_PART = 0.25
-# ms for which an owner's reply holds that a bucket is empty and far more is asked of it.
+# ms for which an owner's reply is relied on that a bucket is empty and far more is demanded of it.
 DEMAND_RATIO_MAX_AGE_MS = 10_000.0
 # One request in 2 to this power at least asks its owner.
 MAX_THINNING = 5
 # Values of a gossip entry's code, of which the plans take one each for each step of thinning.
 ENTRY_CODES = 63
-# Part of requests that owners are taken to grant, before any reply.
+# Part of requests that owners are expected to grant, before any reply.
 INITIAL_GRANTED_PART = 0.5
 # A reply is first expected within this part of the shortest mean latency of a class.
 INITIAL_REPLY_WAIT_PART = 3
@@ -129,7 +129,7 @@
         return 0 < limit < customer.open_requests * max(1, min(customer.gateway_set_size, limit))
 
     def _certain_units(self, customer: Customer, view: float, now: float) -> float:
-        """Return the units that the bucket holds for sure, whatever the others took since the last reply."""
+        """Return the units that the bucket has for sure, whatever the others used since the last reply."""
         recent, rate = customer.recent_use, customer.bucket.rate
         use_rate = STALE_USE_FACTOR * recent.value / recent.time_constant + UNTOLD_USE_PART * rate
         age = now - customer.owner_replied_at + self._gossip.send_interval
@@ -137,7 +137,7 @@
         return (view - use_rate * age) / simultaneous
 
     def _thinning(self, customer: Customer, now: float) -> int:
-        """Return the power of two that one of as many requests asks the owner: once to twice its rate."""
+        """Return n if one request in 2^n asks the owner, which is asked for one to two times the rate."""
         fresh = now - customer.owner_replied_at < DEMAND_RATIO_MAX_AGE_MS
         ratio = max(1.0, customer.demand_ratio) if fresh else 1.0
         most = ENTRY_CODES // len(self._settings.plans) - 1
@@ -188,7 +188,7 @@
         return request.owners_asked
 
     def is_silent(self, owner: int, now: float) -> bool:
-        """Return whether an owner has owed a reply for longer than one takes; now and then it is not."""
+        """Return whether an owner has owed a reply for longer than usual; after a while it is asked again."""
         silent_for = now - self.silent_since.get(owner, now)
         if silent_for > SILENT_OWNER_MS:
             del self.silent_since[owner]
--- a/mapleshunt/policy/quota_owner.py
+++ b/mapleshunt/policy/quota_owner.py
@@ -28,7 +28,7 @@
         self.granted_units: dict[tuple[int, int, int], float] = {}
 
     def grant_as_owner(self, peer: int, entry: GossipEntry, now: float) -> None:
-        """Take the use that a member tells, grant what the bucket holds, and reply."""
+        """Take in a member's use, or grant what it asks for as far as the bucket suffices, and reply."""
         plans = len(self._customers.plan_names)
         code, weight = entry.code % plans, 1 << min(MAX_THINNING, entry.code // plans)
         customer = self._customers.get_or_add(entry.customer_tag, code, now)
@@ -38,7 +38,7 @@
             # What passes an empty bucket is beyond the quota and takes nothing.
             level = max(level - entry.units, min(level, 0.0))
             customer.recent_use.add(now, entry.units)
-        # After a restart members know better.
+        # After a restart members have the truer view.
         bucket.level = level = min(level, entry.bucket_left * burst)
         if entry.kind == EntryKind.ASK:
             kind = self._grant(customer, peer, entry, level, weight, now)
--- a/mapleshunt/policy/retry.py
+++ b/mapleshunt/policy/retry.py
@@ -103,7 +103,7 @@
         return len(self._waiting)
 
     def keep_waiting_or_end(self, request: PendingRequest, now: float) -> None:
-        """Let a retry for which there is no slot wait on; its idempotency window may have ended meanwhile."""
+        """Queue a retry again for which there is no slot, or end it if its window has ended meanwhile."""
         may_send = self.permission(request, now).endpoint_filter is not None
         if not may_send and not request.has_attempt_in_flight():
             self.reject_or_fail(request, now)
--- a/mapleshunt/policy/scheduler.py
+++ b/mapleshunt/policy/scheduler.py
@@ -33,7 +33,7 @@
         return len(self._ring)
 
     def enqueue(self, request: PendingRequest) -> None:
-        """Let an admitted request wait for a slot."""
+        """Queue an admitted request until a slot is free."""
         customer = request.customer
         self.queued += 1
         customer.queue.append(request)
