--- a/mapleshunt/replication/node.py
+++ b/mapleshunt/replication/node.py
@@ -125,12 +125,12 @@
         """
         self.outbox.begin_step()
         match event:
+            case MessageReceived():
+                self._on_message(now, event.sender, event.message)
+            case WriteCompleted():
+                self._on_write_completed(now, event.number)
             case Tick():
                 pass
-            case WriteCompleted(number):
-                self._on_write_completed(now, number)
-            case MessageReceived(sender, message):
-                self._on_message(now, sender, message)
             case SnapshotCreated(index, data):
                 self._on_snapshot_created(index, data)
             case TransferLeadership(to):
@@ -168,26 +168,27 @@
 
     def _on_message(self, now: float, sender: Replica, message: Message) -> None:
         match message:
+            case AppendEntries():
+                self.follower.on_append_entries(now, sender, message)
+            case AppendEntriesResponse() | SnapshotChunkAck():
+                self._on_follower_answer(now, sender, message)
             case VoteRequest():
                 self.election.on_vote_request(now, sender, message)
             case VoteResponse():
                 self.election.on_vote_response(now, sender, message)
-            case AppendEntries():
-                self.follower.on_append_entries(now, sender, message)
             case SnapshotChunk():
                 self.follower.on_snapshot_chunk(now, sender, message)
             case TimeoutNow(term):
                 if term == self.term and self.role is Role.FOLLOWER and sender == self.leader:
                     self.election.campaign(now, leadership_transfer=True)
-            case AppendEntriesResponse() | SnapshotChunkAck():
-                self._on_follower_answer(now, sender, message)
 
     def _on_follower_answer(
         self, now: float, sender: Replica, message: AppendEntriesResponse | SnapshotChunkAck
     ) -> None:
-        if message.term > self.term:
+        term = self.election.term
+        if message.term > term:
             self.election.follow(message.term, "", RoleChangeReason.HIGHER_TERM)
-        elif self.leadership is None or message.term != self.term:
+        elif self.leadership is None or message.term != term:
             return
         elif isinstance(message, AppendEntriesResponse):
             self.leadership.on_append_response(now, sender, message)
--- a/mapleshunt/replication/progress.py
+++ b/mapleshunt/replication/progress.py
@@ -82,7 +82,7 @@
     def quorum_value(self, value_of: Callable[[Replica], T]) -> T:
         """The highest value that a majority of the voters has reached."""
         members = self.log.members
-        return sorted((value_of(voter) for voter in members.voters), reverse=True)[members.majority() - 1]
+        return sorted([value_of(voter) for voter in members.voters], reverse=True)[members.majority() - 1]
 
     def quorum_index(self) -> int:
         """The index up to which a majority's durable logs agree."""
