--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -1,4 +1,8 @@
-"""Dispatch: send one attempt to one endpoint, and tell exactly how it ended."""
+"""Dispatch: send one attempt to one endpoint, and report exactly how it ended.
+
+Whether an attempt may have run decides if it may be retried: it may have, once its last byte was written. Before
+that it never ran, whatever broke or was cancelled.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +12,13 @@
 from ..reasons import AttemptStatus
 from ..upstream.connection import UpstreamConnection
 from ..upstream.endpoint_group import EndpointGroup
-from ..upstream.errors import ConnectionLostError, DialError, NoConnectionAvailableError
+from ..upstream.errors import ConnectionLostError, DialError, UpstreamError
 from .context import Attempt, RequestContext
 
-# Called right before the first byte is written, with the timeout in ms that the endpoint is told.
+# Called right before the first byte is written, with the timeout in ms that the endpoint gets.
 BeforeWrite = Callable[[RequestContext, Attempt, UpstreamConnection, float], None]
 
-MIN_TIMEOUT_MS = 1  # an endpoint is told whole ms: with less left there is nothing to tell
+MIN_TIMEOUT_MS = 1  # an endpoint gets whole ms: with less left it would have no time at all
 # Part of the time left in which a reply that has begun must be complete: the rest is left for a retry.
 REPLY_TIME_PART = 0.5
 
@@ -30,27 +34,17 @@
     now: Callable[[], float],
     before_write: BeforeWrite = _check_nothing,
 ) -> AttemptResult:
-    """Send the attempt and wait for its reply.
-
-    The endpoint is told for how long the gateway waits once it is connected, since dialling takes time.
-    Whether an attempt may have run decides if it may be retried: it may have, once its last byte was
-    written. Before that it never ran, whatever broke or was cancelled.
-
-    Cancelling this coroutine leaves the connection open; `Attempt.cancel` closes it and ends the wait.
+    """Send the attempt and wait for its reply. `now` is the driver's clock, in ms.
 
-    Args:
-        context: the request.
-        attempt: its attempt, which gets the connection.
-        group: the endpoints and the connections to them.
-        now: the driver's clock, in ms.
-        before_write: called before the first byte is written.
+    The endpoint is told the timeout that is left once it is connected, since dialling takes time. Cancelling this
+    coroutine leaves the connection open; `Attempt.cancel` closes it and ends the wait.
     """
 
     def may_send() -> bool:
         """Check once more before bytes go out.
 
-        A dial takes time, and so does a turn of the loop: since the decision the client may have
-        disconnected, the endpoint drained, the window for retries or the deadline passed.
+        A dial takes time, and so does a turn of the loop: since the decision the client may have disconnected,
+        the endpoint drained, the window for retries or the deadline passed.
         """
         time = now()
         is_wanted = context.awaiting_response and attempt.cancel_status is None
@@ -76,23 +70,17 @@
             lambda: group.counters.add_for_class("upstream_requests", context.request.request_class),
             timeout_ms * REPLY_TIME_PART / 1000,
         )
-    except NoConnectionAvailableError:
-        return AttemptResult(AttemptStatus.UNSENT)
-    except DialError as error:
-        return AttemptResult(_status_after_dial(attempt, error))
-    except ConnectionLostError as error:
-        return AttemptResult(_status_after_loss(attempt, error))
+    except UpstreamError as error:
+        return AttemptResult(_status_after(attempt, error))
     group.release(connection)
     return result
 
 
-def _status_after_dial(attempt: Attempt, error: DialError) -> AttemptStatus:
-    if error.is_local or attempt.cancel_status is not None:
-        return AttemptStatus.UNSENT
-    return AttemptStatus.UNREACHABLE
-
-
-def _status_after_loss(attempt: Attempt, error: ConnectionLostError) -> AttemptStatus:
-    if attempt.cancel_status is not None:
-        return attempt.cancel_status if error.was_written else AttemptStatus.UNSENT
-    return AttemptStatus.RESET if error.was_written else AttemptStatus.UNREACHABLE
+def _status_after(attempt: Attempt, error: UpstreamError) -> AttemptStatus:
+    """Return how an attempt ended that met this error."""
+    is_cancelled = attempt.cancel_status is not None
+    if isinstance(error, ConnectionLostError) and error.was_written:
+        return attempt.cancel_status or AttemptStatus.RESET
+    if isinstance(error, ConnectionLostError) or (isinstance(error, DialError) and not error.is_local):
+        return AttemptStatus.UNSENT if is_cancelled else AttemptStatus.UNREACHABLE
+    return AttemptStatus.UNSENT
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -1,4 +1,4 @@
-"""Moments that take a whole process: what a list, clients and signals do to it between two of its steps."""
+"""Races that need a process of its own: what lists, clients and signals do to it between two of its steps."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 @contextlib.contextmanager
-def descriptors(most: int) -> Iterator[None]:
-    """What is started meanwhile may hold so many, and is not told of it."""
+def descriptors(limit: int) -> Iterator[None]:
+    """Let what is started meanwhile hold so many, whatever its configuration says."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
     try:
         yield
     finally:
@@ -57,7 +57,7 @@
 
 
 def test_discovery_resumes_while_idle_clients_fill_descriptors() -> None:
-    """The configuration tells of more descriptors than there are: only what the system allows binds."""
+    """The configuration names more descriptors than there are: what the system allows is the limit."""
     discovery = free_port()
     with descriptors(96):
         process, port = started(discovery)
@@ -65,7 +65,7 @@
     try:
         for _ in range(150):  # some wait in the kernel's queue
             idle.append(socket.create_connection(("127.0.0.1", port), timeout=20))
-            idle[-1].sendall(PING)  # they ask once and rest
+            idle[-1].sendall(PING)  # they send one command and are idle
         logged(process, "discovery_ended")  # it goes on calling
         toy = run("-m", "examples.toy_server", str(discovery))
         try:
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("first", [signal.SIGHUP, signal.SIGTERM])
 def test_signals_at_once_leave_no_request_unanswered(first: signal.Signals) -> None:
-    """A request is out when a new configuration and the end are told, in either order, before it is read."""
+    """A request is in flight when SIGHUP and SIGTERM come, in either order, before it is read."""
     toy = run("-m", "examples.toy_server", "0")
     assert toy.stdout is not None
     discovery = int(toy.stdout.readline().rsplit(":", 1)[1])
@@ -114,8 +114,9 @@
             one.communicate()
 
 
-def came(listener: socket.socket, number: int, held: list[socket.socket]) -> dict[bytes, bytes]:
-    """What a try at that request says of itself, at a till server that takes commands and answers nothing.
+def attempt_pairs(listener: socket.socket, number: int, held: list[socket.socket]) -> dict[bytes, bytes]:
+    """Return the pairs of the attempt at that request, at an endpoint that reads commands and never replies.
+
     Its connections stay open for as long as they are `held`.
     """
     while True:
@@ -128,26 +129,27 @@
 
 
 def test_late_request_is_answered_before_sigkill_may_come(tmp_path: Path) -> None:
-    """SIGKILL may come 0.7 s past the longest deadline, 2 s here, after SIGTERM. What came more than 0.7 s
-    after that and hung at its till server had its answer too late.
+    """SIGKILL may come 0.7 s past the longest deadline, 2 s here, after SIGTERM.
+
+    What came more than 0.7 s after that and hung at its endpoint had its response too late.
     """
-    with socket.create_server(("127.0.0.1", 0)) as till:
-        till.settimeout(20)
+    with socket.create_server(("127.0.0.1", 0)) as endpoint:
+        endpoint.settimeout(20)
         held = list[socket.socket]()
-        member = {"id": "hangs", "host_port": f"127.0.0.1:{till.getsockname()[1]}", "phase": "Ready"}
+        member = {"id": "hangs", "host_port": f"127.0.0.1:{endpoint.getsockname()[1]}", "phase": "Ready"}
         known = {"revision": 1, "complete": True, "members": [member]}
         (tmp_path / "config.json").write_text(json.dumps({**json.loads(EXAMPLE.read_text()), "known": known}))
         process, port = started(1, PROXY_CONFIG=str(tmp_path / "config.json"))
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=20) as client:
                 client.sendall(query(1, ONE.replace(b"d=5000", b"d=2000")))
-                came(till, 1, held)  # it hangs
+                attempt_pairs(endpoint, 1, held)  # it hangs
                 process.send_signal(signal.SIGTERM)
                 logged(process, "stopping")
                 time.sleep(0.9)  # the connection stays open, for an answer is owed on it
                 client.sendall(query(2, ONE.replace(b"d=5000", b"d=2000")))
-                # It is told to wait until 0.2 s before that, however late this machine is.
-                assert float(came(till, 2, held)[b"d"]) <= 2500 - 900
+                # Its timeout ends 0.2 s before that, however late this machine is.
+                assert float(attempt_pairs(endpoint, 2, held)[b"d"]) <= 2500 - 900
                 assert len(replies(client, 2)) == 2
             process.communicate(timeout=30)
             assert process.returncode == 0
@@ -159,9 +161,9 @@
 
 
 def test_sighup_at_any_step_of_start_is_applied(tmp_path: Path) -> None:
-    """Until the loop had it, it ended the program. It is started as the deploy file says."""
+    """Until the loop handled the signal, it ended the program. The start is that of the deploy file."""
     config, text = tmp_path / "config", EXAMPLE.read_text()
-    os.mkfifo(config)  # who reads it waits for what is written: each step is held until the test goes on
+    os.mkfifo(config)  # a reader waits for what is written: each step waits until the test goes on
     words = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     env = {**os.environ, "PROXY_CONFIG": str(config), "PROXY_LISTEN": f"127.0.0.1:{free_port()}"}
     process = subprocess.Popen(
@@ -171,7 +173,7 @@
 
     @contextlib.contextmanager
     def read() -> Iterator[TextIO]:
-        """It has come to read its configuration."""
+        """Wait until the process reads its configuration."""
         end = time.monotonic() + LONG
         while True:
             assert process.poll() is None and time.monotonic() < end
