--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -11,7 +11,7 @@
 import socket
 import tempfile
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -160,9 +160,9 @@
 
     def _hot_restart_tick(self) -> None:
         assert self.takeover is not None
-        self.takeover.tend(self.lifecycle.is_serving())
+        self.takeover.tick(self.lifecycle.is_serving())
         self.gossip.retry_open(self.reloader.config)
-        processes = 1 + self.takeover.together
+        processes = 1 + self.takeover.has_sibling
         if processes != self.clients.budget.processes:
             self.clients.budget.divide(processes)
 
@@ -188,23 +188,22 @@
             return
         try:
             from ..extensions import Extensions
-            from ..net.maintenance import GatewayControls
+            from ..net.maintenance.controls import GatewayControls, Occupancy
 
             controls = GatewayControls(
                 lambda: self.controller.drain(DrainRequester.MAINTENANCE),
                 lambda: self.controller.resume(DrainRequester.MAINTENANCE),
-                self._occupancy,
+                lambda: Occupancy(
+                    len(self.driver.open_requests),
+                    len(self.connections.connections),
+                    not self.lifecycle.is_serving(),
+                ),
                 self._load,
             )
             self.extensions = Extensions(self.reloader.config, self.driver, self.counters, controls)
         except ModuleNotFoundError as error:
             raise ConfigError(f"the operators' settings need the extra 'tools' ({error})") from None
 
-    def _occupancy(self) -> tuple[int, int, bool]:
-        """Return the open requests, the client connections, and whether clients are sent elsewhere."""
-        open_requests = len(self.driver.open_requests)
-        return open_requests, len(self.connections.connections), not self.lifecycle.is_serving()
-
     def _load(self) -> float:
         """Return the fraction of this gateway's concurrency limit that attempts in flight use."""
         now = self.driver.gateway.figures(self.driver.now())
@@ -237,7 +236,7 @@
         self.lifecycle.start_serving()
         self.counters.trace.add("process", "listening")
         if self.takeover is not None:
-            self.takeover.ready()
+            self.takeover.announce_serving()
         self.controller.update_timer()
         if self.admin is not None:
             self.admin.open()
@@ -255,20 +254,19 @@
 
         Load balancers learn late that the gateway stops. Cancelling it leaves connections open.
         """
-        has_successor = self.takeover is not None and self.takeover.succeeded()
+        has_successor = self.takeover is not None and self.takeover.has_successor()
         classes = self.reloader.config.settings.classes.values()
         longest_deadline_s = max((cls.deadline for cls in classes), default=0.0) / 1000
         self.lifecycle.stop(_now(), has_successor)
         self.connections.final_deadline = self.lifecycle.last_response_at(longest_deadline_s)
         self.counters.trace.add("process", "stopping")
         log.log_event("stopping", open=len(self.driver.open_requests), succeeded=has_successor)
-        while self.lifecycle.accepts_connections(_now()):
-            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+        await _poll_until(lambda: not self.lifecycle.accepts_connections(_now()))
         self.controller.tick_contained()
         # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
         # it to a process that comes late. The places of those that rested are free now. Where another process
         # accepts from the same socket, that takes the rest.
-        if self.takeover is None or not self.takeover.together:
+        if self.takeover is None or not self.takeover.has_sibling:
             await self.clients.accept_backlog()
         self.clients.close_listeners()
         self.controller.update_timer()
@@ -278,8 +276,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 # Both change on the hot path, where setting an event would cost every request.
-                while self.connections.connections or self.driver.open_requests:
-                    await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+                await _poll_until(lambda: not (self.connections.connections or self.driver.open_requests))
         except TimeoutError:  # a client that does not read must not hold up the restart
             left = len(self.connections.connections)
             log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
@@ -301,9 +298,9 @@
 def _reserved_descriptors(config: Config) -> int:
     if config.admin_address is None:
         return RESERVED_DESCRIPTORS
-    from ..net.admin.endpoint import DESCRIPTORS
+    from ..net.admin.endpoint import MAX_DESCRIPTORS
 
-    return RESERVED_DESCRIPTORS + DESCRIPTORS
+    return RESERVED_DESCRIPTORS + MAX_DESCRIPTORS
 
 
 def _client_listener(config: Config) -> socket.socket:
@@ -317,5 +314,13 @@
     return listener
 
 
+async def _poll_until(condition: Callable[[], bool]) -> None:
+    """Wait for what changes with the clock, or on the hot path, where an event would cost every request."""
+    while True:
+        if condition():
+            return
+        await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+
+
 def _now() -> float:
     return asyncio.get_running_loop().time()
