--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -34,17 +34,17 @@
 
 
 def test_client_close_reasons_are_those_of_the_page() -> None:
-    named = first_cells("Reasons of a client connection's end")
+    named = first_cells("Why a client connection was closed")
     assert sorted(named) == sorted(ClientCloseReason)
 
 
 def test_upstream_close_reasons_are_those_of_the_page() -> None:
-    named = first_cells("Reasons of a till-server connection's end")
+    named = first_cells("Why a connection to an endpoint was closed")
     assert sorted(named) == sorted(UpstreamCloseReason)
 
 
 def test_discovery_end_reasons_are_those_of_the_page() -> None:
-    named = first_cells("Reasons of the end of a call to discovery")
+    named = first_cells("Why a call to discovery ended")
     words = [
         f"{reason}_CODE" if reason is DiscoveryEndReason.HTTP_STATUS else reason
         for reason in DiscoveryEndReason
