--- a/mapleshunt/fleet/parameters.py
+++ b/mapleshunt/fleet/parameters.py
@@ -220,7 +220,7 @@
     """
     for name, value in changes.items():
         if name not in PARAMETER_RANGES:
-            raise ParameterError(f"{name!r} is no figure of the world")
+            raise ParameterError(f"{name!r} is no parameter of the fleet")
         if not isinstance(value, (int, float)) or not np.isfinite(value) or value < 0:
             raise ParameterError(f"{name} must be a number of 0 or more, not {value!r}")
 
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -83,7 +83,7 @@
     known = {one.name for one in fields(policy.Settings)}
     if key.startswith("world."):
         if key[6:] not in figures.PARAMETER_RANGES:
-            raise VariantError(f"{key!r} is no figure of the world")
+            raise VariantError(f"{key!r} is no parameter of the fleet")
     elif key.startswith("plan."):
         parts = key.split(".")
         if len(parts) != 3 or parts[1] not in figures.PLAN_RANGES or parts[2] not in PLAN_PARTS:
--- a/tests/test_world.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The world's machines by themselves: till servers, counter, network, discovery, clients."""
+"""The state machines of `mapleshunt.fleet` by themselves: backends, counter, network, discovery, clients."""
 
 from __future__ import annotations
 
@@ -10,8 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from mapleshunt.fleet import clients
-from mapleshunt.fleet import parameters as figures
+from mapleshunt.fleet import clients, parameters
 from mapleshunt.fleet.backend import Backend, BackendRequest, IdempotencyStore
 from mapleshunt.fleet.counter import SharedCounter
 from mapleshunt.fleet.discovery import Discovery, EndpointEntry
@@ -26,14 +25,14 @@
 }  # fmt: skip
 
 
-def world(**fixed: float) -> figures.Parameters:
-    return figures.draw_parameters(RandomStreams(1).generator("figures"), {**STEADY, **fixed})
+def draw_fleet(**fixed: float) -> parameters.Parameters:
+    return parameters.draw_parameters(RandomStreams(1).generator("figures"), {**STEADY, **fixed})
 
 
-def till(**fixed: float) -> Backend:
+def new_backend(**fixed: float) -> Backend:
     return Backend(
         0,
-        world(**fixed),
+        draw_fleet(**fixed),
         1.0,
         0,
         IdempotencyStore(4000.0),
@@ -41,8 +40,8 @@
     )
 
 
-def drain(server: Backend, until: float = math.inf) -> list[tuple[float, BackendRequest]]:
-    """Run a server on its own; when each attempt ended."""
+def run_alone(server: Backend, until: float = math.inf) -> list[tuple[float, BackendRequest]]:
+    """Run a backend on its own; return when each request finished."""
     ended = []
     while server.next_event_at <= until and server.next_event_at < math.inf:
         at = server.next_event_at
@@ -50,53 +49,58 @@
     return ended
 
 
-def test_cores_are_shared_evenly_by_what_is_in_work() -> None:
-    server = till()
+def test_running_requests_share_the_cores_evenly() -> None:
+    server = new_backend()
     works = [BackendRequest(n, 100.0) for n in range(4)]  # 4 slots, 2 cores: each has half a core
     for work in works:
         assert server.offer(0.0, work) == (None, [])
-    assert [(round(at), work.token) for at, work in drain(server)] == [(200, 0), (200, 1), (200, 2), (200, 3)]
+    assert [(round(at), work.token) for at, work in run_alone(server)] == [
+        (200, 0),
+        (200, 1),
+        (200, 2),
+        (200, 3),
+    ]
 
 
-def test_the_waiting_room_is_bounded_and_full_is_never_run() -> None:
-    server = till()
+def test_request_beyond_the_queue_limit_is_rejected_and_never_runs() -> None:
+    server = new_backend()
     words = [server.offer(0.0, BackendRequest(n, 100.0))[0] for n in range(10)]
     assert words == [None] * 8 + ["full"] * 2  # 4 in work, 4 wait
-    assert len(drain(server)) == 8
+    assert len(run_alone(server)) == 8
 
 
-def test_holding_too_many_costs_efficiency() -> None:
-    calm, pressed = till(thrash=0.0), till(thrash=0.2, thrash_at=1.0)
+def test_too_many_requests_in_flight_lower_the_work_rate() -> None:
+    calm, pressed = new_backend(thrash=0.0), new_backend(thrash=0.2, thrash_at=1.0)
     for n in range(8):
         calm.offer(0.0, BackendRequest(n, 100.0))
         pressed.offer(0.0, BackendRequest(n, 100.0))
-    assert drain(pressed)[-1][0] > 1.2 * drain(calm)[-1][0]
+    assert run_alone(pressed)[-1][0] > 1.2 * run_alone(calm)[-1][0]
 
 
-def test_cancelled_waiting_work_is_dropped_only_where_the_day_says_so() -> None:
+def test_cancelled_queued_request_is_dropped_only_if_parameters_say_so() -> None:
     for drops, runs in ((1.0, 7), (0.0, 8)):
-        server = till(drops_cancelled=drops)
+        server = new_backend(drops_cancelled=drops)
         works = [BackendRequest(n, 100.0) for n in range(8)]
         for work in works:
             server.offer(0.0, work)
         server.cancel(works[7])
-        assert len(drain(server)) == runs
+        assert len(run_alone(server)) == runs
 
 
-def test_a_cell_drops_a_repeat_within_the_window_and_not_after() -> None:
-    server = till()
+def test_repeated_idempotency_key_takes_effect_again_only_after_the_window() -> None:
+    server = new_backend()
     ran = []
     for at in (0.0, 1000.0, 6000.0):
         work = BackendRequest(at, 50.0, idempotency_key="sale")
         server.offer(at, work)
-        drain(server)
+        run_alone(server)
         ran.append(work.took_effect)
     assert ran == [True, False, True]
 
 
 @pytest.mark.parametrize("by_work", [0.0, 1.0])
-def test_a_cold_server_starts_at_its_share_and_is_warm_in_time(by_work: float) -> None:
-    server = till(warm_by_work=by_work)
+def test_warming_backend_starts_at_its_share_and_reaches_full_capacity(by_work: float) -> None:
+    server = new_backend(warm_by_work=by_work)
     server.crash(0.0)
     server.start(1000.0)
     assert server.capacity_share(1000.0) == 0.25
@@ -106,13 +110,13 @@
         server.overload_multiple = 100.0
         for n in range(4):
             server.offer(1000.0, BackendRequest(n, 4000.0))
-        drain(server, 6000.0)
+        run_alone(server, 6000.0)
         assert server.capacity_share(6000.0) > 0.625
 
 
-def test_a_cold_server_sent_too_much_falls_over_and_stays_down() -> None:
+def test_warming_backend_collapses_for_good_when_overloaded() -> None:
     # 2 cores at a quarter do 500 ms a second; four times that, and a tenth for chance, is 2200 ms of work.
-    server = till()
+    server = new_backend()
     server.crash(0.0)
     server.start(1000.0)
     sent = 0
@@ -123,8 +127,8 @@
     assert server.offer(3000.0, BackendRequest("late", 1.0))[0] == "full"
 
 
-def test_it_is_no_fault_of_gateways_that_did_not_know_of_its_start() -> None:
-    server = till()
+def test_collapse_is_not_avoidable_when_gateways_did_not_know_of_the_start() -> None:
+    server = new_backend()
     server.crash(0.0)
     server.start(1000.0)
     for n in range(40):
@@ -132,8 +136,8 @@
     assert server.collapsed and not server.collapse_was_avoidable
 
 
-def test_reports_are_refreshed_now_and_then_and_come_late() -> None:
-    server = till(report_period_ms=200, report_delay_ms=100, report_noise=0)
+def test_load_reports_are_refreshed_periodically_and_arrive_late() -> None:
+    server = new_backend(report_period_ms=200, report_delay_ms=100, report_noise=0)
     server.offer(0.0, BackendRequest(0, 1000.0))
     assert server.load_report(250.0).inflight == 0
     assert server.load_report(351.0).inflight == 1
@@ -141,12 +145,12 @@
     assert server.load_report(360.0).inflight == 1
 
 
-class TillMachine(RuleBasedStateMachine):
+class BackendMachine(RuleBasedStateMachine):
     """Random offers, cancels, crashes and time against what can be counted from outside."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.server, self.now, self.sent = till(thrash=0.1), 0.0, 0
+        self.server, self.now, self.sent = new_backend(thrash=0.1), 0.0, 0
         self.held: dict[object, BackendRequest] = {}
         self.work = 0.0
         self.begun = 0.0
@@ -199,12 +203,14 @@
         assert (self.server.next_event_at < math.inf) == (self.server.running_count > 0)
 
 
-TestTillMachine = TillMachine.TestCase
-TestTillMachine.settings = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None)
+TestBackendMachine = BackendMachine.TestCase
+TestBackendMachine.settings = settings(
+    derandomize=True, max_examples=60, stateful_step_count=40, deadline=None
+)
 
 
-def test_the_counter_serves_in_turn_turns_away_and_comes_back_empty() -> None:
-    counter = SharedCounter(world(counter_per_s=100, counter_ms=1, counter_wait_ms=80, counter_line=0.5))
+def test_counter_serves_in_turn_rejects_beyond_its_queue_and_restarts_empty() -> None:
+    counter = SharedCounter(draw_fleet(counter_per_s=100, counter_ms=1, counter_wait_ms=80, counter_line=0.5))
     answers = [counter.call(0.0, 7, 1.0, 5000.0) for _ in range(8)]
     assert [word for word, _, _ in answers] == ["ok"] * 5 + ["full"] * 3  # a line of 40 ms
     assert [round(at) for _, at, _ in answers[:3]] == [11, 21, 31]
@@ -226,15 +232,15 @@
     assert counter.call(6400.0, 7, 0.0, 5000.0)[2] == 0.0
 
 
-def test_the_counter_forgets_names_it_no_longer_needs() -> None:
-    counter = SharedCounter(world(counter_per_s=1e6, counter_ms=0.01))
+def test_counter_removes_expired_values() -> None:
+    counter = SharedCounter(draw_fleet(counter_per_s=1e6, counter_ms=0.01))
     for name in range(20000):
         counter.call(float(name), name, 1.0, 10.0)
     assert len(counter.partitions[0]) <= 4096
 
 
-def test_messages_are_lost_and_not_all_taken_in() -> None:
-    network = Network(world(peer_loss=0.25, peer_ms=10), RandomStreams(3))
+def test_peer_messages_are_lost_and_rate_limited() -> None:
+    network = Network(draw_fleet(peer_loss=0.25, peer_ms=10), RandomStreams(3))
     delays = [network.peer_message_delay(0, 1) for _ in range(4000)]
     lost = sum(one is None for one in delays) / len(delays)
     assert abs(lost - 0.25) < 0.03  # four standard errors
@@ -247,9 +253,9 @@
     )  # 2 s at 200 a second, 10 at once
 
 
-def test_news_reaches_each_gateway_late_and_in_order() -> None:
+def test_endpoint_changes_reach_each_gateway_late_and_in_order() -> None:
     discovery = Discovery(
-        world(notice_ms=2000, add_ms=300, silent_notice_ms=9000), RandomStreams(1).generator("discovery")
+        draw_fleet(notice_ms=2000, add_ms=300, silent_notice_ms=9000), RandomStreams(1).generator("discovery")
     )
     gone = discovery.apply_change(0.0, EndpointEntry(1, 0, "gone"), 3)
     back = discovery.apply_change(100.0, EndpointEntry(1, 0, "ready", 100.0), 3)
@@ -261,21 +267,21 @@
     )
 
 
-def test_a_fixed_figure_moves_no_other() -> None:
-    free = figures.draw_parameters(RandomStreams(5).generator("figures"))
-    fixed = figures.draw_parameters(RandomStreams(5).generator("figures"), {"speed": 0.5})
+def test_fixed_parameter_changes_no_other_draw() -> None:
+    free = parameters.draw_parameters(RandomStreams(5).generator("figures"))
+    fixed = parameters.draw_parameters(RandomStreams(5).generator("figures"), {"speed": 0.5})
     assert fixed["speed"] == 0.5
     assert {k: v for k, v in free.values.items() if k != "speed"} == {
         k: v for k, v in fixed.values.items() if k != "speed"
     }
     assert free.classes == fixed.classes and free.plans == fixed.plans
-    assert "event_ms" in figures.guessed_parameters() and "speed" not in figures.guessed_parameters()
-    with pytest.raises(figures.ParameterError):
-        figures.draw_parameters(RandomStreams(5).generator("figures"), {"spede": 1.0})
+    assert "event_ms" in parameters.guessed_parameters() and "speed" not in parameters.guessed_parameters()
+    with pytest.raises(parameters.ParameterError):
+        parameters.draw_parameters(RandomStreams(5).generator("figures"), {"spede": 1.0})
 
 
-def test_traffic_has_the_load_asked_for_and_a_burst_multiplies_one_plan() -> None:
-    drawn = world()
+def test_traffic_has_the_requested_load_and_a_burst_multiplies_one_plan() -> None:
+    drawn = draw_fleet()
     calm = clients.draw_traffic(drawn, 3, 400.0, 60000.0, (), RandomStreams(9))
     inside = 0.0
     stores: dict[int, TokenBucket] = {}
@@ -304,8 +310,8 @@
     assert 0.9 < count(burst, "basic") / count(calm, "basic") < 1.1
 
 
-def test_requests_stay_in_the_set_and_avoid_gateways_seen_down() -> None:
-    drawn = world()
+def test_requests_stay_in_the_gateway_set_and_avoid_gateways_marked_down() -> None:
+    drawn = draw_fleet()
     traffic = clients.draw_traffic(drawn, 5, 300.0, 20000.0, (), RandomStreams(2))
     for ask in traffic.requests[:500]:
         who = traffic.customers[ask.customer]
@@ -316,8 +322,8 @@
         assert other in members and (other != chosen or who.gateway_set_size == 1)
 
 
-def test_clients_repeat_by_effect_and_heed_the_advice_they_are_given() -> None:
-    habits = clients.ClientBehaviour(world(retries=2, backoff_ms=100, honour=0.5), 500.0)
+def test_clients_retry_by_idempotency_and_respect_retry_after() -> None:
+    habits = clients.ClientBehaviour(draw_fleet(retries=2, backoff_ms=100, honour=0.5), 500.0)
     ask = clients.ClientRequest(0, 0, 0, 1, 1, 1, 0.5, 1, 0.4, 12)
     assert habits.retry_delay(ask, 1, "served", 0, True) is None
     assert habits.retry_delay(ask, 1, "failed", 0, False) is None
@@ -330,7 +336,7 @@
     assert (habits.retry_delay(ask, 1, "refused", 400, True) or 0) < 200
 
 
-def test_a_roll_restarts_each_gateway_once() -> None:
+def test_rolling_restart_restarts_each_gateway_once() -> None:
     faults = rolling_restart(RandomStreams(1).generator("x"), 10, 1000, 10000, 0.8, 0.2, 500)
     who = [number for fault in faults for number in fault.targets]
     assert len(who) == len(set(who)) == 8 and len(faults) == 4
@@ -338,7 +344,7 @@
 
 @settings(derandomize=True, max_examples=50, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 500), st.floats(0.5, 8), st.floats(-4, 8)), max_size=60))
-def test_a_store_never_grants_more_than_rate_and_burst(steps: list[tuple[float, float, float]]) -> None:
+def test_token_bucket_never_grants_more_than_rate_and_burst(steps: list[tuple[float, float, float]]) -> None:
     store, now, granted = TokenBucket(10.0, 20.0), 0.0, 0.0
     for gap, units, more in steps:
         now += gap
