--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -7,24 +7,19 @@
 import enum
 import socket
 from collections import deque
-from collections.abc import Callable, Iterator
-from dataclasses import replace
+from collections.abc import Callable
 from typing import Protocol
 
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
 from ...invariants import Guard, violations_of_close
 from .. import log
-from ..counters import Counters
-from ..messages import ParsedRequest
-from ..policy_driver import PolicyDriver
 from ..protocol import command_protocol, resp
 from ..protocol.read_buffer import CHUNK_BYTES, MessageTooLongError, ReadBuffer
 from ..reasons import ClientCloseReason
-from ..request.admit import admit
-from ..request.context import RequestContext
-from ..request.parse import UnacceptableRequestError, parse
+from ..request.parse import UnacceptableRequestError
 from . import limits, socket_state
+from .requests import RequestRegistry, admit_request, parse_command
 from .response_slot import ResponseSlot
 
 DISCARD_BUFFER = bytearray(limits.DISCARD_BYTES)  # shared by all connections, for nobody reads it
@@ -39,20 +34,13 @@
     TURN = "turn"  # other connections, which have their turn first
 
 
-class ConnectionRegistry(Protocol):
+class ConnectionRegistry(RequestRegistry, Protocol):
     """What a connection needs of the group of all client connections."""
 
-    driver: PolicyDriver
-    counters: Counters
-    max_open_requests: int
-    request_ids: Iterator[int]
-    open_client_ids: set[str]
     is_ready: Callable[[], bool]
     connections: dict[ClientConnection, None]
     lingering_count: int
-    final_deadline: float
     draining: bool
-    rejecting_new_requests: bool
     on_connection_ended: Callable[[], None]
 
     def remove(self, connection: ClientConnection) -> None:
@@ -216,7 +204,7 @@
             slot.put(PONG if self.registry.is_ready() else resp.encode_error("ERR not ready"))
             return True
         try:
-            slot.context = self._parse(words, arrived_at, slot)
+            slot.context = parse_command(self.registry, words, slot, arrived_at, self.loop.time())
         except (command_protocol.InvalidCommandError, UnacceptableRequestError) as error:
             self.registry.counters.add("commands_unacceptable")
             slot.put(resp.encode_error(f"ERR {error}"))
@@ -225,34 +213,9 @@
             self._log_exception()  # a defect met by one command: the others on this connection go on
             slot.put(command_protocol.FAILURE_REPLY)
             return True
-        self._admit(slot.context)
+        admit_request(self.registry, slot.context, is_first=self.command_count == 1)
         return True
 
-    def _parse(self, words: list[memoryview], arrived_at: float, slot: ResponseSlot) -> RequestContext:
-        registry, driver = self.registry, self.registry.driver
-        parsed = self._with_time_left(command_protocol.parse_request(words), arrived_at)
-        request_id = next(registry.request_ids)
-        return parse(parsed, slot, driver.settings, request_id, driver.now(), registry.open_client_ids)
-
-    def _with_time_left(self, parsed: ParsedRequest, arrived_at: float) -> ParsedRequest:
-        """Take off the time that a request waited behind others, or has no process to serve it."""
-        now = self.loop.time()
-        time_left_ms = min(
-            parsed.timeout_ms - (now - arrived_at) * 1000, (self.registry.final_deadline - now) * 1000
-        )
-        if time_left_ms <= parsed.timeout_ms - 1:
-            return replace(parsed, timeout_ms=max(1.0, time_left_ms))
-        return parsed
-
-    def _admit(self, context: RequestContext) -> None:
-        registry = self.registry
-        retry_after_ms = 0.0
-        # A client that goes on sending would keep a draining connection open for ever.
-        if registry.rejecting_new_requests and self.command_count > 1:
-            registry.counters.add("rejected_last_call")
-            retry_after_ms = limits.IMMEDIATE_RETRY_AFTER_MS
-        admit(context, registry.driver, registry.max_open_requests, retry_after_ms)
-
     def _reject_flood(self) -> None:
         """Reject the commands that were read ahead, with more behind them in the kernel.
 
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -17,7 +17,7 @@
 from tornado.iostream import IOStream
 
 from mapleshunt.net.client import connection as connection_module
-from mapleshunt.net.client import limits
+from mapleshunt.net.client import limits, requests
 from mapleshunt.net.client.connections import ClientConnections
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.policy_driver import PolicyDriver
@@ -145,7 +145,7 @@
                 raise error
             return parse(*args)
 
-        monkeypatch.setattr(connection_module, "parse", odd)
+        monkeypatch.setattr(requests, "parse", odd)
         client_end.send(query() + query())
         await rest()
         (context,) = cast(FakeDriver, connection.registry.driver).open_requests.values()
