--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -191,7 +191,7 @@
             report = soaks.play(number, place, gateways, backends, rate, seconds, kinds, checkout, replicas)
         except (LibraryBuildError, OSError) as error:
             raise Trouble(str(error)) from None
-        broken += len(report.broken)
+        broken += len(report.violations)
         if as_json:
             print_json(report)
         else:
@@ -203,7 +203,7 @@
 def _print_soak(report: Any) -> None:
     table(["figure", "value"], [
         ["seed", report.seed], ["gateways", report.gateways], ["seconds", report.seconds],
-        ["troubles", len(report.troubles)], ["requests", report.requests],
+        ["troubles", len(report.faults)], ["requests", report.requests],
         *[[f"answers, {name}", count] for name, count in sorted(report.answers.items())],
         ["clients that left", report.left], ["sent again after a close that crossed", report.resent],
         ["restarts", report.starts], ["restarts over 10 s", report.slow_starts],
@@ -213,9 +213,9 @@
         ["served in the calm at the end", report.calm_share],
         *[[f"injected, {name}", count] for name, count in sorted(report.injected.items())],
         ["this process late at worst, ms", report.lag_ms], ["memory of the gateways, MB", report.memory_mb],
-        ["invariants broken", len(report.broken)],
+        ["invariants broken", len(report.violations)],
     ])  # fmt: skip
-    for story in report.broken:
+    for story in report.violations:
         click.echo(f"broken: {story}")
 
 
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""The troubles of the soak test as they strike: gateways, backends, discovery, paths, bad clients."""
+"""The faults of the soak test as they are injected: gateways, backends, discovery, peers, bad clients."""
 
 from __future__ import annotations
 
@@ -48,14 +48,14 @@
 
 
 class FaultInjectedFleet(LoopbackFleet):
-    """A fleet that troubles strike. Times in ms since the soak began."""
+    """A fleet into which faults are injected. Times in ms since the soak began."""
 
     report: SoakReport
     chance: random.Random
     leaving: dict[int, float]  # gateways that were told to end, and when
     deaths: dict[int, list[tuple[float, float | None]]]  # kills, and when each was told to end
     down_since: dict[int, float]  # gateways whose discovery is down
-    impaired: dict[int, int]  # gateways whose discovery is slow or refuses: by how many troubles
+    impaired: dict[int, int]  # gateways whose discovery is slow or refuses: by how many faults
     repaired_at: dict[int, float]  # when it was no more
     moved_at: dict[int, float]
     rates: dict[int, SyscallFaultRates]
@@ -65,16 +65,16 @@
     absences: dict[int, list[Absence]]
     extra: set[asyncio.Task[None]]
     controls: list[SyscallFaultControl]
-    copies: SoakReplicas
+    replicas: SoakReplicas
     spare: list[SoakDiscoveryAgent]  # that a reload moves to
     current: list[SoakDiscoveryAgent]
 
     def break_rule(self, rule: str, story: str) -> None:
-        if len(self.report.broken) < 50:
-            self.report.broken.append(f"{rule}: {story}")
+        if len(self.report.violations) < 50:
+            self.report.violations.append(f"{rule}: {story}")
 
-    def strike(self, trouble: ScheduledFault) -> None:
-        getattr(self, f"_trouble_{trouble.kind}")(trouble)
+    def inject(self, fault: ScheduledFault) -> None:
+        getattr(self, f"_inject_{fault.kind}")(fault)
 
     def _later(self, seconds: float, call: Any, *arguments: Any) -> None:
         self.at(self.now() + 1000 * seconds, call, *arguments)
@@ -99,8 +99,8 @@
         if self.gateways[gateway].listener is not None:
             self.absences.setdefault(gateway, []).append(Absence(begun))
 
-    def _trouble_term(self, trouble: ScheduledFault) -> None:
-        for number in [one for one in trouble.who if self._up(one)]:
+    def _inject_term(self, fault: ScheduledFault) -> None:
+        for number in [one for one in fault.targets if self._up(one)]:
             self._tell_to_end(number)
 
     def _until_kill(self) -> float:
@@ -125,12 +125,12 @@
         self.clients.drop(number)
         self._later(0.3, self._restart_gateway, number)
 
-    def _trouble_kill(self, trouble: ScheduledFault) -> None:
-        for number in [one for one in trouble.who if self._up(one)]:
+    def _inject_kill(self, fault: ScheduledFault) -> None:
+        for number in [one for one in fault.targets if self._up(one)]:
             self.deaths.setdefault(number, []).append((self.now(), None))
             self._begin_absence(number, self.now() - KILL_TAKES_MS)
             self._kill_gateway(number)
-            self._later(trouble.lasts, self._restart_gateway, number)
+            self._later(fault.duration_s, self._restart_gateway, number)
 
     def _spawn(self, number: int) -> GatewayProcess:
         """Start a process of the gateway, with the agent and the list that it would have now."""
@@ -158,8 +158,8 @@
         if gateway.number not in self.drained:
             self.gateways_marked_down.discard(gateway.number)
 
-    def _trouble_upgrade(self, trouble: ScheduledFault) -> None:
-        for number in [one for one in trouble.who if self._up(one)]:
+    def _inject_upgrade(self, fault: ScheduledFault) -> None:
+        for number in [one for one in fault.targets if self._up(one)]:
             if self.gateways[number].listener is not None:
                 self.upgrading.add(number)
                 self._task(self._upgrade(number))
@@ -191,13 +191,13 @@
     def _known(self, number: int) -> dict[str, Any]:
         return self.current[number].whole_list()
 
-    def _trouble_reload(self, trouble: ScheduledFault) -> None:
-        for number in [one for one in trouble.who if self._up(one)]:
+    def _inject_reload(self, fault: ScheduledFault) -> None:
+        for number in [one for one in fault.targets if self._up(one)]:
             self._move_discovery(number)
 
-    def _trouble_reload_twice(self, trouble: ScheduledFault) -> None:
-        self._trouble_reload(trouble)
-        self._later(0.3 * trouble.size, self._trouble_reload, trouble)
+    def _inject_reload_twice(self, fault: ScheduledFault) -> None:
+        self._inject_reload(fault)
+        self._later(0.3 * fault.magnitude, self._inject_reload, fault)
 
     def _move_discovery(self, number: int) -> None:
         gateway, agents = self.gateways[number], (self.agents[number], self.spare[number])
@@ -211,25 +211,25 @@
         if gateway.is_running() and gateway.process is not None:
             gateway.process.send_signal(signal.SIGHUP)
 
-    def _trouble_pause(self, trouble: ScheduledFault) -> None:
-        for number in trouble.who:
+    def _inject_pause(self, fault: ScheduledFault) -> None:
+        for number in fault.targets:
             process = self.gateways[number].process
             if process is not None and process.poll() is None:
                 process.send_signal(signal.SIGSTOP)
-                self._later(0.02 + 0.06 * trouble.size, self._continue, process)
+                self._later(0.02 + 0.06 * fault.magnitude, self._continue, process)
 
     @staticmethod
     def _continue(process: Any) -> None:
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
 
-    def _calls(self, trouble: ScheduledFault) -> None:
-        for number in trouble.who:
+    def _calls(self, fault: ScheduledFault) -> None:
+        for number in fault.targets:
             self.rates[number] = schedule.syscall_fault_rates(
-                trouble, self.rates.get(number, SyscallFaultRates())
+                fault, self.rates.get(number, SyscallFaultRates())
             )
             self.controls[number].set(self.rates[number])
-        self._later(trouble.lasts, self._calls_succeed, trouble.who)
+        self._later(fault.duration_s, self._calls_succeed, fault.targets)
 
     def _calls_succeed(self, who: Sequence[int]) -> None:
         for number in who:
@@ -237,27 +237,27 @@
             self.rates[number] = SyscallFaultRates(clock_step=step)
             self.controls[number].set(self.rates[number])
 
-    _trouble_clock_step = _trouble_calls_fail = _trouble_short_io = _trouble_hold = _calls
-    _trouble_disk_fails = _trouble_disk_slow = _calls
+    _inject_clock_step = _inject_calls_fail = _inject_short_io = _inject_hold = _calls
+    _inject_disk_fails = _inject_disk_slow = _calls
 
-    def _links(self, trouble: ScheduledFault) -> list[FaultProxy]:
-        return self.copies.of([f"n{number}" for number in trouble.who])
+    def _links(self, fault: ScheduledFault) -> list[FaultProxy]:
+        return self.replicas.proxies_of([f"n{number}" for number in fault.targets])
 
-    def _trouble_links_cut(self, trouble: ScheduledFault) -> None:
-        for proxy in self._links(trouble):
+    def _inject_links_cut(self, fault: ScheduledFault) -> None:
+        for proxy in self._links(fault):
             proxy.cut()
-            self._later(trouble.lasts, proxy.heal)
+            self._later(fault.duration_s, proxy.heal)
 
-    def _trouble_links_reset(self, trouble: ScheduledFault) -> None:
-        for proxy in self._links(trouble):
+    def _inject_links_reset(self, fault: ScheduledFault) -> None:
+        for proxy in self._links(fault):
             proxy.from_target.bytes_to_reset = self.chance.randint(1, 4000)
-            self._later(trouble.lasts, proxy.heal)
+            self._later(fault.duration_s, proxy.heal)
 
-    def _trouble_roll(self, trouble: ScheduledFault) -> None:
+    def _inject_roll(self, fault: ScheduledFault) -> None:
         self.report.rolls += 1
         name = f"roll-{self.report.rolls}"
-        work = MachineWork(self.copies.caller(name, 0), self._restart, self._take_clients)
-        self._task(work.roll(name, [f"n{number}" for number in trouble.who]))
+        work = MachineWork(self.replicas.client(name, 0), self._restart, self._take_clients)
+        self._task(work.roll(name, [f"n{number}" for number in fault.targets]))
 
     async def _restart(self, name: str) -> None:
         """End a gateway as operators do who work on its machine, and wait until it is back."""
@@ -279,60 +279,60 @@
             if self._up(number):
                 self.gateways_marked_down.discard(number)
 
-    def _backends(self, trouble: ScheduledFault) -> list[SoakBackend]:
-        there = (self.backends[number] for number in trouble.who if number in self.backends)
+    def _backends(self, fault: ScheduledFault) -> list[SoakBackend]:
+        there = (self.backends[number] for number in fault.targets if number in self.backends)
         return [cast(SoakBackend, one) for one in there if one.machine.up and not one.machine.silent]
 
-    def _numbers(self, trouble: ScheduledFault) -> tuple[int, ...]:
+    def _numbers(self, fault: ScheduledFault) -> tuple[int, ...]:
         ready = {n for n, entry in self.discovery.entries.items() if entry.state == "ready"}
-        return tuple(one.machine.number for one in self._backends(trouble) if one.machine.number in ready)
+        return tuple(one.machine.number for one in self._backends(fault) if one.machine.number in ready)
 
-    def _trouble_backend_crash(self, trouble: ScheduledFault) -> None:
-        self._on_crash(Fault(self.now(), "crash", 1000 * trouble.lasts, self._numbers(trouble)))
+    def _inject_backend_crash(self, fault: ScheduledFault) -> None:
+        self._on_crash(Fault(self.now(), "crash", 1000 * fault.duration_s, self._numbers(fault)))
 
-    def _trouble_backend_drain(self, trouble: ScheduledFault) -> None:
-        who = self._numbers(trouble)
-        self._on_drain(Fault(self.now(), "drain", 1000 * trouble.lasts, who))
+    def _inject_backend_drain(self, fault: ScheduledFault) -> None:
+        who = self._numbers(fault)
+        self._on_drain(Fault(self.now(), "drain", 1000 * fault.duration_s, who))
         self._on_add(Fault(self.now(), "add", magnitude=len(who)))
 
-    def _trouble_backend_add(self, trouble: ScheduledFault) -> None:
-        self._on_add(Fault(self.now(), "add", magnitude=min(3, len(trouble.who))))
+    def _inject_backend_add(self, fault: ScheduledFault) -> None:
+        self._on_add(Fault(self.now(), "add", magnitude=min(3, len(fault.targets))))
 
-    def _trouble_backend_hang(self, trouble: ScheduledFault) -> None:
-        for backend in self._backends(trouble):
+    def _inject_backend_hang(self, fault: ScheduledFault) -> None:
+        for backend in self._backends(fault):
             backend.hang()
-            self._later(trouble.lasts, backend.go_on)
+            self._later(fault.duration_s, backend.go_on)
 
-    def _trouble_backend_unreachable(self, trouble: ScheduledFault) -> None:
-        for backend in self._backends(trouble):
+    def _inject_backend_unreachable(self, fault: ScheduledFault) -> None:
+        for backend in self._backends(fault):
             backend.stop_accepting()
-            self._later(trouble.lasts, backend.accept_again)
+            self._later(fault.duration_s, backend.accept_again)
 
-    def _misbehave(self, trouble: ScheduledFault, how: Misbehaviour) -> None:
-        for backend in self._backends(trouble):
+    def _misbehave(self, fault: ScheduledFault, how: Misbehaviour) -> None:
+        for backend in self._backends(fault):
             backend.misbehaviour = how
-            self._later(trouble.lasts, setattr, backend, "misbehaviour", Misbehaviour())
+            self._later(fault.duration_s, setattr, backend, "misbehaviour", Misbehaviour())
 
-    def _trouble_backend_resets(self, trouble: ScheduledFault) -> None:
-        self._misbehave(trouble, Misbehaviour(reset=0.3))
+    def _inject_backend_resets(self, fault: ScheduledFault) -> None:
+        self._misbehave(fault, Misbehaviour(reset=0.3))
 
-    def _trouble_backend_spoils(self, trouble: ScheduledFault) -> None:
-        self._misbehave(trouble, Misbehaviour(truncated=0.1, second=0.2))
+    def _inject_backend_spoils(self, fault: ScheduledFault) -> None:
+        self._misbehave(fault, Misbehaviour(truncated=0.1, second=0.2))
 
-    def _trouble_backend_forgets(self, trouble: ScheduledFault) -> None:
-        self._misbehave(trouble, Misbehaviour(forget_after=0.2))
+    def _inject_backend_forgets(self, fault: ScheduledFault) -> None:
+        self._misbehave(fault, Misbehaviour(forget_after=0.2))
 
-    def _trouble_backend_closes_idle(self, trouble: ScheduledFault) -> None:
-        for backend in self._backends(trouble):
+    def _inject_backend_closes_idle(self, fault: ScheduledFault) -> None:
+        for backend in self._backends(fault):
             for step in range(5):
-                self._later(trouble.lasts * step / 5, backend.close_idle)
+                self._later(fault.duration_s * step / 5, backend.close_idle)
 
-    def _proxies(self, trouble: ScheduledFault) -> list[FaultProxy]:
-        return [self.current[number].proxy for number in trouble.who]
+    def _proxies(self, fault: ScheduledFault) -> list[FaultProxy]:
+        return [self.current[number].proxy for number in fault.targets]
 
-    def _trouble_discovery_down(self, trouble: ScheduledFault) -> None:
-        lasts = 2 * trouble.lasts
-        for number in [one for one in trouble.who if one not in self.down_since]:
+    def _inject_discovery_down(self, fault: ScheduledFault) -> None:
+        lasts = 2 * fault.duration_s
+        for number in [one for one in fault.targets if one not in self.down_since]:
             self.down_since[number] = self.now()
             for agent in (cast(SoakDiscoveryAgent, self.agents[number]), self.spare[number]):
                 agent.proxy.cut()
@@ -343,10 +343,10 @@
         for agent in (cast(SoakDiscoveryAgent, self.agents[number]), self.spare[number]):
             agent.proxy.heal()
 
-    def _trouble_discovery_resets(self, trouble: ScheduledFault) -> None:
-        for proxy in self._proxies(trouble):
+    def _inject_discovery_resets(self, fault: ScheduledFault) -> None:
+        for proxy in self._proxies(fault):
             proxy.reset()
-            self._later(0.5 * trouble.size, proxy.reset)
+            self._later(0.5 * fault.magnitude, proxy.reset)
 
     def _impair(self, number: int) -> None:
         self.impaired[number] = self.impaired.get(number, 0) + 1
@@ -357,50 +357,50 @@
             del self.impaired[number]
             self.repaired_at[number] = self.now()
 
-    def _trouble_discovery_slow(self, trouble: ScheduledFault) -> None:
-        for number in trouble.who:
+    def _inject_discovery_slow(self, fault: ScheduledFault) -> None:
+        for number in fault.targets:
             self._impair(number)
             proxy = self.current[number].proxy
-            proxy.from_target.delay_s, proxy.from_target.piece_bytes = 0.3 * trouble.size, 100
-            self._later(trouble.lasts, self._discovery_fast, number, proxy)
+            proxy.from_target.delay_s, proxy.from_target.piece_bytes = 0.3 * fault.magnitude, 100
+            self._later(fault.duration_s, self._discovery_fast, number, proxy)
 
     def _discovery_fast(self, number: int, proxy: FaultProxy) -> None:
         proxy.from_target.delay_s, proxy.from_target.piece_bytes = 0.0, 65536
         self._repair(number)
 
-    def _trouble_discovery_refuses(self, trouble: ScheduledFault) -> None:
-        for number in trouble.who:
+    def _inject_discovery_refuses(self, fault: ScheduledFault) -> None:
+        for number in fault.targets:
             self._impair(number)
             proxy = self.current[number].proxy
             proxy.refuse()
             proxy.reset()
-            self._later(trouble.lasts, self._accept_again, number, proxy)
+            self._later(fault.duration_s, self._accept_again, number, proxy)
 
     def _accept_again(self, number: int, proxy: FaultProxy) -> None:
         self._repair(number)
         self._task(proxy.accept_again())
 
-    def _trouble_peers_cut(self, trouble: ScheduledFault) -> None:
-        self._on_cut(Fault(self.now(), "cut", 1000 * trouble.lasts, trouble.who))
+    def _inject_peers_cut(self, fault: ScheduledFault) -> None:
+        self._on_cut(Fault(self.now(), "cut", 1000 * fault.duration_s, fault.targets))
 
-    def _trouble_peers_lose(self, trouble: ScheduledFault) -> None:
-        self._on_loss(Fault(self.now(), "loss", 1000 * trouble.lasts, magnitude=0.5))
+    def _inject_peers_lose(self, fault: ScheduledFault) -> None:
+        self._on_loss(Fault(self.now(), "loss", 1000 * fault.duration_s, magnitude=0.5))
 
     @property
     def _soak_clients(self) -> SoakClients:
         return cast(SoakClients, self.clients)
 
-    def _trouble_bad_clients(self, trouble: ScheduledFault) -> None:
+    def _inject_bad_clients(self, fault: ScheduledFault) -> None:
         starts = (b"*2\r\n$4\r\nPI", b"*1\r\n$9\r\nSVC.", b"*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n0000")
-        for number in [one for one in trouble.who if self._up(one)]:
+        for number in [one for one in fault.targets if self._up(one)]:
             self._task(self._soak_clients.stop_halfway(number, self.chance.choice(starts)))
 
-    def _trouble_floods(self, trouble: ScheduledFault) -> None:
-        for number in [one for one in trouble.who if self._up(one)]:
+    def _inject_floods(self, fault: ScheduledFault) -> None:
+        for number in [one for one in fault.targets if self._up(one)]:
             self._task(self._soak_clients.flood(number, self.chance.choice([100, 1000, 10000])))
 
-    def _trouble_resting_clients(self, trouble: ScheduledFault) -> None:
-        for number in [one for one in trouble.who if self._up(one)][:MAX_CROWDED]:
+    def _inject_resting_clients(self, fault: ScheduledFault) -> None:
+        for number in [one for one in fault.targets if self._up(one)][:MAX_CROWDED]:
             for _ in range(RESTING_CLIENTS):
                 stay = self.chance.uniform(0.1, 4.0)
                 self._later(self.chance.uniform(0.0, 0.5), self._rest, number, stay)
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The soak test: a few dozen real gateways on loopback, troubles that overlap, judged by the invariants.
+"""The soak test: a few dozen real gateways on loopback, faults that overlap, judged by the invariants.
 
 All that is not a gateway runs in this process: backends, discovery behind fault-injecting proxies, paths
 between gateways, clients. Each gateway has the library of failing system calls in it. At the end all is
@@ -41,11 +41,11 @@
 SOAK_RULES = RuleLimits(answer_slack_ms=LATEST_MS + 8.0, drain_grace_ms=550.0)
 TOLD_MS = 6000.0  # after discovery has a change and can be reached, at which it counts as told
 MOVED_MS = 4000.0  # after a new configuration, at which what the new agent has counts as told
-CALM_S = 4.0  # of traffic without trouble at the end
+CALM_S = 4.0  # of traffic without faults at the end
 SETTLE_S = 4.5  # after the last client has gone, until nothing may be left over
 INHERITED_FIRST, INHERITED_EACH = 1, 3  # gateways whose listening socket this process holds
 SOCKETS = 200  # descriptors that a gateway may hold by its configuration
-TROUBLES_END_S = 60.0  # within which all troubles are over once calls succeed again
+FAULTS_END_TIMEOUT_S = 60.0  # within which all faults are over once calls succeed again
 LAG_EVERY_S = 0.01
 LAG_KEPT_S = 0.5
 MIN_CALM_SHARE = 0.5  # of first tries that are served in the calm at the end
@@ -61,17 +61,17 @@
     clients_class = SoakClients
 
     def __init__(
-        self, day: Day, folder: Path, troubles: Sequence[ScheduledFault], program: Path, replicas: int = 0
+        self, day: Day, folder: Path, faults: Sequence[ScheduledFault], program: Path, replicas: int = 0
     ) -> None:
         """The first `replicas` gateways hold replicas."""
-        self.troubles = troubles
+        self.faults = faults
         self.chance = random.Random(f"{day.seed} soak")
         self.leaving, self.deaths, self.absences = {}, {}, {}
         self.down_since, self.impaired, self.repaired_at, self.moved_at = {}, {}, {}, {}
         self.rates, self.upgrading, self.drained = {}, set(), set()
         self.lags: list[tuple[float, float]] = []
         self.last_beat = time.monotonic()  # of what measures this process's lateness
-        self.report = SoakReport(day.seed, day.scenario.gateways, troubles=[str(one) for one in troubles])
+        self.report = SoakReport(day.seed, day.scenario.gateways, faults=[str(fault) for fault in faults])
         self.extra = set()
         count = day.scenario.gateways
         library = build_library(folder)
@@ -80,15 +80,15 @@
             for number in range(count)
         ]
         super().__init__(day, folder, program, limits={"sockets": SOCKETS})
-        self.copies = SoakReplicas(folder, replicas, day.seed)
+        self.replicas = SoakReplicas(folder, replicas, day.seed)
         self.spare = [self._agent_from(number, SPARE_AGENT_REVISION) for number in range(count)]
         self.current = list(cast("list[SoakDiscoveryAgent]", self.agents))
         for gateway in self.gateways[INHERITED_FIRST::INHERITED_EACH]:
             gateway.inherit_listener()
         for gateway, control in zip(self.gateways, self.controls, strict=True):
             if gateway.number < replicas:
-                control.folder = self.copies.disk(f"n{gateway.number}")
-                gateway.env.update(self.copies.environment(f"n{gateway.number}"))
+                control.folder = self.replicas.store(f"n{gateway.number}")
+                gateway.env.update(self.replicas.environment(f"n{gateway.number}"))
             gateway.env.update(control.environment())
 
     def _make_agent(self, number: int) -> DiscoveryAgent:
@@ -104,9 +104,9 @@
         return {**super()._config(number, limits), "discovery": f"{HOST}:{agent.proxy.port}"}
 
     def _begun(self) -> None:
-        self.copies.begin_calls()
-        for trouble in self.troubles:
-            self.clock.at(1000 * trouble.at, self.strike, trouble)
+        self.replicas.start_clients()
+        for fault in self.faults:
+            self.clock.at(1000 * fault.begins_at_s, self.inject, fault)
 
     # Judging
 
@@ -184,7 +184,7 @@
         """Play it to its end, heal all, and look for what is left over."""
         for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare]:
             await agent.proxy.start()
-        await self.copies.start()
+        await self.replicas.start()
         measuring = asyncio.create_task(self._measure_lag())
         try:
             await self.run()
@@ -197,7 +197,7 @@
                 control.close()
             for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare]:
                 await agent.proxy.close()
-            await self.copies.close()
+            await self.replicas.close()
         self._judge()
         return self.report
 
@@ -206,7 +206,7 @@
         for number, control in enumerate(self.controls):
             step = self.rates.get(number, SyscallFaultRates()).clock_step
             control.set(SyscallFaultRates(clock_step=step))
-        await self._end_troubles()
+        await self._wait_for_faults_to_end()
         for number in range(len(self.gateways)):
             self.clients.drop(number)
         await asyncio.sleep(SETTLE_S)
@@ -214,14 +214,14 @@
             if gateway.is_running() and gateway.process is not None:
                 gateway.process.send_signal(signal.SIGUSR1)
         await asyncio.sleep(0.5)
-        if self.copies.names:
-            stories = await self.copies.broken_promises()
-            for story in [*stories, *await self.copies.faults(), *self.copies.damaged()]:
+        if self.replicas.names:
+            stories = await self.replicas.violations()
+            for story in [*stories, *await self.replicas.unhealthy_groups(), *self.replicas.damaged_stores()]:
                 self.break_rule("replication", story)
             logs = {f"n{one.number}": one.log for one in self.gateways}
             for fence, names in grants_of_two_machines(logs).items():
                 self.break_rule("maintenance", f"{sorted(names)} under grant {fence}")
-            self.report.replica_calls = sum(map(len, self.copies.histories.values()))
+            self.report.replica_calls = self.replicas.calls
         for gateway in self.gateways:
             left = {name: n for name, n in gateway.counters().items() if name in LEFT_OVER and n}
             if left:
@@ -230,12 +230,12 @@
         for gateway in self.gateways:
             gateway.close_listener()
 
-    async def _end_troubles(self) -> None:
+    async def _wait_for_faults_to_end(self) -> None:
         """Wait until what was begun is over: processes that end or start, machines that are worked on."""
-        deadline = time.monotonic() + TROUBLES_END_S
+        deadline = time.monotonic() + FAULTS_END_TIMEOUT_S
         while self.leaving or self.upgrading or any(not task.done() for task in self.extra):
             if time.monotonic() > deadline:
-                self.break_rule("not_over", f"after {TROUBLES_END_S:g} s: {self.extra}")
+                self.break_rule("not_over", f"after {FAULTS_END_TIMEOUT_S:g} s: {self.extra}")
                 return
             await asyncio.sleep(0.05)
 
@@ -245,7 +245,7 @@
         report.answers = dict(Counter(str(one.result) for one in tries))
         report.habits, report.left = self._soak_clients.habits, self._soak_clients.left
         report.resent = self._soak_clients.resent
-        report.broken += self.rule_checker.descriptions
+        report.violations += self.rule_checker.descriptions
         injected: Counter[str] = Counter()
         for counts in self.injected:
             injected.update(counts)
@@ -269,7 +269,7 @@
 def scenario(gateways: int, backends: int, rate: float, seconds: float) -> Scenario:
     """A usual day of that size."""
     return Scenario(
-        "soak", "real processes, overlapping troubles", (0.5, 0.6), gateways=gateways, servers=backends,
+        "soak", "real processes, overlapping faults", (0.5, 0.6), gateways=gateways, servers=backends,
         seconds=seconds, rate=rate,
     )  # fmt: skip
 
@@ -285,8 +285,8 @@
     gc.disable()  # a collection holds up all that this process plays, and what it keeps is needed to the end
     try:
         day = draw_day(scenario(gateways, backends, rate, seconds), seed)
-        troubles = schedule.draw_schedule(seed, seconds - CALM_S, gateways, backends, replicas, only)
-        fleet = SoakFleet(replace(day, rules=SOAK_RULES), folder, troubles, program, replicas)
+        faults = schedule.draw_schedule(seed, seconds - CALM_S, gateways, backends, replicas, only)
+        fleet = SoakFleet(replace(day, rules=SOAK_RULES), folder, faults, program, replicas)
         report = await fleet.soak()
     finally:
         gc.enable()
--- a/mapleshunt/testbed/soak/maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -13,40 +13,44 @@
 from ..replica_client import ReplicaClient
 
 MAINTENANCE = "(maintenance (most 1) (zone 1) (pause-s 0.2) (drain-s 4.0) (failures 99) (most-load 9.0))"
-LOOK_S = 0.1  # between two looks at a machine's state
-EXPECTED_S = 60.0  # for the work on a machine, as it is asked for
-WITHOUT_CLIENTS = ("draining", "safe", "out", "overdue")
+POLL_INTERVAL_S = 0.1  # between two reads of the machines' states
+EXPECTED_S = 60.0  # for the work on a machine, as it is requested
+STATES_WITHOUT_CLIENTS = ("draining", "safe", "out", "overdue")
 
 
 class MachineWork:
-    """Somebody who works on machines once they are safe: ends each gateway, starts it again, and says so."""
+    """An operator who works on machines once they are safe, and restarts the gateway of each."""
 
     def __init__(
         self,
-        caller: ReplicaClient,
+        client: ReplicaClient,
         restart: Callable[[str], Awaitable[None]],
-        take_clients: Callable[[str, bool], None],
+        set_takes_clients: Callable[[str, bool], None],
     ) -> None:
-        """`restart` ends a gateway by its name and waits until it is back; `take_clients` tells the front
-        whether to send it clients.
+        """`restart` ends the gateway of a name and returns once it is back.
+
+        `set_takes_clients` sets whether the front sends clients to the gateway of a name.
         """
-        self.caller, self.restart, self.take_clients = caller, restart, take_clients
+        self._client, self._restart, self._set_takes_clients = client, restart, set_takes_clients
 
     async def roll(self, request: str, machines: Sequence[str]) -> None:
-        """Ask for these machines, and work on each until it is done."""
-        await self.caller.do(h.OpenSession())
-        ask = w.RequestMaintenance(request, tuple(machines), "memory", "soak", EXPECTED_S)
-        if not isinstance(await self.caller.do(ask), Applied):
-            return  # one of them is asked for already
-        while open_places := await self._open_places(request):
-            for place in open_places:
-                self.take_clients(place.machine, place.state not in WITHOUT_CLIENTS)
-                if place.state == "safe":
-                    await work_on_safe_machine(self.caller, place, self.restart)
-            await asyncio.sleep(LOOK_S)
+        """Request these machines, and work on each until all are done; nothing if the request is refused.
+
+        If it is cancelled, a machine may stay out.
+        """
+        await self._client.do(h.OpenSession())
+        operation = w.RequestMaintenance(request, tuple(machines), "memory", "soak", EXPECTED_S)
+        if not isinstance(await self._client.do(operation), Applied):
+            return  # another request has one of them
+        while jobs := await self._open_jobs(request):
+            for job in jobs:
+                self._set_takes_clients(job.machine, job.state not in STATES_WITHOUT_CLIENTS)
+                if job.state == "safe":
+                    await work_on_safe_machine(self._client, job, self._restart)
+            await asyncio.sleep(POLL_INTERVAL_S)
         for machine in machines:
-            self.take_clients(machine, True)
+            self._set_takes_clients(machine, True)
 
-    async def _open_places(self, request: str) -> list[MachineJob]:
-        works = await read_maintenance_state(self.caller)
-        return [one for one in works.open_jobs() if one.request_id == request]
+    async def _open_jobs(self, request: str) -> list[MachineJob]:
+        state = await read_maintenance_state(self._client)
+        return [job for job in state.open_jobs() if job.request_id == request]
--- a/mapleshunt/testbed/soak/schedule.py
+++ b/mapleshunt/testbed/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Troubles of the soak test: drawn by seed as episodes of two or three that overlap in time."""
+"""The faults of a soak: drawn by seed, as episodes of two or three that overlap in time."""
 
 from __future__ import annotations
 
@@ -32,80 +32,92 @@
     "hold", "bad_clients", "floods", "resting_clients", "peers_cut", "discovery_down", "discovery_resets",
     "discovery_slow", "discovery_refuses", *REPLICATION_KINDS,
 }  # fmt: skip
-EPISODE_S = 2.0  # from one episode to the next
-OVERLAP_S = 0.6  # within which an episode's troubles begin
-MAX_SYNC_S = 1.0  # that a sync to a slow disk takes longer
+EPISODE_S = 2.0  # from one episode to the next, on average
+EPISODE_SPREAD = (0.6, 1.4)  # of that time, by which it differs
+FIRST_EPISODE_S = 1.0  # after the begin of the soak
+OVERLAP_S = 0.6  # within which an episode's faults begin
+DURATION_RANGE_S = (0.5, 3.0)
+FAULTS_OF_EPISODE = (2, 2, 3)  # one of these is drawn
+GATEWAY_SHARE = 0.25  # of the gateways that a fault hits, on average
+ENDED_GATEWAY_SHARE = 0.15  # the same of faults that end gateways
+BACKEND_SHARE = 0.15
+MAX_SYNC_DELAY_S = 1.0  # that a sync to a slow disk takes longer
 CLOCK_STEPS_S = (3600.0, -3600.0, 5.0, -5.0)
 
 
 @dataclass(frozen=True)
 class ScheduledFault:
-    """One trouble: `at` and `lasts` in s; `who` are gateways or backends, by kind."""
+    """A fault of a schedule; its targets are gateways or backends, by its kind."""
 
-    at: float
+    begins_at_s: float
     kind: FaultKind
-    lasts: float
-    who: tuple[int, ...]
-    size: float = 0.0
+    duration_s: float
+    targets: tuple[int, ...]
+    magnitude: float = 0.0  # from 0 to 1; of a clock step in s
 
     def __str__(self) -> str:
-        return f"{self.at:.1f} s {self.kind} {','.join(map(str, self.who))} for {self.lasts:.1f} s"
+        targets = ",".join(map(str, self.targets))
+        return f"{self.begins_at_s:.1f} s {self.kind} {targets} for {self.duration_s:.1f} s"
 
 
 def draw_schedule(
     seed: int, seconds: float, gateways: int, backends: int, replicas: int, only: Sequence[FaultKind] = ()
 ) -> list[ScheduledFault]:
-    """Episodes from the first second on; the last of them is over before `seconds`."""
-    chance = random.Random(f"soak {seed}")
+    """Return the faults in the order of their begin; the last episode is over before `seconds`.
+
+    `only` are the kinds that are drawn; by default all, those of replication if there are `replicas`.
+    """
+    rng = random.Random(f"soak {seed}")
     kinds = list(only or [kind for kind in FAULT_WEIGHTS if replicas or kind not in REPLICATION_KINDS])
-    found: list[ScheduledFault] = []
-    begin = 1.0
+    faults: list[ScheduledFault] = []
+    begin = FIRST_EPISODE_S
     while begin + OVERLAP_S + EPISODE_S < seconds:
-        for kind in _kinds(chance, kinds):
-            most = replicas if kind in REPLICATION_KINDS else gateways
-            found.append(_trouble(chance, kind, begin, most, backends))
-        begin += chance.uniform(0.6, 1.4) * EPISODE_S
-    return sorted(found, key=lambda one: one.at)
+        for kind in _draw_kinds(rng, kinds):
+            available_gateways = replicas if kind in REPLICATION_KINDS else gateways
+            faults.append(_draw_fault(rng, kind, begin, available_gateways, backends))
+        begin += rng.uniform(*EPISODE_SPREAD) * EPISODE_S
+    return sorted(faults, key=lambda fault: fault.begins_at_s)
 
 
-def _kinds(chance: random.Random, kinds: Sequence[FaultKind]) -> list[FaultKind]:
-    """Two or three different ones."""
-    count, drawn = min(len(kinds), chance.choice([2, 2, 3])), list[FaultKind]()
+def _draw_kinds(rng: random.Random, kinds: Sequence[FaultKind]) -> list[FaultKind]:
+    """Return two or three different ones."""
+    count, drawn = min(len(kinds), rng.choice(FAULTS_OF_EPISODE)), list[FaultKind]()
     while len(drawn) < count:
-        kind = chance.choices(kinds, [FAULT_WEIGHTS[one] for one in kinds])[0]
+        kind = rng.choices(kinds, [FAULT_WEIGHTS[one] for one in kinds])[0]
         if kind not in drawn:
             drawn.append(kind)
     return drawn
 
 
-def _trouble(
-    chance: random.Random, kind: FaultKind, begin: float, gateways: int, backends: int
+def _draw_fault(
+    rng: random.Random, kind: FaultKind, begin: float, gateways: int, backends: int
 ) -> ScheduledFault:
-    most, part = (gateways, 0.25) if kind in GATEWAY_KINDS else (backends, 0.15)
+    available, share = (gateways, GATEWAY_SHARE) if kind in GATEWAY_KINDS else (backends, BACKEND_SHARE)
     if kind in ("kill", "term"):
-        part = 0.15
-    size = max(1, round(most * chance.uniform(0.0, 2 * part)))
-    who = tuple(sorted(chance.sample(range(most), min(size, most))))
-    at, lasts = begin + chance.uniform(0.0, OVERLAP_S), chance.uniform(0.5, 3.0)
-    trouble = ScheduledFault(at, kind, lasts, who, chance.random())
-    return replace(trouble, size=chance.choice(CLOCK_STEPS_S)) if kind == "clock_step" else trouble
-
-
-def syscall_fault_rates(trouble: ScheduledFault, before: SyscallFaultRates) -> SyscallFaultRates:
-    """The rates of failing calls while a trouble lasts."""
-    match trouble.kind:
+        share = ENDED_GATEWAY_SHARE
+    count = max(1, round(available * rng.uniform(0.0, 2 * share)))
+    targets = tuple(sorted(rng.sample(range(available), min(count, available))))
+    begins_at, duration = begin + rng.uniform(0.0, OVERLAP_S), rng.uniform(*DURATION_RANGE_S)
+    fault = ScheduledFault(begins_at, kind, duration, targets, rng.random())
+    if kind == "clock_step":
+        return replace(fault, magnitude=rng.choice(CLOCK_STEPS_S))
+    return fault
+
+
+def syscall_fault_rates(fault: ScheduledFault, before: SyscallFaultRates) -> SyscallFaultRates:
+    """Return the rates of failing calls while a fault lasts, on top of those before."""
+    match fault.kind:
         case "calls_fail":
-            more = replace(before, accept=0.2, connect=0.1, socket=0.05, broken_as=0.5)
+            return replace(before, accept=0.2, connect=0.1, socket=0.05, broken_as=0.5)
         case "short_io":
-            more = replace(before, short_io=0.3, interrupt=0.05)
+            return replace(before, short_io=0.3, interrupt=0.05)
         case "hold":
-            more = replace(before, hold=0.02)
+            return replace(before, hold=0.02)
         case "disk_fails":
-            more = replace(before, disk=0.5, disk_read=0.1)
+            return replace(before, disk=0.5, disk_read=0.1)
         case "disk_slow":
-            more = replace(before, disk_slow=MAX_SYNC_S * trouble.size)
+            return replace(before, disk_slow=MAX_SYNC_DELAY_S * fault.magnitude)
         case "clock_step":
-            more = replace(before, clock_step=trouble.size)
+            return replace(before, clock_step=fault.magnitude)
         case _:
-            more = before
-    return more
+            return before
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -31,12 +31,12 @@
 """
 
 
-def test_a_seed_draws_the_same_troubles_and_those_of_an_episode_overlap() -> None:
+def test_a_seed_draws_the_same_faults_and_those_of_an_episode_overlap() -> None:
     drawn = schedule.draw_schedule(7, 30.0, 24, 30, 5)
     assert drawn == schedule.draw_schedule(7, 30.0, 24, 30, 5) != schedule.draw_schedule(8, 30.0, 24, 30, 5)
-    begins = [one.at for one in drawn]
+    begins = [one.begins_at_s for one in drawn]
     close = sum(b - a < schedule.OVERLAP_S for a, b in itertools.pairwise(begins))
-    assert close >= len(drawn) // 2 and all(one.at < 30.0 and one.who for one in drawn)
+    assert close >= len(drawn) // 2 and all(one.begins_at_s < 30.0 and one.targets for one in drawn)
     only = schedule.draw_schedule(7, 30.0, 24, 30, 0, ("term", "kill"))
     assert {one.kind for one in only} == {"term", "kill"}
     assert not {one.kind for one in schedule.draw_schedule(7, 300.0, 24, 30, 0)} & set(
@@ -56,9 +56,9 @@
     control.close()
 
 
-def test_a_few_gateways_under_overlapping_troubles_keep_the_invariants(tmp_path: Path) -> None:
+def test_a_few_gateways_under_overlapping_faults_keep_the_invariants(tmp_path: Path) -> None:
     report = soak.play(3, tmp_path, gateways=4, backends=8, rate=40.0, seconds=14.0, replicas=3)
-    assert report.broken == [] and report.troubles and report.answers["served"] > 50
+    assert report.violations == [] and report.faults and report.answers["served"] > 50
 
 
 @pytest.mark.parametrize("rule", ["drain", "lost"])
@@ -67,4 +67,4 @@
         4, tmp_path / "logs", gateways=3, backends=8, rate=60.0, seconds=14.0, only=("backend_drain",),
         program=checkout(tmp_path, *BAD[rule]),
     )  # fmt: skip
-    assert any(rule in story for story in report.broken), report
+    assert any(rule in story for story in report.violations), report
