--- a/benchmarks/copies_calm.py
+++ b/benchmarks/lease_cost.py
@@ -1,6 +1,6 @@
 """What leases from copies cost a request: the rig's calm day with three real gateways, on and off in turn.
 
-python -m benchmarks.copies_calm [ROUNDS]
+python -m benchmarks.lease_cost [ROUNDS]
 """
 
 from __future__ import annotations
--- a/benchmarks/copies_cost.py
+++ b/benchmarks/replication_cost.py
@@ -1,6 +1,6 @@
 """What copies cost and how soon they are whole again, on real processes on this machine.
 
-    python -m benchmarks.copies_cost
+    python -m benchmarks.replication_cost
 
 Durable operations a second of one group on three gateways, beside the store's bare durable batches in the
 same run, alternating; and the time from a machine's loss with its disk until its place is taken, by size.
--- a/benchmarks/copies_faults.py
+++ b/benchmarks/replication_faults.py
@@ -1,6 +1,6 @@
 """Schedules of faults on real gateways with copies, several beside each other.
 
-python -m benchmarks.copies_faults [SCHEDULES] [AT_ONCE] [FAULTS]
+python -m benchmarks.replication_faults [SCHEDULES] [AT_ONCE] [FAULTS]
 """
 
 from __future__ import annotations
--- a/benchmarks/copies_fleet.py
+++ b/benchmarks/replication_fleet.py
@@ -1,6 +1,6 @@
 """Quotas with copies and without, in the model: 3, 40 and 200 gateways, 64 groups, faults in a payday burst.
 
-python -m benchmarks.copies_fleet [SEEDS]
+python -m benchmarks.replication_fleet [SEEDS]
 """
 
 from __future__ import annotations
--- a/benchmarks/copies_seeds.py
+++ b/benchmarks/replication_plays.py
@@ -1,6 +1,6 @@
 """Plays of copies by seed, and how many each planted fault takes to be found.
 
-python -m benchmarks.copies_seeds [PLAYS] [MOST]
+python -m benchmarks.replication_plays [PLAYS] [MOST]
 """
 
 from __future__ import annotations
--- a/tests/test_replication_plays.py
+++ b/tests/test_replication_plays.py
@@ -7,7 +7,7 @@
 from mapleshunt.simulation.replication_planted_faults import play
 from mapleshunt.simulation.replication_plays import ReplicaGroupPlay
 
-# With the seed of the first play that finds each, as `benchmarks/copies_seeds.py` reports it.
+# With the seed of the first play that finds each, as `benchmarks/replication_plays.py` reports it.
 FOUND = {
     "ReadsUnconfirmed": 7, "CommitsUnseen": 0, "ShorterLogsWin": 0, "VotesTwice": 1, "TwoChangesAtOnce": 376,
     "OldIncarnation": 15, "OwnEntriesUnwritten": 522, "AppendedBeforeDurable": 696,
