--- a/tests/test_peers.py
+++ b/tests/test_gossip_transport.py
@@ -52,7 +52,7 @@
     asyncio.run(run())
 
 
-def test_of_two_processes_the_last_to_bind_hears_and_the_first_again_once_it_is_gone() -> None:
+def test_last_process_to_bind_receives_and_first_again_after_its_close() -> None:
     async def run() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.bind(("127.0.0.1", 0))
@@ -63,7 +63,7 @@
                 say = lambda *_: heard.append(name)  # noqa: E731
                 return GossipTransport(listen, addresses, addresses[0], say, Counters(), shared=True)
 
-            async def told() -> str:
+            async def received_by() -> str:
                 peer.sendto(b"hi", here)
                 while not heard:
                     await asyncio.sleep(0)
@@ -71,13 +71,13 @@
 
             first = process("first", ("127.0.0.1", 0))
             here = first.socket.getsockname()
-            assert await told() == "first"
+            assert await received_by() == "first"
             second = process("second", here)
-            assert [await told() for _ in range(9)] == ["second"] * 9
+            assert [await received_by() for _ in range(9)] == ["second"] * 9
             first.send(0, "still")  # it may go on telling by the same address
             assert peer.recvfrom(99) == (b"still", here)
             second.close()
-            assert [await told() for _ in range(9)] == ["first"] * 9
+            assert [await received_by() for _ in range(9)] == ["first"] * 9
             first.close()
 
     asyncio.run(run())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""How a try's end is classified: rule 2 rests on it. Each till server here plays one fate on a socket."""
+"""How the result of an attempt is classified. Each endpoint here plays one case on a socket."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def play(steps: Steps) -> list[AttemptResult]:
-    """Run steps against a group of one till server, whose listening socket the steps are given."""
+    """Run steps against a group of one endpoint, whose listening socket the steps get."""
 
     async def run() -> list[AttemptResult]:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "ending"),
+    ("data", "result"),
     [
         (GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
         (b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nqps=1\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
@@ -95,7 +95,7 @@
         (b"*1\r\n$1\r\nv\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
         (b"*3\r\n$1\r\nv\r\n$4\r\n\x00=\xff,\r\n:5\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
         (GOOD + GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
-        # Spoilt: it may have run, and the till server lives.
+        # Malformed: it may have run, and the endpoint lives.
         (b"nonsense\r\n", AttemptResult(AttemptStatus.ERROR)),
         (b"*1\r\n$70000\r\n", AttemptResult(AttemptStatus.ERROR)),
         (b"*3\r\n$3000000000\r\nvvvv", AttemptResult(AttemptStatus.ERROR)),
@@ -104,7 +104,7 @@
         (b":1\r\n", AttemptResult(AttemptStatus.ERROR)),
     ],
 )
-def test_reply_or_end_after_the_last_byte(data: bytes, ending: AttemptResult) -> None:
+def test_attempt_result_by_reply_after_last_byte(data: bytes, result: AttemptResult) -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
@@ -113,10 +113,10 @@
             server.shutdown(socket.SHUT_WR)
             return [await task]
 
-    assert play(steps) == [ending]
+    assert play(steps) == [result]
 
 
-def test_refused_connection_proves_that_it_never_ran() -> None:
+def test_refused_connection_is_unreachable() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         listener.close()
         return [await attempt_at(group, number)[1]]
@@ -124,7 +124,7 @@
     assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
-def test_connection_that_never_comes_up_is_bounded_and_never_ran() -> None:
+def test_dial_timeout_is_unreachable() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.dial_timeout_ms = 0.0
         return [await attempt_at(group, number)[1]]
@@ -132,7 +132,7 @@
     assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
-def test_unknown_server_and_spent_descriptors_leave_it_unsent() -> None:
+def test_unknown_endpoint_and_lack_of_descriptors_leave_attempt_unsent() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.max_connections = 0
         return [await attempt_at(group, number + 1)[1], await attempt_at(group, number)[1]]
@@ -140,12 +140,12 @@
     assert play(steps) == [AttemptResult(AttemptStatus.UNSENT), AttemptResult(AttemptStatus.UNSENT)]
 
 
-def test_given_up_before_it_is_written_it_never_ran_after_that_it_may_have() -> None:
+def test_cancelled_attempt_is_unsent_before_write_and_cancelled_after() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         early, task = attempt_at(group, number)
         await asyncio.sleep(0)  # it dials
         early.cancel(AttemptStatus.CANCELLED)
-        endings = [await task]
+        results = [await task]
         statuses = (AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT)
         for status in statuses:
             late, task = attempt_at(group, number)
@@ -157,10 +157,10 @@
                 server = await accept(listener)
                 await taken(server)
                 late.cancel(status)
-            endings.append(await task)
+            results.append(await task)
             assert await asyncio.to_thread(server.recv, 1) == b""  # the connection ends with it
             server.close()
-        return endings
+        return results
 
     assert play(steps) == [
         AttemptResult(AttemptStatus.UNSENT),
@@ -169,48 +169,48 @@
     ]
 
 
-def test_connection_is_used_again_unless_its_end_has_come() -> None:
+def test_connection_is_reused_unless_endpoint_closed_it() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, task = attempt_at(group, number)
         server = await accept(listener)
         await taken(server)
         server.send(GOOD)
-        endings = [await task]
+        results = [await task]
         await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
         _, task = attempt_at(group, number)
         await taken(server)  # on the same connection
         server.send(GOOD)
-        endings.append(await task)
+        results.append(await task)
         server.close()  # unread on our side: a try written now would end as one that may have run
         _, task = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
             server.send(GOOD)
-            endings.append(await task)
-        return endings
+            results.append(await task)
+        return results
 
     assert [one.status for one in play(steps)] == ["ok", "ok", "ok"]
 
 
 @pytest.mark.parametrize("more", [b"*3\r\n$5\r\nval", b"\r\n", b"+", GOOD])
-def test_what_follows_an_answer_never_reaches_the_next_try(more: bytes) -> None:
+def test_bytes_behind_reply_never_reach_next_attempt(more: bytes) -> None:
     # A part of a reply stayed in the buffer, and the next answer was read as its end.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         _, first = attempt_at(group, number)
         with await accept(listener) as server:
             await taken(server)
             server.send(GOOD + more)
-            endings = [await first]
+            results = [await first]
             _, second = attempt_at(group, number)
             with await accept(listener) as other:
                 await taken(other)
                 other.send(GOOD)
-                return [*endings, await second]
+                return [*results, await second]
 
     assert [one.status for one in play(steps)] == ["ok", "ok"]
 
 
-def test_connection_that_has_only_just_answered_rests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_is_not_reused_before_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     # Noise that came a moment behind an answer would have been taken for the next one's.
     monkeypatch.setattr(upstream, "REUSE_DELAY_S", 3600.0)
 
@@ -226,7 +226,7 @@
     assert play(steps) == []
 
 
-def test_reply_that_does_not_end_is_spoilt_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_reply_is_malformed_after_stall_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "REPLY_STALL_TIMEOUT_S", 0.01)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
@@ -239,10 +239,10 @@
     assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
-def test_connections_that_end_without_a_word_are_trusted_for_a_shorter_time(
+def test_max_idle_time_is_reduced_after_stale_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Each try on one of them ended as reset: it may have run, and its till server was held for dead.
+    # Each attempt on one of them ended as reset: it may have run, and its endpoint was taken for dead.
     monkeypatch.setattr(upstream_connection, "STALE_RESET_WITHIN_S", 10.0)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
@@ -250,27 +250,27 @@
         with await accept(listener) as server:
             await taken(server)
             server.send(GOOD)
-            endings = [await task]
+            results = [await task]
             await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
             _, task = attempt_at(group, number)
             await taken(server)
-        endings.append(await task)
+        results.append(await task)
         now = asyncio.get_running_loop().time()
         assert (
             upstream.REUSE_DELAY_S <= group.max_idle_s(now) < 1.0
-        )  # it had stood idle for less than a second
+        )  # it had been idle for less than a second
         assert group.max_idle_s(now + 100 * upstream.MAX_IDLE_DOUBLING_S) == group.idle_timeout_ms / 1000
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
             group.release(connection)
             connection.idle_since -= 5.0
             assert group.take_idle(number) is None
-        return endings
+        return results
 
     assert [one.status for one in play(steps)] == ["ok", "reset"]
 
 
-def test_servers_that_are_gone_are_forgotten_and_their_connections_end() -> None:
+def test_removed_endpoints_are_forgotten_and_their_connections_closed() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
@@ -287,7 +287,7 @@
     assert play(steps) == []
 
 
-def test_reply_to_nothing_ends_the_connection() -> None:
+def test_unsolicited_reply_closes_connection() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
@@ -306,7 +306,7 @@
     return server
 
 
-def test_idle_connections_are_closed_in_time_and_when_the_server_goes() -> None:
+def test_idle_connections_are_closed_when_stale_or_endpoint_removed() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         for close in (group.close_stale_idle, lambda: group.apply_endpoint_list("complete", [])):
             connection = group.new_connection(number)
@@ -335,9 +335,9 @@
     "restarted": lambda group, number, *_: listed_as(started_at_ms=5.0)(group, number),
     "moved": lambda group, number, *_: listed_as(address=("127.0.0.1", 1))(group, number),
     "left": lambda _group, _number, context, *_: context.claim_response(),
-    "given up": lambda _group, _number, _context, attempt, _clock: attempt.cancel(AttemptStatus.CANCELLED),
+    "cancelled": lambda _group, _number, _context, attempt, _clock: attempt.cancel(AttemptStatus.CANCELLED),
     "window over": lambda _group, _number, _context, attempt, _clock: setattr(attempt, "send_before", 179.0),
-    "patience over": lambda _group, _number, _context, _attempt, clock: clock.append(479.5),
+    "deadline passed": lambda _group, _number, _context, _attempt, clock: clock.append(479.5),
 }
 
 
@@ -347,10 +347,10 @@
     [(one, False) for one in CROSSINGS]
     + [(one, True) for one in CROSSINGS if one not in ("restarted", "moved")],
 )
-def test_no_byte_goes_out_for_what_is_no_longer_wanted(crossing: str, kept: bool) -> None:
+def test_nothing_is_written_for_attempt_that_is_no_longer_wanted(crossing: str, kept: bool) -> None:
     """Between the decision and the bytes lie a turn of the loop and, without a kept connection, a dial.
 
-    Only the time was asked for again: a server told to drain meanwhile got the request, and so did one
+    Only the time was checked again: a server that began to drain meanwhile got the request, and so did one
     whose client had left, or whose window for repeats had ended.
     """
 
@@ -368,26 +368,26 @@
             await asyncio.sleep(0)  # it dials
             assert attempt.connection is not None
         CROSSINGS[crossing](group, number, context, attempt, clock)
-        ending = await task
+        result = await task
         group.close()
         if not kept:
             server.close()
             listener.settimeout(0.0)
             try:
                 server = listener.accept()[0]
-            except BlockingIOError:  # given up, it ended before it came up
-                return [ending]
+            except BlockingIOError:  # cancelled, it ended before it came up
+                return [result]
             server.settimeout(10)
         with contextlib.suppress(ConnectionResetError):
             assert await asyncio.to_thread(server.recv, 100) == b""
         server.close()
-        return [ending]
+        return [result]
 
     assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
 
-def test_long_answer_that_comes_slowly_but_goes_on_is_not_spoilt() -> None:
-    # It counted as spoilt 0.1 s after its first part, however it went on.
+def test_slow_long_reply_is_accepted_while_it_progresses() -> None:
+    # It counted as malformed 0.1 s after its first part, however it went on.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
         with await accept(listener) as server:
@@ -400,7 +400,7 @@
                     await asyncio.sleep(0)
                 assert connection.stall_timer is not None
                 ends.append(connection.stall_timer.when())
-            assert ends == sorted(set(ends))  # each part moves the moment at which it counts as spoilt
+            assert ends == sorted(set(ends))  # each part moves the moment at which it counts as malformed
             assert ends[-1] <= connection.reply_deadline  # which half of what is left of the try bounds
             server.send(GOOD[-1:])
             return [await task]
@@ -408,7 +408,7 @@
     assert [one.status for one in play(steps)] == ["ok"]
 
 
-def test_answer_that_goes_on_without_end_is_spoilt_while_there_is_time_left() -> None:
+def test_endless_reply_is_malformed_before_deadline() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
@@ -420,16 +420,18 @@
     assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
-@pytest.mark.parametrize("crossing", ["drained", "gone", "left", "given up", "window over", "patience over"])
-def test_what_is_no_longer_wanted_is_not_dialled_for(crossing: str) -> None:
-    # A try given up before its task began dialled all the same: work for the till server, and for nobody.
+@pytest.mark.parametrize(
+    "crossing", ["drained", "gone", "left", "cancelled", "window over", "deadline passed"]
+)
+def test_attempt_that_is_no_longer_wanted_is_not_dialled(crossing: str) -> None:
+    # An attempt cancelled before its task began dialled all the same: work for the endpoint, and for nobody.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         (context, attempt), clock = request_at(number), [179.3]
         task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
         CROSSINGS[crossing](group, number, context, attempt, clock)
-        ending = await task
+        result = await task
         assert not group.counters.counts["dials"]
-        return [ending]
+        return [result]
 
     assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
@@ -445,10 +447,10 @@
         (errno.ECONNREFUSED, "unreachable"),
     ],
 )
-def test_connect_that_fails_for_a_lack_of_this_machine_tells_nothing_about_the_server(
+def test_local_connect_error_leaves_attempt_unsent(
     error: int, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Two such failures in a row ejected a sound server, and every peer was told that it was silent.
+    # Two such failures in a row ejected a sound server, and every peer learned that it was silent.
     def connect(stream: IOStream, address: object) -> asyncio.Future[IOStream]:
         stream.close(exc_info=OSError(error, os.strerror(error)))
         raise StreamClosedError(real_error=OSError(error, os.strerror(error)))
@@ -458,14 +460,14 @@
         _, task = attempt_at(group, number)
         return [await task]
 
-    assert [ending.status for ending in play(steps)] == [status]
+    assert [result.status for result in play(steps)] == [status]
 
 
 @pytest.mark.parametrize(("data", "status"), [(GOOD, "ok"), (b"", "timeout")])
-def test_try_given_up_in_the_step_in_which_its_end_is_read(
+def test_attempt_cancelled_in_turn_of_its_reply_keeps_reply(
     data: bytes, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An answer that was read counts; what a reset ended may have run, whoever gave it up meanwhile."""
+    """An answer that was read counts; what a reset ended may have run, whatever cancelled it meanwhile."""
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         attempt, task = attempt_at(group, number)
@@ -482,8 +484,8 @@
 
             monkeypatch.setattr(connection, ended, read_and_given_up)
             server.send(data)
-        ending = await task
+        result = await task
         assert attempt.cancel_status == "timeout" and not group.connections
-        return [ending]
+        return [result]
 
     assert [one.status for one in play(steps)] == [status]
