--- a/mapleshunt/policy/customers.py
+++ b/mapleshunt/policy/customers.py
@@ -23,7 +23,7 @@
 MIN_CUSTOMERS_TO_SWEEP = 64
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Customer:
     """A customer's quota, queue and account.
 
@@ -72,7 +72,7 @@
         return not self.open_requests and not self.leases and now - self.bucket.updated_at > refill_time
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Attempt:
     """An attempt of a request; `status` is None while it is in flight."""
 
@@ -81,7 +81,7 @@
     status: AttemptStatus | None = None
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class PendingRequest:
     """A request that is owed a final answer.
 
--- a/mapleshunt/policy/endpoints.py
+++ b/mapleshunt/policy/endpoints.py
@@ -9,7 +9,7 @@
 from .token_bucket import TokenBucket
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Endpoint:
     """An endpoint, and what this gateway knows of it.
 
--- a/mapleshunt/policy/exponential_decay.py
+++ b/mapleshunt/policy/exponential_decay.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class ExponentialDecay:
     """A sum of amounts that decay by 1/e in `time_constant` ms; `value` is as of `updated_at`."""
 
--- a/mapleshunt/policy/token_bucket.py
+++ b/mapleshunt/policy/token_bucket.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class TokenBucket:
     """A token bucket that is refilled when it is read.
 
