--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import enum
+import functools
 import socket
 from collections import deque
 from collections.abc import Callable
@@ -22,10 +23,15 @@
 from .requests import RequestRegistry, admit_request, parse_command
 from .response_slot import ResponseSlot
 
-DISCARD_BUFFER = bytearray(limits.DISCARD_BYTES)  # shared by all connections, for nobody reads it
 PONG = b"+PONG\r\n"
 
 
+@functools.cache
+def _discard_buffer() -> bytearray:
+    """Return the buffer for bytes that are thrown away: one for all connections, made at the first flood."""
+    return bytearray(limits.DISCARD_BYTES)
+
+
 class PauseReason(enum.Enum):
     """What the next command of a connection waits for."""
 
@@ -143,7 +149,7 @@
         return min(waited_s, socket_state.seconds_since_last_data(self.stream.socket))
 
     async def _discard_input(self) -> None:
-        await self.stream.read_into(DISCARD_BUFFER, partial=True)
+        await self.stream.read_into(_discard_buffer(), partial=True)
         await asyncio.sleep(limits.FLOOD_READ_PAUSE_S)  # it may go on at full speed: the others come first
 
     # Commands
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -9,7 +9,6 @@
 import os
 import signal
 import socket
-import tempfile
 import time
 from collections.abc import Callable, Sequence
 from pathlib import Path
@@ -152,9 +151,11 @@
         self.clients.add_listener(listener, inherited=config.accept_fd is not None)
 
     def _join_hot_restart(self) -> None:
+        from tempfile import gettempdir  # loads shutil and its compressors, 0.3 MB
+
         from ..net.hot_restart.takeover import Takeover
 
-        folder = Path(tempfile.gettempdir())
+        folder = Path(gettempdir())
         self.takeover = Takeover(folder, self.reloader.config.name, self.driver, self.counters)
         self.controller.hot_restart_tick = self._hot_restart_tick
 
