--- a/benchmarks/replication_plays.py
+++ b/benchmarks/replication_plays.py
@@ -1,4 +1,4 @@
-"""Plays of copies by seed, and how many each planted fault takes to be found.
+"""Plays of replicas by seed, and how many it takes to find each planted fault.
 
 python -m benchmarks.replication_plays [PLAYS] [MOST]
 """
@@ -12,28 +12,40 @@
 
 from mapleshunt.simulation.replication_planted_faults import PLANTS, play
 
+PLAYS_PER_JOB = 100
+MAX_VIOLATIONS_PRINTED = 20
 
-def some(first: int, end: int) -> list[tuple[int, str]]:
-    return [(seed, said) for seed in range(first, end) if (said := play(seed))]
 
+def find_violations(first: int, end: int) -> list[tuple[int, str]]:
+    """The seeds from `first` to before `end` whose plays violate an invariant, with the violation."""
+    violations = []
+    for seed in range(first, end):
+        if violation := play(seed):
+            violations.append((seed, violation))
+    return violations
 
-def hunt(plant: str, most: int) -> tuple[str, int | None, str]:
-    for seed in range(most):
-        if said := play(seed, plant):
-            return plant, seed, said
+
+def find_planted_fault(plant: str, max_seeds: int) -> tuple[str, int | None, str]:
+    """The first seed whose play finds a planted fault, with the violation; None if none does."""
+    for seed in range(max_seeds):
+        if violation := play(seed, plant):
+            return plant, seed, violation
     return plant, None, ""
 
 
 def main() -> None:
-    plays, most = (int(one) for one in [*sys.argv[1:], "20000", "4000"][:2])
-    for plant, seed, said in Parallel(n_jobs=-1)(delayed(hunt)(plant, most) for plant in PLANTS):
-        print(f"{plant:24} seed {seed}: {said[:70]}", flush=True)
-    begun, step = time.monotonic(), 100
-    parts = Parallel(n_jobs=-1)(delayed(some)(at, min(plays, at + step)) for at in range(0, plays, step))
-    broken = [one for part in parts for one in part]
-    print(f"{plays} plays, seeds 0 to {plays - 1}: {len(broken)} broken, {time.monotonic() - begun:.0f} s")
-    for seed, said in broken[:20]:
-        print(f"  seed {seed}: {said}")
+    plays, max_seeds = (int(argument) for argument in [*sys.argv[1:], "20000", "4000"][:2])
+    hunts = (delayed(find_planted_fault)(plant, max_seeds) for plant in PLANTS)
+    for plant, seed, violation in Parallel(n_jobs=-1)(hunts):
+        print(f"{plant:24} seed {seed}: {violation[:70]}", flush=True)
+    begun = time.monotonic()
+    starts = range(0, plays, PLAYS_PER_JOB)
+    jobs = (delayed(find_violations)(start, min(plays, start + PLAYS_PER_JOB)) for start in starts)
+    violations = [violation for part in Parallel(n_jobs=-1)(jobs) for violation in part]
+    elapsed = time.monotonic() - begun
+    print(f"{plays} plays, seeds 0 to {plays - 1}: {len(violations)} broken, {elapsed:.0f} s")
+    for seed, violation in violations[:MAX_VIOLATIONS_PRINTED]:
+        print(f"  seed {seed}: {violation}")
 
 
 if __name__ == "__main__":
