--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -59,7 +59,7 @@
         except ValueError as error:
             raise ConfigError(str(error)) from None
 
-    def _start_recorder(self, section: operators.Record) -> None:
+    def _start_recorder(self, section: operators.RecordingSettings) -> None:
         size, salt = int(section.size_mb * BYTES_PER_MB), section.salt.encode()
         path = Path(section.file.replace("{name}", self._config.name))
         try:
@@ -70,7 +70,7 @@
             log.log_event("record_failed", path=path, why=error)
             return
         self.recorder.start()
-        self._driver.on_request_released = self.recorder.seen
+        self._driver.on_request_released = self.recorder.record
         log.log_event("recording", path=path, bytes=size)
 
     def start(self) -> None:
@@ -92,7 +92,7 @@
             self._report_unavailable(error)
             self._opening = asyncio.get_running_loop().create_task(self._open_store(section))
 
-    async def _open_store(self, section: operators.Copies) -> None:
+    async def _open_store(self, section: operators.ReplicationSettings) -> None:
         """Try again until the store is open. Cancelling it leaves the gateway without its replicas."""
         while self.replication is None:
             await asyncio.sleep(STORE_RETRY_DELAY_S)
@@ -109,7 +109,7 @@
         self._counters.add("copies_store_unavailable")
         log.log_event("copies_store_unavailable", why=error)
 
-    def _start_replication(self, section: operators.Copies, store: DurableStore) -> None:
+    def _start_replication(self, section: operators.ReplicationSettings, store: DurableStore) -> None:
         replication = ReplicationHost(section, self._config.name, store, self._counters, self._config.seed)
         replication.start()
         self.replication = replication
@@ -146,5 +146,5 @@
                 part.close()
 
 
-def _load_settings() -> operators.Operators:
-    return operators.load(Path(os.environ[operators.VARIABLE]))
+def _load_settings() -> operators.OperatorSettings:
+    return operators.load(Path(os.environ[operators.ENVIRONMENT_VARIABLE]))
