--- a/mapleshunt/simulation/day.py
+++ b/mapleshunt/simulation/day.py
@@ -1,4 +1,4 @@
-"""A day to be played: a scenario drawn with a seed. The same seed gives every variant the same day."""
+"""A day to play: a scenario drawn with a seed. The same seed gives every variant the same day."""
 
 from __future__ import annotations
 
@@ -8,42 +8,48 @@
 from typing import Any
 
 from .. import policy
-from ..fleet import clients, faults
-from ..fleet import parameters as figures
+from ..fleet import clients, faults, parameters
 from ..fleet.clients import Traffic
 from ..fleet.faults import Fault
 from ..fleet.parameters import Parameters
 from ..fleet.random_streams import RandomStreams, Rng
 
 FaultPlan = Callable[[Rng, "Scenario"], list[Fault]]
+MS_PER_SECOND = 1000
+
+
+def no_faults(_rng: Rng, _scenario: Scenario) -> list[Fault]:
+    """Return the fault plan of a day without faults."""
+    return []
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """What is played: sizes, load and troubles. `load`: use inside quotas over what the fleet can do."""
+    """What is played: sizes, load and faults.
+
+    `load` is the range of the usage inside quotas over the fleet's capacity.
+    """
 
     name: str
     description: str
     load: tuple[float, float]
-    fault_plan: FaultPlan = field(default=lambda rng, scenario: [])
+    fault_plan: FaultPlan = no_faults
     gateways: int = 3
     servers: int = 14
     seconds: float = 30.0
     rate: float | None = None  # requests a second inside quotas, in place of `load`
-    fixed_parameters: Mapping[str, float] = field(default_factory=dict)  # figures
-    parameter_ranges: Mapping[str, figures.ParameterRange] = field(default_factory=dict)
+    fixed_parameters: Mapping[str, float] = field(default_factory=dict)
+    parameter_ranges: Mapping[str, parameters.ParameterRange] = field(default_factory=dict)
     settings: Mapping[str, Any] = field(default_factory=dict)  # of the gateways
-    installation_seed: int | None = (
-        None  # the seed of an installation: its machines, figures and customers stay from day to day
-    )
-    day_factory: Callable[[Scenario, int], Day] | None = (
-        None  # draws the day in another way, from a recording say
-    )
+    # The seed of an installation, whose machines, parameters and customers stay from day to day.
+    installation_seed: int | None = None
+    # Draws the day in another way, from a recording for instance.
+    day_factory: Callable[[Scenario, int], Day] | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RuleLimits:
-    """Figures of the rules; times in ms."""
+    """Limits of the rules; times in ms."""
 
     answer_slack_ms: float = 8.0
     drain_grace_ms: float = 500.0
@@ -84,22 +90,23 @@
 
     @property
     def length_ms(self) -> float:
-        return 1000 * self.scenario.seconds
+        """Return how long requests arrive (ms)."""
+        return MS_PER_SECOND * self.scenario.seconds
 
     def settings(self, words: Any = policy) -> list[Any]:
-        """The settings of each gateway, in the types of `words` (a version's own package `policy`)."""
+        """Return the settings of each gateway, in the types of `words` (a checkout's own `policy`)."""
         chosen = {**PLATFORM, **self.scenario.settings}
         plan_changes = {name: chosen.pop(name) for name in list(chosen) if name.startswith("plan.")}
-        known = {name for name in words.Settings.__dataclass_fields__}
-        classes = {name: words.RequestClass(name=name, **figures) for name, figures in CLASSES.items()}
+        known = set(words.Settings.__dataclass_fields__)
+        classes = {name: words.RequestClass(name=name, **fields) for name, fields in CLASSES.items()}
         plans = {}
-        for shape in self.parameters.plans:
-            held = {"rate": shape.rate, "burst": shape.burst}
+        for drawn in self.parameters.plans:
+            quota = {"rate": drawn.rate, "burst": drawn.burst}
             for name, value in plan_changes.items():
                 _, plan, part = name.split(".", 2)
-                if plan == shape.name:
-                    held[part] = value
-            plans[shape.name] = words.Plan(shape.name, **held)
+                if plan == drawn.name:
+                    quota[part] = value
+            plans[drawn.name] = words.Plan(drawn.name, **quota)
         chosen = {name: value for name, value in chosen.items() if name in known}
         return [
             words.Settings(
@@ -114,27 +121,31 @@
 
 
 def fleet_capacity(drawn: Parameters, servers: int) -> float:
-    """Work that warm servers do, in ms of a standard core a second."""
-    return 1000 * servers * drawn["cores"] * drawn["speed"]
+    """Return the work that warm backends do, in ms of a standard core a second."""
+    return MS_PER_SECOND * servers * drawn["cores"] * drawn["speed"]
 
 
 def draw_day(scenario: Scenario, seed: int) -> Day:
-    """Draw a day. Raises `UnknownFigure`."""
+    """Draw the day of a scenario and a seed.
+
+    Raises:
+        ParameterError: The scenario fixes a parameter that there is not, or at no number of 0 or more.
+    """
     if scenario.day_factory is not None:
         return scenario.day_factory(scenario, seed)
     streams = RandomStreams(seed, scenario.installation_seed)
-    drawn = figures.draw_parameters(
+    drawn = parameters.draw_parameters(
         streams.generator("figures"), scenario.fixed_parameters, scenario.parameter_ranges
     )
     load = float(streams.generator("load").uniform(*scenario.load))
     rate = scenario.rate
     if rate is None:
         rate = load * fleet_capacity(drawn, scenario.servers) / clients.mean_work(drawn)
-    troubles = faults.sorted_by_time(scenario.fault_plan(streams.generator("troubles"), scenario))
-    asked = clients.draw_traffic(
-        drawn, scenario.gateways, rate * clients.mean_units(drawn), 1000 * scenario.seconds, troubles, streams
-    )
-    return Day(scenario, seed, streams, drawn, asked, troubles)
+    planned = faults.sorted_by_time(scenario.fault_plan(streams.generator("troubles"), scenario))
+    length_ms = MS_PER_SECOND * scenario.seconds
+    units_per_s = rate * clients.mean_units(drawn)
+    traffic = clients.draw_traffic(drawn, scenario.gateways, units_per_s, length_ms, planned, streams)
+    return Day(scenario, seed, streams, drawn, traffic, planned)
 
 
 def resized(
@@ -144,7 +155,7 @@
     rate: float | None = None,
     seconds: float | None = None,
 ) -> Scenario:
-    """The scenario at other sizes. Raises ValueError for sizes that make none."""
+    """Return the scenario at other sizes. Raises ValueError for a size that is not above 0."""
     for name, value in (("gateways", gateways), ("servers", servers), ("rate", rate), ("seconds", seconds)):
         if value is not None and not (value > 0 and math.isfinite(value)):
             raise ValueError(f"{name} must be above 0, not {value:g}")
--- a/mapleshunt/simulation/history_checker.py
+++ b/mapleshunt/simulation/history_checker.py
@@ -1,7 +1,7 @@
 """Checks a history of calls and results against the guarantees of replication, whatever failed. No I/O.
 
-An acknowledged call is neither lost nor applied twice, and a read is explained by an order in which every call
-lies between its start and its end.
+An acknowledged call is neither lost nor applied twice, and a read is explained by an order in which every
+call lies between its start and its end.
 """
 
 from __future__ import annotations
@@ -128,7 +128,7 @@
 
 
 def check_reads(events: list[HistoryEvent]) -> list[str]:
-    """Check reads of usage: at least all acknowledged before they started, at most all started before they ended."""
+    """Check reads of usage: at least all acknowledged before, at most all started before their end."""
     found = []
     for read in events:
         customer = _bucket_read(read)
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -1,4 +1,4 @@
-"""The score of a played day: service as the operators weigh it, and each penalty, from what crossed the wire."""
+"""The score of a played day: service as operators weigh it, and penalties, from what crossed the wire."""
 
 from __future__ import annotations
 
--- a/mapleshunt/simulation/stats.py
+++ b/mapleshunt/simulation/stats.py
@@ -1,6 +1,6 @@
-"""Intervals. Replicas share seeds, so what two variants differ by is judged on paired differences.
+"""Intervals. Runs of two variants share seeds, so their difference is judged on paired differences.
 
-Student's t on the pairs, not a bootstrap: with 5 to 30 replicas a percentile bootstrap's intervals are too
+Student's t on the pairs, not a bootstrap: with 5 to 30 runs a percentile bootstrap's intervals are too
 short, and differences of a mean over many requests are close to normal.
 """
 
@@ -26,6 +26,7 @@
     high: float
 
     def as_dict(self) -> dict[str, float]:
+        """Return the interval for JSON."""
         return asdict(self)
 
 
