--- a/mapleshunt/net/replication/membership_manager.py
+++ b/mapleshunt/net/replication/membership_manager.py
@@ -8,7 +8,7 @@
 from ...replication import messages as m
 from ...replication.membership import GatewayPresence, ReplacementDelays, next_membership_step
 from ...replication.placement import place_replicas
-from ...settings.operators import Copies as ReplicationSection
+from ...settings.operators import ReplicationSettings as ReplicationSection
 from .. import log
 from .connections import PeerConnections
 from .fleet_knowledge import FleetKnowledge
--- a/mapleshunt/net/replication/store_access.py
+++ b/mapleshunt/net/replication/store_access.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from ...settings.operators import Copies as ReplicationSection
+from ...settings.operators import ReplicationSettings as ReplicationSection
 from ...storage.durable_store import DurableStore
 from ...storage.errors import StoreInUseError, StoreUnusableError
 from ..config import Address, ConfigError, parse_address
