--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -1,4 +1,4 @@
-"""Till servers on sockets: RESP2 before the world's state machine, and what arrives at them on record."""
+"""Backends on sockets: RESP2 before the fleet's state machine, and what arrives at them on record."""
 
 from __future__ import annotations
 
@@ -15,41 +15,49 @@
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
 from ..simulation.records import ClientAttempt, UpstreamAttempt
+from .fault_proxy import RESET_ON_CLOSE
 from .ports import HOST
 
 if TYPE_CHECKING:
     from .fleet import LoopbackFleet
 
 
+BACKLOG = 512  # connections that wait to be accepted
+CANCELLED = "cancelled"  # status of an attempt whose gateway has ended the connection
+REQUEST_VERBS = (b"SVC.QUERY", b"SVC.SUBMIT")
+REQUEST_WORDS = 4  # verb, customer, name and pairs
+
+
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
-    """An attempt that is out, on the connection it came by."""
+    """An attempt that has no response yet, and the connection that it came by."""
 
-    one: ClientAttempt
+    request: ClientAttempt
     attempt: UpstreamAttempt
     stream: IOStream
     done: asyncio.Future[str] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
 
 class SocketBackend:
-    """One till server. Its address stays the same when its process comes back."""
+    """One backend. Its address stays the same when its process restarts."""
 
     def __init__(self, machine: Backend, fleet: LoopbackFleet) -> None:
         self.machine, self.fleet = machine, fleet
-        self.listener = bound(0)
+        self.listener = _bind(0)
         self.port: int = self.listener.getsockname()[1]
-        self.tasks: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self.listening: Callable[[], None] | None = None
         self.listen()
         self.streams: set[IOStream] = set()
-        self.held: dict[BackendRequest, InFlightAttempt] = {}
-        self.alarm: asyncio.TimerHandle | None = None
-        self.alarm_at = float("inf")
+        self._waiting: dict[BackendRequest, InFlightAttempt] = {}
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = float("inf")
 
-    # Life
+    # The process
 
     def listen(self) -> None:
-        self.listener.listen(512)
+        """Take connections from now on."""
+        self.listener.listen(BACKLOG)
         self.listening = add_accept_handler(self.listener, self._accept)
 
     def stop(self) -> None:
@@ -59,41 +67,45 @@
             self.listening = None
         self.listener.close()
 
-    def _accept(self, connection: socket.socket, address: object) -> None:
+    def _accept(self, connection: socket.socket, _address: object) -> None:
         task = asyncio.get_running_loop().create_task(self.handle_stream(IOStream(connection)))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    def close_all(self) -> None:
-        """Connections break as when a process dies: whoever is out on them gets a reset."""
-        self.held = {}
+    def reset_connections(self) -> None:
+        """Reset all connections, as when a process is killed."""
+        self._waiting = {}
         for stream in list(self.streams):
             raw = stream.socket
             if raw is not None:
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             stream.close()
         self.streams.clear()
 
-    def die(self) -> None:
-        self._ended(self.machine.advance(self.fleet.clock.now()))
+    def crash(self) -> None:
+        """End the process: connections are reset, and new ones are refused."""
+        self._end_works(self.machine.advance(self.fleet.clock.now()))
         self.stop()
-        self.listener = bound(self.port)  # held and not listening: whoever comes is refused
+        self.listener = _bind(self.port)  # held and not listening: connections are refused
         self.machine.crash(self.fleet.clock.now())
-        self.close_all()
+        self.reset_connections()
 
     def fall_silent(self) -> None:
-        self._ended(self.machine.advance(self.fleet.clock.now()))
+        """Go on to accept and read, and respond to nothing."""
+        self._end_works(self.machine.advance(self.fleet.clock.now()))
         self.machine.silent, self.machine.next_event_at = True, float("inf")
 
-    def come_back(self) -> None:
+    def restart(self) -> None:
+        """Start a process anew, cold; one that is silent is ended first."""
         if self.machine.silent:
-            self.die()
+            self.crash()
         self.listen()
         self.machine.start(self.fleet.clock.now())
 
     # Connections
 
     async def handle_stream(self, stream: IOStream) -> None:
+        """Handle a connection's commands one after another until it ends."""
         machine, clock = self.machine, self.fleet.clock
         if len(self.streams) >= machine.max_connections:
             stream.close()
@@ -101,14 +113,14 @@
         self.streams.add(stream)
         machine.connections = len(self.streams)
         machine.add_connection_work(clock.now(), self.fleet.handshake_work)
-        self._plan()
+        self._schedule()
         buffer, current = ReadBuffer(resp.MAX_MESSAGE_BYTES), list[InFlightAttempt]()
         stream.set_close_callback(lambda: self._closed(stream, current))
         try:
             while True:
                 while found := resp.parse_command(buffer.data, buffer.start, buffer.end):
                     buffer.consume(found[1])
-                    await self._command(stream, found[0], current)
+                    await self._handle_command(stream, found[0], current)
                 await buffer.fill(stream)
         except (StreamClosedError, resp.ProtocolError, MessageTooLongError):
             stream.close()
@@ -116,111 +128,135 @@
     def _closed(self, stream: IOStream, current: list[InFlightAttempt]) -> None:
         self.streams.discard(stream)
         self.machine.connections = len(self.streams)
-        for out in current:
-            self.give_up(out)
-
-    def give_up(self, out: InFlightAttempt) -> None:
-        """Its gateway has ended the connection."""
-        if out.attempt.status is None:
-            out.attempt.status = "cancelled"
-            out.attempt.backend_request.cancelled = True
-            self.machine.cancel(out.attempt.backend_request)
-            self.held.pop(out.attempt.backend_request, None)
-            if not out.done.done():
-                out.done.set_result("cancelled")
-
-    async def _command(
+        for in_flight in current:
+            self.cancel(in_flight)
+
+    def cancel(self, in_flight: InFlightAttempt) -> None:
+        """Cancel an attempt whose gateway has ended the connection; nothing if it has ended."""
+        if in_flight.attempt.status is None:
+            in_flight.attempt.status = CANCELLED
+            in_flight.attempt.backend_request.cancelled = True
+            self.machine.cancel(in_flight.attempt.backend_request)
+            self._waiting.pop(in_flight.attempt.backend_request, None)
+            if not in_flight.done.done():
+                in_flight.done.set_result(CANCELLED)
+
+    async def _handle_command(
         self, stream: IOStream, words: list[memoryview], current: list[InFlightAttempt]
     ) -> None:
-        if bytes(words[0]) not in (b"SVC.QUERY", b"SVC.SUBMIT") or len(words) < 4:
-            await stream.write(
-                b"+PONG\r\n" if bytes(words[0]) == b"PING" else resp.encode_error("ERR unknown command")
-            )
+        """Respond to a command; `current` holds the attempt that the connection waits for."""
+        verb = bytes(words[0])
+        if verb not in REQUEST_VERBS or len(words) < REQUEST_WORDS:
+            await stream.write(b"+PONG\r\n" if verb == b"PING" else resp.encode_error("ERR unknown command"))
             return
-        fleet, clock = self.fleet, self.fleet.clock
-        found = fleet.by_id.get(bytes(words[2]).decode("latin-1"))
+        name = bytes(words[2])
+        found = self.fleet.by_id.get(name.decode("latin-1"))
         if found is None:
-            fleet.unknown_requests += 1
+            self.fleet.unknown_requests += 1
             await stream.write(resp.encode_error("SYNTAX no client sent this"))
             return
-        one, now = found[0], clock.now()
-        for earlier in fleet.in_flight.get(one.request_id, ()):
-            if gone(earlier.stream):  # it has ended before this one came, though its end is not yet read
-                fleet.give_up(earlier)
-        work = fleet.backend_request(one, len(one.attempts), one.sent_at + one.timeout_ms)
-        attempt = UpstreamAttempt(self.machine.number, self.machine.cell, now, work, now)
-        fleet.rule_checker.attempt_sent(one, attempt, one.gateway, fleet.sent_at(now))
-        one.attempts.append(attempt)
-        fleet.quota_accounting.record_arrival(one, now)
-        out = InFlightAttempt(one, attempt, stream)
-        fleet.in_flight.setdefault(one.request_id, []).append(out)
-        current[:] = [out]
-        word: str | None
-        if self.machine.silent:
-            word = None
-        else:
-            fallen = self.machine.collapsed
-            told = fleet.rule_checker.knows_start(one.gateway, self.machine.number, self.machine.started_at)
-            word, ended = self.machine.offer(now, work, told)
-            self._ended(ended)
-            if self.machine.collapsed and not fallen:
-                fleet.backend_collapsed(self.machine)
-                return
-        if word is None:
-            self.held[work] = out
-            self._plan()
-            word = await out.done
-            if word == "cancelled":
-                return
-        out.attempt.status = word
-        fleet.ended(out)
+        in_flight = self._begin_attempt(found[0], stream)
+        current[:] = [in_flight]
+        status = await self._wait_for_status(in_flight)
+        if status is None:
+            return
+        in_flight.attempt.status = status
+        self.fleet.ended(in_flight)
         current.clear()
-        if word == "full":
-            await stream.write(resp.encode_error("BUSY"))
-        elif word == "error":
-            await stream.write(resp.encode_error("ERR failed"))
+        await self._respond(in_flight, status, name)
+
+    def _begin_attempt(self, request: ClientAttempt, stream: IOStream) -> InFlightAttempt:
+        """Record an attempt that has arrived."""
+        fleet, now = self.fleet, self.fleet.clock.now()
+        for earlier in fleet.in_flight.get(request.request_id, ()):
+            if is_closed_by_peer(
+                earlier.stream
+            ):  # it ended before this one came, though that is not read yet
+                fleet.cancel(earlier)
+        work = fleet.backend_request(request, len(request.attempts), request.sent_at + request.timeout_ms)
+        attempt = UpstreamAttempt(self.machine.number, self.machine.cell, now, work, now)
+        fleet.rule_checker.attempt_sent(request, attempt, request.gateway, fleet.sent_at(now))
+        request.attempts.append(attempt)
+        fleet.quota_accounting.record_arrival(request, now)
+        in_flight = InFlightAttempt(request, attempt, stream)
+        fleet.in_flight.setdefault(request.request_id, []).append(in_flight)
+        return in_flight
+
+    async def _wait_for_status(self, in_flight: InFlightAttempt) -> str | None:
+        """Return how the attempt ended; None if it has no response: cancelled, or the backend collapsed."""
+        status: str | None = None
+        if not self.machine.silent:
+            collapsed_before = self.machine.collapsed
+            status = self._offer(in_flight)
+            if self.machine.collapsed and not collapsed_before:
+                self.fleet.backend_collapsed(self.machine)
+                return None
+        if status is None:
+            self._waiting[in_flight.attempt.backend_request] = in_flight
+            self._schedule()
+            status = await in_flight.done
+            if status == CANCELLED:
+                return None
+        return status
+
+    def _offer(self, in_flight: InFlightAttempt) -> str | None:
+        """Offer an attempt's work to the machine; returns its status if it has ended at once."""
+        gateway, attempt = in_flight.request.gateway, in_flight.attempt
+        knows_start = self.fleet.rule_checker.knows_start(
+            gateway, self.machine.number, self.machine.started_at
+        )
+        status, ended = self.machine.offer(attempt.sent_at, attempt.backend_request, knows_start)
+        self._end_works(ended)
+        return status
+
+    async def _respond(self, in_flight: InFlightAttempt, status: str, name: bytes) -> None:
+        if status == "full":
+            await in_flight.stream.write(resp.encode_error("BUSY"))
+        elif status == "error":
+            await in_flight.stream.write(resp.encode_error("ERR failed"))
         else:
-            fleet.quota_accounting.record_settlement(one, clock.now())
-            await self._answer(stream, out, self._good_answer(one, bytes(words[2])))
+            self.fleet.quota_accounting.record_settlement(in_flight.request, self.fleet.clock.now())
+            await self._write_result(in_flight.stream, self._result(in_flight.request, name))
 
-    def _good_answer(self, one: ClientAttempt, name: bytes) -> bytes:
+    def _result(self, request: ClientAttempt, name: bytes) -> bytes:
         report = self.machine.load_report(self.fleet.clock.now())
         load = f"qps={report.qps:.0f},latency_ms={report.latency:.0f},inflight={report.inflight:.0f}"
         value = b"%s by %d" % (name, self.machine.number)
-        cost = f"cost={one.request.units:.0f}".encode()
+        cost = f"cost={request.request.units:.0f}".encode()
         return b"*3\r\n" + resp.encode_bulk(value) + resp.encode_bulk(cost) + resp.encode_bulk(load.encode())
 
-    async def _answer(self, stream: IOStream, out: InFlightAttempt, data: bytes) -> None:
-        """Write a good answer."""
+    async def _write_result(self, stream: IOStream, data: bytes) -> None:
         await stream.write(data)
 
     # The machine's time
 
-    def _ended(self, works: list[BackendRequest]) -> None:
+    def _end_works(self, works: list[BackendRequest]) -> None:
         for work in works:
             if work.took_effect:
                 self.fleet.rule_checker.effect_ran(work)
-            out = self.held.pop(work, None)
-            if out is not None and not work.cancelled and not out.done.done():
-                self.machine.latency_since_report += self.fleet.clock.now() - (out.attempt.arrived_at or 0.0)
-                out.done.set_result(self.machine.draw_status())
-
-    def _plan(self) -> None:
-        if self.machine.next_event_at < self.alarm_at:
-            if self.alarm is not None:
-                self.alarm.cancel()
-            self.alarm_at = self.machine.next_event_at
-            self.alarm = self.fleet.clock.at(self.machine.next_event_at, self._due)
-
-    def _due(self) -> None:
-        self.alarm, self.alarm_at = None, float("inf")
+            in_flight = self._waiting.pop(work, None)
+            if in_flight is not None and not work.cancelled and not in_flight.done.done():
+                self.machine.latency_since_report += self.fleet.clock.now() - (
+                    in_flight.attempt.arrived_at or 0.0
+                )
+                in_flight.done.set_result(self.machine.draw_status())
+
+    def _schedule(self) -> None:
+        if self.machine.next_event_at < self._timer_at:
+            if self._timer is not None:
+                self._timer.cancel()
+            self._timer_at = self.machine.next_event_at
+            self._timer = self.fleet.clock.at(self.machine.next_event_at, self._run_due)
+
+    def _run_due(self) -> None:
+        self._timer, self._timer_at = None, float("inf")
         if self.machine.up and not self.machine.silent:
-            self._ended(self.machine.advance(self.fleet.clock.now()))
-            self._plan()
+            self._end_works(self.machine.advance(self.fleet.clock.now()))
+            self._schedule()
 
 
-def gone(stream: IOStream) -> bool:
-    """Has the other side ended this connection, whether or not that has been read?"""
+def is_closed_by_peer(stream: IOStream) -> bool:
+    """Whether the other side has ended this connection, even if that has not been read."""
     raw: socket.socket | None = stream.socket
     if stream.closed() or raw is None:
         return True
@@ -232,10 +268,10 @@
         return True
 
 
-def bound(port: int) -> socket.socket:
-    """A socket that holds a port of the loopback, 0 for a new one."""
-    one = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    one.setblocking(False)
-    one.bind((HOST, port))
-    return one
+def _bind(port: int) -> socket.socket:
+    """Return a socket that holds a port of the loopback, 0 for a new one."""
+    holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    holder.setblocking(False)
+    holder.bind((HOST, port))
+    return holder
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -181,7 +181,7 @@
     def close(self) -> None:
         for till in self.backends.values():
             till.stop()
-            till.close_all()
+            till.reset_connections()
         for agent in self.agents:
             agent.stop()
         for counter in self.counters:
@@ -217,14 +217,15 @@
         return resp.encode_command(words)
 
     def ended(self, out: InFlightAttempt) -> None:
-        there = self.in_flight.get(out.one.request_id, [])
+        there = self.in_flight.get(out.request.request_id, [])
         if out in there:
             there.remove(out)
         if not there:
-            self.in_flight.pop(out.one.request_id, None)
+            self.in_flight.pop(out.request.request_id, None)
 
-    def give_up(self, out: InFlightAttempt) -> None:
-        self.backends[out.attempt.server].give_up(out)
+    def cancel(self, in_flight: InFlightAttempt) -> None:
+        """Cancel an attempt whose gateway has ended its connection."""
+        self.backends[in_flight.attempt.server].cancel(in_flight)
 
     def unwell(self, gateway: int) -> bool:
         """It has been killed, or told to end: connections that it ends are no loss of its own."""
@@ -236,13 +237,13 @@
         self.agents[gateway].change(entry)
 
     def _crash_backend(self, number: int) -> None:
-        self.backends[number].die()
+        self.backends[number].crash()
 
     def _silence_backend(self, number: int) -> None:
         self.backends[number].fall_silent()
 
     def _restart_backend(self, number: int) -> None:
-        self.backends[number].come_back()
+        self.backends[number].restart()
 
     def _kill_gateway(self, number: int) -> None:
         self.down.add(number)
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -51,7 +51,7 @@
     def soak(self) -> SoakFleet:
         return cast("SoakFleet", self.fleet)
 
-    async def _command(
+    async def _handle_command(
         self, stream: IOStream, words: list[memoryview], current: list[InFlightAttempt]
     ) -> None:
         loop = asyncio.get_running_loop()
@@ -62,7 +62,7 @@
         self._judge(words)
         if self.random.random() < self.misbehaviour.reset:
             loop.call_later(self.random.uniform(0.0, MAX_RESET_DELAY_S), reset, stream)
-        await super()._command(stream, words, current)
+        await super()._handle_command(stream, words, current)
 
     def _judge(self, words: list[memoryview]) -> None:
         """Look at the deadline passed on, and whether the client was still there when this began."""
@@ -87,7 +87,7 @@
                 "sent_after_leaving", f"request {one.request_id}, {late:.0f} ms after its client"
             )
 
-    async def _answer(self, stream: IOStream, out: InFlightAttempt, data: bytes) -> None:
+    async def _write_result(self, stream: IOStream, data: bytes) -> None:
         chance = self.random.random()
         if chance < self.misbehaviour.truncated:
             await stream.write(data[: len(data) // 2])
@@ -105,7 +105,7 @@
 
     def close_idle(self) -> None:
         """Close all connections on which nothing is awaited, as a server does after its idle limit."""
-        busy = {out.stream for out in self.held.values()}
+        busy = {out.stream for out in self._waiting.values()}
         for stream in [one for one in self.streams if one not in busy]:
             stream.close()
 
@@ -139,7 +139,7 @@
             self.machine.silent = False
             self.machine.advanced_to = self.fleet.clock.now()
             self.machine.reschedule(self.fleet.clock.now())
-            self._plan()
+            self._schedule()
 
 
 def reset(stream: IOStream) -> None:
