--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -13,7 +13,7 @@
 from ...replication import boots, generations, wire
 from ...replication import messages as m
 from ...replication.config import RaftConfig
-from ...settings.operators import Copies as ReplicationSection
+from ...settings.operators import ReplicationSettings as ReplicationSection
 from ...storage.durable_store import DurableStore
 from ...storage.errors import StoreUnavailableError
 from ...transient_errors import is_transient
