--- a/mapleshunt/simulation/event_queue.py
+++ b/mapleshunt/simulation/event_queue.py
@@ -30,8 +30,7 @@
         processed_before = self.sequence - len(heap)
         while heap and heap[0][0] <= until:
             when, _, call, arguments = pop(heap)
-            if when > self.now:  # noqa: PLR1730 - a call of max() for each event costs percents of a run
-                self.now = when
+            self.now = when if when > self.now else self.now  # max() costs percents of a run
             call(*arguments)
         self.processed += self.sequence - len(heap) - processed_before
         self.now = max(self.now, until)
