--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -49,6 +49,7 @@
 
     @property
     def soak(self) -> SoakFleet:
+        """The fleet, which has the report that violations go into."""
         return cast("SoakFleet", self.fleet)
 
     async def _handle_command(
@@ -104,13 +105,13 @@
             asyncio.get_running_loop().call_later(LATE_ANSWER_S, write_if_open, stream, late)
 
     def close_idle(self) -> None:
-        """Close all connections on which nothing is awaited, as a server does after its idle limit."""
+        """Close all connections without an attempt, as a server does after its idle limit."""
         busy = {out.stream for out in self._waiting.values()}
         for stream in [one for one in self.streams if one not in busy]:
             stream.close()
 
     def stop_accepting(self) -> None:
-        """From now on new connections do not come up: the backlog is full, and stays so."""
+        """Let no new connections be made: the backlog is full, and stays so."""
         if self.listening is None:
             return
         self.listening()
@@ -123,6 +124,7 @@
             self.fillers.append(filler)
 
     def accept_again(self) -> None:
+        """End what `stop_accepting` began."""
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
@@ -133,8 +135,8 @@
         """Go on to accept and read, and answer nothing."""
         self.fall_silent()
 
-    def go_on(self) -> None:
-        """End a hang: what was taken is worked on, and answered if anybody still waits."""
+    def resume(self) -> None:
+        """End a hang: accepted work is done, and answered if its gateway still waits."""
         if self.machine.silent and self.machine.up:
             self.machine.silent = False
             self.machine.advanced_to = self.fleet.clock.now()
@@ -143,6 +145,7 @@
 
 
 def reset(stream: IOStream) -> None:
+    """Reset a connection, if it is open."""
     raw: socket.socket | None = stream.socket
     if raw is not None:
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -150,6 +153,7 @@
 
 
 def write_if_open(stream: IOStream, data: bytes) -> None:
+    """Write to a connection; nothing if it has ended."""
     if not stream.closed():
         try:
             stream.write(data)
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -301,7 +301,7 @@
     def _inject_backend_hang(self, fault: ScheduledFault) -> None:
         for backend in self._backends(fault):
             backend.hang()
-            self._later(fault.duration_s, backend.go_on)
+            self._later(fault.duration_s, backend.resume)
 
     def _inject_backend_unreachable(self, fault: ScheduledFault) -> None:
         for backend in self._backends(fault):
--- a/mapleshunt/testbed/soak/schedule.py
+++ b/mapleshunt/testbed/soak/schedule.py
@@ -106,18 +106,18 @@
 
 def syscall_fault_rates(fault: ScheduledFault, before: SyscallFaultRates) -> SyscallFaultRates:
     """Return the rates of failing calls while a fault lasts, on top of those before."""
+    rates = before
     match fault.kind:
         case "calls_fail":
-            return replace(before, accept=0.2, connect=0.1, socket=0.05, broken_as=0.5)
+            rates = replace(before, accept=0.2, connect=0.1, socket=0.05, broken_as=0.5)
         case "short_io":
-            return replace(before, short_io=0.3, interrupt=0.05)
+            rates = replace(before, short_io=0.3, interrupt=0.05)
         case "hold":
-            return replace(before, hold=0.02)
+            rates = replace(before, hold=0.02)
         case "disk_fails":
-            return replace(before, disk=0.5, disk_read=0.1)
+            rates = replace(before, disk=0.5, disk_read=0.1)
         case "disk_slow":
-            return replace(before, disk_slow=MAX_SYNC_DELAY_S * fault.magnitude)
+            rates = replace(before, disk_slow=MAX_SYNC_DELAY_S * fault.magnitude)
         case "clock_step":
-            return replace(before, clock_step=fault.magnitude)
-        case _:
-            return before
+            rates = replace(before, clock_step=fault.magnitude)
+    return rates
