--- a/mapleshunt/lifecycle/lifecycle.py
+++ b/mapleshunt/lifecycle/lifecycle.py
@@ -32,7 +32,7 @@
     STARTING = "starting"  # not listening yet
     SERVING = "serving"
     DRAINING = "draining"  # lame duck: running, but clients are sent to other gateways; can be resumed
-    STOPPING = "stopping"  # told to end, by SIGTERM
+    STOPPING = "stopping"  # asked to end, by SIGTERM
 
 
 LEGAL_TRANSITIONS: Mapping[State, frozenset[State]] = {
--- a/mapleshunt/net/replication/fleet_knowledge.py
+++ b/mapleshunt/net/replication/fleet_knowledge.py
@@ -40,10 +40,10 @@
 
     def merge(self, hello: wire.Handshake) -> int:
         """Take over what another gateway knows; return the boot of this store that it has met."""
-        told = dict(hello.known_boots)
-        own_boot = told.pop(self._store.incarnation, 0)
+        received = dict(hello.known_boots)
+        own_boot = received.pop(self._store.incarnation, 0)
         known = boots.remember_boot(
-            boots.merge_known_boots(self._known_boots, told), hello.incarnation, hello.boot
+            boots.merge_known_boots(self._known_boots, received), hello.incarnation, hello.boot
         )
         changed = known != self._known_boots or hello.formed_groups | self._formed != self._formed
         self._known_boots = known  # also if nothing changed: the order of the boots counts
