--- a/mapleshunt/net/maintenance/coordinator.py
+++ b/mapleshunt/net/maintenance/coordinator.py
@@ -12,7 +12,7 @@
 from ...maintenance.jobs import MaintenanceJobs
 from ...replicated_state.results import Denied, Result
 from ...replication import wire
-from ...settings.operators import Maintenance as MaintenanceSection
+from ...settings.operators import MaintenanceSettings as MaintenanceSection
 from .. import log
 from ..replication.host import ReplicationHost
 from .proposal_session import ProposalSessions
