--- a/mapleshunt/simulation/maintenance_plays.py
+++ b/mapleshunt/simulation/maintenance_plays.py
@@ -1,5 +1,5 @@
 """Machines taken out for work, walked through: every interleaving for a few machines to a stated depth, and
-long random walks. What decides is `maintenance.state` and `maintenance.holder`; here are machines that crash,
+long random walks. What decides is `maintenance.jobs` and `maintenance.agent`; here are machines that crash,
 sleep, are cut off and are worked on, and what must hold whatever order things come in.
 """
 
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -1,7 +1,6 @@
 """Days of a large fleet whose quotas are leased from copies: groups, disks and links in virtual time.
 
-What decides is the program's own: `replication.node`, `holdings.state`, `holdings.leases`, and the gateways'
-`Leased`. Here are their clock, disks and wires. A wire loses nothing but what is sent while it is cut; a lost
+What decides is the program's own: `replication.node`, `replicated_state` and the gateways' `Leased`. Here are their clock, disks and wires. A wire loses nothing but what is sent while it is cut; a lost
 machine is not replaced within a day. Times in ms, those of the nodes in s.
 """
 
