--- a/mapleshunt/simulation/fleet_host.py
+++ b/mapleshunt/simulation/fleet_host.py
@@ -1,7 +1,7 @@
-"""What every host of a day shares: its machines, its clients' habits, its quotas, and its faults.
+"""What every host of a day shares: its machines, its clients' behaviour, its quotas, and its faults.
 
-The engine plays a day in virtual time, the rig on sockets. What differs between them is how an attempt
-travels and how a machine dies; the rest is here, so that both play the same day by the same rules.
+The engine plays a day in virtual time, the testbed on sockets. They differ in how an attempt travels and how
+a machine dies; the rest is here, so that both play the same day by the same rules.
 """
 
 from __future__ import annotations
@@ -22,139 +22,157 @@
 from .records import ClientAttempt, RequestRecord
 from .rule_checker import RuleChecker
 
-NOISE_TABLE_SIZE = 4096  # places of the table of attempt noise
-MIN_BACKEND_SPEED = 0.3  # speed that no drawn till server is below
+NOISE_TABLE_SIZE = 4096  # entries of the table of attempt noise, for each class
+MIN_BACKEND_SPEED = 0.3  # bounds the drawn speed from below
+MIN_TIMEOUT_MS = 1  # an attempt with less time left is not made
 
 
 class FleetHost:
-    """A day's world, drawn. Times in ms since the day began; a subclass has the clock and the wire."""
+    """The machines of a day. Times are in ms since its start; a subclass has the clock and the wire."""
 
     def __init__(self, day: Day, words: Any = policy) -> None:
+        """Args: `words` is the package with the gateways' types, of whatever checkout is played."""
         f, streams = day.parameters, day.streams
         self.day = day
-        self.network, self.counter = Network(f, streams), SharedCounter(f)
+        self.network = Network(f, streams)
+        self.counter = SharedCounter(f)
         self.discovery = Discovery(f, streams.generator("discovery"))
         self.settings = day.settings(words)
         self.client_behaviour = ClientBehaviour(f, self.settings[0].max_retry_after)
         self.rule_checker = RuleChecker(day, self.settings[0])
         self.quota_accounting = QuotaAccounting(day, self.rule_checker.ceiling_exceeded)
-        self.classes = [shape.name for shape in f.classes]
+        self.classes = [cls.name for cls in f.classes]
         self.effects = [CLASSES[name].get("effect", "safe") for name in self.classes]
         self.deadlines = [CLASSES[name]["deadline"] for name in self.classes]
         self.idempotency_window_ms = max(self.deadlines)
         self.handshake_work = f["handshake_work"]
-        noise, spread = streams.generator("noise"), [shape.noise for shape in f.classes]
-        self.noise_tables = [
-            lognormal(noise, 1.0, cv, NOISE_TABLE_SIZE).tolist() if cv else [1.0] * NOISE_TABLE_SIZE
-            for cv in spread
-        ]
-        self.requests = [RequestRecord(ask) for ask in day.traffic.requests]
+        self.noise_tables = self._draw_noise(streams.generator("noise"))
+        self.requests = [RequestRecord(request) for request in day.traffic.requests]
         self.last_request_id = 0
         self.gateways_marked_down: set[int] = set()  # gateways that the front sends nothing to
         count = day.scenario.gateways
         self.peer_rate_limiters = [
             MessageRateLimiter(self.settings[0].gossip_intake_per_s) for _ in range(count)
         ]
-        # What the score asks for, besides the records.
+        # What the score needs besides the records.
         self.message_bytes = self.health_checks = self.counter_calls = self.events = 0
         self.total_cpu_ns = self.gateway_cpu_ns = 0
         self.backend_models: dict[int, Backend] = {}
         self.idempotency_stores: list[IdempotencyStore] = []
-        speeds, size = streams.generator("speeds"), max(1, round(f["cell_size"]))
-        for number in range(day.scenario.servers):
-            if number % size == 0:
-                self.idempotency_stores.append(IdempotencyStore(self.idempotency_window_ms))
-            self._add_backend(number, speeds)
+        self._add_backends(streams.generator("speeds"))
         self.next_server = day.scenario.servers
         self.endpoint_lists: list[dict[int, EndpointEntry]] = [
             dict(self.discovery.entries) for _ in range(count)
         ]
 
+    def _draw_noise(self, rng: Rng) -> list[list[float]]:
+        """Draw factors of the work of attempts, a table for each class."""
+        return [
+            lognormal(rng, 1.0, cls.noise, NOISE_TABLE_SIZE).tolist()
+            if cls.noise
+            else [1.0] * NOISE_TABLE_SIZE
+            for cls in self.day.parameters.classes
+        ]
+
+    def _add_backends(self, speeds: Rng) -> None:
+        """Add the day's backends, cell by cell."""
+        cell_size = max(1, round(self.day.parameters["cell_size"]))
+        for number in range(self.day.scenario.servers):
+            if number % cell_size == 0:
+                self.idempotency_stores.append(IdempotencyStore(self.idempotency_window_ms))
+            self._add_backend(number, speeds)
+
     # The subclass's clock and wire
 
     def now(self) -> float:
+        """Return the time since the day began (ms)."""
         raise NotImplementedError
 
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+        """Schedule a call; the arguments are the function's own, hence untyped."""
         raise NotImplementedError
 
-    def _backend_added(self, till: Backend) -> None:
-        """A till server is there, and has its number."""
+    def _backend_added(self, backend: Backend) -> None:
+        """Set up what belongs to a new backend."""
         raise NotImplementedError
 
     def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
-        """News of the list reach a gateway."""
+        """Deliver a change of the endpoint list to a gateway."""
         raise NotImplementedError
 
     def _crash_backend(self, number: int) -> None:
-        """A till server's process ends, and all connections to it break."""
+        """End a backend's process; all connections to it break."""
         raise NotImplementedError
 
     def _silence_backend(self, number: int) -> None:
+        """Make a backend's machine unresponsive."""
         raise NotImplementedError
 
     def _restart_backend(self, number: int) -> None:
-        """A till server that was down or silent is back, cold."""
+        """Start a backend that was down or unresponsive; it warms up."""
         raise NotImplementedError
 
     def _kill_gateway(self, number: int) -> None:
-        """A gateway dies with all it holds."""
+        """Kill a gateway with all that it holds."""
         raise NotImplementedError
 
     def _restart_gateway(self, number: int) -> None:
+        """Start a gateway that was killed."""
         raise NotImplementedError
 
     # Machines and requests
 
     def _add_backend(self, number: int, speeds: Rng) -> Backend:
-        """A till server of the newest cell, its speed drawn."""
-        f, rules, cell = self.day.parameters, self.day.rules, len(self.idempotency_stores) - 1
+        """Add a backend to the newest cell, its speed drawn."""
+        f, rules = self.day.parameters, self.day.rules
+        cell = len(self.idempotency_stores) - 1
         speed = max(MIN_BACKEND_SPEED, f["speed"] * (1 + f["speed_cv"] * float(speeds.standard_normal())))
         errors = BufferedDraws(self.day.streams.generator("errors", number).random)
         keys = self.idempotency_stores[cell]
-        till = Backend(
+        backend = Backend(
             number, f, speed, cell, keys, errors, rules.overload_window_ms, rules.overload_multiple
         )
-        self.backend_models[number] = till
-        self._backend_added(till)
+        self.backend_models[number] = backend
+        self._backend_added(backend)
         self.discovery.entries[number] = EndpointEntry(number, cell)
-        return till
+        return backend
 
     def backend_request(self, one: ClientAttempt, number: int, until: float) -> BackendRequest:
-        """An attempt's work at a till server; its gateway waits until then."""
-        ask = one.request
-        amount = (
-            ask.work_ms * self.noise_tables[ask.class_index][(ask.noise_offset + number) % NOISE_TABLE_SIZE]
-        )
-        key = ask if self.effects[ask.class_index] == "keyed" else None
-        return BackendRequest((one.request_id, number), amount, until, key, ask.units, one.gateway)
+        """Return an attempt as it arrives at a backend; its gateway waits until then."""
+        request = one.request
+        noise = self.noise_tables[request.class_index][(request.noise_offset + number) % NOISE_TABLE_SIZE]
+        key = request if self.effects[request.class_index] == "keyed" else None
+        token = (one.request_id, number)
+        return BackendRequest(token, request.work_ms * noise, until, key, request.units, one.gateway)
 
     def start_attempt(self, record: RequestRecord, number: int) -> ClientAttempt | None:
-        """A client's try as the front sends it now; None if no patience is left for it."""
-        ask, now = record.request, self.now()
-        deadline = self.deadlines[ask.class_index]
-        patience = min(ask.timeout_share * deadline, ask.arrives_at + deadline - now)
-        if patience <= 1:
+        """Return a client's attempt as the front sends it now, or None if no time is left for it."""
+        request, now = record.request, self.now()
+        deadline = self.deadlines[request.class_index]
+        timeout_ms = min(request.timeout_share * deadline, request.arrives_at + deadline - now)
+        if timeout_ms <= MIN_TIMEOUT_MS:
             return None
-        pick = ask.gateway_draw if number == 1 else self.client_behaviour.retry_gateway_draw(ask, number)
+        draw = request.gateway_draw
+        if number > 1:
+            draw = self.client_behaviour.retry_gateway_draw(request, number)
         count = len(self.endpoint_lists)
-        gateway = self.day.traffic.pick_gateway(ask.customer, now, pick, count, self.gateways_marked_down)
+        gateway = self.day.traffic.pick_gateway(request.customer, now, draw, count, self.gateways_marked_down)
         self.last_request_id += 1
         record.attempt_count = number
-        one = ClientAttempt(self.last_request_id, ask, number, gateway, now, patience)
+        one = ClientAttempt(self.last_request_id, request, number, gateway, now, timeout_ms)
         self.rule_checker.client_attempts.append(one)
         return one
 
     def notify_client(
-        self, record: RequestRecord, one: ClientAttempt, told: ClientResult, wait: float
+        self, record: RequestRecord, one: ClientAttempt, result: ClientResult, retry_after: float
     ) -> float | None:
-        """A client has its end of a try: after how long it comes again, if it does."""
+        """Record a result at its client; return after how long it retries (ms), or None."""
         one.client_notified = True
-        record.last_result, record.ended_at = told, self.now()
-        if told == "served" and record.served_at is None:
+        record.last_result, record.ended_at = result, self.now()
+        if result == "served" and record.served_at is None:
             record.served_at, record.inside_quota = record.ended_at, bool(one.inside_quota)
-        safe = self.effects[one.request.class_index] == "safe"
-        return self.client_behaviour.retry_delay(one.request, one.number, told, wait, safe)
+        idempotent = self.effects[one.request.class_index] == "safe"
+        return self.client_behaviour.retry_delay(one.request, one.number, result, retry_after, idempotent)
 
     # Faults
 
@@ -177,22 +195,22 @@
         self._publish_endpoint(EndpointEntry(number, self.backend_models[number].cell, "gone"))
 
     def _on_crash(self, fault: Fault) -> None:
-        # The list knows whether a process runs: it is told that this one is gone, and then of its start.
+        # Discovery knows whether a process runs: it lists the end, and then the start.
         for number in fault.targets:
             self._remove_backend(number)
             if fault.duration:
                 self.at(fault.end, self._recover_backend, number)
 
     def _recover_backend(self, number: int) -> None:
-        till = self.backend_models[number]
-        if not till.collapsed:
+        backend = self.backend_models[number]
+        if not backend.collapsed:
             self._restart_backend(number)
-            self._publish_endpoint(EndpointEntry(number, till.cell, "ready", self.now()))
+            self._publish_endpoint(EndpointEntry(number, backend.cell, "ready", self.now()))
 
-    def backend_collapsed(self, till: Backend) -> None:
-        """Pushed over while cold: it stays down."""
-        self.rule_checker.backend_collapsed(till)
-        self._remove_backend(till.number)
+    def backend_collapsed(self, backend: Backend) -> None:
+        """Record a backend that collapsed while it warmed up; it stays down."""
+        self.rule_checker.backend_collapsed(backend)
+        self._remove_backend(backend.number)
 
     def _on_silent(self, fault: Fault) -> None:
         for number in fault.targets:
@@ -218,10 +236,10 @@
     def _on_add(self, fault: Fault) -> None:
         speeds = self.day.streams.generator("added", int(fault.at))
         for _ in range(int(fault.magnitude)):
-            till = self._add_backend(self.next_server, speeds)
+            backend = self._add_backend(self.next_server, speeds)
             self.next_server += 1
-            till.start(self.now())
-            self._publish_endpoint(EndpointEntry(till.number, till.cell, "ready", self.now()))
+            backend.start(self.now())
+            self._publish_endpoint(EndpointEntry(backend.number, backend.cell, "ready", self.now()))
 
     def _on_restart(self, fault: Fault) -> None:
         for number in fault.targets:
