--- a/tests/test_durable_store.py
+++ b/tests/test_durable_store.py
@@ -190,21 +190,21 @@
     disk = DurableStore(tmp_path, "fleet", "a", vfs="full-disk")
     disk.create(3, FIRST)
     done: list[tuple[int, int]] = []
-    said, durable, troubled = list[str](), threading.Event(), threading.Event()
+    reasons, durable, has_failed = list[str](), threading.Event(), threading.Event()
 
     def finished(some: list[tuple[int, int]]) -> None:
         done.extend(some)
         durable.set()
 
     def failed(why: str) -> None:
-        said.append(why)
-        troubled.set()
+        reasons.append(why)
+        has_failed.set()
 
     writer = StoreWriter(disk, finished, failed)
     vfs.full.set()
     writer.write(3, m.Write(1, 1, "a/1", (entry(1),)))
     writer.write(3, m.Write(2, 1, "a/1", (entry(2),)))
-    assert troubled.wait(20) and not done and "full" in said[0]
+    assert has_failed.wait(20) and not done and "full" in reasons[0]
     vfs.full.clear()
     assert durable.wait(20)
     writer.close()
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -58,8 +58,8 @@
     stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
     other = RaftNode("c/1", stored, RaftConfig(), 2, 5.0)
     beat = next(one.message for one in sent(out, m.AppendEntries) if one.to == "c/1")
-    told = sent(other.step(5.5, m.MessageReceived("a/1", beat)), m.AppendEntriesResponse)
-    assert other.leader == "a/1" and not told  # held until its term is written
+    responses = sent(other.step(5.5, m.MessageReceived("a/1", beat)), m.AppendEntriesResponse)
+    assert other.leader == "a/1" and not responses  # held until its term is written
     (reply,) = sent(other.step(5.5, m.WriteCompleted(other.outbox.last_write)), m.AppendEntriesResponse)
     assert reply.message == m.AppendEntriesResponse(1, False, 0, node.round)
     out = node.step(5.5, m.MessageReceived("c/1", m.AppendEntriesResponse(1, False, 0, 0)))
--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -12,7 +12,7 @@
 
 
 def commits_of_an_older_term(make: type[RaftNode]) -> list[bytes]:
-    """The thesis' figure 3.7 (in the paper, 8): what the first copy applies once its entry of term 2 is
+    """The thesis' figure 3.7 (in the paper, 8): what the first replica applies once its entry of term 2 is
     on three of five. One that leads term 3 elsewhere could still replace it.
     """
     names = tuple(f"{name}/1" for name in "abcde")
--- a/tests/test_replication_plays.py
+++ b/tests/test_replication_plays.py
@@ -17,8 +17,8 @@
 
 @pytest.mark.parametrize("first", range(0, 200, 25))
 def test_no_invariant_is_violated_in_plays_by_seed(first: int) -> None:
-    broken = {seed: said for seed in range(first, first + 25) if (said := play(seed))}
-    assert not broken
+    violations = {seed: violation for seed in range(first, first + 25) if (violation := play(seed))}
+    assert not violations
 
 
 @pytest.mark.parametrize("plant", FOUND)
