--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -22,21 +22,21 @@
 from ..conftest import Driver
 
 
-def sends(actions: list) -> list[StartAttempt]:  # type: ignore[type-arg]
+def started_attempts(actions: list) -> list[StartAttempt]:  # type: ignore[type-arg]
     return [a for a in actions if isinstance(a, StartAttempt)]
 
 
-def shared(home: int, spread: int = 2) -> str:
-    """A customer whose home is that member of a set that begins at gateway 0."""
-    return next(f"c{n}" for n in range(999) if tag_of(f"c{n}") % spread == home)
+def customer_owned_by(owner: int, spread: int = 2) -> str:
+    """A customer whose owner is that member of a set that begins at gateway 0."""
+    return next(f"c{n}" for n in range(999) if tag_of(f"c{n}") % spread == owner)
 
 
-def asked(actions: list) -> list[tuple[int, GossipEntry]]:  # type: ignore[type-arg]
+def sent_entries(actions: list) -> list[tuple[int, GossipEntry]]:  # type: ignore[type-arg]
     told = [(a.peer, decode(a.data)) for a in actions if isinstance(a, SendGossip)]
     return [(peer, line) for peer, report in told if report for line in report.entries]
 
 
-def word(driver: Driver, line: GossipEntry, kind: str, left: float = 1.0, use: float = 0.0) -> list:  # type: ignore[type-arg]
+def reply_as_owner(driver: Driver, line: GossipEntry, kind: str, left: float = 1.0, use: float = 0.0) -> list:  # type: ignore[type-arg]
     reply = GossipEntry(EntryKind(kind), line.customer_tag, line.request_number, 0.0, left, encode_use(use))
     return driver.feed(GossipReceived(1, encode(0.1, [reply])))
 
@@ -51,30 +51,32 @@
     return driver, driver.gateway.customers.by_tag[tag_of(ONE)]
 
 
-def unsure(driver: Driver, number: int) -> list[SendGossip]:
-    """A request whose customer's store the gateway does not know well enough; the asks it leads to."""
+def send_uncertain_request(driver: Driver, number: int) -> list[SendGossip]:
+    """A request whose customer's bucket the gateway does not know well enough; the asks it leads to."""
     got = driver.ask(plan="thin", customer=f"c{number}", gateway_set_size=3, units=3)
-    return [one for one in [*got, *driver.wait(30)] if isinstance(one, SendGossip) and "ask" in kinds(one)]
+    return [
+        one for one in [*got, *driver.wait(30)] if isinstance(one, SendGossip) and "ask" in entry_kinds(one)
+    ]
 
 
-def kinds(tell: SendGossip) -> list[str]:
+def entry_kinds(tell: SendGossip) -> list[str]:
     report = decode(tell.data)
     return [line.kind for line in report.entries] if report else []
 
 
-def asks_of(driver: Driver) -> tuple[SendGossip, GossipEntry]:
-    """The ask, and its line, that a request led to whose customer's home is another gateway."""
+def first_ask(driver: Driver) -> tuple[SendGossip, GossipEntry]:
+    """The ask, and its line, that a request led to whose customer's owner is another gateway."""
     for number in range(60):
-        if asks := unsure(driver, number):
-            return asks[0], next(one for one in lines([asks[0]]) if one.kind == "ask")
-    raise AssertionError("every customer's home is this gateway")
+        if asks := send_uncertain_request(driver, number):
+            return asks[0], next(one for one in entries_of([asks[0]]) if one.kind == "ask")
+    raise AssertionError("every customer's owner is this gateway")
 
 
-def lines(actions: list) -> list[GossipEntry]:  # type: ignore[type-arg]
+def entries_of(actions: list) -> list[GossipEntry]:  # type: ignore[type-arg]
     reports = [decode(one.data) for one in actions if isinstance(one, SendGossip)]
     return [line for report in reports if report for line in report.entries]
 
 
-def hear(driver: Driver, peer: int, data: str) -> list[GossipEntry]:
+def entries_after_message(driver: Driver, peer: int, data: str) -> list[GossipEntry]:
     """What a peer's message leads to being told."""
-    return lines([*driver.feed(GossipReceived(peer, data)), *driver.wait(200)])
+    return entries_of([*driver.feed(GossipReceived(peer, data)), *driver.wait(200)])
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,12 +8,12 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_request_without_endpoints_is_rejected_in_time() -> None:
     driver = Driver(servers=0)
-    assert sends(driver.ask(remaining_time=900)) == []
+    assert started_attempts(driver.ask(remaining_time=900)) == []
     assert [type(a) for a in driver.wait(900)] == [RejectRequest]
 
 
@@ -26,7 +26,7 @@
 def test_latency_above_the_objective_does_not_reject_all_requests(driver: Driver) -> None:
     """Incidents id7b97c, ib569a7: answer times above the aim must not refuse all that would cure them."""
     driver.gateway.latency.mean_by_class["look"] = 5000.0
-    assert sends(driver.ask())
+    assert started_attempts(driver.ask())
 
 
 def test_queue_stays_short_because_requests_are_rejected_early() -> None:
@@ -45,7 +45,7 @@
 
 
 def test_unsent_request_is_rejected_within_half_its_remaining_time() -> None:
-    # One refused later, and never sent, costs a part of its worth on top.
+    # One rejected later, and never sent, costs a part of its worth on top.
     driver = Driver(servers=0)
     driver.ask(remaining_time=1000)
     got = driver.wait(500)
@@ -53,15 +53,15 @@
 
 
 def test_class_that_earns_least_for_an_endpoints_time_is_rejected_first_when_slots_are_short() -> None:
-    # In the calm day's burst all classes were refused alike, though one earns thrice as much for equal work.
+    # In the calm day's burst all classes were rejected alike, though one earns thrice as much for equal work.
     classes = {
         "low": RequestClass("low", latency_objective=1000, deadline=4000),
         "high": RequestClass("high", latency_objective=1000, deadline=4000, priority_weight=3.0),
     }
     driver = Driver(servers=1, classes=classes)
     driver.gateway.concurrency.per_endpoint = 1.0
-    refused = {"low": 0, "high": 0}
+    rejected = {"low": 0, "high": 0}
     for n in range(12):
         cls = ("low", "high")[n % 2]
-        refused[cls] += any(isinstance(a, RejectRequest) for a in driver.ask(cls, customer=f"c{n}"))
-    assert refused["low"] >= refused["high"] + 2
+        rejected[cls] += any(isinstance(a, RejectRequest) for a in driver.ask(cls, customer=f"c{n}"))
+    assert rejected["low"] >= rejected["high"] + 2
--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -9,11 +9,11 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_cost_estimate_follows_the_newest_answer(driver: Driver) -> None:
-    (send,) = sends(driver.ask())
+    (send,) = started_attempts(driver.ask())
     before = driver.gateway.customers.by_tag[tag_of("c")].cost_estimate
     driver.answer(send, latency=400)
     assert driver.gateway.customers.by_tag[tag_of("c")].cost_estimate == pytest.approx(
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -11,7 +11,7 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_limit_shrinks_on_slow_answers_and_grows_back(driver: Driver) -> None:
@@ -19,7 +19,7 @@
     start = gateway.concurrency.per_endpoint
     for latency, n in ((900.0, 60), (20.0, 400)):
         for _ in range(n):
-            (send,) = sends(driver.ask())
+            (send,) = started_attempts(driver.ask())
             driver.wait(50)
             driver.answer(send, latency=latency)
         if latency == 900.0:
@@ -32,19 +32,19 @@
     for _ in range(200):
         driver.feed(GossipReceived(1, encode(1.0, (), [(endpoint_tag(1), 1.0)])))
     start = driver.gateway.concurrency.per_endpoint
-    (send,) = sends(driver.ask())
+    (send,) = started_attempts(driver.ask())
     driver.wait(300)
     driver.answer(send, latency=300)
     assert driver.gateway.concurrency.per_endpoint < start
 
 
 def test_limit_grows_by_what_it_is_so_that_a_gateway_that_meets_most_requests_keeps_its_part() -> None:
-    # Slots grew alike at all: with 45 requests a second as many were sent as with 20, and half were refused.
+    # Slots grew alike at all: with 45 requests a second as many were sent as with 20, and half were rejected.
     slots = []
     for part in (0.5, 1.0):
         driver = Driver(servers=100, gateway_count=200)
         driver.gateway.concurrency.per_endpoint *= part
         for _ in range(int(driver.gateway.concurrency.slots(driver.now)[1])):  # an answer for each slot
-            driver.answer(sends(driver.ask())[0])
+            driver.answer(started_attempts(driver.ask())[0])
         slots.append(driver.gateway.concurrency.slots(driver.now)[1])
     assert slots[1] > 1.9 * slots[0]
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -24,7 +24,7 @@
 
 
 def test_first_even_shares_of_a_wide_customer_hold_no_more_than_its_quota_together() -> None:
-    # Each held half of a largest request on average: at 30 gateways 120 units beside a store of 16.
+    # Each held half of a largest request on average: at 30 gateways 120 units beside a bucket of 16.
     total, burst = 0.0, 0.0
     for seed in range(30):
         driver = Driver(gateway_count=30, gossip_enabled=True, max_request_units=8)
@@ -38,7 +38,7 @@
 
 
 def test_customer_of_a_wide_set_is_admitted_within_its_quota_where_gossip_is_off() -> None:
-    """200 gateways, and nobody to ask: an even slice of a store holds 0.02 of a request.
+    """200 gateways, and nobody to ask: an even share of a bucket holds 0.02 of a request.
 
     Slices began empty but for a few by chance, and filled by a unit a minute: on a calm day 0.136 was served.
     """
@@ -57,4 +57,4 @@
         for one in gateways:
             one.wait(1000)
         late = let_in("usual")
-    assert late < len(gateways) / 4  # one that asks for 25 times its quota is not let in for ever
+    assert late < len(gateways) / 4  # one that asks for 25 times its quota is not admitted for ever
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -13,19 +13,19 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_draining_or_gone_endpoint_gets_no_attempts(driver: Driver, state: str) -> None:
     gone = tuple(EndpointInfo(n, state=state) for n in (0, 1, 2))  # type: ignore[arg-type]
     driver.feed(EndpointUpdate("partial", gone))
-    assert {a.endpoint for _ in range(8) for a in sends(driver.ask())} == {3}
+    assert {a.endpoint for _ in range(8) for a in started_attempts(driver.ask())} == {3}
 
 
 def test_endpoint_missing_from_a_complete_list_is_gone(driver: Driver) -> None:
     driver.feed(EndpointUpdate("complete", (EndpointInfo(2),)))
-    assert {a.endpoint for _ in range(5) for a in sends(driver.ask())} == {2}
+    assert {a.endpoint for _ in range(5) for a in started_attempts(driver.ask())} == {2}
 
 
 def test_failed_watch_is_polled_again_after_a_backoff() -> None:
@@ -41,7 +41,7 @@
 def test_gone_endpoint_is_forgotten_once_nothing_is_in_flight_there() -> None:
     # All day new servers under new ids take the places of old ones: memory grew with each.
     driver = Driver(servers=1)
-    (send,) = sends(driver.ask())
+    (send,) = started_attempts(driver.ask())
     for number in range(1, 40):
         driver.feed(EndpointUpdate("partial", (EndpointInfo(number - 1, state="gone"), EndpointInfo(number))))
     assert set(driver.gateway.endpoints.by_number) == {0, 39}
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -7,7 +7,7 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_messages_fit_and_go_to_one_peer_each() -> None:
@@ -34,7 +34,7 @@
 
 def test_gateway_of_a_large_fleet_sends_no_more_messages_than_all_may_take_in() -> None:
     """Each of 200 sent 28 messages a second where they take in 12: two in three were lost, and what the lost
-    words would have refused was let in by chance. By its slice it is not.
+    words would have rejected was admitted by chance. By its even share it is not.
     """
     driver, seconds = (
         Driver(
@@ -51,4 +51,4 @@
         driver.wait(25)
     told = sum(isinstance(one, SendGossip) for one in driver.all)
     assert 0.8 * 12 * seconds <= told <= 12 * seconds + 3
-    assert len(sends(driver.all)) < 40 * seconds / 5
+    assert len(started_attempts(driver.all)) < 40 * seconds / 5
--- a/tests/policy/test_owner_selection.py
+++ b/tests/policy/test_owner_selection.py
@@ -10,17 +10,17 @@
 from mapleshunt.policy.owner_selection import primary_owner_count
 
 from ..conftest import Driver
-from .helpers import member, sends
+from .helpers import member, started_attempts
 
 
 def admitted_by_two(wait: float, tries: int) -> int:
-    """What two gateways of one set let in together for a customer under a ceiling, unheard by each other."""
+    """What two gateways of one set admitted together for a customer under a ceiling, unheard by each other."""
     total = 0
     for me in (0, 1):
         driver = Driver(gateway_count=2, gateway_index=me)
         driver.ask(plan="hard", gateway_set_size=2)
         driver.wait(wait)
-        total += sum(len(sends(driver.ask(plan="hard", gateway_set_size=2))) for _ in range(tries))
+        total += sum(len(started_attempts(driver.ask(plan="hard", gateway_set_size=2))) for _ in range(tries))
     return total
 
 
@@ -35,14 +35,14 @@
 
 def test_large_quota_has_several_owners_whose_parts_sum_to_it_and_in_a_small_fleet_one() -> None:
     plans = {"big": Plan("big", rate=35, burst=81), "thin": Plan("thin", rate=1.5, burst=16)}
-    homes: dict[str, set[int]] = {"big": set(), "thin": set()}
+    owners: dict[str, set[int]] = {"big": set(), "thin": set()}
     for me in range(0, 200, 5):
         for plan in plans:
             driver, customer = member(me, plan, plans=plans, max_request_units=8, gossip_intake_per_s=40)
-            homes[plan].add(customer.quota_owners[0])
+            owners[plan].add(customer.quota_owners[0])
             parts = primary_owner_count(customer.plan, driver.gateway.settings)
             assert customer.bucket.burst * parts == pytest.approx(plans[plan].burst)
-    assert len(homes["big"]) == 4 and len(homes["thin"]) == 1
+    assert len(owners["big"]) == 4 and len(owners["thin"]) == 1
     small = Driver(
         gateway_count=3, gossip_enabled=True, plans=plans, max_request_units=8, gossip_intake_per_s=40
     )
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -12,12 +12,12 @@
 )
 
 from ..conftest import Driver
-from .helpers import member, sends
+from .helpers import member, started_attempts
 
 
 def test_settlement_charges_the_true_units() -> None:
     driver = Driver(cost_known_after=True)
-    (send,) = sends(driver.ask(plan="thin", units=1))
+    (send,) = started_attempts(driver.ask(plan="thin", units=1))
     driver.answer(send, cost=4)
     assert isinstance(driver.ask(plan="thin")[0], RejectRequest)
 
--- a/tests/policy/test_quota_check.py
+++ b/tests/policy/test_quota_check.py
@@ -22,7 +22,18 @@
 )
 
 from ..conftest import PLANS, Driver
-from .helpers import ONE, asked, asks_of, hear, lines, member, sends, shared, unsure, word
+from .helpers import (
+    ONE,
+    customer_owned_by,
+    entries_after_message,
+    entries_of,
+    first_ask,
+    member,
+    reply_as_owner,
+    send_uncertain_request,
+    sent_entries,
+    started_attempts,
+)
 
 
 def test_request_over_quota_is_rejected_at_once_with_a_short_retry_after(driver: Driver) -> None:
@@ -33,36 +44,40 @@
 
 def test_member_asks_the_owner_and_goes_by_its_reply() -> None:
     for kind, expected in (("granted", StartAttempt), ("denied", RejectRequest)):
-        driver, name = Driver(gateway_count=2, gossip_enabled=True), shared(1)
-        ((peer, line),) = asked(driver.ask(plan="thin", customer=name, gateway_set_size=2) + driver.wait(50))
+        driver, name = Driver(gateway_count=2, gossip_enabled=True), customer_owned_by(1)
+        ((peer, line),) = sent_entries(
+            driver.ask(plan="thin", customer=name, gateway_set_size=2) + driver.wait(50)
+        )
         assert peer == 1 and line.kind == "ask" and line.units == 1
-        assert [type(a) for a in word(driver, line, kind, left=0.3)] == [expected]
+        assert [type(a) for a in reply_as_owner(driver, line, kind, left=0.3)] == [expected]
 
 
 def test_lack_told_by_the_owner_rejects_at_once() -> None:
-    driver, name = Driver(gateway_count=2, gossip_enabled=True), shared(1)
-    ((_, line),) = asked(driver.ask(plan="thin", customer=name, gateway_set_size=2))
-    word(driver, line, "denied", left=0.0)
+    driver, name = Driver(gateway_count=2, gossip_enabled=True), customer_owned_by(1)
+    ((_, line),) = sent_entries(driver.ask(plan="thin", customer=name, gateway_set_size=2))
+    reply_as_owner(driver, line, "denied", left=0.0)
     assert [type(a) for a in driver.ask(plan="thin", customer=name, gateway_set_size=2)] == [RejectRequest]
 
 
 def test_full_bucket_told_lately_admits_at_once_and_is_noted() -> None:
-    driver, name = Driver(gateway_count=2, gossip_enabled=True), shared(1)
-    ((_, line),) = asked(driver.ask(plan="thin", customer=name, gateway_set_size=2))
-    word(driver, line, "granted", left=1.0)
+    driver, name = Driver(gateway_count=2, gossip_enabled=True), customer_owned_by(1)
+    ((_, line),) = sent_entries(driver.ask(plan="thin", customer=name, gateway_set_size=2))
+    reply_as_owner(driver, line, "granted", left=1.0)
     got = driver.ask(plan="thin", customer=name, gateway_set_size=2)
-    assert len(sends(got)) == 1
-    assert [(peer, one.kind, one.units) for peer, one in asked(got + driver.wait(200))] == [(1, "note", 1.0)]
+    assert len(started_attempts(got)) == 1
+    assert [(peer, one.kind, one.units) for peer, one in sent_entries(got + driver.wait(200))] == [
+        (1, "note", 1.0)
+    ]
 
 
 def test_silent_owners_leave_an_even_share_of_one_request_at_least() -> None:
-    """Incident i09b8ea: a ninth of a store of 4 would refuse for ever; the whole at nine is too much."""
-    driver, name = Driver(gateway_count=9, gossip_enabled=True), shared(3, 9)
+    """Incident i09b8ea: a ninth of a bucket of 4 would refuse for ever; the whole at nine is too much."""
+    driver, name = Driver(gateway_count=9, gossip_enabled=True), customer_owned_by(3, 9)
     got = []
     for _ in range(30):  # 90 s at a ninth of one a second
         got += driver.ask(plan="thin", customer=name, gateway_set_size=9) + driver.wait(3000)
-    assert {peer for peer, line in asked(got) if line.kind == "ask"} == {3, 8}
-    assert 6 <= len(sends(got)) <= 11
+    assert {peer for peer, line in sent_entries(got) if line.kind == "ask"} == {3, 8}
+    assert 6 <= len(started_attempts(got)) <= 11
 
 
 def test_request_over_the_limit_on_open_requests_is_rejected(driver: Driver) -> None:
@@ -74,7 +89,7 @@
 
 
 def admitted_while_cut_off(n: int, seed: int, told: float) -> list[bool]:
-    """Which of a customer's 20 requests n gateways that hear of nobody let in, each through another."""
+    """Which of a customer's 20 requests n gateways that hear of nobody admitted, each through another."""
     let = []
     for k in range(20):
         me = (k * n // 20) % n
@@ -88,7 +103,7 @@
         driver.gateway.quota_check.granted_parts = [told]
         driver.ask(plan="thin", customer="00000000000000c1", units=2, gateway_set_size=n)
         driver.wait(3000)
-        let.append(bool(sends(driver.all)))
+        let.append(bool(started_attempts(driver.all)))
     return let
 
 
@@ -96,7 +111,7 @@
 def test_gateways_cut_off_from_each_other_admit_what_owners_granted(
     told: float, least: float, most: float
 ) -> None:
-    """On the split day 89 in 100 tries were refused while half of their quota was unused."""
+    """On the split day 89 in 100 tries were rejected while half of their quota was unused."""
     let = [one for seed in range(5) for one in admitted_while_cut_off(200, seed, told)]
     assert least <= sum(let) / len(let) <= most
 
@@ -110,10 +125,10 @@
 
 
 def test_request_is_decided_by_the_even_share_in_time_when_no_owner_replies() -> None:
-    # Each message lost, and each restart of a keeper, had requests refused that the quota had room for.
+    # Each message lost, and each restart of an owner, had requests rejected that the quota had room for.
     driver = Driver(gateway_count=3, gossip_enabled=True, max_request_units=8)
     for number in range(60):
-        if unsure(driver, number):
+        if send_uncertain_request(driver, number):
             break
     got = driver.wait(900)
     assert [one.request_id for one in got if isinstance(one, StartAttempt | RejectRequest)] == [driver.ref]
@@ -138,10 +153,13 @@
 
 def test_grant_that_comes_too_late_is_given_back_to_the_owner() -> None:
     driver = Driver(gateway_count=3, gossip_enabled=True, max_request_units=8)
-    ask, line = asks_of(driver)
-    driver.wait(900)  # decided without the home
+    ask, line = first_ask(driver)
+    driver.wait(900)  # decided without the owner
     late = encode(0.1, [GossipEntry(EntryKind.GRANTED, line.customer_tag, line.request_number, 0.0, 0.5, 0)])
-    notes = [[one.units for one in hear(driver, ask.peer, late) if one.kind == "note"] for _ in range(2)]
+    notes = [
+        [one.units for one in entries_after_message(driver, ask.peer, late) if one.kind == "note"]
+        for _ in range(2)
+    ]
     assert notes == [[-3.0], []]  # the second word answers the second ask
 
 
@@ -149,47 +167,49 @@
     driver = Driver(gateway_count=4, gossip_enabled=True, max_request_units=8)
     for number in range(60):
         driver.ask(plan="thin", customer=f"c{number}", gateway_set_size=3, gateway_set_offset=1, units=3)
-        home, _, deputy = driver.gateway.customers.by_tag[tag_of(f"c{number}")].quota_owners
-        if home == 1 and deputy != 1:
+        owner, _, backup = driver.gateway.customers.by_tag[tag_of(f"c{number}")].quota_owners
+        if owner == 1 and backup != 1:
             break
     tag = tag_of(f"c{number}")
     asked: list[GossipEntry] = []
-    while not asked:  # the home was asked twice then, in vain
-        told = [one for one in driver.wait(5) if isinstance(one, SendGossip) and one.peer == deputy]
-        asked = [one for one in lines(told) if one.kind == "ask" and one.customer_tag == tag]
+    while not asked:  # the owner was asked twice then, in vain
+        told = [one for one in driver.wait(5) if isinstance(one, SendGossip) and one.peer == backup]
+        asked = [one for one in entries_of(told) if one.kind == "ask" and one.customer_tag == tag]
     granted = encode(0.1, [GossipEntry(EntryKind.GRANTED, tag, asked[0].request_number, 0.0, 0.4, 0)])
     notes = [
-        one.units for one in hear(driver, deputy, granted) if one.kind == "note" and one.customer_tag == tag
+        one.units
+        for one in entries_after_message(driver, backup, granted)
+        if one.kind == "note" and one.customer_tag == tag
     ]
     assert notes == [3.0]
 
 
 def test_view_of_a_bucket_suffices_for_a_few_gateways_and_not_for_thirty() -> None:
-    # Each let one in on a view that was true a second ago, and thirty of them passed the store together.
-    def asked(spread: int) -> bool:
+    # Each let one in on a view that was true a second ago, and thirty of them passed the bucket together.
+    def needs_owner(spread: int) -> bool:
         driver = Driver(gateway_count=30, gossip_enabled=True, max_request_units=8)
         c = driver.gateway.customers.customer_of(
             RequestReceived(0, "look", "thin", "c", 900.0, 1.0, spread, 5), driver.now
         )
         c.owner_replied_at = driver.now
         got = driver.ask(plan="thin", customer="c", gateway_set_size=spread)
-        return not sends(got)
+        return not started_attempts(got)
 
-    assert [asked(2), asked(30)] == [False, True]
+    assert [needs_owner(2), needs_owner(30)] == [False, True]
 
 
 def test_members_ask_a_crowded_owner_less_and_it_still_learns_the_demand() -> None:
     # Homes of customers far beyond their quotas were written 100 messages a second; they take in 40.
-    (asker, customer), home = member(), Driver(gateway_count=200, gateway_index=11, gossip_enabled=True)
+    (asker, customer), owner = member(), Driver(gateway_count=200, gateway_index=11, gossip_enabled=True)
     tag, code = tag_of(ONE), sorted(PLANS).index("thin")
     for n in range(400):
-        home.now += 20
-        home.feed(
+        owner.now += 20
+        owner.feed(
             GossipReceived(
                 n % 150, encode(0.1, [GossipEntry(EntryKind.ASK, tag, n, 1.0, 1.0, code + 2 * len(PLANS))])
             )
         )
-    owned = home.gateway.customers.by_tag[tag]
+    owned = owner.gateway.customers.by_tag[tag]
     assert (
         150 < 1000 * owned.recent_use.value / owned.recent_use.time_constant < 250
     )  # 50 asks a second, each for four of them
--- a/tests/policy/test_quota_owner.py
+++ b/tests/policy/test_quota_owner.py
@@ -14,18 +14,18 @@
 )
 
 from ..conftest import Driver
-from .helpers import asked, asks_of, hear, shared
+from .helpers import customer_owned_by, entries_after_message, first_ask, sent_entries
 
 
 def test_owner_under_a_ceiling_grants_from_its_part_only() -> None:
-    driver, name = Driver(gateway_count=2, gossip_enabled=True), shared(0)
+    driver, name = Driver(gateway_count=2, gossip_enabled=True), customer_owned_by(0)
     code = driver.gateway.customers.plan_names.index("hard")
     driver.wait(60000)
     kinds = []
     for n in range(30):
         line = GossipEntry(EntryKind.ASK, tag_of(name), n, 1.0, 1.0, code)
-        kinds += [one.kind for _, one in asked(driver.feed(GossipReceived(1, encode(0.1, [line]))))]
-    kinds += [one.kind for _, one in asked(driver.wait(200))]
+        kinds += [one.kind for _, one in sent_entries(driver.feed(GossipReceived(1, encode(0.1, [line]))))]
+    kinds += [one.kind for _, one in sent_entries(driver.wait(200))]
     assert kinds.count(EntryKind.GRANTED) <= 10 and kinds.count(EntryKind.DENIED) >= 18
 
 
@@ -34,19 +34,19 @@
 ) -> list[tuple[int, GossipEntry]]:
     line = GossipEntry(
         EntryKind(kind),
-        tag_of(shared(0)),
+        tag_of(customer_owned_by(0)),
         number,
         units,
         left,
         driver.gateway.customers.plan_names.index("thin"),
     )
-    return asked(driver.feed(GossipReceived(1, encode(0.1, [line]))) + driver.wait(200))
+    return sent_entries(driver.feed(GossipReceived(1, encode(0.1, [line]))) + driver.wait(200))
 
 
 def test_owner_grants_what_the_bucket_holds_and_no_more() -> None:
     driver = Driver(gateway_count=2, gossip_enabled=True)
     assert [ask_owner(driver, "ask", n, 1)[0][1].kind for n in range(6)].count(EntryKind.GRANTED) in (4, 5)
-    assert [type(a) for a in driver.ask(plan="thin", customer=shared(0), gateway_set_size=2)] == [
+    assert [type(a) for a in driver.ask(plan="thin", customer=customer_owned_by(0), gateway_set_size=2)] == [
         RejectRequest
     ]
 
@@ -65,15 +65,17 @@
 
 
 def test_lost_grant_is_repeated_and_charged_once() -> None:
-    # Of 40 gateways one word in seven was lost: the home took the units again, or the deputy granted as well.
-    member, home = (
+    # Of 40 gateways one message in seven was lost: the owner took the units again, or the backup granted as well.
+    member, owner = (
         Driver(gateway_count=3, gossip_enabled=True, max_request_units=8, gateway_index=me) for me in (0, 1)
     )
-    ask, line = asks_of(member)
+    ask, line = first_ask(member)
     levels = []
     for _ in range(2):
-        assert [one.kind for one in hear(home, 0, ask.data) if one.request_number == line.request_number] == [
-            "granted"
-        ]
-        levels.append(home.gateway.customers.by_tag[line.customer_tag].bucket.level)
+        assert [
+            one.kind
+            for one in entries_after_message(owner, 0, ask.data)
+            if one.request_number == line.request_number
+        ] == ["granted"]
+        levels.append(owner.gateway.customers.by_tag[line.customer_tag].bucket.level)
     assert levels[1] >= levels[0]
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -12,26 +12,26 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_unsafe_request_in_flight_is_failed_before_its_client_gives_up(driver: Driver) -> None:
     asked = driver.now
     driver.ask("bind", remaining_time=1500)
     final = [a for a in driver.wait(1500) if isinstance(a, FailRequest | RejectRequest)]
-    assert final == [FailRequest(1)]  # an unsafe request that may have run must not be refused
+    assert final == [FailRequest(1)]  # an unsafe request that may have run must not be rejected
     assert driver.now <= asked + 1500
 
 
 def test_retry_is_not_sent_after_client_disconnect_and_unknown_request_is_ignored(driver: Driver) -> None:
-    (send,) = sends(driver.ask())
-    assert sends(driver.feed(ClientDisconnected(send.request_id))) == []
+    (send,) = started_attempts(driver.ask())
+    assert started_attempts(driver.feed(ClientDisconnected(send.request_id))) == []
     assert driver.feed(ClientDisconnected(999)) == []
     assert driver.answer(send, "error") == []
 
 
 def test_attempt_is_cancelled_when_its_client_disconnects(driver: Driver) -> None:
-    (send,) = sends(driver.ask())
+    (send,) = started_attempts(driver.ask())
     assert driver.feed(ClientDisconnected(send.request_id)) == [CancelAttempt(send.request_id, 0)]
 
 
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -12,13 +12,13 @@
 )
 
 from ..conftest import CLASSES, Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_retry_is_not_sent_after_the_final_answer(driver: Driver) -> None:
-    (send,) = sends(driver.ask("look", remaining_time=500))
+    (send,) = started_attempts(driver.ask("look", remaining_time=500))
     driver.wait(500)
-    assert sends(driver.answer(send, "timeout")) == []
+    assert started_attempts(driver.answer(send, "timeout")) == []
 
 
 @pytest.mark.parametrize(
@@ -42,20 +42,20 @@
 def test_retry_follows_the_effect_of_the_request_and_the_status_of_its_attempt(
     driver: Driver, cls: str, status: str, expected: type
 ) -> None:
-    (send,) = sends(driver.ask(cls))
+    (send,) = started_attempts(driver.ask(cls))
     got = driver.answer(send, status)
     assert [type(a) for a in got] == [expected]
 
 
 def test_keyed_retry_stays_in_its_scope(driver: Driver) -> None:
-    (send,) = sends(driver.ask("note"))
-    (second,) = sends(driver.answer(send, "error"))
+    (send,) = started_attempts(driver.ask("note"))
+    (second,) = started_attempts(driver.answer(send, "error"))
     assert second.endpoint % 2 == send.endpoint % 2 and second.endpoint != send.endpoint
 
 
 def test_keyed_request_is_not_retried_after_its_window() -> None:
     driver = Driver()
-    (send,) = sends(driver.ask("note", remaining_time=4000))
+    (send,) = started_attempts(driver.ask("note", remaining_time=4000))
     driver.now += 3001
     assert [type(a) for a in driver.answer(send, "error")] == [FailRequest]
 
@@ -63,18 +63,18 @@
 def test_request_is_hedged_only_where_hedging_is_allowed() -> None:
     driver = Driver()
     driver.ask("look")
-    assert sends(driver.wait(3000)) == []
+    assert started_attempts(driver.wait(3000)) == []
     hedging = Driver(allow_hedging=True)
     for _ in range(10):  # second copies are a part of first attempts
-        (send,) = sends(hedging.ask("look"))
+        (send,) = started_attempts(hedging.ask("look"))
         hedging.answer(send)
-    (first,) = sends(hedging.ask("look"))
-    (copy,) = sends(hedging.wait(900))
+    (first,) = started_attempts(hedging.ask("look"))
+    (copy,) = started_attempts(hedging.wait(900))
     assert copy.request_id == first.request_id and copy.endpoint != first.endpoint
 
 
 def test_retry_whose_window_ends_while_it_waits_for_a_slot_is_answered_then() -> None:
-    # It waited, unsendable, until its patience ended; and nothing bounded when its bytes went out.
+    # It waited, unsendable, until its remaining time ended; and nothing bounded when its bytes went out.
     driver = Driver(servers=1)
     first = next(a for a in driver.ask("note") if isinstance(a, StartAttempt))
     while any(isinstance(a, StartAttempt) for a in driver.ask("look", units=0.1)):
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -12,7 +12,7 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_rounds_follow_figure_8() -> None:
@@ -24,7 +24,7 @@
         0.0,
         1.0,
     )  # the least bound is one slot; a queue looks short
-    blocker = sends(driver.ask(customer="blocker"))[0]
+    blocker = started_attempts(driver.ask(customer="blocker"))[0]
     for name, k in (("a", 3.0), ("b", 1.0)):
         for _ in range(8):
             driver.ask(customer=name, remaining_time=1e6)
@@ -40,7 +40,9 @@
         )
         for name, k in (("a", 3.0), ("b", 1.0)):
             gateway.customers.by_tag[tag_of(name)].cost_estimate = k
-        (send,) = sends(driver.feed(AttemptEnded(send.request_id, "ok", True, 0, send.endpoint, 1.0)))
+        (send,) = started_attempts(
+            driver.feed(AttemptEnded(send.request_id, "ok", True, 0, send.endpoint, 1.0))
+        )
         order.append(by_ref[send.request_id])
     assert order == figure_8({"a": 3.0, "b": 1.0}, 8)
     assert set(order) == {"a", "b"}
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -8,7 +8,7 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_endpoint_in_slow_start_gets_its_part_of_warm_work() -> None:
@@ -16,7 +16,7 @@
     driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
     count = dict.fromkeys((0, 1, 2, 3, 9), 0)
     for _ in range(100):
-        out = [send for _ in range(8) for send in sends(driver.ask())]
+        out = [send for _ in range(8) for send in started_attempts(driver.ask())]
         driver.wait(50)
         for send in out:
             count[send.endpoint] += 1
@@ -27,7 +27,7 @@
 def test_endpoint_in_slow_start_gets_nothing_at_once_even_in_a_rush() -> None:
     driver = Driver(slow_start_min_capacity=0.2, slow_start_duration=20000)
     driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
-    assert 9 not in {a.endpoint for _ in range(20) for a in sends(driver.ask())}
+    assert 9 not in {a.endpoint for _ in range(20) for a in started_attempts(driver.ask())}
 
 
 def test_endpoint_in_slow_start_gets_no_burst_from_hundreds_of_gateways() -> None:
@@ -37,7 +37,7 @@
         driver.gateway.random.seed(seed)
         driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
         for _ in range(2):
-            for send in sends(driver.ask()):
+            for send in started_attempts(driver.ask()):
                 first += send.endpoint == 9
                 driver.answer(send)
             driver.wait(500)
@@ -53,10 +53,12 @@
     for seed in range(40):
         driver = Driver(servers=5, gateway_count=40, slow_start_min_capacity=0.25, slow_start_duration=15000)
         driver.gateway.random.seed(seed)
-        for tick in range(-100, 60):  # ten requests a second for ten seconds, then six with a cold server
+        for tick in range(
+            -100, 60
+        ):  # ten requests a second for ten seconds, then six with a endpoint in slow start
             if tick == 0:
                 driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
-            for send in sends(driver.ask()):
+            for send in started_attempts(driver.ask()):
                 if tick >= 0:
                     cold[tick // 10] += send.endpoint == 9
                     warm += send.endpoint != 9
--- a/tests/policy/test_timers.py
+++ b/tests/policy/test_timers.py
@@ -9,7 +9,7 @@
 )
 
 from ..conftest import Driver
-from .helpers import sends
+from .helpers import started_attempts
 
 
 def test_late_timer_does_not_lose_a_request() -> None:
@@ -21,7 +21,7 @@
 
 def test_idle_gateway_sleeps() -> None:
     driver = Driver(gateway_count=300, gossip_enabled=True)
-    (send,) = sends(driver.ask("look", remaining_time=1500))
+    (send,) = started_attempts(driver.ask("look", remaining_time=1500))
     driver.answer(send)
     before = len(driver.all)
     driver.wait(60000)
