--- a/mapleshunt/net/maintenance/host.py
+++ b/mapleshunt/net/maintenance/host.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ...settings.operators import Maintenance as MaintenanceSection
+from ...settings.operators import MaintenanceSettings as MaintenanceSection
 from .. import log
 from ..counters import Counters
 from ..periodic import PeriodicTask
