--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -1,7 +1,7 @@
-"""The engine: gateways, till servers, clients and what lies between them, in virtual time.
+"""The engine: gateways, backends, clients and the network between them, in virtual time.
 
-Everything that is decided comes from `gateway.handle`; everything that happens comes from the world. The
-engine only carries one to the other, and keeps the record of what crossed.
+Every decision comes from a gateway's `handle`, every event from the emulated fleet. The engine carries one to
+the other, and records what crossed the wire.
 """
 
 from __future__ import annotations
@@ -9,383 +9,288 @@
 import gc
 import time
 from collections.abc import Callable, Iterable
-from typing import Any, Protocol
+from typing import Any
 
 from .. import policy
-from ..fleet.backend import Backend, BackendRequest
+from ..fleet.backend import Backend
 from ..fleet.clients import ClientResult
 from ..fleet.discovery import EndpointEntry
 from ..fleet.faults import Fault
+from .backend_transport import BackendTransport
+from .client_timeouts import ClientTimeouts
 from .day import Day
 from .event_queue import EventQueue
 from .fleet_host import FleetHost
+from .gateway_policy import CounterCall, CounterReply, GatewayPolicy, PolicyFactory
 from .records import ClientAttempt, RequestRecord, UpstreamAttempt
 
-TIMEOUT_BUCKET_MS = 64.0  # ms
-CONNECTION_REST_MS = 10.0  # ms after an answer for which the program does not use its connection again
-FRONT_TERM_NOTICE_MS = 300.0  # ms after SIGTERM for which the front still sends to a gateway
-
-
-class GatewayPolicy(Protocol):
-    """What the engine asks of a gateway: the decision module has it, and so do the plain policies."""
-
-    def start(self) -> Iterable[Any]: ...
-
-    def handle(self, now: float, event: Any) -> Iterable[Any]: ...
-
-
-# Called with settings, seed, the time (ms), and the gateway's own view of nothing else.
-PolicyFactory = Callable[[Any, int, float], GatewayPolicy]
+FRONT_TERM_NOTICE_MS = 300.0  # after SIGTERM, in which the front still sends to a gateway
+SETTLING_MS = 1000.0  # beyond two idempotency windows, for which a run goes on after its day
 
 
 class Engine(FleetHost):
-    """Plays one day with one kind of gateway. `words` holds the types that the gateways speak."""
+    """Plays one day with one kind of gateway.
+
+    Events and actions are untyped: `words` is the package with the gateways' types, of whatever checkout.
+    """
 
     def __init__(self, day: Day, factory: PolicyFactory, words: Any = policy) -> None:
-        self.factory, self.words = factory, words
-        self.agenda = EventQueue()
-        self.wakes: dict[int, float] = {}
-        self.held: dict[
-            int, dict[BackendRequest, tuple[int, ClientAttempt, UpstreamAttempt]]
-        ] = {}  # at each till server
+        self.factory = factory
+        self.words = words
+        self.event_queue = EventQueue()
+        self.backend_transport = BackendTransport(day, self, self.event_queue, self._schedule_end)
+        self.client_timeouts = ClientTimeouts(self.event_queue, self._client_timed_out)
         super().__init__(day, words)
-        f, count = day.parameters, day.scenario.gateways
+        count = day.scenario.gateways
+        self.event_ms = day.parameters["event_ms"]
+        # By gateway. An epoch ends when its gateway is killed.
         self.gateways: list[GatewayPolicy | None] = [None] * count
-        self.epochs, self.busy = [0] * count, [0.0] * count
-        self.open: list[dict[int, ClientAttempt]] = [{} for _ in range(count)]
+        self.epochs = [0] * count
+        self.busy_until = [0.0] * count
+        self.open_requests: list[dict[int, ClientAttempt]] = [{} for _ in range(count)]
         self.attempts: list[dict[tuple[int, int], tuple[ClientAttempt, UpstreamAttempt]]] = [
             {} for _ in range(count)
         ]
-        self.pools: list[dict[int, list[float]]] = [{} for _ in range(count)]  # idle connections: since when
-        self.records: dict[int, RequestRecord] = {}  # by the number of an open request
-        self.buckets: dict[
-            int, list[tuple[float, RequestRecord, ClientAttempt]]
-        ] = {}  # patience that ends, by time
-        self.event_ms, self.dial_ms, self.rtts = f["event_ms"], f["dial_ms"], f["handshake_rtts"]
-        self.idle_ms = f["conn_idle_ms"] / 3  # the program gives idle ones up well before till servers do
-        self.acts: dict[Any, Callable[[int, Any, float], None]] = {
-            words.StartAttempt: self._send, words.RejectRequest: self._refuse, words.FailRequest: self._fail,
-            words.CancelAttempt: self._cancel, words.SetTimer: self._timer, words.SendGossip: self._tell,
-            words.WatchEndpoints: lambda gateway, action, at: None, CounterCall: self._count,
-        }  # fmt: skip
+        self.records: dict[int, RequestRecord] = {}  # by the id of an open request
+        self._action_handlers = self._handlers_by_action()
         for fault in day.faults:
-            self.agenda.schedule(fault.at, self._inject_fault, fault)
+            self.event_queue.schedule(fault.at, self._inject_fault, fault)
         for number in range(count):
             self._start_gateway(number)
         if self.requests:
-            self.agenda.schedule(self.requests[0].request.arrives_at, self._arrive, 0)
+            self.event_queue.schedule(self.requests[0].request.arrives_at, self._request_arrives, 0)
+
+    def _handlers_by_action(self) -> dict[Any, Callable[[int, Any, float], None]]:
+        return {
+            self.words.StartAttempt: self._send_attempt,
+            self.words.RejectRequest: self._reject_request,
+            self.words.FailRequest: self._fail_request,
+            self.words.CancelAttempt: self._cancel_attempt,
+            self.words.SetTimer: self._set_timer,
+            self.words.SendGossip: self._send_gossip,
+            self.words.WatchEndpoints: lambda gateway, action, at: None,
+            CounterCall: self._call_counter,
+        }
 
     def now(self) -> float:
-        return self.agenda.now
+        """Return the time since the day began (ms)."""
+        return self.event_queue.now
 
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
-        self.agenda.schedule(when, call, *arguments)
-
-    def _backend_added(self, till: Backend) -> None:
-        self.held[till.number], self.wakes[till.number] = {}, float("inf")
-
-    # Running
+        """Schedule a call; the arguments are the function's own, hence untyped."""
+        self.event_queue.schedule(when, call, *arguments)
 
     def run(self) -> None:
-        """Play the day, and on until all is answered."""
+        """Play the day, and on until all requests are answered."""
         begun = time.process_time_ns()
-        last = self.day.length_ms + 2 * self.idempotency_window_ms + 1000
-        # What a run makes it keeps: looking for garbage among it is a tenth of the time, and finds none.
+        end = self.day.length_ms + 2 * self.idempotency_window_ms + SETTLING_MS
+        # A run keeps what it makes: collecting garbage takes a tenth of the time, and finds none.
         collecting = gc.isenabled()
         gc.disable()
         try:
-            self.agenda.run_until(last)
+            self.event_queue.run_until(end)
         finally:
             if collecting:
                 gc.enable()
-        self.events = self.agenda.processed
+        self.events = self.event_queue.processed
         self.total_cpu_ns = time.process_time_ns() - begun
         self.rule_checker.finish()
 
     # Gateways
 
     def _start_gateway(self, number: int) -> None:
-        now = self.agenda.now
+        now = self.event_queue.now
         seed = self.day.streams.seed_for("gateway", number * 1000 + self.epochs[number])
         gateway = self.factory(self.settings[number], seed, now)
-        self.gateways[number], self.busy[number] = gateway, now
-        self._carry_out(number, gateway.start())
-        rows = tuple(self._row(entry) for entry in self.endpoint_lists[number].values())
+        self.gateways[number] = gateway
+        self.busy_until[number] = now
+        self._apply_actions(number, gateway.start())
+        endpoints = tuple(self._endpoint_info(entry) for entry in self.endpoint_lists[number].values())
         self.rule_checker.endpoint_list_delivered(number, self.endpoint_lists[number].values(), now)
-        self._feed(number, self.words.EndpointUpdate("persisted", rows))
+        self.deliver_event(number, self.words.EndpointUpdate("persisted", endpoints))
 
-    def _row(self, entry: EndpointEntry) -> Any:
+    def _endpoint_info(self, entry: EndpointEntry) -> Any:
         return self.words.EndpointInfo(
             entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started_at
         )
 
-    def _feed(self, number: int, event: Any) -> None:
+    def deliver_event(self, number: int, event: Any) -> None:
+        """Hand an event to a gateway, unless it is down, and carry out its actions."""
         gateway = self.gateways[number]
         if gateway is None:
             return
-        now = self.agenda.now
+        now = self.event_queue.now
         begun = time.perf_counter_ns()
         actions = gateway.handle(now, event)
         self.gateway_cpu_ns += time.perf_counter_ns() - begun
-        self._carry_out(number, actions)
-
-    def _carry_out(self, number: int, actions: Iterable[Any]) -> None:
-        """An event costs its gateway time: what it does leaves when that is over, after what came before."""
-        busy = self.busy[number]
-        now = self.agenda.now
-        self.busy[number] = at = (busy if busy > now else now) + self.event_ms
-        acts = self.acts
+        self._apply_actions(number, actions)
+
+    def _apply_actions(self, number: int, actions: Iterable[Any]) -> None:
+        """Carry out actions; they leave after the gateway's time for the event, and after what came before."""
+        busy_until = self.busy_until[number]
+        now = self.event_queue.now
+        self.busy_until[number] = at = (busy_until if busy_until > now else now) + self.event_ms
+        handlers = self._action_handlers
         for action in actions:
-            acts[type(action)](number, action, at)
+            handlers[type(action)](number, action, at)
 
-    def _timer(self, gateway: int, action: Any, at: float) -> None:
-        self.agenda.schedule(
-            max(action.at, self.agenda.now), self._fire, gateway, self.epochs[gateway], action.token
-        )
+    def _set_timer(self, gateway: int, action: Any, at: float) -> None:
+        when = max(action.at, self.event_queue.now)
+        event = self.words.TimerFired(action.token)
+        self.event_queue.schedule(when, self._deliver_in_epoch, gateway, self.epochs[gateway], event)
 
-    def _fire(self, gateway: int, epoch: int, token: int) -> None:
+    def _deliver_in_epoch(self, gateway: int, epoch: int, event: Any) -> None:
         if self.epochs[gateway] == epoch:
-            self._feed(gateway, self.words.TimerFired(token))
+            self.deliver_event(gateway, event)
 
-    # Messages and the counter
+    # Gossip and the shared counter
 
-    def _tell(self, gateway: int, action: Any, at: float) -> None:
+    def _send_gossip(self, gateway: int, action: Any, at: float) -> None:
         peers = range(len(self.gateways)) if action.peer < 0 else (action.peer,)
         for peer in peers:
-            if peer != gateway and (delay := self.network.peer_message_delay(gateway, peer)) is not None:
-                self.agenda.schedule(at + delay, self._hear, gateway, peer, action.data)
-
-    def _hear(self, sender: int, peer: int, data: str) -> None:
-        if self.gateways[peer] is not None and self.peer_rate_limiters[peer].try_acquire(self.agenda.now):
+            if peer == gateway:
+                continue
+            delay = self.network.peer_message_delay(gateway, peer)
+            if delay is not None:
+                self.event_queue.schedule(at + delay, self._receive_gossip, gateway, peer, action.data)
+
+    def _receive_gossip(self, sender: int, peer: int, data: str) -> None:
+        if self.gateways[peer] is None:
+            return
+        if self.peer_rate_limiters[peer].try_acquire(self.event_queue.now):
             self.message_bytes += len(data)
-            self._feed(peer, self.words.GossipReceived(sender, data))
+            self.deliver_event(peer, self.words.GossipReceived(sender, data))
 
-    def _count(self, gateway: int, action: Any, at: float) -> None:
+    def _call_counter(self, gateway: int, action: Any, at: float) -> None:
         self.counter_calls += 1
-        word, done, total = self.counter.call(at, action.name, action.amount, action.life, gateway)
-        given_up = at + self.day.parameters["counter_wait_ms"]
-        back = done + 2 * self.network.backend_delay.next()
-        if back > given_up:
-            word, back = "timeout", given_up  # type: ignore[assignment]
-        self.agenda.schedule(
-            back, self._counted, gateway, self.epochs[gateway], CounterReply(action.name, word, total)
-        )
-
-    def _counted(self, gateway: int, epoch: int, event: Any) -> None:
-        if self.epochs[gateway] == epoch:
-            self._feed(gateway, event)
+        status: str
+        status, done, total = self.counter.call(at, action.name, action.amount, action.lifetime_ms, gateway)
+        timeout_at = at + self.day.parameters["counter_wait_ms"]
+        reply_at = done + 2 * self.network.backend_delay.next()
+        if reply_at > timeout_at:
+            status = "timeout"
+            reply_at = timeout_at
+        reply = CounterReply(action.name, status, total)
+        self.event_queue.schedule(reply_at, self._deliver_in_epoch, gateway, self.epochs[gateway], reply)
 
     # Clients
 
-    def _arrive(self, number: int) -> None:
-        if number + 1 < len(self.requests):
-            self.agenda.schedule(self.requests[number + 1].request.arrives_at, self._arrive, number + 1)
-        self._ask(self.requests[number], 1)
+    def _request_arrives(self, number: int) -> None:
+        following = number + 1
+        if following < len(self.requests):
+            arrives_at = self.requests[following].request.arrives_at
+            self.event_queue.schedule(arrives_at, self._request_arrives, following)
+        self._send_request(self.requests[number], 1)
 
-    def _ask(self, record: RequestRecord, number: int) -> None:
+    def _send_request(self, record: RequestRecord, number: int) -> None:
         one = self.start_attempt(record, number)
-        if one is None:
-            return
-        self.agenda.schedule(one.sent_at + self.network.client_delay.next(), self._taken, record, one)
+        if one is not None:
+            arrives_at = one.sent_at + self.network.client_delay.next()
+            self.event_queue.schedule(arrives_at, self._receive_request, record, one)
 
-    def _taken(self, record: RequestRecord, one: ClientAttempt) -> None:
+    def _receive_request(self, record: RequestRecord, one: ClientAttempt) -> None:
         if self.gateways[one.gateway] is None:
-            self._client_told(record, one, "unreachable", 0.0)
+            self._notify_client(record, one, "unreachable", 0.0)
             return
-        ask, now = one.request, self.agenda.now
-        who = self.day.traffic.customers[ask.customer]
         one.accepted = True
-        self.open[one.gateway][one.request_id] = one
-        # Most are answered long before: only what is still open is put on the agenda, shortly before.
-        end = one.sent_at + one.timeout_ms
-        bucket = int(end / TIMEOUT_BUCKET_MS)
-        held = self.buckets.get(bucket)
-        if held is None:
-            held = self.buckets[bucket] = []
-            self.agenda.schedule(max(now, bucket * TIMEOUT_BUCKET_MS), self._near, bucket)
-        held.append((end, record, one))
+        self.open_requests[one.gateway][one.request_id] = one
+        self.client_timeouts.add(record, one)
         self.records[one.request_id] = record
-        self._feed(
+        request = one.request
+        customer = self.day.traffic.customers[request.customer]
+        self.deliver_event(
             one.gateway,
             self.words.RequestReceived(
                 request_id=one.request_id,
-                request_class=self.classes[ask.class_index],
-                plan=self.day.parameters.plans[who.plan].name,
-                customer=who.name,
-                remaining_time=one.sent_at + one.timeout_ms - now,
-                units=ask.estimated_units,
-                gateway_set_size=who.gateway_set_size,
-                gateway_set_offset=who.first_gateway,
+                request_class=self.classes[request.class_index],
+                plan=self.day.parameters.plans[customer.plan].name,
+                customer=customer.name,
+                remaining_time=one.sent_at + one.timeout_ms - self.event_queue.now,
+                units=request.estimated_units,
+                gateway_set_size=customer.gateway_set_size,
+                gateway_set_offset=customer.first_gateway,
                 is_retry=one.number > 1,
             ),
         )
 
-    def _near(self, bucket: int) -> None:
-        for end, record, one in self.buckets.pop(bucket):
-            if not one.client_notified or one.result is None:
-                self.agenda.schedule(end, self._give_up, record, one)
-
-    def _give_up(self, record: RequestRecord, one: ClientAttempt) -> None:
-        """The client's patience is over."""
+    def _client_timed_out(self, record: RequestRecord, one: ClientAttempt) -> None:
         if not one.client_notified:
-            self._client_told(record, one, "late", 0.0)
-        if one.result is None and self.open[one.gateway].get(one.request_id) is one:
-            self.agenda.schedule(self.agenda.now + self.day.rules.answer_slack_ms, self._overdue, one)
+            self._notify_client(record, one, "late", 0.0)
+        if one.result is None and self.open_requests[one.gateway].get(one.request_id) is one:
+            overdue_at = self.event_queue.now + self.day.rules.answer_slack_ms
+            self.event_queue.schedule(overdue_at, self._answer_overdue, one)
 
-    def _overdue(self, one: ClientAttempt) -> None:
-        if one.result is None and self.open[one.gateway].pop(one.request_id, None) is not None:
+    def _answer_overdue(self, one: ClientAttempt) -> None:
+        if one.result is None and self.open_requests[one.gateway].pop(one.request_id, None) is not None:
             self.rule_checker.request_lost(one)
-            self._feed(one.gateway, self.words.ClientDisconnected(one.request_id))
+            self.deliver_event(one.gateway, self.words.ClientDisconnected(one.request_id))
 
-    def _client_told(
-        self, record: RequestRecord, one: ClientAttempt, told: ClientResult, wait: float
+    def _notify_client(
+        self, record: RequestRecord, one: ClientAttempt, result: ClientResult, retry_after: float
     ) -> None:
         if one.client_notified:
             return
-        pause = self.notify_client(record, one, told, wait)
-        if pause is not None:
-            self.agenda.schedule(self.agenda.now + pause, self._ask, record, one.number + 1)
-
-    # Answers
+        delay = self.notify_client(record, one, result, retry_after)
+        if delay is not None:
+            self.event_queue.schedule(
+                self.event_queue.now + delay, self._send_request, record, one.number + 1
+            )
 
-    def _answer(self, gateway: int, ref: int, final: ClientResult, wait: float, at: float) -> None:
-        one = self.open[gateway].pop(ref, None)
+    def _answer(
+        self, gateway: int, request_id: int, result: ClientResult, retry_after: float, at: float
+    ) -> None:
+        one = self.open_requests[gateway].pop(request_id, None)
         if one is None:
-            self.rule_checker.answered_again(ref, final)
+            self.rule_checker.answered_again(request_id, result)
             return
-        one.result, one.answered_at = final, at
-        self.rule_checker.client_answered(one, final, at)
-        record = self.records.pop(ref)
-        self.agenda.schedule(
-            at + self.network.client_delay.next(), self._client_told, record, one, final, wait
-        )
-
-    def _refuse(self, gateway: int, action: Any, at: float) -> None:
+        one.result = result
+        one.answered_at = at
+        self.rule_checker.client_answered(one, result, at)
+        record = self.records.pop(request_id)
+        arrives_at = at + self.network.client_delay.next()
+        self.event_queue.schedule(arrives_at, self._notify_client, record, one, result, retry_after)
+
+    def _reject_request(self, gateway: int, action: Any, at: float) -> None:
         self._answer(gateway, action.request_id, "refused", action.retry_after, at)
 
-    def _fail(self, gateway: int, action: Any, at: float) -> None:
+    def _fail_request(self, gateway: int, action: Any, at: float) -> None:
         self._answer(gateway, action.request_id, "failed", 0.0, at)
 
     # Attempts
 
-    def _send(self, gateway: int, action: Any, at: float) -> None:
-        one = self.open[gateway].get(action.request_id)
+    def _send_attempt(self, gateway: int, action: Any, at: float) -> None:
+        one = self.open_requests[gateway].get(action.request_id)
         if one is None:
             self.rule_checker.sent_after_end(action.request_id)
             return
-        server = action.endpoint
         number = len(one.attempts)
-        till = self.backend_models[server]
-        until = one.sent_at + one.timeout_ms
+        cell = self.backend_models[action.endpoint].cell
+        client_timeout_at = one.sent_at + one.timeout_ms
+        until = client_timeout_at
         if action.timeout:
             until = min(until, at + action.timeout)
-        work = self.backend_request(one, number, until)
-        attempt = UpstreamAttempt(server, till.cell, at, work)
+        request = self.backend_request(one, number, until)
+        attempt = UpstreamAttempt(action.endpoint, cell, at, request)
         self.rule_checker.attempt_sent(one, attempt, gateway, at)
         one.attempts.append(attempt)
         self.attempts[gateway][one.request_id, number] = (one, attempt)
-        delay = self.network.backend_delay.next()
-        pool = self.pools[gateway].get(server)
-        while pool and pool[0] < at - self.idle_ms:
-            del pool[0]
-            till.connections -= 1
-        # The one used last, but for those that have only just answered.
-        place = len(pool) - 1 if pool else -1
-        while place >= 0 and pool is not None and pool[place] > at - CONNECTION_REST_MS:
-            place -= 1
-        if place >= 0 and pool is not None:
-            del pool[place]
-            attempt.holds_connection = True
-            self.agenda.schedule(at + delay, self._reach, one, attempt, gateway)
-        elif till.silent:
-            self.agenda.schedule(
-                at + self.dial_ms, self._end, gateway, one, attempt, "unreachable", self.epochs[gateway]
-            )
-        elif not till.up or till.connections >= till.max_connections:
-            self.agenda.schedule(
-                at + 2 * delay, self._end, gateway, one, attempt, "unreachable", self.epochs[gateway]
-            )
-        else:
-            till.connections += 1
-            attempt.holds_connection = True
-            till.add_connection_work(self.agenda.now, self.handshake_work)
-            self._wake(till)
-            self.agenda.schedule(at + delay * (1 + 2 * self.rtts), self._reach, one, attempt, gateway)
-        if until < one.sent_at + one.timeout_ms:
-            self.agenda.schedule(until, self._end, gateway, one, attempt, "timeout", self.epochs[gateway])
-
-    def _reach(self, one: ClientAttempt, attempt: UpstreamAttempt, gateway: int) -> None:
-        """The attempt's last byte is at its till server."""
-        if attempt.status is not None or attempt.backend_request.cancelled:
-            return
-        now, till, epoch = self.agenda.now, self.backend_models[attempt.server], self.epochs[gateway]
-        if not till.up:
-            self.agenda.schedule(
-                now + self.network.backend_delay.next(), self._end, gateway, one, attempt, "reset", epoch
-            )
-            return
-        attempt.arrived_at = now
-        self.quota_accounting.record_arrival(one, now)
-        if till.silent:
-            self.held[attempt.server][attempt.backend_request] = (gateway, one, attempt)
-            return
-        told = self.rule_checker.knows_start(gateway, attempt.server, till.started_at)
-        fallen = till.collapsed
-        word, ended = till.offer(now, attempt.backend_request, told)
-        if till.collapsed and not fallen:
-            self.backend_collapsed(till)
-        self._finished(till, ended)
-        if word is None:
-            self.held[attempt.server][attempt.backend_request] = (gateway, one, attempt)
-        else:
-            self._back(gateway, one, attempt, word)
-        self._wake(till)
-
-    def _wake(self, till: Backend) -> None:
-        if till.next_event_at < self.wakes[till.number]:
-            self.wakes[till.number] = till.next_event_at
-            self.agenda.schedule(till.next_event_at, self._due, till)
-
-    def _due(self, till: Backend) -> None:
-        now = self.agenda.now
-        if now < self.wakes[till.number]:
-            return
-        self.wakes[till.number] = float("inf")
-        if till.next_event_at <= now:
-            self._finished(till, till.advance(now))
-        self._wake(till)
-
-    def _finished(self, till: Backend, ended: list[BackendRequest]) -> None:
-        held = self.held[till.number]
-        for work in ended:
-            if work.took_effect:
-                self.rule_checker.effect_ran(work)
-            found = held.pop(work, None)
-            if found is not None and not work.cancelled:
-                till.latency_since_report += self.agenda.now - (found[2].arrived_at or 0.0)
-                self._back(*found, till.draw_status())
-
-    def _back(self, gateway: int, one: ClientAttempt, attempt: UpstreamAttempt, word: str) -> None:
-        at = self.agenda.now + self.network.backend_delay.next()
-        self.agenda.schedule(at, self._end, gateway, one, attempt, word, self.epochs[gateway])
-
-    def _end(
-        self, gateway: int, one: ClientAttempt, attempt: UpstreamAttempt, status: str, epoch: int
-    ) -> None:
-        """How an attempt ended is at its gateway."""
+        self.backend_transport.send(one, attempt)
+        if until < client_timeout_at:
+            self._schedule_end(until, one, attempt, "timeout")
+
+    def _schedule_end(self, at: float, one: ClientAttempt, attempt: UpstreamAttempt, status: str) -> None:
+        self.event_queue.schedule(at, self._attempt_ended, one, attempt, status, self.epochs[one.gateway])
+
+    def _attempt_ended(self, one: ClientAttempt, attempt: UpstreamAttempt, status: str, epoch: int) -> None:
+        """Deliver an attempt's end to its gateway."""
+        gateway, now = one.gateway, self.event_queue.now
         if attempt.status is not None or self.epochs[gateway] != epoch:
             return
         attempt.status = status
-        now, server = self.agenda.now, attempt.server
-        number = attempt.backend_request.token[1]  # type: ignore[index]
+        number = attempt.backend_request.token[1]  # type: ignore[index]  # as `backend_request` made it
         self.attempts[gateway].pop((one.request_id, number), None)
         if attempt.holds_connection:
-            till = self.backend_models[server]
-            if status in ("ok", "error", "full"):
-                self.pools[gateway].setdefault(server, []).append(now)
-            else:
-                till.connections = max(0, till.connections - 1)
-                till.cancel(attempt.backend_request)
+            self.backend_transport.release_connection(gateway, attempt, status)
         if status in ("unreachable", "reset") and attempt.arrived_at is None:
             attempt.status = status = "unreachable"
         cost = 0.0
@@ -393,102 +298,76 @@
             cost = attempt.backend_request.units
             self.quota_accounting.record_settlement(one, now)
             if one.result is None:
-                at = max(self.busy[gateway], now) + self.event_ms
+                at = max(self.busy_until[gateway], now) + self.event_ms
                 self._answer(gateway, one.request_id, "served", 0.0, at)
-        self._feed(
+        self.deliver_event(
             gateway,
             self.words.AttemptEnded(
                 request_id=one.request_id,
                 status=status,
-                request_completed=one.result is not None or one.request_id not in self.open[gateway],
+                request_completed=one.result is not None or one.request_id not in self.open_requests[gateway],
                 attempt=number,
-                endpoint=server,
+                endpoint=attempt.server,
                 latency=now - attempt.sent_at,
                 cost=cost,
             ),
         )
 
-    def _cancel(self, gateway: int, action: Any, at: float) -> None:
+    def _cancel_attempt(self, gateway: int, action: Any, at: float) -> None:
         found = self.attempts[gateway].get((action.request_id, action.attempt))
-        if found is not None and found[1].status is None:
-            one, attempt = found
+        if found is None:
+            return
+        one, attempt = found
+        if attempt.status is None:
             attempt.backend_request.cancelled = True
-            self.held[attempt.server].pop(attempt.backend_request, None)
-            self.agenda.schedule(
-                at,
-                self._end,
-                gateway,
-                one,
-                attempt,
-                "cancelled" if attempt.arrived_at is not None else "unsent",
-                self.epochs[gateway],
-            )
+            self.backend_transport.execution.discard(attempt)
+            status = "cancelled" if attempt.arrived_at is not None else "unsent"
+            self._schedule_end(at, one, attempt, status)
 
     # Faults
 
+    def _backend_added(self, backend: Backend) -> None:
+        self.backend_transport.execution.add_backend(backend.number)
+
     def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
         if self.gateways[gateway] is not None:
-            self.rule_checker.endpoint_notified(gateway, entry, self.agenda.now)
-            self._feed(gateway, self.words.EndpointUpdate("partial", (self._row(entry),)))
-
-    def _lose(self, till: Backend, held: Iterable[BackendRequest]) -> None:
-        """All connections to a till server break; attempts at it end as resets."""
-        for pools in self.pools:
-            pools.pop(till.number, None)
-        there = self.held[till.number]
-        for work in list(held):
-            found = there.pop(work, None)
-            if found is not None and not work.cancelled:
-                self._back(*found, "reset")
-        for work, found in list(there.items()):
-            del there[work]
-            if not work.cancelled:
-                self._back(*found, "reset")
+            self.rule_checker.endpoint_notified(gateway, entry, self.event_queue.now)
+            event = self.words.EndpointUpdate("partial", (self._endpoint_info(entry),))
+            self.deliver_event(gateway, event)
 
     def _crash_backend(self, number: int) -> None:
-        till = self.backend_models[number]
-        self._finished(till, till.advance(self.agenda.now))
-        self._lose(till, till.crash(self.agenda.now))
+        backend = self.backend_models[number]
+        self.backend_transport.execution.advance(backend)
+        self.backend_transport.crash_backend(backend)
 
     def _silence_backend(self, number: int) -> None:
-        till = self.backend_models[number]
-        self._finished(till, till.advance(self.agenda.now))
-        till.silent, till.next_event_at = True, float("inf")
+        backend = self.backend_models[number]
+        self.backend_transport.silence_backend(backend)
 
     def _restart_backend(self, number: int) -> None:
-        till = self.backend_models[number]
-        if till.silent:
-            self._lose(till, till.crash(self.agenda.now))
-        till.start(self.agenda.now)
+        backend = self.backend_models[number]
+        if backend.silent:
+            self.backend_transport.crash_backend(backend)
+        backend.start(self.event_queue.now)
 
     def _kill_gateway(self, number: int) -> None:
         if self.gateways[number] is None:
             return
-        now = self.agenda.now
+        now = self.event_queue.now
         self.gateways[number] = None
         self.epochs[number] += 1
         for _, attempt in self.attempts[number].values():
-            attempt.backend_request.cancelled = True
-            attempt.status = "cancelled"
-            self.held[attempt.server].pop(attempt.backend_request, None)
-            if attempt.holds_connection:
-                self.backend_models[attempt.server].connections -= 1
+            self.backend_transport.abort(attempt)
         self.attempts[number] = {}
-        for server, idle in self.pools[number].items():
-            self.backend_models[server].connections = max(
-                0, self.backend_models[server].connections - len(idle)
-            )
-        self.pools[number] = {}
-        for one in list(self.open[number].values()):
+        self.backend_transport.close_idle_connections(number)
+        for one in list(self.open_requests[number].values()):
             record = self.records.pop(one.request_id)
-            # Its connection breaks: the client sees a failure that tells nothing.
-            self.agenda.schedule(
-                now + self.network.client_delay.next(), self._client_told, record, one, "failed", 0.0
-            )
-        self.open[number] = {}
-        self.agenda.schedule(
-            now + self.day.parameters["front_notice_ms"], self._mark_gateway_down, number, self.epochs[number]
-        )
+            # Its connection breaks: the client sees a failure without a reason.
+            breaks_at = now + self.network.client_delay.next()
+            self.event_queue.schedule(breaks_at, self._notify_client, record, one, "failed", 0.0)
+        self.open_requests[number] = {}
+        noticed_at = now + self.day.parameters["front_notice_ms"]
+        self.event_queue.schedule(noticed_at, self._mark_gateway_down, number, self.epochs[number])
 
     def _mark_gateway_down(self, number: int, epoch: int) -> None:
         if self.epochs[number] == epoch and self.gateways[number] is None:
@@ -500,31 +379,9 @@
             self._start_gateway(number)
 
     def _on_leave(self, fault: Fault) -> None:
+        schedule = self.event_queue.schedule
         for number in fault.targets:
-            stop = self.agenda.now + FRONT_TERM_NOTICE_MS
-            self.agenda.schedule(stop, self.gateways_marked_down.add, number)
-            self.agenda.schedule(stop + self.idempotency_window_ms, self._kill_gateway, number)
-            self.agenda.schedule(
-                stop + self.idempotency_window_ms + fault.duration, self._restart_gateway, number
-            )
-
-
-# The counter's call and its answer, which the decisions do not make yet; plain policies do.
-
-
-class CounterCall:
-    """Action: add `amount` to the counter's number `name`, which lives `life` ms if it is new."""
-
-    __slots__ = ("amount", "life", "name")
-
-    def __init__(self, name: int, amount: float, life: float) -> None:
-        self.name, self.amount, self.life = name, amount, life
-
-
-class CounterReply:
-    """Event: how a call ended ("ok", "full", "unreachable", or "timeout": perhaps added), and the total."""
-
-    __slots__ = ("name", "status", "total")
-
-    def __init__(self, name: int, status: str, total: float) -> None:
-        self.name, self.status, self.total = name, status, total
+            stop = self.event_queue.now + FRONT_TERM_NOTICE_MS
+            schedule(stop, self.gateways_marked_down.add, number)
+            schedule(stop + self.idempotency_window_ms, self._kill_gateway, number)
+            schedule(stop + self.idempotency_window_ms + fault.duration, self._restart_gateway, number)
--- /dev/null
+++ b/mapleshunt/simulation/gateway_policy.py
@@ -0,0 +1,44 @@
+"""What the engine expects of a gateway, and the messages that only plain policies exchange with it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+
+class GatewayPolicy(Protocol):
+    """A gateway as the engine runs it: the decision module and the plain policies implement it.
+
+    Events and actions are untyped here: a day may be played with the types of another checkout.
+    """
+
+    def start(self) -> Iterable[Any]:
+        """Return the actions with which the gateway starts."""
+        ...
+
+    def handle(self, now: float, event: Any) -> Iterable[Any]:
+        """Return the actions that follow from an event at `now` (ms)."""
+        ...
+
+
+# Makes a gateway from settings (of whatever checkout is played, hence untyped), seed and time (ms).
+PolicyFactory = Callable[[Any, int, float], GatewayPolicy]
+
+
+@dataclass(slots=True, eq=False)
+class CounterCall:
+    """Action: add `amount` to the shared counter's number `name`, which expires `lifetime_ms` after its creation."""
+
+    name: int
+    amount: float
+    lifetime_ms: float
+
+
+@dataclass(slots=True, eq=False)
+class CounterReply:
+    """Event: a call's status ("ok", "full", "unreachable", or "timeout": perhaps added) and the total."""
+
+    name: int
+    status: str
+    total: float
--- a/mapleshunt/simulation/policies.py
+++ b/mapleshunt/simulation/policies.py
@@ -26,7 +26,7 @@
     StartAttempt,
     TimerFired,
 )
-from .engine import CounterCall, CounterReply
+from .gateway_policy import CounterCall, CounterReply
 from .rule_checker import NEVER_RAN
 
 MAX_ATTEMPTS = 3
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -133,7 +133,7 @@
                     self.waiting[customer] = waiting + self.waiting.pop(customer, [])
                     return
             del waiting[0]
-            if request.request_id in self.engine.open[self.number]:
+            if request.request_id in self.engine.open_requests[self.number]:
                 self.engine.let_in(
                     self.number, replace(request, remaining_time=request.remaining_time - now + since)
                 )
@@ -153,7 +153,7 @@
                     leased = QuotaLeaseGranted(
                         action.customer, plan, action.lease_id, action.units, action.usable_until
                     )
-                    self.engine._feed(self.number, leased)
+                    self.engine.deliver_event(self.number, leased)
             else:
                 self.propose(action)
 
@@ -239,7 +239,7 @@
         self.leasing[number] = GatewayLeases(self, number)
 
     def _s(self) -> float:
-        return self.agenda.now / 1000
+        return self.event_queue.now / 1000
 
     def _start_gateway(self, number: int) -> None:
         super()._start_gateway(number)
@@ -256,19 +256,19 @@
             return
         for output in one.node.step(self._s(), event):
             self._out(one, output)
-        wake = max(1000 * one.node.wake_time(), self.agenda.now + 1)
+        wake = max(1000 * one.node.wake_time(), self.event_queue.now + 1)
         if wake < one.due - 1:
             one.due = wake
-            self.agenda.schedule(wake, self._tick, one, one.life, wake)
+            self.event_queue.schedule(wake, self._tick, one, one.life, wake)
 
     def _tick(self, one: SimulatedReplica, life: int, due: float) -> None:
         if one.life != life or one.node is None or one.due != due:
             return
         one.due = float("inf")
         wake = 1000 * one.node.wake_time()
-        if wake > self.agenda.now + 1:
+        if wake > self.event_queue.now + 1:
             one.due = wake
-            self.agenda.schedule(wake, self._tick, one, life, wake)
+            self.event_queue.schedule(wake, self._tick, one, life, wake)
         else:
             self._step(one, m.Tick())
 
@@ -278,7 +278,9 @@
                 self._post(one.gateway, int(m.gateway_of(to)[1:]), one.group, message)
             case m.Write():
                 one.disk.pending.append(output)
-                self.agenda.schedule(self.agenda.now + DISK, self._written, one, output.number, one.life)
+                self.event_queue.schedule(
+                    self.event_queue.now + DISK, self._written, one, output.number, one.life
+                )
             case m.Apply(entry, call):
                 result: Result = one.holdings.apply(entry.stamp, entry.data) if entry.data else Applied()
                 self._reply(one, call, result, "")
@@ -288,7 +290,7 @@
                 one.holdings.restore(snapshot.data)
             case m.CreateSnapshot(index):
                 data = msgspec.msgpack.encode(one.holdings.snapshot())
-                self.agenda.schedule(self.agenda.now, self._snapped, one, one.life, index, data)
+                self.event_queue.schedule(self.event_queue.now, self._snapped, one, one.life, index, data)
             case m.RoleChanged(role, _, _, _) if role is Role.LEADER:
                 self.elections += 1
 
@@ -309,14 +311,14 @@
 
     def _carry(self, a: int, b: int, what: Callable[..., None], *arguments: Any) -> None:
         if a == b:
-            self.agenda.schedule(self.agenda.now, what, *arguments)
+            self.event_queue.schedule(self.event_queue.now, what, *arguments)
         elif not self._cut(a, b) and self.gateways[b] is not None:
-            self.agenda.schedule(self.agenda.now + self.network.peer_delay.next(), what, *arguments)
+            self.event_queue.schedule(self.event_queue.now + self.network.peer_delay.next(), what, *arguments)
 
     def _post(self, a: int, b: int, group: int, message: m.Message) -> None:
         waiting = self.outbox.setdefault((a, b), [])
         if not waiting:
-            self.agenda.schedule(self.agenda.now, self._flush, a, b)
+            self.event_queue.schedule(self.event_queue.now, self._flush, a, b)
         waiting.append((group, message))
 
     def _flush(self, a: int, b: int) -> None:
@@ -338,7 +340,7 @@
         leasing = self.leasing.get(call.gateway)
         if call.over or leasing is None or not leasing.alive() or self.epochs[call.gateway] != call.epoch:
             return
-        if self.agenda.now >= call.until:
+        if self.event_queue.now >= call.until:
             call.over = True
             leasing.come(call, None)
             return
@@ -353,7 +355,7 @@
         self.frames += call.gateway != to
         self.bytes += (len(call.command) + 16) * (call.gateway != to)
         self._carry(call.gateway, to, self._asked, self.numbers, call, to)
-        self.agenda.schedule(self.agenda.now + AGAIN, self.call, call, -1)
+        self.event_queue.schedule(self.event_queue.now + AGAIN, self.call, call, -1)
 
     def _asked(self, number: int, call: PendingCall, at: int) -> None:
         one = self.copies.get((call.group, at))
@@ -387,16 +389,16 @@
         if call.epoch == self.epochs[call.gateway]:
             self.leasing[call.gateway].come(call, result)
 
-    def _feed(self, number: int, event: Any) -> None:
+    def deliver_event(self, number: int, event: Any) -> None:
         if isinstance(event, RequestReceived) and number in self.leasing:
             plan = self.settings[number].plans[event.plan]
             if self.leasing[number].asked(plan, event):
                 return
-        super()._feed(number, event)
+        super().deliver_event(number, event)
 
     def let_in(self, number: int, request: RequestReceived) -> None:
         """A request that has waited for its customer's lease."""
-        super()._feed(number, request)
+        super().deliver_event(number, request)
 
 
 # Days
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -22,7 +22,7 @@
 from ..fleet import parameters as figures
 from . import checkouts
 from .day import Scenario
-from .engine import PolicyFactory
+from .gateway_policy import PolicyFactory
 from .policies import POLICIES
 
 PLAN_PARTS = ("rate", "burst", "ceiling_rate", "ceiling_burst")
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -26,7 +26,8 @@
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.simulation import experiments, stats
 from mapleshunt.simulation.day import Scenario, draw_day, resized
-from mapleshunt.simulation.engine import Engine, PolicyFactory
+from mapleshunt.simulation.engine import Engine
+from mapleshunt.simulation.gateway_policy import PolicyFactory
 from mapleshunt.simulation.policies import POLICIES
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.simulation.score import Score, score_day
@@ -59,12 +60,12 @@
     assert not any(found.rules.values()), found.stories
     assert found.requests > 300 and 0.2 < found.service <= 1
     assert found.g == pytest.approx(found.service - sum(found.penalties.values()))
-    assert not any(engine.open), "requests were left open"
+    assert not any(engine.open_requests), "requests were left open"
     assert not any(engine.attempts), "attempts were left out"
     for one in engine.rule_checker.client_attempts:
         assert one.client_notified, "a client was left without an end"
     for till in engine.backend_models.values():
-        assert till.connections >= 0 and not engine.held[till.number]
+        assert till.connections >= 0 and not engine.backend_transport.execution.in_progress[till.number]
 
 
 class Careless:
