--- a/benchmarks/replication_fleet.py
+++ b/benchmarks/replication_fleet.py
@@ -11,7 +11,8 @@
 from joblib import Parallel, delayed
 
 from mapleshunt.simulation.day import draw_day
-from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine, replication_scenario
+from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine
+from mapleshunt.simulation.replication_scenarios import replication_scenario
 from mapleshunt.simulation.score import Score, score_day
 from mapleshunt.simulation.stats import interval
 
--- a/tests/test_copies_fleet.py
+++ b/tests/test_copies_fleet.py
@@ -5,7 +5,8 @@
 import pytest
 
 from mapleshunt.simulation.day import draw_day
-from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine, replication_scenario
+from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine
+from mapleshunt.simulation.replication_scenarios import replication_scenario
 from mapleshunt.simulation.score import Score, score_day
 
 
