--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -70,13 +70,13 @@
 class RollingMaintenanceRun:
     """One run on a fleet that has not been started; its settings are made those of maintenance."""
 
-    def __init__(self, fleet: ReplicatedFleet, max_out: int = 1) -> None:
-        """At most `max_out` machines may be out at once."""
-        self.fleet, self.max_out = fleet, max_out
+    def __init__(self, fleet: ReplicatedFleet, max_out: int = 1, grant_s: float = GRANT_S) -> None:
+        """At most `max_out` machines may be out at once; a grant to drain holds for `grant_s` s."""
+        self.fleet, self.max_out, self.grant_s = fleet, max_out, grant_s
         self.report = RollingMaintenanceReport()
         fleet.settings.lease, fleet.settings.groups = False, 2
         fleet.settings.more_sections = (
-            f"(maintenance (most {max_out}) (zone 1) (pause-s 0.2) (drain-s {GRANT_S}) (failures 99)"
+            f"(maintenance (most {max_out}) (zone 1) (pause-s 0.2) (drain-s {grant_s}) (failures 99)"
             " (most-load 9.0))"
         )
         self._out: set[str] = set()  # machines that are worked on
@@ -238,7 +238,7 @@
 
     async def _pause(self, machine: GatewayMachine) -> None:
         machine.pause()
-        await asyncio.sleep(GRANT_S + BEYOND_GRANT_S)
+        await asyncio.sleep(self.grant_s + BEYOND_GRANT_S)
         machine.resume()
 
     async def _cut(self, machine: GatewayMachine) -> None:
