--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -66,8 +66,9 @@
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
     """`fit:FILE[,KIND][,xSCALE][,rates]`: days of a fitted fleet, with a scenario's troubles, scaled."""
-    from ..simulation import fit
     from ..simulation.day import resized
+    from ..simulation.fitted_fleet import decode_fit
+    from ..simulation.replay import scenario_from
     from ..simulation.scenarios import scenario_of
 
     kind, _, rest = name.partition(":")
@@ -76,7 +77,7 @@
     if gateways is not None or rate is not None:
         raise ValueError("a fitted fleet has its gateways and rates; scale it with xSCALE")
     file, *parts = rest.split(",")
-    found = fit.read(Path(file).read_bytes())
+    found = decode_fit(Path(file).read_bytes())
     scale, by, base = 1.0, "customers", scenario_of("quiet")
     for part in parts:
         if part in ("customers", "rates"):
@@ -89,7 +90,7 @@
         import msgspec
 
         found = msgspec.structs.replace(found, servers=servers)
-    return fit.scenario_from(found, resized(base, seconds=seconds), scale, by)
+    return scenario_from(found, resized(base, seconds=seconds), scale, by)
 
 
 def _variant(text: str) -> Any:
@@ -317,14 +318,16 @@
     import json
 
     from ..fleet.parameters import check_overrides
-    from ..simulation import fit, recorded_traffic
+    from ..simulation import recorded_traffic
+    from ..simulation.fit import Search, fit_fleet
+    from ..simulation.fitted_fleet import FittedPlan, encode_fit
     from ..simulation.variants import pair
 
     try:
         wire = json.loads(told.read_text())
         packages = wire.get("settings", wire)["Packages"]
         plans = [
-            fit.FittedPlan(
+            FittedPlan(
                 p["Name"],
                 0.0,
                 p["QuotaRate"],
@@ -343,8 +346,9 @@
         for line in traffic.trouble:
             click.echo(f"not read: {line}", err=True)
         with progress(draws, "fit") as step, _pool(backend):
-            found = fit.fit(traffic, plans, worths, servers, known, draws, min(keep, draws), seed, jobs, step)
-        out.write_bytes(fit.dump(found))
+            search = Search(draws, min(keep, draws), seed, jobs)
+            found = fit_fleet(traffic, plans, worths, servers, known, search, step)
+        out.write_bytes(encode_fit(found))
     except (OSError, ValueError, KeyError, TypeError) as error:
         raise Trouble(
             f"{type(error).__name__}: {error}" if isinstance(error, KeyError) else str(error)
@@ -361,12 +365,12 @@
                 "customers": len(found.customers),
                 "coverage": found.coverage,
                 "compared": compared,
-                "trouble": found.trouble,
+                "trouble": found.problems,
             }
         )
         return
     click.echo(
-        f"{found.requests} requests of {len(found.customers)} customers, {found.length / 1000:.0f} s, "
+        f"{found.requests} requests of {len(found.customers)} customers, {found.length_ms / 1000:.0f} s, "
         f"{found.coverage:.0%} of the gateways"
     )
     table(
--- /dev/null
+++ b/mapleshunt/simulation/replay.py
@@ -0,0 +1,132 @@
+"""Days drawn from a fit."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from dataclasses import replace
+
+import numpy as np
+
+from ..fleet import clients, faults
+from ..fleet.clients import Customer, Traffic
+from ..fleet.faults import Fault
+from ..fleet.parameters import ClassParameters, Parameters, PlanParameters
+from ..fleet.random_streams import RandomStreams
+from .day import Day, Scenario
+from .fitted_fleet import Fit, FittedCustomer
+from .recorded_traffic import Floats
+
+MAX_SCALE = 100  # of a fit's traffic
+
+
+def customer_rates(customer: FittedCustomer, steps: int) -> Floats:
+    """Return the customer's rate at each step of the recording, in requests a second."""
+    rates = np.zeros(steps)
+    for spell in customer.spells:
+        rates[int(spell.begin / clients.RATE_STEP_MS) :] = spell.rate
+    return rates
+
+
+def draw_parameters(fit: Fit, draw: Mapping[str, float], rng: np.random.Generator) -> Parameters:
+    """Return one fleet: a draw's parameters, and classes whose work is off by their errors."""
+    classes = tuple(
+        ClassParameters(
+            c.name, c.share, c.work * float(np.exp(rng.normal(0, c.error))), c.cv, 0.0, c.priority_weight
+        )
+        for c in fit.classes
+    )
+    plans = tuple(
+        PlanParameters(p.name, p.share, p.rate, p.burst, p.price, p.over_quota_cost, p.gateway_share)
+        for p in fit.plans
+    )
+    values = {
+        **draw,
+        "speed": 1.0,
+        "speed_cv": fit.speed_cv,
+        "guess_cv": fit.guess_cv,
+        "unit_ms": fit.unit_ms,
+    }
+    return Parameters(values, classes, plans)
+
+
+class Replay:
+    """Draws days from a fit. `scale` times its traffic: by more customers like these, or by higher rates.
+
+    Each customer's spells are kept and begin at a time of their own, so that a day is like the recorded one
+    and not that one again. By `customers`: each occurs `scale` times, with times of their own, so the
+    burstiness of one stays, and that of the sum evens out. By `rates`: each sends `scale` times as much in
+    the same spells, so all is as bursty as before. `aligned`: the spells begin as they were recorded.
+    """
+
+    def __init__(self, fit: Fit, scale: float = 1.0, by: str = "customers", aligned: bool = False) -> None:
+        self.fit = fit
+        self.scale = scale
+        self.by = by
+        self.aligned = aligned
+
+    def __call__(
+        self, drawn: Parameters, scenario: Scenario, faults: tuple[Fault, ...], streams: RandomStreams
+    ) -> Traffic:
+        """Return the traffic of a day."""
+        rng = streams.generator("replay")
+        length_ms = 1000 * scenario.seconds
+        wanted = math.ceil(length_ms / clients.RATE_STEP_MS)
+        plans = {plan.name: number for number, plan in enumerate(drawn.plans)}
+        copies, factor = (self.scale, 1.0) if self.by == "customers" else (1.0, self.scale)
+        # `draw_traffic_for` takes a rate as a multiple of the customer's own, which is in units.
+        mean_units = clients.mean_units(drawn)
+        customers: list[Customer] = []
+        profiles: list[Floats] = []
+        for fitted in self.fit.customers:
+            count = int(copies) + (rng.random() < copies % 1)
+            for copy in range(count):
+                profiles.append(self._draw_profile(fitted, wanted, copy, rng) * factor)
+                set_size = max(1, min(fitted.gateway_set_size, scenario.gateways))
+                first = fitted.first_gateway if not copy else int(rng.integers(scenario.gateways))
+                name = fitted.name if not copy else f"{int(rng.integers(1 << 33)):016x}"
+                plan = plans[fitted.plan]
+                customers.append(
+                    Customer(name, plan, mean_units, set_size, first % scenario.gateways, "calm")
+                )
+        table = np.array(profiles) if profiles else np.zeros((0, wanted))
+        clients.apply_bursts(drawn, customers, faults, table)
+        return clients.draw_traffic_for(drawn, customers, table, length_ms, streams)
+
+    def _draw_profile(
+        self, fitted: FittedCustomer, wanted: int, copy: int, rng: np.random.Generator
+    ) -> Floats:
+        """Return a customer's rates at the steps of a day, from a drawn step of the recording on."""
+        steps = max(1, math.ceil(self.fit.length_ms / clients.RATE_STEP_MS))
+        begin = 0 if self.aligned and not copy else int(rng.integers(steps))
+        repeated = np.tile(customer_rates(fitted, steps), 1 + (wanted + steps) // steps)
+        return repeated[begin : begin + wanted]
+
+
+def scenario_from(fit: Fit, base: Scenario, scale: float = 1.0, by: str = "customers") -> Scenario:
+    """Return a scenario's faults on days of the fitted fleet, at its sizes.
+
+    Raises:
+        ValueError: the scale is out of range, or `by` is unknown.
+    """
+    if not 0 < scale <= MAX_SCALE or by not in ("customers", "rates"):
+        raise ValueError(f"a scale is above 0 and at most 100, by customers or rates, not {scale:g} by {by}")
+    replay = Replay(fit, scale, by)
+    return replace(
+        base,
+        gateways=fit.gateways,
+        servers=fit.servers,
+        day_factory=lambda s, seed: day_from(fit, s, seed, replay),
+    )
+
+
+def day_from(fit: Fit, scenario: Scenario, seed: int, replay: Replay, draw: int | None = None) -> Day:
+    """Return a day of the fitted fleet: the seed chooses among the draws too, unless one is given."""
+    streams = RandomStreams(seed)
+    rng = streams.generator("fitted")
+    number = int(rng.integers(len(fit.draws))) if draw is None else draw
+    drawn = draw_parameters(fit, fit.draws[number], rng)
+    drawn = replace(drawn, values={**drawn.values, **scenario.fixed_parameters})
+    day_faults = faults.sorted_by_time(scenario.fault_plan(streams.generator("troubles"), scenario))
+    traffic = replay(drawn, scenario, day_faults, streams)
+    return Day(scenario, seed, streams, drawn, traffic, day_faults)
--- a/mapleshunt/simulation/validation.py
+++ b/mapleshunt/simulation/validation.py
@@ -13,10 +13,12 @@
 
 from joblib import Parallel, delayed
 
-from . import fit as fits
 from . import recorded_traffic as recorded
 from .day import Scenario, draw_day, resized
 from .experiments import run_seeds
+from .fit import Search, fit_fleet, plans_of
+from .fitted_fleet import Fit
+from .replay import scenario_from
 from .scenarios import SCENARIOS
 from .score import Score
 from .stats import prediction
@@ -50,7 +52,7 @@
 class ValidationReport:
     lines: list[ValidationLine] = field(default_factory=list)
     errors: list[str] = field(default_factory=list)
-    fit: fits.Fit | None = None
+    fit: Fit | None = None
 
     def figures(self) -> list[str]:
         return list(dict.fromkeys(line.figure for line in self.lines))
@@ -104,16 +106,13 @@
     day = draw_day(base, first)
     traffic = recorded.together(sorted(folder.glob("*.rec")))
     say(f"fitting a world to {len(traffic.rows)} requests")
-    fit = fits.fit(
+    fit = fit_fleet(
         traffic,
-        fits.plans_of(day),
+        plans_of(day),
         {c.name: c.priority_weight for c in day.parameters.classes},
         servers,
         {"cores": day.parameters["cores"]},
-        draws,
-        keep,
-        seed,
-        jobs,
+        Search(draws, keep, seed, jobs),
     )
     result = ValidationReport(fit=fit)
     kinds = [PREDICTED_SCENARIOS[n % len(PREDICTED_SCENARIOS)] for n in range(days)]
@@ -139,7 +138,7 @@
             result.errors.append(f"{scenario.name}, seed {number}: {found}")
             continue
         known = draw_day(scenario, number).faults
-        told = fits.scenario_from(fit, replace(scenario, fault_plan=lambda rng, s, known=known: list(known)))  # type: ignore[misc]
+        told = scenario_from(fit, replace(scenario, fault_plan=lambda rng, s, known=known: list(known)))  # type: ignore[misc]
         seeds = range(10**6 + 1000 * number, 10**6 + 1000 * number + foretold)
         model = [one.score for one in run_seeds(told, seeds, Variant("here", "here"), 0, jobs) if one.score]
         result.lines += compare_with_prediction(scenario.name, number, model, found)
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -16,7 +16,7 @@
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.file_format import RecordedAttempt, RecordedRequest
-from mapleshunt.simulation import fit, recorded_traffic
+from mapleshunt.simulation import fit, fit_estimates, fitted_fleet, recorded_traffic, replay
 from mapleshunt.simulation.day import Day, Scenario, draw_day, resized
 from mapleshunt.simulation.engine import Engine
 from mapleshunt.simulation.experiments import play
@@ -77,13 +77,17 @@
 @pytest.fixture(scope="module")
 def fitted(
     day: Day, rows: list[tuple[RecordedRequest, int]], tmp_path_factory: pytest.TempPathFactory
-) -> fit.Fit:
+) -> fitted_fleet.Fit:
     traffic = recorded_traffic.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
     worths = {c.name: c.priority_weight for c in day.parameters.classes}
-    return fit.fit(traffic, fit.plans_of(day), worths, 6, {"cores": 3.0}, draws=16, keep=6, jobs=4)
+    return fit.fit_fleet(
+        traffic, fit.plans_of(day), worths, 6, {"cores": 3.0}, fit.Search(draws=16, keep=6, jobs=4)
+    )
 
 
-def test_work_units_and_customers_are_found_though_nobody_recorded_speeds(day: Day, fitted: fit.Fit) -> None:
+def test_work_units_and_customers_are_found_though_nobody_recorded_speeds(
+    day: Day, fitted: fitted_fleet.Fit
+) -> None:
     slow = float(np.mean([1 / till.speed for till in Engine(day, Gateway).backend_models.values()]))
     for found in fitted.classes:
         true = next(c for c in day.parameters.classes if c.name == found.name)
@@ -93,17 +97,17 @@
     assert 0.85 < fitted.unit_ms / (day.parameters["unit_ms"] * slow) < 1.15
     assert len(fitted.customers) <= len(day.traffic.customers)
     asked = len(day.traffic.requests) / day.length_ms * 1000
-    replayed = sum(fit.rates(c, 100).mean() for c in fitted.customers)
+    replayed = sum(replay.customer_rates(c, 100).mean() for c in fitted.customers)
     assert abs(replayed / asked - 1) < 0.05
     assert len(fitted.draws) == 6 and len({draw["peer_ms"] for draw in fitted.draws}) == 6
 
 
 def test_repeats_are_not_replayed_as_causes(
-    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fit.Fit
+    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit
 ) -> None:
     repeats = sum(row.is_retry for row, _ in rows)
     assert repeats > 100
-    replayed = fit.day_from(fitted, BASE, 3, fit.Replay(fitted))
+    replayed = replay.day_from(fitted, BASE, 3, replay.Replay(fitted))
     assert abs(len(replayed.traffic.requests) / len(day.traffic.requests) - 1) < 0.15
 
 
@@ -118,11 +122,13 @@
     return float(np.mean(found))
 
 
-def test_a_quiet_day_at_three_times_its_rate_keeps_each_customers_burstiness(fitted: fit.Fit) -> None:
+def test_a_quiet_day_at_three_times_its_rate_keeps_each_customers_burstiness(
+    fitted: fitted_fleet.Fit,
+) -> None:
     long = replace(BASE, seconds=60.0)
 
     def days(scale: float, by: str) -> list[Day]:
-        return [fit.day_from(fitted, long, seed, fit.Replay(fitted, scale, by)) for seed in (1, 2, 3)]
+        return [replay.day_from(fitted, long, seed, replay.Replay(fitted, scale, by)) for seed in (1, 2, 3)]
 
     once, more, faster = days(1, "customers"), days(3, "customers"), days(3, "rates")
     count: Callable[[list[Day]], float] = lambda held: float(np.mean([len(d.traffic.requests) for d in held]))  # noqa: E731
@@ -138,15 +144,15 @@
 
 
 def test_two_of_three_recordings_make_the_same_fleet(
-    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fit.Fit, tmp_path: Path
+    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit, tmp_path: Path
 ) -> None:
     traffic = recorded_traffic.together(write(rows, tmp_path, 3, (0, 2)))
     assert traffic.coverage == pytest.approx(2 / 3) and traffic.recorded == (0, 2)
-    found = fit.customers_of(traffic)
-    asked = sum(fit.rates(c, 100).mean() for c in found)
-    whole = sum(fit.rates(c, 100).mean() for c in fitted.customers)
+    found = fit_estimates.fit_customers(traffic)
+    asked = sum(replay.customer_rates(c, 100).mean() for c in found)
+    whole = sum(replay.customer_rates(c, 100).mean() for c in fitted.customers)
     assert 0.8 < asked / whole < 1.2
-    classes, _ = fit.classes_of(traffic, recorded_traffic.received(traffic, 3), {})
+    classes, _ = fit_estimates.fit_classes(traffic, recorded_traffic.received(traffic, 3), {})
     for one, other in zip(classes, fitted.classes, strict=True):
         assert abs(one.work / other.work - 1) < 4 * one.error + 0.1
 
@@ -165,7 +171,7 @@
     few = recorded_traffic.together(good)
     few.rows = few.rows[:50]
     with pytest.raises(ValueError, match="too few"):
-        fit.classes_of(few, recorded_traffic.received(few, 3), {})
+        fit_estimates.fit_classes(few, recorded_traffic.received(few, 3), {})
     hurt = bytearray(good[0].read_bytes())
     hurt[form.FILE_HEADER.size + 300] ^= 0xFF
     good[0].write_bytes(bytes(hurt))
@@ -182,8 +188,8 @@
     assert rate.sum() == pytest.approx(spell.sum())
 
 
-def test_a_fitted_fleet_foretells_another_day_of_the_same_installation(fitted: fit.Fit) -> None:
-    told = fit.scenario_from(fitted, BASE)
+def test_a_fitted_fleet_foretells_another_day_of_the_same_installation(fitted: fitted_fleet.Fit) -> None:
+    told = replay.scenario_from(fitted, BASE)
     model = [play(told, 100 + seed) for seed in range(19)]
     engine = Engine(draw_day(BASE, 2), Gateway)
     engine.run()
@@ -233,13 +239,13 @@
     for bad in (f"fit:{tmp_path}/none", f"fit:{tmp_path}/config.json", f"fit:{tmp_path}/fit.json,nosuch"):
         wrong = command("model", "run", bad)
         assert wrong.returncode == 2 and wrong.stderr.count("\n") == 1
-    assert fit.read((tmp_path / "fit.json").read_bytes()).gateways == 3
+    assert fitted_fleet.decode_fit((tmp_path / "fit.json").read_bytes()).gateways == 3
     with pytest.raises(ValueError, match="no fit"):
-        fit.read(msgspec.json.encode({"form": 1}))
+        fitted_fleet.decode_fit(msgspec.json.encode({"form": 1}))
 
 
-def test_a_scale_that_is_none_is_told(fitted: fit.Fit) -> None:
+def test_a_scale_that_is_none_is_told(fitted: fitted_fleet.Fit) -> None:
     base: Scenario = SCENARIOS["quiet"]
     for scale, by in ((0.0, "customers"), (3.0, "luck")):
         with pytest.raises(ValueError, match="scale"):
-            fit.scenario_from(fitted, base, scale, by)
+            replay.scenario_from(fitted, base, scale, by)
