--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -5,7 +5,6 @@
 import json
 import subprocess
 import sys
-from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
 
@@ -33,12 +32,12 @@
     day, out = engine.day, []
     for one in engine.rule_checker.client_attempts:
         if one.accepted:
-            request, who = one.request, day.traffic.customers[one.request.customer]
+            request, customer = one.request, day.traffic.customers[one.request.customer]
             out.append((RecordedRequest(
                 one.sent_at, engine.classes[request.class_index],
-                day.parameters.plans[who.plan].name, who.name.encode(),
+                day.parameters.plans[customer.plan].name, customer.name.encode(),
                 request.estimated_units, request.units if one.result == "served" else 0.0, one.timeout_ms,
-                who.gateway_set_size, who.first_gateway, one.number > 1, str(one.result or "gone"),
+                customer.gateway_set_size, customer.first_gateway, one.number > 1, str(one.result or "gone"),
                 one.answered_at - one.sent_at,
                 tuple(
                     RecordedAttempt(a.server, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at)
@@ -79,16 +78,16 @@
     day: Day, rows: list[tuple[RecordedRequest, int]], tmp_path_factory: pytest.TempPathFactory
 ) -> fitted_fleet.Fit:
     traffic = recorded_traffic.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
-    worths = {c.name: c.priority_weight for c in day.parameters.classes}
+    priority_weights = {c.name: c.priority_weight for c in day.parameters.classes}
     return fit.fit_fleet(
-        traffic, fit.plans_of(day), worths, 6, {"cores": 3.0}, fit.Search(draws=16, keep=6, jobs=4)
+        traffic, fit.plans_of(day), priority_weights, 6, {"cores": 3.0}, fit.Search(draws=16, keep=6, jobs=4)
     )
 
 
-def test_work_units_and_customers_are_found_though_nobody_recorded_speeds(
+def test_fit_finds_work_units_and_customers_without_recorded_speeds(
     day: Day, fitted: fitted_fleet.Fit
 ) -> None:
-    slow = float(np.mean([1 / till.speed for till in Engine(day, Gateway).backend_models.values()]))
+    slow = float(np.mean([1 / backend.speed for backend in Engine(day, Gateway).backend_models.values()]))
     for found in fitted.classes:
         true = next(c for c in day.parameters.classes if c.name == found.name)
         # Within four standard errors, and a tenth for what the reckoning of shared cores leaves out.
@@ -96,13 +95,13 @@
         assert abs(found.share - true.share) < 0.05
     assert 0.85 < fitted.unit_ms / (day.parameters["unit_ms"] * slow) < 1.15
     assert len(fitted.customers) <= len(day.traffic.customers)
-    asked = len(day.traffic.requests) / day.length_ms * 1000
+    recorded_rate = len(day.traffic.requests) / day.length_ms * 1000
     replayed = sum(replay.customer_rates(c, 100).mean() for c in fitted.customers)
-    assert abs(replayed / asked - 1) < 0.05
+    assert abs(replayed / recorded_rate - 1) < 0.05
     assert len(fitted.draws) == 6 and len({draw["peer_ms"] for draw in fitted.draws}) == 6
 
 
-def test_repeats_are_not_replayed_as_causes(
+def test_retries_are_not_replayed_as_new_requests(
     day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit
 ) -> None:
     repeats = sum(row.is_retry for row, _ in rows)
@@ -112,7 +111,7 @@
 
 
 def dispersion(day: Day, customers: int) -> float:
-    """Variance over mean of a customer's requests in windows of 2 s, mean over those that ask often."""
+    """Variance over mean of a customer's requests in windows of 2 s, mean over those with many."""
     found = []
     for number in range(customers):
         at = [a.arrives_at for a in day.traffic.requests if a.customer == number]
@@ -122,7 +121,7 @@
     return float(np.mean(found))
 
 
-def test_a_quiet_day_at_three_times_its_rate_keeps_each_customers_burstiness(
+def test_replay_at_three_times_the_rate_keeps_each_customers_burstiness(
     fitted: fitted_fleet.Fit,
 ) -> None:
     long = replace(BASE, seconds=60.0)
@@ -131,7 +130,10 @@
         return [replay.day_from(fitted, long, seed, replay.Replay(fitted, scale, by)) for seed in (1, 2, 3)]
 
     once, more, faster = days(1, "customers"), days(3, "customers"), days(3, "rates")
-    count: Callable[[list[Day]], float] = lambda held: float(np.mean([len(d.traffic.requests) for d in held]))  # noqa: E731
+
+    def count(drawn: list[Day]) -> float:
+        return float(np.mean([len(d.traffic.requests) for d in drawn]))
+
     assert 2.8 < count(more) / count(once) < 3.2 and 2.8 < count(faster) / count(once) < 3.2
     assert len(more[0].traffic.customers) == 3 * len(once[0].traffic.customers)
     assert len(faster[0].traffic.customers) == len(once[0].traffic.customers)
@@ -143,21 +145,21 @@
     assert grown > plain
 
 
-def test_two_of_three_recordings_make_the_same_fleet(
+def test_fit_of_two_of_three_recordings_finds_the_same_fleet(
     day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit, tmp_path: Path
 ) -> None:
     traffic = recorded_traffic.together(write(rows, tmp_path, 3, (0, 2)))
     assert traffic.coverage == pytest.approx(2 / 3) and traffic.recorded == (0, 2)
     found = fit_estimates.fit_customers(traffic)
-    asked = sum(replay.customer_rates(c, 100).mean() for c in found)
+    recorded_rate = sum(replay.customer_rates(c, 100).mean() for c in found)
     whole = sum(replay.customer_rates(c, 100).mean() for c in fitted.customers)
-    assert 0.8 < asked / whole < 1.2
+    assert 0.8 < recorded_rate / whole < 1.2
     classes, _ = fit_estimates.fit_classes(traffic, recorded_traffic.received(traffic, 3), {})
     for one, other in zip(classes, fitted.classes, strict=True):
         assert abs(one.work / other.work - 1) < 4 * one.error + 0.1
 
 
-def test_recordings_that_cannot_be_put_together_are_told(
+def test_recordings_that_do_not_fit_together_are_rejected(
     rows: list[tuple[RecordedRequest, int]], tmp_path: Path
 ) -> None:
     good = write(rows, tmp_path, 3, (0,))
@@ -178,7 +180,7 @@
     assert any("damaged" in line for line in recorded_traffic.together(good).trouble)
 
 
-def test_cuts_are_kept_for_spells_and_not_for_chance() -> None:
+def test_segments_are_found_for_spells_and_not_for_noise() -> None:
     rng = np.random.default_rng(1)
     even = [len(np.unique(recorded_traffic.segments(rng.poisson(0.5, 200)))) for _ in range(50)]
     assert np.mean(even) < 1.4
@@ -188,9 +190,9 @@
     assert rate.sum() == pytest.approx(spell.sum())
 
 
-def test_a_fitted_fleet_foretells_another_day_of_the_same_installation(fitted: fitted_fleet.Fit) -> None:
-    told = replay.scenario_from(fitted, BASE)
-    model = [play(told, 100 + seed) for seed in range(19)]
+def test_fitted_fleet_predicts_another_day_of_the_same_installation(fitted: fitted_fleet.Fit) -> None:
+    predicted = replay.scenario_from(fitted, BASE)
+    model = [play(predicted, 100 + seed) for seed in range(19)]
     engine = Engine(draw_day(BASE, 2), Gateway)
     engine.run()
     lines = compare_with_prediction("quiet", 2, model, score_day(engine))
@@ -201,7 +203,7 @@
     assert service.low - 0.05 < service.real < service.high + 0.05
 
 
-def test_the_command_fits_and_runs_what_it_fitted(
+def test_fit_command_writes_a_fit_that_the_run_command_plays(
     day: Day, rows: list[tuple[RecordedRequest, int]], tmp_path: Path
 ) -> None:
     files = write(rows, tmp_path, 3, (0, 1, 2))
@@ -244,7 +246,7 @@
         fitted_fleet.decode_fit(msgspec.json.encode({"form": 1}))
 
 
-def test_a_scale_that_is_none_is_told(fitted: fitted_fleet.Fit) -> None:
+def test_scale_out_of_range_is_rejected(fitted: fitted_fleet.Fit) -> None:
     base: Scenario = SCENARIOS["quiet"]
     for scale, by in ((0.0, "customers"), (3.0, "luck")):
         with pytest.raises(ValueError, match="scale"):
