--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -1,7 +1,7 @@
 """Dispatch: send one attempt to one endpoint, and report exactly how it ended.
 
-Whether an attempt may have run decides if it may be retried: it may have, once its last byte was written. Before
-that it never ran, whatever broke or was cancelled.
+Whether an attempt may have run decides if it may be retried: it may have, once its last byte was written.
+Before that it never ran, whatever broke or was cancelled.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 ) -> AttemptResult:
     """Send the attempt and wait for its reply. `now` is the driver's clock, in ms.
 
-    The endpoint is told the timeout that is left once it is connected, since dialling takes time. Cancelling this
-    coroutine leaves the connection open; `Attempt.cancel` closes it and ends the wait.
+    The endpoint gets the timeout that is left once it is connected, since dialling takes time. Cancelling
+    this coroutine leaves the connection open; `Attempt.cancel` closes it and ends the wait.
     """
 
     def may_send() -> bool:
         """Check once more before bytes go out.
 
-        A dial takes time, and so does a turn of the loop: since the decision the client may have disconnected,
-        the endpoint drained, the window for retries or the deadline passed.
+        A dial takes time, and so does a turn of the loop: since the decision the client may have
+        disconnected, the endpoint drained, the window for retries or the deadline passed.
         """
         time = now()
         is_wanted = context.awaiting_response and attempt.cancel_status is None
--- a/mapleshunt/simulation/backend_execution.py
+++ b/mapleshunt/simulation/backend_execution.py
@@ -74,7 +74,7 @@
                 self._respond(one, attempt, backend.draw_status())
 
     def reset(self, backend: Backend, accepted: Iterable[BackendRequest]) -> None:
-        """End all attempts at a backend whose connections broke: first those that it accepted, in their order."""
+        """End all attempts at a backend whose connections broke: first those it accepted, in their order."""
         in_progress = self.in_progress[backend.number]
         for request in [*accepted, *in_progress]:
             found = in_progress.pop(request, None)
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -126,7 +126,7 @@
         self._apply_actions(number, actions)
 
     def _apply_actions(self, number: int, actions: Iterable[Any]) -> None:
-        """Carry out actions; they leave after the gateway's time for the event, and after what came before."""
+        """Carry out actions; they leave after the gateway's time for the event, and after earlier ones."""
         busy_until = self.busy_until[number]
         now = self.event_queue.now
         self.busy_until[number] = at = (busy_until if busy_until > now else now) + self.event_ms
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -1,10 +1,10 @@
 """Fits a fleet to recordings, and leaves uncertain what they do not show.
 
-Three steps. What shows directly is estimated with its standard error: work by class and its spread, relative
-speeds of the backends, shares of classes, errors of estimated units. The customers' demand is cut into spells of
-constant rate. What shows only through the fleet's behaviour (queues, client behaviour, the gateways' own time)
-is drawn from its range, played, and accepted where the played day resembles the recorded one (approximate
-Bayesian computation by rejection): the accepted draws are the uncertainty.
+Three steps. What shows directly is estimated with its standard error: work by class and its spread,
+relative speeds of the backends, shares of classes, errors of estimated units. The customers' demand is cut
+into spells of constant rate. What shows only through the fleet's behaviour (queues, client behaviour, the
+gateways' own time) is drawn from its range, played, and accepted where the played day resembles the
+recorded one (approximate Bayesian computation by rejection): the accepted draws are the uncertainty.
 """
 
 from __future__ import annotations
--- a/mapleshunt/simulation/fit_estimates.py
+++ b/mapleshunt/simulation/fit_estimates.py
@@ -57,7 +57,7 @@
 
 
 def _normalize_speeds(rows: Served, work: Floats) -> tuple[Floats, float]:
-    """Return the work as the mean backend would have had it, and the variance of the backends' speeds (log)."""
+    """Return the work as the mean backend would have it, and the variance of the backends' speeds (log)."""
     servers = sorted({server for _, server in rows})
     backend = np.array([servers.index(server) for _, server in rows])
     # A backend's relative speed shows in the work of its attempts over the units that they reported.
--- a/mapleshunt/simulation/gateway_policy.py
+++ b/mapleshunt/simulation/gateway_policy.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """Action: add `amount` to the shared counter's number `name`, which expires `lifetime_ms` after its creation."""
+    """Action: add `amount` to the shared counter's number `name`, which lives for `lifetime_ms`."""
 
     name: int
     amount: float
--- a/mapleshunt/simulation/idle_connections.py
+++ b/mapleshunt/simulation/idle_connections.py
@@ -19,7 +19,7 @@
         self.by_backend: dict[int, list[float]] = {}
 
     def take(self, backend: Backend, at: float) -> bool:
-        """Close the expired connections to a backend and take the one used last; return whether there is one."""
+        """Close the expired connections to a backend and take the last used; return whether there is one."""
         pool = self.by_backend.get(backend.number)
         if not pool:
             return False
--- a/mapleshunt/storage/read_errors.py
+++ b/mapleshunt/storage/read_errors.py
@@ -23,7 +23,7 @@
         self.base_name = base
         super().__init__(self.vfs_name, base)
 
-    def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> ReadErrorFile:
+    def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> ReadErrorFile:  # noqa: N802 - named by SQLite
         """Open a file of which failed reads are remembered."""
         return ReadErrorFile(self, name, flags)
 
@@ -36,7 +36,7 @@
         self.vfs = vfs
         super().__init__(vfs.base_name, name, flags)
 
-    def xRead(self, amount: int, offset: int) -> bytes:
+    def xRead(self, amount: int, offset: int) -> bytes:  # noqa: N802 - named by SQLite
         """Read, and note a failure."""
         try:
             return super().xRead(amount, offset)
--- a/tests/policy/test_owner_selection.py
+++ b/tests/policy/test_owner_selection.py
@@ -14,7 +14,7 @@
 
 
 def admitted_by_two(wait: float, tries: int) -> int:
-    """What two gateways of one set admitted together for a customer under a ceiling, unheard by each other."""
+    """What two gateways of one set admitted for a customer under a ceiling, unheard by each other."""
     total = 0
     for me in (0, 1):
         driver = Driver(gateway_count=2, gateway_index=me)
--- a/tests/policy/test_quota_owner.py
+++ b/tests/policy/test_quota_owner.py
@@ -65,7 +65,7 @@
 
 
 def test_lost_grant_is_repeated_and_charged_once() -> None:
-    # Of 40 gateways one message in seven was lost: the owner took the units again, or the backup granted as well.
+    # Of 40 gateways one message in seven was lost: the owner took the units again, or the backup granted too.
     member, owner = (
         Driver(gateway_count=3, gossip_enabled=True, max_request_units=8, gateway_index=me) for me in (0, 1)
     )
--- a/tests/policy/test_slow_start_of_a_fleet.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -41,8 +41,8 @@
 def test_endpoint_that_starts_after_the_wall_clock_was_stepped_is_warming_up(
     monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
-    # Its start was told in a time that the gateway's clock, which began before the step, took for long ago:
-    # a endpoint in slow start got what a warm one gets. Or for the future: it stayed cold until the hour was over.
+    # The gateway's clock, which began before the step, took the time of its start for long ago: an endpoint
+    # in slow start got what a warm one gets. Or for the future: slow start lasted until the hour was over.
     clock, wall = UnixClock(), time.time
     monkeypatch.setattr(time, "time", lambda: wall() + step / 1000)
     driver = Driver(slow_start_duration=10_000.0, slow_start_min_capacity=0.25)
--- a/tests/test_durable_store.py
+++ b/tests/test_durable_store.py
@@ -162,7 +162,7 @@
         self.full = threading.Event()
         super().__init__("full-disk", "")
 
-    def xOpen(self, name: Any, flags: Any) -> Any:
+    def xOpen(self, name: Any, flags: Any) -> Any:  # noqa: N802 - named by SQLite
         return FullFile(self, name, flags)
 
 
@@ -171,7 +171,7 @@
         self.disk = vfs
         super().__init__("", name, flags)
 
-    def xWrite(self, data: bytes, offset: int) -> None:
+    def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802 - named by SQLite
         if self.disk.full.is_set():
             raise apsw.FullError("database or disk is full")
         super().xWrite(data, offset)
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -40,7 +40,9 @@
                 customer.gateway_set_size, customer.first_gateway, one.number > 1, str(one.result or "gone"),
                 one.answered_at - one.sent_at,
                 tuple(
-                    RecordedAttempt(a.server, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at)
+                    RecordedAttempt(
+                        a.server, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at
+                    )
                     for a in one.attempts
                 ),
             ), one.gateway))  # fmt: skip
