--- a/mapleshunt/policy/gateway.py
+++ b/mapleshunt/policy/gateway.py
@@ -128,7 +128,7 @@
         self.timers.request_host_timer()
         return actions.copy()
 
-    def figures(self, now: float) -> dict[str, float]:
+    def stats(self, now: float) -> dict[str, float]:
         """Return what the gateway goes by now, for operators."""
         endpoints, latency = self.endpoints, self.latency
         return {
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -207,7 +207,7 @@
 
     def _load(self) -> float:
         """Return the fraction of this gateway's concurrency limit that attempts in flight use."""
-        now = self.driver.gateway.figures(self.driver.now())
+        now = self.driver.gateway.stats(self.driver.now())
         return now["tries_out"] / max(1.0, now["bound"] * now["servers_ready"])
 
     def _handle_signals(self, early_reloads: Sequence[int]) -> None:
--- a/mapleshunt/server/monitoring.py
+++ b/mapleshunt/server/monitoring.py
@@ -33,7 +33,7 @@
             open=len(self._driver.open_requests),
             client_connections_now=len(self._connections.connections),
             server_connections_now=len(self._upstreams.connections),
-            **self._driver.gateway.figures(self._driver.now()),
+            **self._driver.gateway.stats(self._driver.now()),
         )
 
     def report_loop_delay(self, seconds: float) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -54,7 +54,7 @@
 class Driver:
     """Feeds events at a clock, runs the timers, and keeps every action."""
 
-    def __init__(self, servers: int = 4, **changes: Any) -> None:
+    def __init__(self, endpoints: int = 4, **changes: Any) -> None:
         base: dict[str, Any] = {
             "gateway_index": 0,
             "gateway_count": 1,
@@ -63,23 +63,23 @@
             "zone": "z0",
             "max_attempts": 4,
         }
-        self.now, self.ref = 1000.0, 0
+        self.now, self.last_request_id = 1000.0, 0
         self.gateway = Gateway(Settings(**{**base, **changes}), seed=7, now=self.now)
-        self.all: list[Action] = []
+        self.actions: list[Action] = []
         self.timers: list[float] = []
-        self.take(self.gateway.start())
-        rows = tuple(EndpointInfo(n, zone=f"z{n % 2}", cell=n % 2) for n in range(servers))
-        self.feed(EndpointUpdate("persisted", rows))
+        self.record(self.gateway.start())
+        rows = tuple(EndpointInfo(n, zone=f"z{n % 2}", cell=n % 2) for n in range(endpoints))
+        self.handle(EndpointUpdate("persisted", rows))
 
-    def take(self, actions: list[Action]) -> list[Action]:
+    def record(self, actions: list[Action]) -> list[Action]:
         self.timers += [a.at for a in actions if isinstance(a, SetTimer)]
-        self.all += actions
+        self.actions += actions
         return [a for a in actions if not isinstance(a, SetTimer)]
 
-    def feed(self, event: Event) -> list[Action]:
-        return self.take(self.gateway.handle(self.now, event))
+    def handle(self, event: Event) -> list[Action]:
+        return self.record(self.gateway.handle(self.now, event))
 
-    def ask(
+    def request(
         self,
         cls: str = "look",
         plan: str = "wide",
@@ -88,17 +88,19 @@
         units: float = 1,
         **more: Any,
     ) -> list[Action]:
-        self.ref += 1
-        return self.feed(RequestReceived(self.ref, cls, plan, customer, remaining_time, units, **more))
+        self.last_request_id += 1
+        return self.handle(
+            RequestReceived(self.last_request_id, cls, plan, customer, remaining_time, units, **more)
+        )
 
-    def answer(
+    def end_attempt(
         self, send: StartAttempt, status: Any = "ok", attempt: int = 0, latency: float = 50, cost: float = 0
     ) -> list[Action]:
-        return self.feed(
+        return self.handle(
             AttemptEnded(send.request_id, status, status == "ok", attempt, send.endpoint, latency, cost=cost)
         )
 
-    def wait(self, ms: float) -> list[Action]:
+    def advance(self, ms: float) -> list[Action]:
         """Let the clock run, firing timers as they fall due."""
         from mapleshunt import TimerFired
 
@@ -106,7 +108,7 @@
         while self.timers and min(self.timers) <= end:
             self.now = max(self.now, min(self.timers))
             self.timers.remove(min(self.timers))
-            got += self.feed(TimerFired(0))
+            got += self.handle(TimerFired(0))
         self.now = end
         return got
 
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -38,7 +38,7 @@
 
 def reply_as_owner(driver: Driver, line: GossipEntry, kind: str, left: float = 1.0, use: float = 0.0) -> list:  # type: ignore[type-arg]
     reply = GossipEntry(EntryKind(kind), line.customer_tag, line.request_number, 0.0, left, encode_use(use))
-    return driver.feed(GossipReceived(1, encode(0.1, [reply])))
+    return driver.handle(GossipReceived(1, encode(0.1, [reply])))
 
 
 ONE = "00000000000000c1"
@@ -47,15 +47,17 @@
 def member(me: int = 7, plan: str = "thin", **changes: Any) -> tuple[Driver, Customer]:
     """One of 200 gateways that has met a request of a customer whose set is wide, and what it holds of it."""
     driver = Driver(gateway_count=200, gateway_index=me, gossip_enabled=True, **changes)
-    driver.ask(plan=plan, customer=ONE, gateway_set_size=150)
+    driver.request(plan=plan, customer=ONE, gateway_set_size=150)
     return driver, driver.gateway.customers.by_tag[tag_of(ONE)]
 
 
 def send_uncertain_request(driver: Driver, number: int) -> list[SendGossip]:
     """A request whose customer's bucket the gateway does not know well enough; the asks it leads to."""
-    got = driver.ask(plan="thin", customer=f"c{number}", gateway_set_size=3, units=3)
+    got = driver.request(plan="thin", customer=f"c{number}", gateway_set_size=3, units=3)
     return [
-        one for one in [*got, *driver.wait(30)] if isinstance(one, SendGossip) and "ask" in entry_kinds(one)
+        one
+        for one in [*got, *driver.advance(30)]
+        if isinstance(one, SendGossip) and "ask" in entry_kinds(one)
     ]
 
 
@@ -79,4 +81,4 @@
 
 def entries_after_message(driver: Driver, peer: int, data: str) -> list[GossipEntry]:
     """What a peer's message leads to being told."""
-    return entries_of([*driver.feed(GossipReceived(peer, data)), *driver.wait(200)])
+    return entries_of([*driver.handle(GossipReceived(peer, data)), *driver.advance(200)])
--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -13,9 +13,9 @@
 
 
 def test_cost_estimate_follows_the_newest_answer(driver: Driver) -> None:
-    (send,) = started_attempts(driver.ask())
+    (send,) = started_attempts(driver.request())
     before = driver.gateway.customers.by_tag[tag_of("c")].cost_estimate
-    driver.answer(send, latency=400)
+    driver.end_attempt(send, latency=400)
     assert driver.gateway.customers.by_tag[tag_of("c")].cost_estimate == pytest.approx(
         0.9 * 400 + 0.1 * before
     )
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -15,10 +15,10 @@
 
 def test_only_customers_with_a_full_bucket_are_forgotten() -> None:
     driver = Driver()
-    driver.ask(plan="thin", customer="old")
-    driver.wait(60000)
+    driver.request(plan="thin", customer="old")
+    driver.advance(60000)
     for n in range(200):
-        driver.ask(plan="thin", customer=f"n{n}")
+        driver.request(plan="thin", customer=f"n{n}")
     tags = driver.gateway.customers.by_tag
     assert tag_of("old") not in tags and all(tag_of(f"n{n}") in tags for n in range(200))
 
@@ -30,7 +30,7 @@
         driver = Driver(gateway_count=30, gossip_enabled=True, max_request_units=8)
         driver.gateway.random.seed(seed)
         for number in range(20):
-            driver.ask(plan="thin", customer=f"c{number}", gateway_set_size=30)
+            driver.request(plan="thin", customer=f"c{number}", gateway_set_size=30)
         first = list(driver.gateway.customers.by_tag.values())
         total += sum(c.fallback_bucket.burst * (c.fallback_bucket.level > 1) for c in first) / len(first)
         burst = first[0].plan.burst
@@ -48,13 +48,13 @@
         one.gateway.random.seed(number)
 
     def let_in(customer: str) -> int:
-        asked = [one.ask(plan="mid", customer=customer, gateway_set_size=200) for one in gateways]
+        asked = [one.request(plan="mid", customer=customer, gateway_set_size=200) for one in gateways]
         return sum(isinstance(action, StartAttempt) for actions in asked for action in actions)
 
     # Each meets it for the first time. All of them would pass its quota, half of them serve too little.
     assert len(gateways) / 2 < let_in("usual") < len(gateways)
     for _ in range(4):
         for one in gateways:
-            one.wait(1000)
+            one.advance(1000)
         late = let_in("usual")
     assert late < len(gateways) / 4  # one that asks for 25 times its quota is not admitted for ever
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -19,33 +19,35 @@
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_draining_or_gone_endpoint_gets_no_attempts(driver: Driver, state: str) -> None:
     gone = tuple(EndpointInfo(n, state=state) for n in (0, 1, 2))  # type: ignore[arg-type]
-    driver.feed(EndpointUpdate("partial", gone))
-    assert {a.endpoint for _ in range(8) for a in started_attempts(driver.ask())} == {3}
+    driver.handle(EndpointUpdate("partial", gone))
+    assert {a.endpoint for _ in range(8) for a in started_attempts(driver.request())} == {3}
 
 
 def test_endpoint_missing_from_a_complete_list_is_gone(driver: Driver) -> None:
-    driver.feed(EndpointUpdate("complete", (EndpointInfo(2),)))
-    assert {a.endpoint for _ in range(5) for a in started_attempts(driver.ask())} == {2}
+    driver.handle(EndpointUpdate("complete", (EndpointInfo(2),)))
+    assert {a.endpoint for _ in range(5) for a in started_attempts(driver.request())} == {2}
 
 
 def test_failed_watch_is_polled_again_after_a_backoff() -> None:
     driver = Driver(poll_discovery=True)
-    assert WatchEndpoints() in driver.all
+    assert WatchEndpoints() in driver.actions
     assert (
-        driver.feed(EndpointUpdate("error")) == []
+        driver.handle(EndpointUpdate("error")) == []
     )  # not at once: a failing service is not helped by a storm
-    assert SetTimer(driver.now + 2500, 0) in driver.all
+    assert SetTimer(driver.now + 2500, 0) in driver.actions
     assert driver.gateway.handle(driver.now + 2500, TimerFired(0)) == [WatchEndpoints()]
 
 
 def test_gone_endpoint_is_forgotten_once_nothing_is_in_flight_there() -> None:
     # All day new servers under new ids take the places of old ones: memory grew with each.
-    driver = Driver(servers=1)
-    (send,) = started_attempts(driver.ask())
+    driver = Driver(endpoints=1)
+    (send,) = started_attempts(driver.request())
     for number in range(1, 40):
-        driver.feed(EndpointUpdate("partial", (EndpointInfo(number - 1, state="gone"), EndpointInfo(number))))
+        driver.handle(
+            EndpointUpdate("partial", (EndpointInfo(number - 1, state="gone"), EndpointInfo(number)))
+        )
     assert set(driver.gateway.endpoints.by_number) == {0, 39}
-    driver.answer(send)
-    driver.feed(EndpointUpdate("partial", ()))
+    driver.end_attempt(send)
+    driver.handle(EndpointUpdate("partial", ()))
     assert set(driver.gateway.endpoints.by_number) == {39} and len(driver.gateway.endpoints.by_tag) == 1
-    driver.wait(10000)  # alarms that name a forgotten server do no harm
+    driver.advance(10000)  # alarms that name a forgotten server do no harm
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -24,10 +24,10 @@
     def run() -> list[object]:
         driver = Driver(gateway_count=2, gossip_enabled=True)
         for n in range(200):
-            for send in started_attempts(driver.ask(customer=f"c{n % 7}", gateway_set_size=2)):
-                driver.wait(5)
-                driver.answer(send)
-        return list(driver.all)
+            for send in started_attempts(driver.request(customer=f"c{n % 7}", gateway_set_size=2)):
+                driver.advance(5)
+                driver.end_attempt(send)
+        return list(driver.actions)
 
     assert run() == run()
 
@@ -47,15 +47,15 @@
     for n in range(4000):
         customer, sender = f"{n:016x}", n % 200
         for send in started_attempts(
-            driver.ask(plan="thin", customer=customer, gateway_set_size=150, remaining_time=1500)
+            driver.request(plan="thin", customer=customer, gateway_set_size=150, remaining_time=1500)
         ):
-            driver.answer(send)
+            driver.end_attempt(send)
         lines = [
             GossipEntry(EntryKind.ASK, tag_of(f"other {n}"), n % 999, 1.0, 1.0, 1),
             GossipEntry(EntryKind.GRANTED, 5, n, 0.0, 1.0, 0),
         ]
-        driver.feed(GossipReceived(sender, encode(0.1, lines, [(endpoint_tag(n % 4), SILENT)])))
-        driver.wait(600)
+        driver.handle(GossipReceived(sender, encode(0.1, lines, [(endpoint_tag(n % 4), SILENT)])))
+        driver.advance(600)
         sizes.append([len(attrgetter(name)(gateway)) for name in names])
         assert len(gateway.quota_check.asked_units) <= 512 and len(gateway.quota_owner.granted_units) <= 512
         assert all(len(server.suspecting_peers) <= 200 for server in gateway.endpoints.by_number.values())
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -13,16 +13,16 @@
 def test_messages_fit_and_go_to_one_peer_each() -> None:
     driver = Driver(gateway_count=300, gossip_enabled=True)
     for n in range(60):
-        driver.ask(plan="thin", customer=f"c{n}", gateway_set_size=200)
-    told = [a for a in driver.all if isinstance(a, SendGossip)]
+        driver.request(plan="thin", customer=f"c{n}", gateway_set_size=200)
+    told = [a for a in driver.actions if isinstance(a, SendGossip)]
     assert 0 < len(told) <= 60 and all(len(a.data.encode()) <= 256 and a.peer != 0 for a in told)
 
 
 def test_many_asks_to_one_peer_share_messages() -> None:
     driver = Driver(gateway_count=2, gossip_enabled=True)
     for n in range(60):
-        driver.ask(plan="thin", customer=f"c{n}", gateway_set_size=2)
-    told = [a for a in driver.all + driver.wait(60) if isinstance(a, SendGossip)]
+        driver.request(plan="thin", customer=f"c{n}", gateway_set_size=2)
+    told = [a for a in driver.actions + driver.advance(60) if isinstance(a, SendGossip)]
     assert len(told) <= 8 and all(len(a.data.encode()) <= 256 for a in told)
 
 
@@ -47,8 +47,8 @@
         10,
     )
     for n in range(40 * seconds):
-        driver.ask(plan="thin", customer=f"{n % 40:016x}", gateway_set_size=150)
-        driver.wait(25)
-    told = sum(isinstance(one, SendGossip) for one in driver.all)
+        driver.request(plan="thin", customer=f"{n % 40:016x}", gateway_set_size=150)
+        driver.advance(25)
+    told = sum(isinstance(one, SendGossip) for one in driver.actions)
     assert 0.8 * 12 * seconds <= told <= 12 * seconds + 3
-    assert len(started_attempts(driver.all)) < 40 * seconds / 5
+    assert len(started_attempts(driver.actions)) < 40 * seconds / 5
--- a/tests/policy/test_gossip_receiver.py
+++ b/tests/policy/test_gossip_receiver.py
@@ -21,7 +21,7 @@
     pace = driver.gateway.latency.ratio
     good = encode(2.0, [GossipEntry(EntryKind.NOTE, tag_of("c"), 0, 4.0)], [(endpoint_tag(1), 2.0)])
     for bad in ("", "x", good[:-1], good[:-1] + "!", "é" + good[1:], good[1:] + good[0]):
-        driver.feed(GossipReceived(1, bad))
+        driver.handle(GossipReceived(1, bad))
     assert driver.gateway.latency.ratio == pace and not driver.gateway.customers.by_tag
-    driver.feed(GossipReceived(1, good))
+    driver.handle(GossipReceived(1, good))
     assert driver.gateway.latency.ratio > pace and driver.gateway.customers.by_tag
--- a/tests/policy/test_owner_selection.py
+++ b/tests/policy/test_owner_selection.py
@@ -18,9 +18,11 @@
     total = 0
     for me in (0, 1):
         driver = Driver(gateway_count=2, gateway_index=me)
-        driver.ask(plan="hard", gateway_set_size=2)
-        driver.wait(wait)
-        total += sum(len(started_attempts(driver.ask(plan="hard", gateway_set_size=2))) for _ in range(tries))
+        driver.request(plan="hard", gateway_set_size=2)
+        driver.advance(wait)
+        total += sum(
+            len(started_attempts(driver.request(plan="hard", gateway_set_size=2))) for _ in range(tries)
+        )
     return total
 
 
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -17,15 +17,15 @@
 
 def test_settlement_charges_the_true_units() -> None:
     driver = Driver(cost_known_after=True)
-    (send,) = started_attempts(driver.ask(plan="thin", units=1))
-    driver.answer(send, cost=4)
-    assert isinstance(driver.ask(plan="thin")[0], RejectRequest)
+    (send,) = started_attempts(driver.request(plan="thin", units=1))
+    driver.end_attempt(send, cost=4)
+    assert isinstance(driver.request(plan="thin")[0], RejectRequest)
 
 
 def test_unsent_request_gives_its_units_back() -> None:
-    driver = Driver(servers=0)
-    driver.ask(plan="thin", units=4, remaining_time=300)
-    driver.wait(400)
+    driver = Driver(endpoints=0)
+    driver.request(plan="thin", units=4, remaining_time=300)
+    driver.advance(400)
     assert driver.gateway.customers.by_tag[tag_of("c")].bucket.refill(driver.now) == pytest.approx(4, abs=0.2)
 
 
--- a/tests/policy/test_quota_owner.py
+++ b/tests/policy/test_quota_owner.py
@@ -20,12 +20,12 @@
 def test_owner_under_a_ceiling_grants_from_its_part_only() -> None:
     driver, name = Driver(gateway_count=2, gossip_enabled=True), customer_owned_by(0)
     code = driver.gateway.customers.plan_names.index("hard")
-    driver.wait(60000)
+    driver.advance(60000)
     kinds = []
     for n in range(30):
         line = GossipEntry(EntryKind.ASK, tag_of(name), n, 1.0, 1.0, code)
-        kinds += [one.kind for _, one in sent_entries(driver.feed(GossipReceived(1, encode(0.1, [line]))))]
-    kinds += [one.kind for _, one in sent_entries(driver.wait(200))]
+        kinds += [one.kind for _, one in sent_entries(driver.handle(GossipReceived(1, encode(0.1, [line]))))]
+    kinds += [one.kind for _, one in sent_entries(driver.advance(200))]
     assert kinds.count(EntryKind.GRANTED) <= 10 and kinds.count(EntryKind.DENIED) >= 18
 
 
@@ -40,15 +40,15 @@
         left,
         driver.gateway.customers.plan_names.index("thin"),
     )
-    return sent_entries(driver.feed(GossipReceived(1, encode(0.1, [line]))) + driver.wait(200))
+    return sent_entries(driver.handle(GossipReceived(1, encode(0.1, [line]))) + driver.advance(200))
 
 
 def test_owner_grants_what_the_bucket_holds_and_no_more() -> None:
     driver = Driver(gateway_count=2, gossip_enabled=True)
     assert [ask_owner(driver, "ask", n, 1)[0][1].kind for n in range(6)].count(EntryKind.GRANTED) in (4, 5)
-    assert [type(a) for a in driver.ask(plan="thin", customer=customer_owned_by(0), gateway_set_size=2)] == [
-        RejectRequest
-    ]
+    assert [
+        type(a) for a in driver.request(plan="thin", customer=customer_owned_by(0), gateway_set_size=2)
+    ] == [RejectRequest]
 
 
 def test_owner_takes_told_use_and_gives_back_what_was_not_used() -> None:
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -17,17 +17,17 @@
 
 def test_rounds_follow_figure_8() -> None:
     """Two customers, k = 3 and 1, one slot: Figure 8 by hand gives a, b, b, b, a, b, b, b."""
-    driver = Driver(servers=1)
+    driver = Driver(endpoints=1)
     gateway = driver.gateway
     gateway.concurrency.initial_per_endpoint = 0.0
     gateway.concurrency.per_endpoint, gateway.latency.mean = (
         0.0,
         1.0,
     )  # the least bound is one slot; a queue looks short
-    blocker = started_attempts(driver.ask(customer="blocker"))[0]
+    blocker = started_attempts(driver.request(customer="blocker"))[0]
     for name, k in (("a", 3.0), ("b", 1.0)):
         for _ in range(8):
-            driver.ask(customer=name, remaining_time=1e6)
+            driver.request(customer=name, remaining_time=1e6)
         gateway.customers.by_tag[tag_of(name)].cost_estimate = k
     order: list[str] = []
     by_ref = {job.request_id: n for n in "ab" for job in gateway.customers.by_tag[tag_of(n)].queue}
@@ -41,7 +41,7 @@
         for name, k in (("a", 3.0), ("b", 1.0)):
             gateway.customers.by_tag[tag_of(name)].cost_estimate = k
         (send,) = started_attempts(
-            driver.feed(AttemptEnded(send.request_id, "ok", True, 0, send.endpoint, 1.0))
+            driver.handle(AttemptEnded(send.request_id, "ok", True, 0, send.endpoint, 1.0))
         )
         order.append(by_ref[send.request_id])
     assert order == figure_8({"a": 3.0, "b": 1.0}, 8)
--- a/tests/policy/test_slow_start_of_a_fleet.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -50,7 +50,7 @@
     for moved in (0.0, step):  # the clock of whoever told the start was stepped too, or was not
         started = clock() + moved
         entry = EndpointInfo(9, started=started, age=clock.age(started))
-        driver.feed(EndpointUpdate("partial", (entry,)))
+        driver.handle(EndpointUpdate("partial", (entry,)))
         server = driver.gateway.endpoints.by_number[9]
         driver.now += 1.0
         assert driver.gateway.slow_start.capacity(server, driver.now) < 0.3
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -38,52 +38,54 @@
 
 
 def test_decisions_go_by_the_lease_while_it_is_in_force(driver: Driver) -> None:
-    driver.feed(QuotaLeaseGranted("c", "thin", 1, 2.0, driver.now + 500))
-    assert [kinds(driver.ask(plan="thin")) for _ in range(3)] == [
+    driver.handle(QuotaLeaseGranted("c", "thin", 1, 2.0, driver.now + 500))
+    assert [kinds(driver.request(plan="thin")) for _ in range(3)] == [
         ["StartAttempt"],
         ["StartAttempt"],
         ["RejectRequest"],
     ]
-    driver.wait(600)  # it has run out: as without copies, the plan's own store decides
-    assert [kinds(driver.ask(plan="thin")) for _ in range(5)] == [["StartAttempt"]] * 4 + [["RejectRequest"]]
+    driver.advance(600)  # it has run out: as without copies, the plan's own store decides
+    assert [kinds(driver.request(plan="thin")) for _ in range(5)] == [["StartAttempt"]] * 4 + [
+        ["RejectRequest"]
+    ]
     assert driver.gateway.customers.by_tag[tag_of("c")].leases.take_owed_units() == 4.0
 
 
 def test_a_store_does_not_fill_up_behind_leases(driver: Driver) -> None:
     for _ in range(4):
-        driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 500))
-        driver.wait(400)
-    driver.wait(100)  # nobody answers any more: one unit a second since then
-    assert kinds(driver.ask(plan="thin")) == ["RejectRequest"]
-    driver.wait(1000)
-    assert [kinds(driver.ask(plan="thin")) for _ in range(2)] == [["StartAttempt"], ["RejectRequest"]]
+        driver.handle(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 500))
+        driver.advance(400)
+    driver.advance(100)  # nobody answers any more: one unit a second since then
+    assert kinds(driver.request(plan="thin")) == ["RejectRequest"]
+    driver.advance(1000)
+    assert [kinds(driver.request(plan="thin")) for _ in range(2)] == [["StartAttempt"], ["RejectRequest"]]
 
 
 def test_none_to_be_had_refuses_and_says_when_to_come_back(driver: Driver) -> None:
-    driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 500))
-    (refused,) = driver.ask(plan="thin")
+    driver.handle(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 500))
+    (refused,) = driver.request(plan="thin")
     assert isinstance(refused, RejectRequest) and refused.retry_after > 0
 
 
 def test_what_was_not_sent_goes_back_and_true_costs_come_off_the_lease() -> None:
     driver = Driver(cost_known_after=True)
-    driver.feed(QuotaLeaseGranted("c", "thin", 1, 3.0, driver.now + 5000))
-    (sent,) = driver.ask(plan="thin")
+    driver.handle(QuotaLeaseGranted("c", "thin", 1, 3.0, driver.now + 5000))
+    (sent,) = driver.request(plan="thin")
     assert isinstance(sent, StartAttempt)
-    driver.answer(sent, cost=2.5)  # one was guessed
+    driver.end_attempt(sent, cost=2.5)  # one was guessed
     assert driver.gateway.customers.by_tag[tag_of("c")].leases.units_left(1) == pytest.approx(0.5)
-    assert kinds(driver.ask(plan="thin")) == ["RejectRequest"]
+    assert kinds(driver.request(plan="thin")) == ["RejectRequest"]
 
 
 def test_true_costs_that_no_lease_holds_are_owed() -> None:
     """They came off lease 0, which ended last, and were gone with the next answer."""
     driver = Driver(cost_known_after=True)
-    driver.feed(QuotaLeaseGranted("c", "thin", 1, 1.0, driver.now + 500))
-    driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 5000))
-    (sent,) = driver.ask(plan="thin")
+    driver.handle(QuotaLeaseGranted("c", "thin", 1, 1.0, driver.now + 500))
+    driver.handle(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 5000))
+    (sent,) = driver.request(plan="thin")
     assert isinstance(sent, StartAttempt)
-    driver.answer(sent, cost=3.5)  # one was guessed
-    driver.feed(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 5000))
+    driver.end_attempt(sent, cost=3.5)  # one was guessed
+    driver.handle(QuotaLeaseGranted("c", "thin", 0, 0.0, driver.now + 5000))
     assert driver.gateway.customers.by_tag[tag_of("c")].leases.take_owed_units() == pytest.approx(2.5)
 
 
