--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -354,7 +354,7 @@
 
     def _close_drained(self) -> None:
         if self.registry.rejecting_new_requests:
-            self.start_close(ClientCloseReason.DRAINED_WHILE_ASKING)
+            self.start_close(ClientCloseReason.DRAINED_WHILE_REQUESTING)
         elif not self.has_unread_bytes():
             self.start_close(ClientCloseReason.DRAINED)
 
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -37,7 +37,7 @@
         Raises:
             OSError: the folder cannot be written to.
         """
-        self.has_sibling = False  # another process of this gateway is running
+        self.has_other_process = False  # another process of this gateway is running
         self._driver = driver
         self._counters = counters
         self._handover = Handover(folder, name)
@@ -52,17 +52,17 @@
 
     # The newer process
 
-    async def receive(self) -> None:
+    async def receive_warm_state(self) -> None:
         """Take over the warm state of the older process, if there is one that answers in time.
 
         Cancelling it leaves the decisions as they are at the start of a process.
         """
         try:
-            await self._receive()
+            await self._receive_warm_state()
         except OSError as error:  # the start is as after a kill
             self._handover_failed(error)
 
-    async def _receive(self) -> None:
+    async def _receive_warm_state(self) -> None:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + WARM_STATE_TIMEOUT_S
         while (older := self._handover.older_processes()) and loop.time() < deadline:
@@ -168,7 +168,7 @@
         self._announce()
         try:
             others = self._handover.other_processes()
-            self.has_sibling = bool(others.older or others.newer)
+            self.has_other_process = bool(others.older or others.newer)
             self._charge_usage_of(others.older)
             if others.newer and others.newer[0] != self._successor and is_serving:
                 self._hand_on(others.newer[0])
--- a/mapleshunt/net/reasons.py
+++ b/mapleshunt/net/reasons.py
@@ -26,7 +26,7 @@
 class RequestResult(enum.StrEnum):
     """What the client of a request got. The values are stored in recordings."""
 
-    GONE = "gone"
+    CLIENT_GONE = "gone"
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
@@ -44,7 +44,7 @@
     FLOOD = "flood"
     EVICTED = "made_room"
     DRAINED = "drained"
-    DRAINED_WHILE_ASKING = "last_call"
+    DRAINED_WHILE_REQUESTING = "last_call"
     PROCESS_STOPPED = "stopped"
     EXCEPTION = "exception"
 
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -63,7 +63,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
     awaiting_response: bool = True
-    final_result: RequestResult = RequestResult.GONE
+    final_result: RequestResult = RequestResult.CLIENT_GONE
     released_at: float = 0.0  # ms on the driver's clock; known where requests are recorded
     response_claimed_at: float = math.inf  # s, monotonic: its response or its client's leaving
 
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -117,7 +117,7 @@
         self.endpoint_watch.follow(self.reloader.config)
         await asyncio.sleep(LISTEN_DELAY_S)
         if self.takeover is not None:
-            await self.takeover.receive()
+            await self.takeover.receive_warm_state()
             self.gossip.retry_open(self.reloader.config)
         self.start_serving()
         await self.stop_requested.wait()
@@ -163,7 +163,7 @@
         assert self.takeover is not None
         self.takeover.tick(self.lifecycle.is_serving())
         self.gossip.retry_open(self.reloader.config)
-        processes = 1 + self.takeover.has_sibling
+        processes = 1 + self.takeover.has_other_process
         if processes != self.clients.budget.processes:
             self.clients.budget.divide(processes)
 
@@ -267,7 +267,7 @@
         # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
         # it to a process that comes late. The places of those that rested are free now. Where another process
         # accepts from the same socket, that takes the rest.
-        if self.takeover is None or not self.takeover.has_sibling:
+        if self.takeover is None or not self.takeover.has_other_process:
             await self.clients.accept_backlog()
         self.clients.close_listeners()
         self.controller.update_timer()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -400,7 +400,7 @@
         newer.announce_serving()
         patched.setattr(os, "listdir", fails)
         assert not older.has_successor()
-        asyncio.run(newer.receive())
+        asyncio.run(newer.receive_warm_state())
     assert not older.has_successor() and counters.counts["handover_failed"] == 3
     newer._announce()
     assert older.has_successor()
