--- a/mapleshunt/lifecycle/warm_state.py
+++ b/mapleshunt/lifecycle/warm_state.py
@@ -96,8 +96,8 @@
         best_latency_ratio=gateway.latency.best_ratio,
         response_time=gateway.latency.mean,
         owner_reply_time=gateway.quota_check.reply_wait,
-        warm_response_rate=gateway.slow_start.warm_answers.add(now),
-        response_rate=gateway.outliers.ready_answers.add(now),
+        warm_response_rate=gateway.slow_start.answers_per_warm_endpoint.add(now),
+        response_rate=gateway.outliers.answers_per_ready_endpoint.add(now),
         response_time_by_class=dict(gateway.latency.mean_by_class),
         grant_ratios=tuple(gateway.quota_check.granted_parts),
         customers=_capture_customers(gateway, now),
@@ -171,8 +171,8 @@
     latency.ratio, latency.best_ratio = warm_state.latency_ratio, warm_state.best_latency_ratio
     latency.mean = warm_state.response_time
     gateway.quota_check.reply_wait = warm_state.owner_reply_time
-    gateway.slow_start.warm_answers.add(now, max(0.0, warm_state.warm_response_rate))
-    gateway.outliers.ready_answers.add(now, max(0.0, warm_state.response_rate))
+    gateway.slow_start.answers_per_warm_endpoint.add(now, max(0.0, warm_state.warm_response_rate))
+    gateway.outliers.answers_per_ready_endpoint.add(now, max(0.0, warm_state.response_rate))
     for name in gateway.latency.mean_by_class:
         response_time = warm_state.response_time_by_class.get(name, 0.0)
         if response_time > 0:
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..platform_terms import settings_of
+from ..platform_terms import settings_from_init
 from ..policy import Settings
 from ..transient_errors import is_transient
 
@@ -100,7 +100,7 @@
 
 def _config(raw: Mapping[str, Any], env: Mapping[str, str]) -> Config:
     """Translate the file's keys; `raw` is any JSON object, and each value is checked as it is read."""
-    settings = settings_of(raw["settings"])
+    settings = settings_from_init(raw["settings"])
     policy_limits = raw["settings"]["PolicyLimits"]
     gossip_peers = _gossip_peers(raw, settings)
     limits = raw.get("limits") or {}
--- a/mapleshunt/net/discovery/endpoint_list.py
+++ b/mapleshunt/net/discovery/endpoint_list.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from ...platform_terms import STATES
+from ...platform_terms import ENDPOINT_STATES
 from ...policy import EndpointState
 from ..config import ConfigError, parse_address
 from ..upstream.endpoint import Endpoint
@@ -45,6 +45,6 @@
         address=parse_address(row["host_port"], "host_port"),
         zone=str(row.get("locality") or ""),
         cell=int(row.get("cell") or 0),
-        state=cast(EndpointState, STATES[row["phase"]]),
+        state=cast(EndpointState, ENDPOINT_STATES[row["phase"]]),
         started_at_ms=float(row.get("up_since_ms") or 0.0),
     )
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -60,7 +60,7 @@
             self.counters.add(f"retries_after_{context.attempts[attempt.number - 1].status or 'out'}")
         server = self.find_server(attempt.endpoint)
         if server is not None:
-            is_cold = slow_start.capacity(server, self.settings, self.now()) < 1
+            is_cold = slow_start.capacity_fraction(server, self.settings, self.now()) < 1
             broken = invariants.violations_of_slow_start(is_cold, server.allowance.level)
             self.trace.report_violations(Guard.START, broken, client_id)
 
--- a/mapleshunt/platform_terms.py
+++ b/mapleshunt/platform_terms.py
@@ -12,9 +12,9 @@
 
 # Values of the platform's fields, and of the settings and events of the decisions.
 EFFECTS = {"idempotent": "safe", "deduplicated": "keyed", "at_most_once": "unsafe"}
-STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-LISTS = {"Partial": "partial", "Complete": "complete", "Persisted": "persisted", "Error": "error"}
-STATUSES = {
+ENDPOINT_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
+UPDATE_KINDS = {"Partial": "partial", "Complete": "complete", "Persisted": "persisted", "Error": "error"}
+ATTEMPT_STATUSES = {
     "served": "ok",
     "server_error": "error",
     "turned_away": "full",
@@ -26,7 +26,7 @@
 }
 
 
-def settings_of(env: Mapping[str, Any]) -> Settings:  # Any: an object of JSON
+def settings_from_init(env: Mapping[str, Any]) -> Settings:  # Any: an object of JSON
     """Return the settings of an `Init`; keys that are not known are ignored."""
     limits, rules, facts = env["PolicyLimits"], env["Invariants"], env["Specifics"]
     classes = {
@@ -79,8 +79,8 @@
     )
 
 
-def wire_of(settings: Settings, **limits: Any) -> dict[str, Any]:  # Any: values of JSON
-    """Return the object that `settings_of` reads; `limits` go to `PolicyLimits`."""
+def init_from_settings(settings: Settings, **limits: Any) -> dict[str, Any]:  # Any: values of JSON
+    """Return the object that `settings_from_init` reads; `limits` go to `PolicyLimits`."""
     effects = {value: key for key, value in EFFECTS.items()}
     return {
         "Me": settings.gateway_index,
--- a/mapleshunt/policy/concurrency_limit.py
+++ b/mapleshunt/policy/concurrency_limit.py
@@ -55,8 +55,8 @@
         """
         usable = [one for one in self._endpoints.ready if one.ejected_until <= now]
         used = sum([len(one.in_flight) for one in usable])
-        capacity = self._slow_start.capacity
-        parts = sum([capacity(one, now) if one.up_since else 1.0 for one in usable])
+        capacity_fraction = self._slow_start.capacity_fraction
+        parts = sum([capacity_fraction(one, now) if one.up_since else 1.0 for one in usable])
         return used, max(1.0, self.per_endpoint * parts)
 
     def adapt(self, now: float) -> None:
--- a/mapleshunt/policy/load_balancer.py
+++ b/mapleshunt/policy/load_balancer.py
@@ -55,8 +55,8 @@
             one for one in untried if one.ejected_until <= now and not (one.ejections and one.in_flight)
         ]
         candidates = healthy or untried or pool  # never is everything ejected
-        capacity = self._slow_start.capacity
-        warming_up = [one for one in candidates if one.up_since and capacity(one, now) < 1]
+        capacity_fraction = self._slow_start.capacity_fraction
+        warming_up = [one for one in candidates if one.up_since and capacity_fraction(one, now) < 1]
         candidates = warming_up or candidates  # an allowance is for use at once
         if not candidates:
             return None
--- a/mapleshunt/policy/outlier_detection.py
+++ b/mapleshunt/policy/outlier_detection.py
@@ -37,7 +37,7 @@
     """Watches for endpoints that do not answer, and ejects them for a while.
 
     Attributes:
-        ready_answers: Recent answers heard, here or from peers, of one ready endpoint.
+        answers_per_ready_endpoint: Recent answers heard, here or from peers, of one ready endpoint.
     """
 
     __slots__ = (
@@ -49,7 +49,7 @@
         "_settings",
         "_slow_start",
         "_timers",
-        "ready_answers",
+        "answers_per_ready_endpoint",
     )
 
     def __init__(
@@ -66,7 +66,7 @@
         self._settings, self._endpoints, self._timers = settings, endpoints, timers
         self._latency, self._slow_start = latency, slow_start
         self._gossip, self._retries, self._random = gossip, retries, rng
-        self.ready_answers = ExponentialDecay(answer_span(settings), 0.0, 0.0)
+        self.answers_per_ready_endpoint = ExponentialDecay(answer_span(settings), 0.0, 0.0)
         timers.on(TimerKind.CHECK_SILENCE, self._check_silence_again)
 
     def record_outcome(self, endpoint: Endpoint, event: AttemptEnded, now: float) -> None:
@@ -91,7 +91,7 @@
         endpoint.last_answer_at = now
         endpoint.ejections = 0
         endpoint.suspecting_peers.clear()
-        self.ready_answers.add(now, 1 / max(1, len(self._endpoints.ready)))
+        self.answers_per_ready_endpoint.add(now, 1 / max(1, len(self._endpoints.ready)))
 
     def record_peer_answer(self, endpoint: Endpoint, now: float) -> None:
         """Take note that a peer has had an answer of an endpoint."""
@@ -103,7 +103,7 @@
         """Take note that a peer says that an endpoint is silent, and eject it if that suffices."""
         quiet = now - endpoint.last_answer_at
         endpoint.suspecting_peers.add(peer)
-        suspicion = len(endpoint.suspecting_peers) + quiet * self.ready_answers.rate(now)
+        suspicion = len(endpoint.suspecting_peers) + quiet * self.answers_per_ready_endpoint.rate(now)
         if quiet <= MAX_SILENCE_LATENCIES / 2 * self._latency.mean:
             return
         if suspicion < min(MIN_SUSPICION, self._settings.gateway_count - 1):
@@ -148,7 +148,7 @@
         # Many gateways that return at once would drive it over; where one meets it seldom anyway, the others'
         # attempts are spread already.
         spread = settings.gateway_count * self._random.random() / SPREAD_PART * crash_after
-        spread -= 1 / max(self._slow_start.warm_answers.rate(now), MIN_WARM_RATE)
+        spread -= 1 / max(self._slow_start.answers_per_warm_endpoint.rate(now), MIN_WARM_RATE)
         backoff = 2.0 ** min(endpoint.ejections, MAX_BACKOFF_EXPONENT) * crash_after / 2
         endpoint.ejected_until = now + max(backoff, spread)
         endpoint.ejections += 1
--- a/mapleshunt/policy/slow_start.py
+++ b/mapleshunt/policy/slow_start.py
@@ -21,43 +21,43 @@
     """What endpoints that are warming up may be sent.
 
     Attributes:
-        warm_answers: Recent answers of one warm endpoint.
+        answers_per_warm_endpoint: Recent answers of one warm endpoint.
     """
 
-    __slots__ = ("_endpoints", "_settings", "warm_answers")
+    __slots__ = ("_endpoints", "_settings", "answers_per_warm_endpoint")
 
     def __init__(self, settings: Settings, endpoints: EndpointTable, now: float) -> None:
         self._settings, self._endpoints = settings, endpoints
-        self.warm_answers = ExponentialDecay(answer_span(settings), 0.0, now)
+        self.answers_per_warm_endpoint = ExponentialDecay(answer_span(settings), 0.0, now)
 
-    def capacity(self, endpoint: Endpoint, now: float) -> float:
+    def capacity_fraction(self, endpoint: Endpoint, now: float) -> float:
         """Return the part of its full capacity that the endpoint is sure to have now: 1 once it is warm."""
-        return capacity(endpoint, self._settings, now)
+        return capacity_fraction(endpoint, self._settings, now)
 
     def may_send(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether the endpoint's allowance has room for one more attempt.
 
         First allowances are drawn at random, because what counts is the sum over all gateways.
         """
-        part = capacity(endpoint, self._settings, now)
+        part = capacity_fraction(endpoint, self._settings, now)
         multiple = min(SLOW_START_OVERSEND, self._settings.overload_crash_multiple / SLOW_START_OVERSEND)
-        endpoint.allowance.rate = multiple * part * self.warm_answers.rate(now)
+        endpoint.allowance.rate = multiple * part * self.answers_per_warm_endpoint.rate(now)
         return part >= 1 or endpoint.allowance.refill(now) >= 1
 
     def record_sent(self, endpoint: Endpoint, now: float) -> None:
         """Take an attempt off the allowance of an endpoint that is warming up."""
-        if capacity(endpoint, self._settings, now) < 1:
+        if capacity_fraction(endpoint, self._settings, now) < 1:
             endpoint.allowance.level -= 1
 
     def record_answer(self, endpoint: Endpoint, now: float) -> None:
         """Count an answer of a warm endpoint, as one of all warm ones."""
         settings = self._settings
-        if capacity(endpoint, settings, now) >= 1:
-            warm = sum([capacity(one, settings, now) >= 1 for one in self._endpoints.ready])
-            self.warm_answers.add(now, 1 / max(1, warm))
+        if capacity_fraction(endpoint, settings, now) >= 1:
+            warm = sum([capacity_fraction(one, settings, now) >= 1 for one in self._endpoints.ready])
+            self.answers_per_warm_endpoint.add(now, 1 / max(1, warm))
 
 
-def capacity(endpoint: Endpoint, settings: Settings, now: float) -> float:
+def capacity_fraction(endpoint: Endpoint, settings: Settings, now: float) -> float:
     """Return the part of its full capacity that the endpoint is sure to have now: 1 once it is warm."""
     if not endpoint.up_since:
         return 1.0
--- a/mapleshunt/simulator_adapter.py
+++ b/mapleshunt/simulator_adapter.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, TextIO, cast
 
-from .platform_terms import LISTS, STATES, STATUSES, settings_of
+from .platform_terms import ATTEMPT_STATUSES, ENDPOINT_STATES, UPDATE_KINDS, settings_from_init
 from .policy import (
     Action,
     AttemptEnded,
@@ -50,7 +50,7 @@
         endpoint=int(server),
         zone=zone or "",
         cell=cell or 0,
-        state=cast(EndpointState, STATES[mode]),
+        state=cast(EndpointState, ENDPOINT_STATES[mode]),
         started=started or 0.0,
     )
 
@@ -92,7 +92,7 @@
 def _attempt_ended_of(values: list[Any]) -> AttemptEnded:  # Any: values of JSON
     return AttemptEnded(
         request_id=values[0],
-        status=cast(AttemptStatus, STATUSES[values[1]]),
+        status=cast(AttemptStatus, ATTEMPT_STATUSES[values[1]]),
         request_completed=bool(values[2]),
         attempt=values[4],
         cost=values[5] or 0.0,
@@ -138,7 +138,7 @@
                 self._catalogs[values[0]] = tuple(endpoint_of(row) for row in values[1])
             case "Init":
                 node, seed, environment = values[:3]
-                settings = settings_of(environment)
+                settings = settings_from_init(environment)
                 self._act(node, lambda: self._start(node, settings, int(seed)))
             case "Destroy":
                 self._gateways.pop(values[0], None)
@@ -163,7 +163,7 @@
 
     def _event_of(self, name: str, values: list[Any]) -> Event | None:  # Any: values of JSON
         if name == "Topology":
-            kind = cast(UpdateKind, LISTS[values[0]])
+            kind = cast(UpdateKind, UPDATE_KINDS[values[0]])
             return EndpointUpdate(kind, () if kind == "error" else self._catalogs[values[2]])
         if name in IGNORED_EVENTS:
             return None
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -13,11 +13,12 @@
 from tornado.web import Application, RequestHandler
 
 from ..fleet.discovery import EndpointEntry
-from ..platform_terms import STATES
+from ..platform_terms import ENDPOINT_STATES
 from .clock import DayClock
 from .ports import HOST
 
-PHASES = {state: phase for phase, state in STATES.items()}  # of an endpoint's state, as discovery names it
+# of an endpoint's state, as discovery names it
+PHASES = {state: phase for phase, state in ENDPOINT_STATES.items()}
 MAX_WATCH_MS = 60_000.0  # for which a watch waits without a change
 
 
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from ...platform_terms import wire_of
+from ...platform_terms import init_from_settings
 from ...policy import Plan, RequestClass, Settings
 from ...simulation.history_checker import HistoryEvent
 from ..errors import GatewayError
@@ -40,7 +40,7 @@
         "discovery": "127.0.0.1:1",
         "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-        "settings": wire_of(settings),
+        "settings": init_from_settings(settings),
     }
 
 
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -16,7 +16,7 @@
 from ..fleet.discovery import EndpointEntry
 from ..fleet.faults import Fault
 from ..net.protocol import resp
-from ..platform_terms import wire_of
+from ..platform_terms import init_from_settings
 from ..simulation.day import Day, RuleLimits
 from ..simulation.fleet_host import FleetHost
 from ..simulation.records import ClientAttempt, RequestRecord
@@ -94,7 +94,7 @@
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
         gossip, count = self.gossip, self.day.scenario.gateways
         f = self.day.parameters
-        settings = wire_of(
+        settings = init_from_settings(
             self.settings[number], DialTimeout=f["dial_ms"], ConnIdle=f["conn_idle_ms"], MaxOpen=20000
         )
         return {
--- a/tests/policy/test_slow_start_of_a_fleet.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -53,6 +53,6 @@
         driver.feed(EndpointUpdate("partial", (entry,)))
         server = driver.gateway.endpoints.by_number[9]
         driver.now += 1.0
-        assert driver.gateway.slow_start.capacity(server, driver.now) < 0.3
-        assert driver.gateway.slow_start.capacity(server, driver.now + 10_000.0) == 1.0
+        assert driver.gateway.slow_start.capacity_fraction(server, driver.now) < 0.3
+        assert driver.gateway.slow_start.capacity_fraction(server, driver.now + 10_000.0) == 1.0
         driver.gateway.endpoints.by_number.clear()
