--- a/mapleshunt/cli/record.py
+++ b/mapleshunt/cli/record.py
@@ -139,13 +139,13 @@
 def show_settings(file: Path | None, as_json: bool) -> None:
     """What holds, and where each value comes from."""
     from ..settings import operators
-    from ..settings.show import rows
+    from ..settings.show import effective_settings
 
     path = file or operators.path_from_environment()
     if path is None:
         raise Trouble("name a file, or set PROXY_OPERATORS")
     try:
-        found = rows(path)
+        found = effective_settings(path)
     except ValueError as error:
         raise Trouble(str(error)) from None
     if as_json:
--- a/mapleshunt/recording/file_format.py
+++ b/mapleshunt/recording/file_format.py
@@ -55,7 +55,7 @@
     customer: bytes  # hashed with the operators' salt
     estimated_cost: float
     true_cost: float  # 0 if no backend reported it
-    patience_ms: float
+    remaining_time_ms: float
     gateway_set_size: int
     gateway_set_offset: int
     is_retry: bool
--- a/mapleshunt/settings/show.py
+++ b/mapleshunt/settings/show.py
@@ -32,7 +32,7 @@
         found.append((name, value))
 
 
-def rows(path: Path) -> list[tuple[str, str, str]]:
+def effective_settings(path: Path) -> list[tuple[str, str, str]]:
     """(setting, value, place) for each that holds. Raises `SettingsError`."""
     chosen: OperatorSettings = load(path)
     places: dict[str, int] = {}
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -57,7 +57,13 @@
         3.0,
         4.0,
     )
-    assert (row.patience_ms, row.gateway_set_size, row.gateway_set_offset, row.is_retry, row.outcome) == (
+    assert (
+        row.remaining_time_ms,
+        row.gateway_set_size,
+        row.gateway_set_offset,
+        row.is_retry,
+        row.outcome,
+    ) == (
         2000.0,
         2,
         1,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 
 from mapleshunt.settings import operators
 from mapleshunt.settings.reader import Atom, Group, Node, SettingsError, parse
-from mapleshunt.settings.show import rows
+from mapleshunt.settings.show import effective_settings
 
 ROOT = Path(__file__).parent.parent
 
@@ -73,6 +73,10 @@
 def test_show_tells_where_each_value_comes_from_and_hides_salts(tmp_path: Path) -> None:
     path = tmp_path / "o.sexp"
     path.write_text('(record\n (file "x")\n (salt "deep"))')
-    assert rows(path) == [("record.file", "x", "o.sexp:2"), ("record.size-mb", "16.0", "default"),
-                          ("record.salt", "(hidden)", "o.sexp:3"), ("copies", "off", "default"),
-                          ("maintenance", "off", "default")]  # fmt: skip
+    assert effective_settings(path) == [
+        ("record.file", "x", "o.sexp:2"),
+        ("record.size-mb", "16.0", "default"),
+        ("record.salt", "(hidden)", "o.sexp:3"),
+        ("copies", "off", "default"),
+        ("maintenance", "off", "default"),
+    ]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -127,7 +127,7 @@
     # Recordings
     "row": (
         form.RecordedRequest,
-        "arrived_at request_class plan customer estimated_cost true_cost patience_ms gateway_set_size"
+        "arrived_at request_class plan customer estimated_cost true_cost remaining_time_ms gateway_set_size"
         " gateway_set_offset is_retry outcome duration_ms attempts",
     ),
     "attempt": (form.RecordedAttempt, "endpoint status sent_after_ms duration_ms"),
