--- a/mapleshunt/net/upstream/connection.py
+++ b/mapleshunt/net/upstream/connection.py
@@ -176,7 +176,7 @@
         try:
             while True:
                 await self.buffer.fill(self.stream)
-                self._take_reply()
+                self._process_reply()
         except StreamClosedError as closed:
             if closed.real_error:
                 reason = UpstreamCloseReason.ENDPOINT_RESET
@@ -189,7 +189,7 @@
             log.log_exception("server_connection_exception", server=self.pool.endpoint.id)
         self.close(reason)
 
-    def _take_reply(self) -> None:
+    def _process_reply(self) -> None:
         found = resp.parse_reply(self.buffer.data, self.buffer.start, self.buffer.end)
         if self.pending_result is None or self.pending_result.done():
             raise resp.ProtocolError("bytes that belong to no attempt")
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -110,7 +110,7 @@
             with (await asyncio.to_thread(listener.accept))[0] as server:
                 await asyncio.to_thread(server.recv, 65536)
                 connection: Any = driver.attempts_in_flight[1, 0].connection
-                reads = connection._take_reply
+                reads = connection._process_reply
 
                 def both() -> None:  # the bytes have come, and so has the client's end
                     if first == "client":
@@ -118,7 +118,7 @@
                     reads()
                     driver.client_disconnected(context)
 
-                monkeypatch.setattr(connection, "_take_reply", both)
+                monkeypatch.setattr(connection, "_process_reply", both)
                 server.send(b"*1\r\n$1\r\nv\r\n")
                 while driver.attempts_in_flight:
                     await asyncio.sleep(0)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -475,7 +475,7 @@
             await taken(server)
             connection = attempt.connection
             assert isinstance(connection, UpstreamConnection)
-            ended = "_take_reply" if data else "close"
+            ended = "_process_reply" if data else "close"
             reads = getattr(connection, ended)
 
             def read_and_given_up(*args: str) -> None:
