--- a/mapleshunt/net/replication/fleet_knowledge.py
+++ b/mapleshunt/net/replication/fleet_knowledge.py
@@ -54,7 +54,7 @@
 
     def _save(self) -> None:
         known, formed = dict(self._known_boots), self._formed
-        self._tasks.run(lambda: self._store.save_known(known, formed))
+        self._tasks.run(lambda: self._store.save_fleet_knowledge(known, formed))
 
     def generation(self, group: int) -> int:
         """Return how often the group was recovered by hand, in effect; 0 for never."""
--- a/mapleshunt/net/replication/replica_groups.py
+++ b/mapleshunt/net/replication/replica_groups.py
@@ -73,7 +73,7 @@
         members = host.node.members()
         connected = self._presence.connected_voters(members)
         timeout = LEADER_HEARD_TIMEOUTS * self._services.raft_config.election_timeout_s
-        heard = host.node.election.leader_heard_at > self._services.now() - timeout
+        heard = host.node.election.leader_contact_at > self._services.now() - timeout
         return host.is_leader() or heard or connected >= members.majority()
 
     # The store
@@ -120,7 +120,7 @@
             host.end()
             last = host.node.log.last_index()
             log.log_event("copies_superseded", group=group, last=last, generation=generation)
-        self._tasks.run(lambda: self._store.forget(group, generation))
+        self._tasks.run(lambda: self._store.delete_group(group, generation))
 
     def recover(self, group: int, state_token: str) -> bool:
         """Go on with this gateway's replica alone, by hand of an operator.
--- a/mapleshunt/replication/election.py
+++ b/mapleshunt/replication/election.py
@@ -31,7 +31,7 @@
         self.voted_for = stored.vote
         self.role = Role.FOLLOWER
         self.leader: Replica = ""
-        self.leader_heard_at = NEVER
+        self.leader_contact_at = NEVER
         self.deadline = NEVER  # when the election timeout runs out; the node sets it as it begins
         self.on_elected: Callable[[float], None] = lambda _now: None
         self.on_step_down: Callable[[], None] = lambda: None
@@ -68,7 +68,7 @@
             self.follow(
                 term, sender, RoleChangeReason.HIGHER_TERM if newer else RoleChangeReason.LEADER_HEARD
             )
-        self.leader_heard_at = now
+        self.leader_contact_at = now
         self.reset_timeout(now)
         return True
 
@@ -151,7 +151,7 @@
 
     def on_vote_request(self, now: float, sender: Replica, request: VoteRequest) -> None:
         """Grant or deny a vote; a replica that hears a leader helps nobody to another term (thesis, 6.4)."""
-        hears_leader = now - self.leader_heard_at < self._config.election_timeout_s
+        hears_leader = now - self.leader_contact_at < self._config.election_timeout_s
         if not request.leadership_transfer and (hears_leader or self.role is Role.LEADER):
             return
         mine = (self._log.last_term(), self._log.last_index())
--- a/mapleshunt/storage/durable_store.py
+++ b/mapleshunt/storage/durable_store.py
@@ -212,7 +212,7 @@
             self._put("incarnation", self.incarnation.encode())
             self._put("boot", str(self.boot).encode())
 
-    def save_known(self, known_boots: dict[str, int], formed_groups: int) -> None:
+    def save_fleet_knowledge(self, known_boots: dict[str, int], formed_groups: int) -> None:
         """Keep the newest boots that were met, and which groups have been formed. Raises `apsw.Error`."""
         self.known_boots = known_boots
         self.formed_groups = formed_groups
@@ -231,7 +231,7 @@
         self.groups[group] = stored
         return stored
 
-    def forget(self, group: int, generation: int) -> None:
+    def delete_group(self, group: int, generation: int) -> None:
         """Delete a group: it went on elsewhere, in that generation, without this replica.
 
         Raises `apsw.Error`; it may be tried again.
--- a/tests/test_durable_store.py
+++ b/tests/test_durable_store.py
@@ -217,7 +217,7 @@
     disk = filled_store(tmp_path)
     was = disk.incarnation
     disk.renew()
-    disk.save_known({"x": 4}, 5)
+    disk.save_fleet_knowledge({"x": 4}, 5)
     disk.close()
     again = DurableStore(tmp_path, "fleet", "a")
     assert (
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -64,7 +64,7 @@
 def write():
     disk = DurableStore(Path(sys.argv[1]), "fleet", "a")
     disk.commit([(3, m.Write(9, 9, ""))])
-    disk.save_known({"b": 1 << 32}, 1)
+    disk.save_fleet_knowledge({"b": 1 << 32}, 1)
     disk.close()
 
 thread = threading.Thread(target=write)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -334,7 +334,7 @@
     for group, stored in old.groups.items():
         new.create(group, stored.snapshot)
         new.commit([(group, replication.Write(1, stored.term, stored.vote, stored.entries))])
-    new.save_known(old.known_boots, old.formed_groups)
+    new.save_fleet_knowledge(old.known_boots, old.formed_groups)
     old.close()
     new.close()
     after = rows(other, *tables, "meta")
