--- a/mapleshunt/policy/attempt_results.py
+++ b/mapleshunt/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches, and what becomes of its request."""
+"""Handling of ended attempts: updates the estimates, and retries or ends the request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptResults:
-    """Records how attempts ended."""
+    """Updates the estimates and the requests when attempts end."""
 
     __slots__ = (
         "_concurrency",
@@ -48,7 +48,7 @@
         self._latency, self._slow_start, self._concurrency = latency, slow_start, concurrency
 
     def record(self, event: AttemptEnded, now: float) -> None:
-        """Learn from an attempt, and retry or end its request."""
+        """Record how an attempt ended, and retry or end its request."""
         endpoint = self._endpoints.by_number[event.endpoint]
         request = self._requests.open.get(event.request_id)
         endpoint.in_flight.pop((event.request_id, event.attempt), None)
@@ -59,19 +59,21 @@
             return
         request.attempts[event.attempt].status = event.status
         if event.status == "ok":
-            self._measure(request, event.latency, endpoint, now)
+            self._record_latency(request, event.latency, endpoint, now)
             self._quota.settle(request.customer, request.units, event.cost, now)
         if event.request_completed:
             self._requests.release(request, now)
         elif not request.retry_pending and not request.has_attempt_in_flight():
             self._retries.retry_or_end(request, now)
 
-    def _measure(self, request: PendingRequest, latency: float, endpoint: Endpoint, now: float) -> None:
+    def _record_latency(
+        self, request: PendingRequest, latency: float, endpoint: Endpoint, now: float
+    ) -> None:
         ratio, customer = latency / request.request_class.latency_objective, request.customer
         customer.cost_estimate = COST_SMOOTHING * latency + (1 - COST_SMOOTHING) * customer.cost_estimate
         self._latency.record(request.request_class.name, latency, ratio, now)
         endpoint.latency_ratio += ESTIMATE_SMOOTHING * (ratio - endpoint.latency_ratio)
         self._slow_start.record_answer(endpoint, now)
-        self._latency.remember_ratio(endpoint_tag(endpoint.info.endpoint), ratio)
-        self._outliers.rest_if_slow(endpoint, latency, now)
+        self._latency.keep_ratio_for_gossip(endpoint_tag(endpoint.info.endpoint), ratio)
+        self._outliers.eject_if_slow(endpoint, latency, now)
         self._concurrency.adapt(now)
--- a/mapleshunt/policy/concurrency_limit.py
+++ b/mapleshunt/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit on attempts in flight, which follows what the endpoints answer."""
+"""The limit on attempts in flight, which adapts to the answers of the endpoints."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 from .settings import Settings
 from .slow_start import SlowStart
 
-# Slots an endpoint that all gateways together start with (the paper's pool is 10 a core).
+# Initial slots per endpoint, over all gateways (the paper's pool is 10 per core).
 INITIAL_CONCURRENCY_PER_ENDPOINT = 8.0
-# Of these each gateway has 1 / gateway_count to this power: the less it sees, the more that varies.
+# A gateway starts with the above divided by gateway_count to this power. It is below 1 because the fewer
+# requests a gateway receives, the more their number varies.
 GATEWAY_SHARE_EXPONENT = 0.75
-# Slots an endpoint that all gateways together keep at least, so that no overload idles the back end.
+# Minimum slots per endpoint, over all gateways, so that an overload never leaves the backends idle.
 MIN_CONCURRENCY_PER_ENDPOINT = 3.0
-# The limit grows to this many times the initial one at most.
+# Upper bound of the limit, as a multiple of the initial one.
 MAX_GROWTH_OVER_INITIAL = 3
-# Factor on the slots in use for a full endpoint or slow answers, once in a mean latency.
+# Factor on the slots in use when an endpoint is full or answers are slow, at most once per mean latency.
 SHRINK_FACTOR = 0.9
 
 
 class ConcurrencyLimit:
-    """Slots for attempts in flight.
+    """The limit on attempts in flight, in slots.
 
     Attributes:
-        per_endpoint: Slots that a warm endpoint counts for.
-        initial_per_endpoint: The same, at the start.
+        per_endpoint: Slots per warm endpoint.
+        initial_per_endpoint: The initial value of `per_endpoint`.
     """
 
     __slots__ = (
@@ -49,36 +50,38 @@
         self._shrunk_at = -math.inf
 
     def slots(self, now: float) -> tuple[int, float]:
-        """Return the slots in use and in all.
+        """Return the number of slots in use and of all slots.
 
-        Ejected endpoints count in neither: an attempt that hangs keeps no slot shut.
+        Ejected endpoints count in neither, so that an attempt that hangs does not occupy a slot.
         """
-        usable = [one for one in self._endpoints.ready if one.ejected_until <= now]
-        used = sum([len(one.in_flight) for one in usable])
+        usable = [endpoint for endpoint in self._endpoints.ready if endpoint.ejected_until <= now]
+        used = sum([len(endpoint.in_flight) for endpoint in usable])
         capacity_fraction = self._slow_start.capacity_fraction
-        parts = sum([capacity_fraction(one, now) if one.up_since else 1.0 for one in usable])
-        return used, max(1.0, self.per_endpoint * parts)
+        capacity = sum(
+            [capacity_fraction(endpoint, now) if endpoint.up_since else 1.0 for endpoint in usable]
+        )
+        return used, max(1.0, self.per_endpoint * capacity)
 
     def adapt(self, now: float) -> None:
-        """Follow the newest answer: shrink while answers are slow, else grow."""
+        """Shrink the limit while answers are slow, else grow it; called after each answer."""
         latency = self._latency
         if latency.ratio > min(TARGET_LATENCY_RATIO, MAX_STRETCH_OVER_BEST * latency.best_ratio):
             self.shrink(now)
         else:
-            # By what it holds: some gateways meet most of the requests.
+            # In proportion to the present limit, because some gateways receive most of the requests.
             base = max(self.per_endpoint, self.initial_per_endpoint / 3)
             step = base * 2 / INITIAL_CONCURRENCY_PER_ENDPOINT
             grown = self.per_endpoint + step / self.slots(now)[1]
             self.per_endpoint = min(MAX_GROWTH_OVER_INITIAL * self.initial_per_endpoint, grown)
 
     def restore(self, per_endpoint: float) -> None:
-        """Go on from the limit of an earlier process, within the bounds of this one."""
+        """Continue with the limit of an earlier process, capped at the upper bound of this one."""
         self.per_endpoint = min(per_endpoint, MAX_GROWTH_OVER_INITIAL * self.initial_per_endpoint)
 
     def shrink(self, now: float) -> None:
-        """Shrink from the slots in use: an ample limit binds at the first slow answers."""
+        """Shrink the limit from the slots in use, so that an ample one binds at the first slow answers."""
         if now - self._shrunk_at > self._latency.mean:
             used, slots = self.slots(now)
             self._shrunk_at = now
-            least = MIN_CONCURRENCY_PER_ENDPOINT / self._settings.gateway_count
-            self.per_endpoint = max(least, min(1.0, (used + 1) / slots) * self.per_endpoint * SHRINK_FACTOR)
+            minimum = MIN_CONCURRENCY_PER_ENDPOINT / self._settings.gateway_count
+            self.per_endpoint = max(minimum, min(1.0, (used + 1) / slots) * self.per_endpoint * SHRINK_FACTOR)
--- a/mapleshunt/policy/dispatch.py
+++ b/mapleshunt/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Attempts that are started as slots come free: retries first, then waiting requests in deficit rounds."""
+"""Start of attempts as slots become free: retries first, then waiting requests in deficit rounds."""
 
 from __future__ import annotations
 
@@ -43,18 +43,18 @@
         self._slow_start, self._outliers, self._actions = slow_start, outliers, actions
 
     def dispatch_waiting(self, now: float) -> None:
-        """Start the attempts that the slots allow."""
+        """Start waiting attempts, retries first, until the slots are used up."""
         open_requests = self._requests.open
         if len(self._retries):
             for request in self._retries.take_waiting():
                 if request.request_id not in open_requests or not request.retry_pending:
                     continue
                 if not self._start_attempt(request, now):
-                    self._retries.keep_waiting_or_end(request, now)
+                    self._retries.requeue_or_end(request, now)
         self._scheduler.dispatch(open_requests, self._start_attempt, now)
 
     def _start_attempt(self, request: PendingRequest, now: float) -> bool:
-        """Start an attempt; False if there is no slot, or no endpoint that it may go to."""
+        """Start an attempt; return False if no slot is free or no permitted endpoint is available."""
         used, slots = self._concurrency.slots(now)
         if used >= slots:
             return False
--- a/mapleshunt/policy/endpoint_watch.py
+++ b/mapleshunt/policy/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Watch events of the endpoint list."""
+"""Handling of the watch events of the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from .timers import TimerKind, TimerQueue
 from .token_bucket import TokenBucket
 
-# Part of the time within which discovery has to be polled that is waited after an error: a failing service is
-# not helped by a storm of polls.
+# Fraction of `discovery_poll_within` to wait before the next poll after an error, so that a failing discovery
+# service does not get a storm of polls.
 POLL_BACKOFF_PART = 1 / 4
-# Attempts that the allowance of an endpoint that is warming up holds at most.
+# Maximum of the allowance of an endpoint that is warming up, in attempts.
 MAX_ALLOWANCE = 1.0
 
 
 class EndpointWatch:
-    """Keeps the endpoints up to the endpoint list."""
+    """Applies the endpoint list to the endpoint table."""
 
     __slots__ = ("_actions", "_endpoints", "_latency", "_random", "_retries", "_settings", "_timers")
 
@@ -41,21 +41,21 @@
         timers.on(TimerKind.POLL_DISCOVERY, self._poll)
 
     def update_endpoints(self, update: EndpointUpdate, now: float) -> None:
-        """Take in an update; attempts at endpoints that are gone are migrated."""
+        """Apply an update and migrate attempts at endpoints that are gone; poll again after an error."""
         if update.kind == "error":
-            at = now + self._settings.discovery_poll_within * POLL_BACKOFF_PART
-            self._timers.set(at, TimerKind.POLL_DISCOVERY, 0)
+            poll_at = now + self._settings.discovery_poll_within * POLL_BACKOFF_PART
+            self._timers.set(poll_at, TimerKind.POLL_DISCOVERY, 0)
             return
         endpoints = self._endpoints
         for info in endpoints.merge(update):
-            endpoints.add(self._started(info, now))
+            endpoints.add(self._new_endpoint(info, now))
         endpoints.refresh_ready()
-        for gone in endpoints.gone_in_flight():
-            self._retries.migrate_attempts(gone, now)
-        endpoints.forget_gone()
+        for endpoint in endpoints.gone_with_attempts():
+            self._retries.migrate_attempts(endpoint, now)
+        endpoints.remove_gone()
 
-    def _started(self, info: EndpointInfo, now: float) -> Endpoint:
-        """Return an endpoint that is new or has started anew; its first allowance is drawn at random."""
+    def _new_endpoint(self, info: EndpointInfo, now: float) -> Endpoint:
+        """Return the entry of an endpoint that is new or has restarted; its initial allowance is random."""
         allowance = TokenBucket(0.0, MAX_ALLOWANCE, self._random.random(), now)
         ratio = self._latency.best_ratio
         return Endpoint(info, info.up_since(now), now, ratio, allowance, started=info.started)
--- a/mapleshunt/policy/endpoints.py
+++ b/mapleshunt/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that the endpoint list names, and what this gateway knows of each."""
+"""The endpoints of the endpoint list, with what this gateway knows about each."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """An endpoint, and what this gateway knows of it.
+    """An endpoint and what this gateway knows about it.
 
     Attributes:
-        info: The endpoint as the list has it.
-        up_since: Its start on this host's clock, ms; 0 for long ago.
-        last_answer_at: When it answered last, here or a peer.
-        latency_ratio: Mean of latency over the class's objective.
-        allowance: Attempts that it may be sent now while it is warming up.
-        in_flight: When each attempt in flight was sent, by request id and attempt.
-        silence_check_pending: A timer looks whether it has fallen silent.
-        connection_failures: Connections that broke or could not be made since its last answer.
+        info: Its entry in the endpoint list.
+        up_since: When it started, ms on this host's clock; 0 for long ago.
+        last_answer_at: When it last answered this gateway or a peer.
+        latency_ratio: Mean ratio of latency to the class's objective.
+        allowance: Attempts that it may be sent while it is warming up.
+        in_flight: When each attempt in flight was sent, by request id and attempt number.
+        silence_check_pending: A timer is set to check whether it is silent.
+        connection_failures: Connections that broke or could not be made since it last answered this gateway.
         ejections: Ejections since its last answer.
-        suspecting_peers: Peers that said that it is silent, since its last answer.
-        ejected_until: It gets no attempts before then.
-        started: Its start as the list has it, which tells one start from another.
+        suspecting_peers: Peers that have reported it silent since its last answer.
+        ejected_until: When its ejection ends; it gets no attempts before then.
+        started: Its start time in the endpoint list, which tells one start from another.
     """
 
     info: EndpointInfo
@@ -42,18 +42,18 @@
     started: float = 0.0
 
     def unanswered_wait(self, now: float) -> float:
-        """Return the waiting of its attempts in flight, ms, summed since their start or its last answer."""
+        """Return the summed wait of its attempts in flight, ms, each since its start or the last answer."""
         answered = self.last_answer_at
         return sum([now - max(sent, answered) for sent in self.in_flight.values()])
 
 
 class EndpointTable:
-    """All endpoints that are listed, or are gone with attempts in flight.
+    """All listed endpoints, and those that are gone but have attempts in flight.
 
     Attributes:
         by_number: Endpoints by number.
-        by_tag: Endpoints by the tag that gossip has for them.
-        ready: Endpoints that take new attempts, in the order of their numbers' first appearance.
+        by_tag: Endpoints by their tag in gossip messages.
+        ready: Endpoints that take new attempts, in the order in which their numbers first appeared.
     """
 
     __slots__ = ("by_number", "by_tag", "ready")
@@ -64,7 +64,7 @@
         self.ready: list[Endpoint] = []
 
     def merge(self, update: EndpointUpdate) -> list[EndpointInfo]:
-        """Bring the entries up to an update, and return those that are new or have started anew."""
+        """Apply an update to the entries, and return the endpoints that are new or have restarted."""
         listed = {info.endpoint for info in update.endpoints}
         started = []
         for number, endpoint in self.by_number.items():
@@ -80,22 +80,26 @@
         return started
 
     def add(self, endpoint: Endpoint) -> None:
-        """Add an endpoint that is new or has started anew; attempts at the one before stay in flight."""
+        """Add an endpoint that is new or has restarted; attempts sent before a restart stay in flight."""
         number = endpoint.info.endpoint
         if number in self.by_number:
             endpoint.in_flight = self.by_number[number].in_flight
         self.by_number[number] = self.by_tag[endpoint_tag(number)] = endpoint
 
     def refresh_ready(self) -> None:
-        """Bring `ready` up to the entries."""
-        self.ready = [one for one in self.by_number.values() if one.info.state == "ready"]
-
-    def gone_in_flight(self) -> list[Endpoint]:
-        """Return the endpoints that are gone with attempts in flight."""
-        return [one for one in self.by_number.values() if one.info.state == "gone" and one.in_flight]
-
-    def forget_gone(self) -> None:
-        """Drop endpoints that are gone with nothing in flight: all day new ones take their places."""
+        """Rebuild `ready` from the entries."""
+        self.ready = [endpoint for endpoint in self.by_number.values() if endpoint.info.state == "ready"]
+
+    def gone_with_attempts(self) -> list[Endpoint]:
+        """Return the endpoints that are gone but have attempts in flight."""
+        return [
+            endpoint
+            for endpoint in self.by_number.values()
+            if endpoint.info.state == "gone" and endpoint.in_flight
+        ]
+
+    def remove_gone(self) -> None:
+        """Remove endpoints that are gone with nothing in flight; new ones replace them all day."""
         for number, endpoint in list(self.by_number.items()):
             if endpoint.info.state == "gone" and not endpoint.in_flight:
                 del self.by_number[number]
--- a/mapleshunt/policy/exponential_decay.py
+++ b/mapleshunt/policy/exponential_decay.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, eq=False)
 class ExponentialDecay:
-    """A sum of amounts that decay by 1/e in `time_constant` ms; `value` is as of `updated_at`."""
+    """A sum of amounts that decay to 1/e in `time_constant` ms; `value` is as of `updated_at`."""
 
     time_constant: float
     value: float
@@ -21,5 +21,5 @@
         return self.value
 
     def rate(self, now: float) -> float:
-        """Return the recent amount a ms."""
+        """Return the recent amount per ms."""
         return self.add(now) / self.time_constant
--- a/mapleshunt/policy/latency.py
+++ b/mapleshunt/policy/latency.py
@@ -7,26 +7,26 @@
 
 from .settings import RequestClass
 
-# Weight of the newest value in moving averages, of latency and of what quota owners reply.
+# Weight of the newest value in moving averages, of latency and of quota owners' replies.
 ESTIMATE_SMOOTHING = 0.1
-# Mean latency over the objective above which the concurrency limit shrinks, below which it grows.
+# Ratio of mean latency to objective above which the concurrency limit shrinks and below which it grows.
 TARGET_LATENCY_RATIO = 0.35
-# The same, over the best mean of late: more in flight overdrives endpoints and serves no more.
+# The same as a multiple of the best recent ratio: more in flight overloads endpoints and serves no more.
 MAX_STRETCH_OVER_BEST = 2.2
-# The best latency ratio is forgotten this many times more slowly than the mean, so that it is one of late.
+# The best latency ratio rises this many times more slowly than a mean adapts, so that an old best expires.
 BEST_RATIO_SLOWDOWN = 300
-# Part of a class's latency objective that its mean latency is taken for before any answer.
+# Before any answer, a class's mean latency is taken to be its objective divided by this.
 INITIAL_LATENCY_PART = 8
 
 
 class LatencyEstimates:
-    """What answers took of late, at all endpoints together.
+    """Moving averages of the latency of answers, over all endpoints.
 
     Attributes:
         mean_by_class: Mean latency, ms, by class.
         mean: Mean latency over all classes, ms.
-        ratio: Mean of latency over the class's objective.
-        best_ratio: The lowest `ratio` of late.
+        ratio: Mean ratio of latency to the class's objective.
+        best_ratio: The lowest recent `ratio`.
         measured_at: When the last answer came.
         recent_ratios: Endpoint tag and latency ratio of the last two answers, for gossip.
     """
@@ -35,7 +35,8 @@
 
     def __init__(self, classes: Mapping[str, RequestClass]) -> None:
         self.mean_by_class = {
-            name: one.latency_objective / INITIAL_LATENCY_PART for name, one in classes.items()
+            name: request_class.latency_objective / INITIAL_LATENCY_PART
+            for name, request_class in classes.items()
         }
         self.mean = sum(self.mean_by_class.values()) / len(self.mean_by_class)
         self.ratio = self.best_ratio = TARGET_LATENCY_RATIO / MAX_STRETCH_OVER_BEST
@@ -43,7 +44,7 @@
         self.recent_ratios: list[tuple[int, float]] = []
 
     def record(self, class_name: str, latency: float, ratio: float, now: float) -> None:
-        """Take in an answer: its latency in ms, and that over its class's objective."""
+        """Record an answer: its latency in ms, and the ratio of that to its class's objective."""
         self.measured_at = now
         means = self.mean_by_class
         means[class_name] += ESTIMATE_SMOOTHING * (latency - means[class_name])
@@ -52,20 +53,21 @@
         self.best_ratio = min(self.best_ratio * (1 + ESTIMATE_SMOOTHING / BEST_RATIO_SLOWDOWN), self.ratio)
 
     def record_from_peer(self, ratio: float) -> None:
-        """Take in a peer's answer: few are seen here and many at all gateways."""
+        """Record a latency ratio from a peer: one gateway sees few answers, all together see many."""
         self.ratio += ESTIMATE_SMOOTHING / 2 * (ratio - self.ratio)
 
-    def remember_ratio(self, endpoint_tag: int, ratio: float) -> None:
+    def keep_ratio_for_gossip(self, endpoint_tag: int, ratio: float) -> None:
         """Keep an answer's latency ratio for the next message to a peer."""
         self.recent_ratios = [*self.recent_ratios[-1:], (endpoint_tag, ratio)]
 
     def recent_for_gossip(self, now: float) -> list[tuple[int, float]]:
-        """Return the last answers' ratios, if they are fresh."""
+        """Return the last answers' ratios, or none if the newest is older than the mean latency."""
         return self.recent_ratios if now - self.measured_at < self.mean else []
 
     def expected(self, request_class: RequestClass) -> float:
         """Return the ms that an answer is expected to take.
 
-        At most half of the objective: otherwise an overload would reject all that would end it.
+        At most half of the objective: otherwise an overload would have every request rejected, and no answer
+        would come that lowers the estimate.
         """
         return min(self.mean_by_class[request_class.name], request_class.latency_objective / 2)
--- a/mapleshunt/policy/requests.py
+++ b/mapleshunt/policy/requests.py
@@ -1,4 +1,4 @@
-"""Requests that are owed a final answer, and how they end."""
+"""Open requests, and their final answers."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from .quota import QuotaLedger
 from .settings import Settings
 
-# Ticks before its client gives up at which a request is answered at the latest.
+# A request is answered at least this many ticks before its client stops waiting.
 DEADLINE_MARGIN_TICKS = 4
-# ms that a tick counts for at least.
+# Lower bound of the length of a tick in that margin, ms.
 MIN_TICK_MS = 1.0
 
 
 def deadline_margin(settings: Settings) -> float:
-    """Return the ms before its client gives up at which a request is answered at the latest."""
+    """Return the ms before its client stops waiting by which a request is answered at the latest."""
     return DEADLINE_MARGIN_TICKS * max(settings.tick, MIN_TICK_MS)
 
 
 class RequestTable:
-    """Open requests, and their final answers.
+    """Requests that await a final answer, and how they end.
 
     Attributes:
-        open: Requests that are owed an answer, by id.
-        awaiting_owner: Those that wait for an owner's reply, by the number that the reply names.
-        margin: ms before its client gives up at which a request is answered at the latest.
+        open: Requests that await a final answer, by id.
+        awaiting_owner: Those that wait for a quota owner's reply, by the number that the reply carries.
+        margin: ms before its client stops waiting by which a request is answered at the latest.
     """
 
     __slots__ = ("_actions", "_quota", "_settings", "awaiting_owner", "margin", "open")
@@ -37,7 +37,7 @@
         self.margin = deadline_margin(settings)
 
     def reject(self, request_id: int, wait: float, reason: RejectReason, now: float) -> None:
-        """Reject a request, known or not, and let its client come again after `wait` ms."""
+        """Reject a request, open or not; its client may retry after `wait` ms, as far as settings allow."""
         retry_after = 0.0
         if self._settings.allow_retry_after:
             retry_after = min(self._settings.max_retry_after, max(wait, self.margin))
@@ -46,16 +46,16 @@
             self.release(self.open[request_id], now)
 
     def fail(self, request: PendingRequest, now: float) -> None:
-        """Fail a request, which may have run."""
+        """Fail a request that may have run."""
         self._actions.append(FailRequest(request.request_id))
         self.release(request, now)
 
     def release(self, request: PendingRequest, now: float) -> None:
-        """Forget a request that has its answer, or whose client has left, and cancel what is in flight."""
+        """Remove a request that has its answer or whose client has left, and cancel attempts in flight."""
         request_id = request.request_id
         if self._settings.can_cancel:
             self._actions.extend(_cancellations(request_id, request.attempts))
-        if request.admitted and not request.attempts:  # never sent: it used nothing
+        if request.admitted and not request.attempts:  # never sent, so it used no units
             self._quota.charge(request.customer, -request.units, now)
         request.customer.open_requests -= 1
         number = request_id % REQUEST_NUMBERS
@@ -65,4 +65,6 @@
 
 
 def _cancellations(request_id: int, attempts: list[Attempt]) -> list[CancelAttempt]:
-    return [CancelAttempt(request_id, number) for number, one in enumerate(attempts) if one.status is None]
+    return [
+        CancelAttempt(request_id, number) for number, attempt in enumerate(attempts) if attempt.status is None
+    ]
--- a/mapleshunt/policy/retry.py
+++ b/mapleshunt/policy/retry.py
@@ -1,4 +1,4 @@
-"""Which requests may be sent again, where to, and which of them wait for a slot."""
+"""Retries: which requests may be sent again and where to, and the queue of those that wait for a slot."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from .settings import Settings
 from .timers import TimerKind, TimerQueue
 
-# Attempts of a request after which none is taken back from an endpoint that fell silent.
+# Without hedging, a request with this many attempts is not migrated from an endpoint that is ejected or gone.
 MAX_MIGRATED_ATTEMPTS = 3
-# Part of a class's latency objective that the client of a rejected request is asked to wait.
+# Fraction of a class's latency objective that the client of a rejected request is asked to wait.
 RETRY_AFTER_PART = 1 / 4
 
 
@@ -23,8 +23,8 @@
     """Whether a request may be sent now, and how it may end.
 
     Attributes:
-        endpoint_filter: Attributes that the endpoint's `EndpointInfo` must have; None: it may not be sent.
-        may_reject: It may be rejected: a client's retry does no harm.
+        endpoint_filter: Fields that the endpoint's `EndpointInfo` must have; None if it may not be sent.
+        may_reject: It may be rejected, because a retry by its client does no harm.
     """
 
     endpoint_filter: tuple[tuple[str, object], ...] | None
@@ -37,7 +37,7 @@
 
 
 class Retries:
-    """Retries that wait for a slot, and the rule for all attempts of a request."""
+    """The queue of retries that wait for a slot, and the rules for all attempts of a request."""
 
     __slots__ = ("_actions", "_latency", "_requests", "_settings", "_waiting")
 
@@ -58,7 +58,8 @@
     def permission(self, request: PendingRequest, now: float) -> AttemptPermission:
         """Return where the request may be sent now, and whether it may be rejected.
 
-        A request that may have run is sent again only where a repeat is recognized, and within the window.
+        If it may have run, an unsafe request is not sent again, and a keyed one only where a repeat is
+        recognized and within its idempotency window.
         """
         attempts, settings = request.attempts, self._settings
         may_send = len(attempts) < settings.max_attempts and not request.response_started
@@ -75,11 +76,11 @@
             return AttemptPermission(None, scope == "all")
         if scope == "all":
             return ANYWHERE
-        wanted = tuple((scope, getattr(one.endpoint.info, scope)) for one in may_have_run)
-        return AttemptPermission(wanted, False)
+        required = tuple((scope, getattr(attempt.endpoint.info, scope)) for attempt in may_have_run)
+        return AttemptPermission(required, False)
 
     def retry_or_end(self, request: PendingRequest, now: float) -> None:
-        """Retry a request whose attempts have all ended, if an answer would still be of use; else end it."""
+        """Retry a request whose attempts have all ended if an answer would still be useful, else end it."""
         request_class = request.request_class
         useful_until = request.deadline if request_class.late_priority_weight else request.objective_at
         may_send = self.permission(request, now).endpoint_filter is not None
@@ -93,17 +94,17 @@
         self._waiting.append(request)
 
     def take_waiting(self) -> list[PendingRequest]:
-        """Take all retries that wait; some of them may have ended meanwhile."""
+        """Remove and return all waiting retries; some of the requests may have ended meanwhile."""
         waiting = list(self._waiting)
         self._waiting.clear()
         return waiting
 
     def __len__(self) -> int:
-        """Return the number of retries that wait."""
+        """Return the number of waiting retries."""
         return len(self._waiting)
 
-    def keep_waiting_or_end(self, request: PendingRequest, now: float) -> None:
-        """Queue a retry again for which there is no slot, or end it if its window has ended meanwhile."""
+    def requeue_or_end(self, request: PendingRequest, now: float) -> None:
+        """Queue a retry again that could not be started, or end it if its window has ended meanwhile."""
         may_send = self.permission(request, now).endpoint_filter is not None
         if not may_send and not request.has_attempt_in_flight():
             self.reject_or_fail(request, now)
@@ -111,7 +112,7 @@
             self._waiting.append(request)
 
     def reject_or_fail(self, request: PendingRequest, now: float) -> None:
-        """Give the final answer to a request that will not be served."""
+        """End a request that will not be served: reject it if a retry does no harm, else fail it."""
         if not self.permission(request, now).may_reject:
             self._requests.fail(request, now)
             return
@@ -135,7 +136,7 @@
             self.reject_or_fail(request, now)
 
     def migrate_attempts(self, endpoint: Endpoint, now: float) -> None:
-        """Move what is in flight at an endpoint that is ejected or gone: hedge it, or take it back."""
+        """Migrate the attempts in flight at an endpoint that is ejected or gone: hedge or cancel them."""
         settings = self._settings
         for request_id, number in list(endpoint.in_flight):
             request = self._requests.open.get(request_id)
