--- a/mapleshunt/invariants.py
+++ b/mapleshunt/invariants.py
@@ -1,8 +1,8 @@
-"""Invariants of a gateway: what holds whenever it sends, retries, closes or starts.
+"""Invariants of a gateway: what must hold whenever it sends, retries, closes or starts.
 
-The guards restate the rules of the protocol from facts alone and share no code with the decisions, so that a
-defect there does not hide itself here. No I/O and no clock: times are ms, facts are handed in. Each guard
-returns the violations, by the names that counters and log lines have; none is the usual answer.
+The guards restate the rules of the protocol from facts alone and share no code with the policy, so that a
+defect there does not hide itself here. No I/O and no clock: times are ms, facts are arguments. Each guard
+returns the violations by the names that counters and log lines have; usually there are none.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 from .policy import NEVER_RAN, AttemptStatus, RequestClass, Settings
 
-# ms after its client has left, or has its answer, for which an attempt of a request may still begin.
+# ms after a request was answered or its client left in which an attempt of it may still begin.
 MAX_SEND_AFTER_END_MS = 100.0
-# ms by which the timeout that an attempt passes on may exceed what its client has left.
+# ms by which the timeout passed to an endpoint may exceed the client's remaining time.
 DEADLINE_SLACK_MS = 150.0
-# ms that a start may take: nine in ten restarted processes are to be ready by then.
+# Maximum duration of a start, ms: 9 of 10 restarted processes must be ready by then.
 MAX_START_MS = 10_000.0
-# Attempts by which the allowance of an endpoint in slow start may be exceeded: rounding errors.
+# Attempts by which the allowance of an endpoint in slow start may be exceeded by rounding errors.
 ALLOWANCE_TOLERANCE = 1e-6
-# Reasons for which a client connection may end with requests unanswered: all of them are its client's.
+# Reasons for which a client connection may end with requests unanswered, all caused by its client.
 CLIENT_REASONS = frozenset({"client_closed", "client_reset", "slow_client"})
 
 
 class Guard(enum.Enum):
-    """Where an invariant is checked. The values are words of counters and log lines."""
+    """Where an invariant is checked. The values appear in counters and log lines."""
 
     SEND = "send"
     RETRY = "repeat"
@@ -39,11 +39,10 @@
     """An attempt whose first byte is about to be written.
 
     Attributes:
-        since_request_end: ms since its request ended, with an answer or its client's leaving; None while it
-            is open.
-        endpoint_ready: The list names the endpoint as ready, at this address and since this start.
-        timeout: ms that the endpoint is told to have.
-        remaining_time: ms that the client has left.
+        since_request_end: ms since its request was answered or its client left; None while it is open.
+        endpoint_ready: The endpoint list has the endpoint as ready, at this address and with this start.
+        timeout: ms that are passed to the endpoint as its timeout.
+        remaining_time: ms until the client's deadline.
     """
 
     since_request_end: float | None
@@ -64,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryFacts:
-    """A retry that is about to be sent at `now`, to an endpoint in this zone and cell."""
+    """A retry that is about to be sent at `now` to an endpoint in this zone and cell."""
 
     now: float
     zone: str
@@ -73,7 +72,7 @@
 
 
 def violations_of_send(facts: SendFacts) -> list[str]:
-    """Return the rules that sending these bytes breaks."""
+    """Return the rules that sending this attempt violates."""
     violations = []
     if facts.since_request_end is not None and facts.since_request_end > MAX_SEND_AFTER_END_MS:
         violations.append("sent_after_end")
@@ -85,13 +84,13 @@
 
 
 def violations_of_retry(facts: RetryFacts, request_class: RequestClass, settings: Settings) -> list[str]:
-    """Return the rules that this retry breaks."""
+    """Return the rules that this retry violates."""
     violations = []
     if len(facts.earlier) >= settings.max_attempts:
         violations.append("too_many_attempts")
-    if not settings.allow_hedging and any(one.status is None for one in facts.earlier):
+    if not settings.allow_hedging and any(attempt.status is None for attempt in facts.earlier):
         violations.append("two_attempts_out")
-    may_have_run = [one for one in facts.earlier if one.status not in NEVER_RAN]
+    may_have_run = [attempt for attempt in facts.earlier if attempt.status not in NEVER_RAN]
     if may_have_run and request_class.effect == "unsafe":
         violations.append("unsafe_request_repeated")
     if may_have_run and request_class.effect == "keyed":
@@ -105,20 +104,20 @@
     violations = []
     if facts.now > may_have_run[0].sent_at + request_class.idempotency_window:
         violations.append("repeated_after_window")
-    if request_class.retry_scope == "cell" and any(one.cell != facts.cell for one in may_have_run):
+    if request_class.retry_scope == "cell" and any(attempt.cell != facts.cell for attempt in may_have_run):
         violations.append("repeated_outside_cell")
-    if request_class.retry_scope == "zone" and any(one.zone != facts.zone for one in may_have_run):
+    if request_class.retry_scope == "zone" and any(attempt.zone != facts.zone for attempt in may_have_run):
         violations.append("repeated_outside_zone")
     return violations
 
 
 def violations_of_close(reason: str, unanswered: int, has_unread_bytes: bool) -> list[str]:
-    """Return the rules that the end of a client connection breaks.
+    """Return the rules that closing a client connection violates.
 
     Args:
-        reason: Why it ends.
+        reason: Why it is closed.
         unanswered: Requests that were read from it and not answered.
-        has_unread_bytes: There are bytes on it that nobody has read.
+        has_unread_bytes: Whether bytes have arrived on it that were not read.
     """
     if reason in CLIENT_REASONS:
         return []
@@ -127,16 +126,16 @@
 
 
 def violations_of_start(start_ms: float, has_accepted: bool) -> list[str]:
-    """Return the rules that a start breaks.
+    """Return the rules that a start violates.
 
     Args:
-        start_ms: How long it took.
-        has_accepted: Connections were accepted before it was over.
+        start_ms: Its duration.
+        has_accepted: Whether connections were accepted before it was complete.
     """
     violations = ["start_took_too_long"] if start_ms > MAX_START_MS else []
     return [*violations, "accepted_before_start"] if has_accepted else violations
 
 
 def violations_of_slow_start(is_warming_up: bool, allowance: float) -> list[str]:
-    """Return the rules that an attempt breaks at an endpoint whose allowance it leaves at this."""
+    """Return the rules that an attempt violates that leaves its endpoint with this allowance."""
     return ["slow_start_exceeded"] if is_warming_up and allowance < -ALLOWANCE_TOLERANCE else []
--- a/mapleshunt/platform_terms.py
+++ b/mapleshunt/platform_terms.py
@@ -1,6 +1,6 @@
-"""The platform's terms for settings, states and outcomes, translated to those of the decisions.
+"""Translation of the platform's names for settings, states and outcomes to those of the policy.
 
-Every host of the decisions uses this: the simulator's wire, the sockets, the simulation and the testbed.
+Every host of the policy uses it: the simulator's adapter, the server, the simulation and the testbed.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from .policy import Effect, Plan, RequestClass, Settings
 
-# Values of the platform's fields, and of the settings and events of the decisions.
+# Values of the platform's fields, and the values of the policy's settings and events for them.
 EFFECTS = {"idempotent": "safe", "deduplicated": "keyed", "at_most_once": "unsafe"}
 ENDPOINT_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 UPDATE_KINDS = {"Partial": "partial", "Complete": "complete", "Persisted": "persisted", "Error": "error"}
@@ -27,32 +27,32 @@
 
 
 def settings_from_init(env: Mapping[str, Any]) -> Settings:  # Any: an object of JSON
-    """Return the settings of an `Init`; keys that are not known are ignored."""
-    limits, rules, facts = env["PolicyLimits"], env["Invariants"], env["Specifics"]
+    """Return the settings that an `Init` message carries; unknown keys are ignored."""
+    limits, invariants, specifics = env["PolicyLimits"], env["Invariants"], env["Specifics"]
     classes = {
-        c["Name"]: RequestClass(
-            name=c["Name"],
-            latency_objective=c["Slo"],
-            deadline=c["Deadline"],
-            effect=cast(Effect, EFFECTS[c["Effect"]]),
-            retry_scope=c.get("Group") or "all",
-            idempotency_window=c.get("Window") or 0.0,
-            late_priority_weight=c.get("LateValue") or 0.0,
-            streaming=bool(c.get("Stream")),
-            priority_weight=c.get("Worth") or 1.0,
+        class_row["Name"]: RequestClass(
+            name=class_row["Name"],
+            latency_objective=class_row["Slo"],
+            deadline=class_row["Deadline"],
+            effect=cast(Effect, EFFECTS[class_row["Effect"]]),
+            retry_scope=class_row.get("Group") or "all",
+            idempotency_window=class_row.get("Window") or 0.0,
+            late_priority_weight=class_row.get("LateValue") or 0.0,
+            streaming=bool(class_row.get("Stream")),
+            priority_weight=class_row.get("Worth") or 1.0,
         )
-        for c in env["RequestClasses"]
+        for class_row in env["RequestClasses"]
     }
     plans = {
-        p["Name"]: Plan(
-            name=p["Name"],
-            rate=p.get("QuotaRate") or 0.0,
-            burst=p.get("Burst") or 0.0,
-            max_open_requests=p.get("AtOnce") or 0,
-            ceiling_rate=p.get("HardRate") or 0.0,
-            ceiling_burst=p.get("HardBurst") or 0.0,
+        plan_row["Name"]: Plan(
+            name=plan_row["Name"],
+            rate=plan_row.get("QuotaRate") or 0.0,
+            burst=plan_row.get("Burst") or 0.0,
+            max_open_requests=plan_row.get("AtOnce") or 0,
+            ceiling_rate=plan_row.get("HardRate") or 0.0,
+            ceiling_burst=plan_row.get("HardBurst") or 0.0,
         )
-        for p in env["Packages"]
+        for plan_row in env["Packages"]
     }
     return Settings(
         gateway_index=env["Me"],
@@ -62,26 +62,26 @@
         zone=env.get("Zone") or "",
         tick=env.get("Quantum") or 1.0,
         poll_discovery=env.get("Discovery") == "on_request",
-        discovery_poll_within=rules.get("AskWithin") or 10000.0,
+        discovery_poll_within=invariants.get("AskWithin") or 10000.0,
         max_attempts=limits["MaxAttempts"],
         max_retry_after=limits.get("MaxRetryAfter") or 0.0,
         allow_retry_after=bool(limits.get("RetryAfter")),
         allow_hedging=bool(limits.get("SecondCopies")),
         can_cancel=bool(limits.get("MayCancel")),
         gossip_enabled=bool(limits.get("PeerMessages")),
-        gossip_intake_per_s=facts.get("MailPerS") or 60.0,
-        cost_known_after=bool(facts.get("CostAfter")),
-        max_request_units=facts.get("Largest") or 1.0,
-        slow_start_min_capacity=rules.get("ColdFrom") or 1.0,
-        slow_start_duration=rules.get("Cold") or 0.0,
-        overload_crash_after=rules.get("TipAfter") or 0.0,
-        overload_crash_multiple=rules.get("FallMultiple") or 2.5,
+        gossip_intake_per_s=specifics.get("MailPerS") or 60.0,
+        cost_known_after=bool(specifics.get("CostAfter")),
+        max_request_units=specifics.get("Largest") or 1.0,
+        slow_start_min_capacity=invariants.get("ColdFrom") or 1.0,
+        slow_start_duration=invariants.get("Cold") or 0.0,
+        overload_crash_after=invariants.get("TipAfter") or 0.0,
+        overload_crash_multiple=invariants.get("FallMultiple") or 2.5,
     )
 
 
 def init_from_settings(settings: Settings, **limits: Any) -> dict[str, Any]:  # Any: values of JSON
-    """Return the object that `settings_from_init` reads; `limits` go to `PolicyLimits`."""
-    effects = {value: key for key, value in EFFECTS.items()}
+    """Return the object that `settings_from_init` reads; `limits` are added to its `PolicyLimits`."""
+    effects = {effect: name for name, effect in EFFECTS.items()}
     return {
         "Me": settings.gateway_index,
         "NInstances": settings.gateway_count,
@@ -90,28 +90,28 @@
         "Discovery": "on_request" if settings.poll_discovery else "pushed",
         "RequestClasses": [
             {
-                "Name": c.name,
-                "Slo": c.latency_objective,
-                "Deadline": c.deadline,
-                "Effect": effects[c.effect],
-                "Group": c.retry_scope,
-                "Window": c.idempotency_window,
-                "LateValue": c.late_priority_weight,
-                "Stream": c.streaming,
-                "Worth": c.priority_weight,
+                "Name": request_class.name,
+                "Slo": request_class.latency_objective,
+                "Deadline": request_class.deadline,
+                "Effect": effects[request_class.effect],
+                "Group": request_class.retry_scope,
+                "Window": request_class.idempotency_window,
+                "LateValue": request_class.late_priority_weight,
+                "Stream": request_class.streaming,
+                "Worth": request_class.priority_weight,
             }
-            for c in settings.classes.values()
+            for request_class in settings.classes.values()
         ],
         "Packages": [
             {
-                "Name": p.name,
-                "QuotaRate": p.rate,
-                "Burst": p.burst,
-                "AtOnce": p.max_open_requests,
-                "HardRate": p.ceiling_rate,
-                "HardBurst": p.ceiling_burst,
+                "Name": plan.name,
+                "QuotaRate": plan.rate,
+                "Burst": plan.burst,
+                "AtOnce": plan.max_open_requests,
+                "HardRate": plan.ceiling_rate,
+                "HardBurst": plan.ceiling_burst,
             }
-            for p in settings.plans.values()
+            for plan in settings.plans.values()
         ],
         "PolicyLimits": {
             "MaxAttempts": settings.max_attempts,
--- a/mapleshunt/simulator_adapter.py
+++ b/mapleshunt/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Adapter for the simulator's wire: translates events and actions, keeps gateways apart, decides nothing.
+"""Adapter for the simulator's wire protocol: translates events and actions of each gateway, decides nothing.
 
-A line is a JSON array that begins with its message's name. Exit status 2 for a line that is malformed.
+A line is a JSON array that begins with its message's name. A malformed line ends the process with status 2.
 """
 
 from __future__ import annotations
@@ -35,27 +35,27 @@
     UpdateKind,
 )
 
-# Answers to calls that the decisions never make.
+# Answers to calls that the policy never makes.
 IGNORED_EVENTS = frozenset({"StatusBack", "Tallied"})
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that the wire protocol does not allow."""
 
 
-def endpoint_of(row: list[Any]) -> EndpointInfo:  # Any: a row of JSON
-    """Return the endpoint of a row of a catalog."""
-    server, zone, _kind, cell, mode, _size, started = row[:7]
+def endpoint_from_row(row: list[Any]) -> EndpointInfo:  # Any: a row of JSON
+    """Return the endpoint that a row of a catalog describes."""
+    number, zone, _kind, cell, state, _size, started = row[:7]
     return EndpointInfo(
-        endpoint=int(server),
+        endpoint=int(number),
         zone=zone or "",
         cell=cell or 0,
-        state=cast(EndpointState, ENDPOINT_STATES[mode]),
+        state=cast(EndpointState, ENDPOINT_STATES[state]),
         started=started or 0.0,
     )
 
 
-def line_of(node: int, action: Action) -> list[Any]:  # Any: a line of JSON
+def line_for_action(node: int, action: Action) -> list[Any]:  # Any: a line of JSON
     """Return the line for an action of a gateway."""
     match action:
         case StartAttempt(request_id, endpoint, timeout):
@@ -75,7 +75,7 @@
     return line
 
 
-def _request_of(values: list[Any]) -> RequestReceived:  # Any: values of JSON
+def _request_received(values: list[Any]) -> RequestReceived:  # Any: values of JSON
     return RequestReceived(
         request_id=values[0],
         request_class=values[1],
@@ -89,7 +89,7 @@
     )
 
 
-def _attempt_ended_of(values: list[Any]) -> AttemptEnded:  # Any: values of JSON
+def _attempt_ended(values: list[Any]) -> AttemptEnded:  # Any: values of JSON
     return AttemptEnded(
         request_id=values[0],
         status=cast(AttemptStatus, ATTEMPT_STATUSES[values[1]]),
@@ -101,11 +101,11 @@
     )
 
 
-# Events by their names on the wire, those left out that need a catalog; Any: values of JSON.
+# Events by their names on the wire, without `Topology`, which needs a catalog; Any: values of JSON.
 EVENTS: dict[str, Callable[[list[Any]], Event]] = {
-    "Ingress": _request_of,
+    "Ingress": _request_received,
     "Begun": lambda values: ResponseStarted(values[0], values[1], values[2]),
-    "Finished": _attempt_ended_of,
+    "Finished": _attempt_ended,
     "ClientGone": lambda values: ClientDisconnected(values[0]),
     "Fired": lambda values: TimerFired(values[0]),
     "Memo": lambda values: GossipReceived(values[0], values[1]),
@@ -113,7 +113,7 @@
 
 
 class Host:
-    """One gateway for each node, and the catalogs of endpoints that all of them share."""
+    """One gateway per node, and the catalogs of endpoints that all of them share."""
 
     def __init__(self, out: TextIO) -> None:
         self._out = out
@@ -123,10 +123,10 @@
         self._reply: list[list[Any]] = []  # Any: lines of JSON
 
     def handle(self, message: list[Any]) -> None:  # Any: a line of JSON
-        """Take a message.
+        """Handle a message.
 
         Raises:
-            WireError: Its name is not known.
+            WireError: The name of the message is unknown.
         """
         name, values = message[0], message[1:]
         match name:
@@ -135,18 +135,18 @@
             case "Go":
                 self._flush()
             case "Catalog":
-                self._catalogs[values[0]] = tuple(endpoint_of(row) for row in values[1])
+                self._catalogs[values[0]] = tuple(endpoint_from_row(row) for row in values[1])
             case "Init":
                 node, seed, environment = values[:3]
                 settings = settings_from_init(environment)
-                self._act(node, lambda: self._start(node, settings, int(seed)))
+                self._reply_with(node, lambda: self._start(node, settings, int(seed)))
             case "Destroy":
                 self._gateways.pop(values[0], None)
             case _:
                 self._handle_event(name, values[0], values[1:])
 
     def _flush(self) -> None:
-        lines = [json.dumps(one, separators=(",", ":")) for one in self._reply]
+        lines = [json.dumps(line, separators=(",", ":")) for line in self._reply]
         self._out.write("\n".join([*lines, '["Ready"]', ""]))
         self._out.flush()
         self._reply = []
@@ -156,12 +156,12 @@
         return self._gateways[node].start()
 
     def _handle_event(self, name: str, node: int, values: list[Any]) -> None:  # Any: values of JSON
-        event = self._event_of(name, values)
+        event = self._parse_event(name, values)
         gateway = self._gateways.get(node)
         if event is not None and gateway is not None:
-            self._act(node, lambda: gateway.handle(self._now, event))
+            self._reply_with(node, lambda: gateway.handle(self._now, event))
 
-    def _event_of(self, name: str, values: list[Any]) -> Event | None:  # Any: values of JSON
+    def _parse_event(self, name: str, values: list[Any]) -> Event | None:  # Any: values of JSON
         if name == "Topology":
             kind = cast(UpdateKind, UPDATE_KINDS[values[0]])
             return EndpointUpdate(kind, () if kind == "error" else self._catalogs[values[2]])
@@ -171,33 +171,33 @@
             raise WireError(f"unknown event {name!r}")
         return EVENTS[name](values)
 
-    def _act(self, node: int, decide: Callable[[], list[Action]]) -> None:
-        """Reply with the actions of a decision, or with what it raised."""
+    def _reply_with(self, node: int, decide: Callable[[], list[Action]]) -> None:
+        """Reply with the actions that `decide` returns, or with the exception that it raises."""
         try:
-            self._reply.extend(line_of(node, action) for action in decide())
+            self._reply.extend(line_for_action(node, action) for action in decide())
         except Exception as error:
             self._reply.append(["Broken", node, f"{type(error).__name__}: {error}"])
 
 
-def _message_of(text: str) -> list[Any]:  # Any: a line of JSON
+def _parse_message(text: str) -> list[Any]:  # Any: a line of JSON
     message = json.loads(text)
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise WireError("a message is an array that begins with its name")
+        raise WireError("expected a JSON array that begins with the name of the message")
     return message
 
 
 def main(source: TextIO | None = None, out: TextIO | None = None) -> int:
-    """Run until the end of input, and return the exit status.
+    """Handle messages until the end of the input, and return the exit status.
 
     Returns:
-        0; 2, with a message on standard error, for a line that is malformed.
+        0, or 2 with a message on standard error if a line is malformed.
     """
     host = Host(out or sys.stdout)
     for number, text in enumerate(source or sys.stdin, 1):
         if not text.strip():
             continue
         try:
-            host.handle(_message_of(text))
+            host.handle(_parse_message(text))
         except json.JSONDecodeError as error:
             print(f"line {number}: not JSON: {error}", file=sys.stderr)
             return 2
