--- a/mapleshunt/policy/attempt_results.py
+++ b/mapleshunt/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""Handling of ended attempts: updates the estimates, and retries or ends the request."""
+"""Updates estimates and ends or retries requests as attempts end."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptResults:
-    """Updates the estimates and the requests when attempts end."""
+    """Records how attempts ended."""
 
     __slots__ = (
         "_concurrency",
--- a/mapleshunt/policy/concurrency_limit.py
+++ b/mapleshunt/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit on attempts in flight, which adapts to the answers of the endpoints."""
+"""The limit on attempts in flight, adapted to the answers of endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ConcurrencyLimit:
-    """The limit on attempts in flight, in slots.
+    """Slots for attempts in flight.
 
     Attributes:
         per_endpoint: Slots per warm endpoint.
@@ -52,7 +52,7 @@
     def slots(self, now: float) -> tuple[int, float]:
         """Return the number of slots in use and of all slots.
 
-        Ejected endpoints count in neither, so that an attempt that hangs does not occupy a slot.
+        Ejected endpoints count in neither, so that a hanging attempt occupies no slot.
         """
         usable = [endpoint for endpoint in self._endpoints.ready if endpoint.ejected_until <= now]
         used = sum([len(endpoint.in_flight) for endpoint in usable])
@@ -63,7 +63,7 @@
         return used, max(1.0, self.per_endpoint * capacity)
 
     def adapt(self, now: float) -> None:
-        """Shrink the limit while answers are slow, else grow it; called after each answer."""
+        """Shrink the limit after an answer if answers are slow, else grow it."""
         latency = self._latency
         if latency.ratio > min(TARGET_LATENCY_RATIO, MAX_STRETCH_OVER_BEST * latency.best_ratio):
             self.shrink(now)
@@ -75,7 +75,7 @@
             self.per_endpoint = min(MAX_GROWTH_OVER_INITIAL * self.initial_per_endpoint, grown)
 
     def restore(self, per_endpoint: float) -> None:
-        """Continue with the limit of an earlier process, capped at the upper bound of this one."""
+        """Continue with the limit of an earlier process, up to the maximum of this one."""
         self.per_endpoint = min(per_endpoint, MAX_GROWTH_OVER_INITIAL * self.initial_per_endpoint)
 
     def shrink(self, now: float) -> None:
--- a/mapleshunt/policy/dispatch.py
+++ b/mapleshunt/policy/dispatch.py
@@ -43,7 +43,7 @@
         self._slow_start, self._outliers, self._actions = slow_start, outliers, actions
 
     def dispatch_waiting(self, now: float) -> None:
-        """Start waiting attempts, retries first, until the slots are used up."""
+        """Start waiting attempts, retries first, while slots are free."""
         open_requests = self._requests.open
         if len(self._retries):
             for request in self._retries.take_waiting():
@@ -54,7 +54,7 @@
         self._scheduler.dispatch(open_requests, self._start_attempt, now)
 
     def _start_attempt(self, request: PendingRequest, now: float) -> bool:
-        """Start an attempt; return False if no slot is free or no permitted endpoint is available."""
+        """Start an attempt; return False if there is no free slot or no permitted endpoint."""
         used, slots = self._concurrency.slots(now)
         if used >= slots:
             return False
--- a/mapleshunt/policy/endpoint_watch.py
+++ b/mapleshunt/policy/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Handling of the watch events of the endpoint list."""
+"""Watch events of the endpoint list."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         timers.on(TimerKind.POLL_DISCOVERY, self._poll)
 
     def update_endpoints(self, update: EndpointUpdate, now: float) -> None:
-        """Apply an update and migrate attempts at endpoints that are gone; poll again after an error."""
+        """Apply an update and migrate attempts at gone endpoints; poll again after an error."""
         if update.kind == "error":
             poll_at = now + self._settings.discovery_poll_within * POLL_BACKOFF_PART
             self._timers.set(poll_at, TimerKind.POLL_DISCOVERY, 0)
@@ -55,7 +55,7 @@
         endpoints.remove_gone()
 
     def _new_endpoint(self, info: EndpointInfo, now: float) -> Endpoint:
-        """Return the entry of an endpoint that is new or has restarted; its initial allowance is random."""
+        """Return an endpoint that is new or has restarted; its initial allowance is random."""
         allowance = TokenBucket(0.0, MAX_ALLOWANCE, self._random.random(), now)
         ratio = self._latency.best_ratio
         return Endpoint(info, info.up_since(now), now, ratio, allowance, started=info.started)
--- a/mapleshunt/policy/latency.py
+++ b/mapleshunt/policy/latency.py
@@ -20,7 +20,7 @@
 
 
 class LatencyEstimates:
-    """Moving averages of the latency of answers, over all endpoints.
+    """Moving averages of latency, over all endpoints.
 
     Attributes:
         mean_by_class: Mean latency, ms, by class.
@@ -44,7 +44,7 @@
         self.recent_ratios: list[tuple[int, float]] = []
 
     def record(self, class_name: str, latency: float, ratio: float, now: float) -> None:
-        """Record an answer: its latency in ms, and the ratio of that to its class's objective."""
+        """Record an answer: its latency in ms, and the ratio to its class's objective."""
         self.measured_at = now
         means = self.mean_by_class
         means[class_name] += ESTIMATE_SMOOTHING * (latency - means[class_name])
@@ -61,13 +61,13 @@
         self.recent_ratios = [*self.recent_ratios[-1:], (endpoint_tag, ratio)]
 
     def recent_for_gossip(self, now: float) -> list[tuple[int, float]]:
-        """Return the last answers' ratios, or none if the newest is older than the mean latency."""
+        """Return the last answers' ratios unless they are older than the mean latency."""
         return self.recent_ratios if now - self.measured_at < self.mean else []
 
     def expected(self, request_class: RequestClass) -> float:
         """Return the ms that an answer is expected to take.
 
-        At most half of the objective: otherwise an overload would have every request rejected, and no answer
-        would come that lowers the estimate.
+        At most half of the objective: otherwise an overload would reject every request, and no answer would
+        lower the estimate.
         """
         return min(self.mean_by_class[request_class.name], request_class.latency_objective / 2)
--- a/mapleshunt/policy/retry.py
+++ b/mapleshunt/policy/retry.py
@@ -1,4 +1,4 @@
-"""Retries: which requests may be sent again and where to, and the queue of those that wait for a slot."""
+"""Which requests may be sent again and where to, and the queue of retries that wait for a slot."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Retries:
-    """The queue of retries that wait for a slot, and the rules for all attempts of a request."""
+    """Retries that wait for a slot, and the rules for all attempts of a request."""
 
     __slots__ = ("_actions", "_latency", "_requests", "_settings", "_waiting")
 
@@ -58,8 +58,8 @@
     def permission(self, request: PendingRequest, now: float) -> AttemptPermission:
         """Return where the request may be sent now, and whether it may be rejected.
 
-        If it may have run, an unsafe request is not sent again, and a keyed one only where a repeat is
-        recognized and within its idempotency window.
+        Once it may have run, an unsafe request is not sent again, and a keyed one only where a repeat is
+        recognized, within the window.
         """
         attempts, settings = request.attempts, self._settings
         may_send = len(attempts) < settings.max_attempts and not request.response_started
@@ -94,7 +94,7 @@
         self._waiting.append(request)
 
     def take_waiting(self) -> list[PendingRequest]:
-        """Remove and return all waiting retries; some of the requests may have ended meanwhile."""
+        """Remove and return all waiting retries; some may have ended meanwhile."""
         waiting = list(self._waiting)
         self._waiting.clear()
         return waiting
@@ -112,7 +112,7 @@
             self._waiting.append(request)
 
     def reject_or_fail(self, request: PendingRequest, now: float) -> None:
-        """End a request that will not be served: reject it if a retry does no harm, else fail it."""
+        """Reject a request that will not be served if a retry does no harm, else fail it."""
         if not self.permission(request, now).may_reject:
             self._requests.fail(request, now)
             return
@@ -136,7 +136,7 @@
             self.reject_or_fail(request, now)
 
     def migrate_attempts(self, endpoint: Endpoint, now: float) -> None:
-        """Migrate the attempts in flight at an endpoint that is ejected or gone: hedge or cancel them."""
+        """Hedge or cancel the attempts in flight at an endpoint that is ejected or gone."""
         settings = self._settings
         for request_id, number in list(endpoint.in_flight):
             request = self._requests.open.get(request_id)
--- a/mapleshunt/policy/slow_start.py
+++ b/mapleshunt/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the capacity of an endpoint that has just started, and the rate at which it is sent attempts.
+"""Slow start: the capacity of an endpoint that has just started, and the rate of attempts at it.
 
 All gateways send to the same endpoint, so each derives its rate from the answers it gets per warm endpoint.
 """
@@ -18,7 +18,7 @@
 
 
 class SlowStart:
-    """Limits the attempts sent to endpoints that are warming up.
+    """Limits attempts at endpoints that are warming up.
 
     Attributes:
         answers_per_warm_endpoint: Recent answers to this gateway per warm endpoint.
@@ -37,7 +37,7 @@
     def may_send(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether the endpoint is warm or has an allowance of at least one attempt.
 
-        Initial allowances are random, because the sum over all gateways is what has to be limited.
+        Initial allowances are random, because what counts is the sum over all gateways.
         """
         fraction = capacity_fraction(endpoint, self._settings, now)
         multiple = min(SLOW_START_OVERSEND, self._settings.overload_crash_multiple / SLOW_START_OVERSEND)
--- a/mapleshunt/simulator_adapter.py
+++ b/mapleshunt/simulator_adapter.py
@@ -1,6 +1,6 @@
 """Adapter for the simulator's wire protocol: translates events and actions of each gateway, decides nothing.
 
-A line is a JSON array that begins with its message's name. A malformed line ends the process with status 2.
+A line is a JSON array that begins with its message's name. Exit status 2 for a malformed line.
 """
 
 from __future__ import annotations
@@ -126,7 +126,7 @@
         """Handle a message.
 
         Raises:
-            WireError: The name of the message is unknown.
+            WireError: Its name is unknown.
         """
         name, values = message[0], message[1:]
         match name:
@@ -172,7 +172,7 @@
         return EVENTS[name](values)
 
     def _reply_with(self, node: int, decide: Callable[[], list[Action]]) -> None:
-        """Reply with the actions that `decide` returns, or with the exception that it raises."""
+        """Reply with the actions that `decide` returns or the exception that it raises."""
         try:
             self._reply.extend(line_for_action(node, action) for action in decide())
         except Exception as error:
