--- a/tests/policy/test_attempt_results.py
+++ b/tests/policy/test_attempt_results.py
@@ -1,4 +1,4 @@
-"""What attempts teach."""
+"""Estimates that are updated when an attempt ends."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from .helpers import started_attempts
 
 
-def test_cost_estimate_follows_the_newest_answer(driver: Driver) -> None:
-    (send,) = started_attempts(driver.ask())
+def test_cost_estimate_is_weighted_towards_the_newest_answer(driver: Driver) -> None:
+    (attempt,) = started_attempts(driver.ask())
     before = driver.gateway.customers.by_tag[tag_of("c")].cost_estimate
-    driver.answer(send, latency=400)
+    driver.answer(attempt, latency=400)
     assert driver.gateway.customers.by_tag[tag_of("c")].cost_estimate == pytest.approx(
         0.9 * 400 + 0.1 * before
     )
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -14,36 +14,37 @@
 from .helpers import started_attempts
 
 
-def test_limit_shrinks_on_slow_answers_and_grows_back(driver: Driver) -> None:
+def test_limit_shrinks_on_slow_answers_and_grows_again_on_fast_ones(driver: Driver) -> None:
     gateway = driver.gateway
-    start = gateway.concurrency.per_endpoint
-    for latency, n in ((900.0, 60), (20.0, 400)):
-        for _ in range(n):
-            (send,) = started_attempts(driver.ask())
+    initial = gateway.concurrency.per_endpoint
+    for latency, count in ((900.0, 60), (20.0, 400)):
+        for _ in range(count):
+            (attempt,) = started_attempts(driver.ask())
             driver.wait(50)
-            driver.answer(send, latency=latency)
+            driver.answer(attempt, latency=latency)
         if latency == 900.0:
-            low = gateway.concurrency.per_endpoint
-    assert low < start and gateway.concurrency.per_endpoint > low
+            lowest = gateway.concurrency.per_endpoint
+    assert lowest < initial and gateway.concurrency.per_endpoint > lowest
 
 
-def test_latency_told_by_peers_shrinks_the_limit() -> None:
+def test_latency_reported_by_peers_shrinks_the_limit() -> None:
     driver = Driver(gateway_count=300, gossip_enabled=True)
     for _ in range(200):
         driver.feed(GossipReceived(1, encode(1.0, (), [(endpoint_tag(1), 1.0)])))
-    start = driver.gateway.concurrency.per_endpoint
-    (send,) = started_attempts(driver.ask())
+    before = driver.gateway.concurrency.per_endpoint
+    (attempt,) = started_attempts(driver.ask())
     driver.wait(300)
-    driver.answer(send, latency=300)
-    assert driver.gateway.concurrency.per_endpoint < start
+    driver.answer(attempt, latency=300)
+    assert driver.gateway.concurrency.per_endpoint < before
 
 
-def test_limit_grows_by_what_it_is_so_that_a_gateway_that_meets_most_requests_keeps_its_part() -> None:
-    # Slots grew alike at all: with 45 requests a second as many were sent as with 20, and half were rejected.
+def test_limit_grows_in_proportion_to_itself() -> None:
+    # Guards against growth by the same number of slots at all gateways: one that received 45 requests a
+    # second sent as many as one with 20, and half were rejected.
     slots = []
-    for part in (0.5, 1.0):
+    for fraction in (0.5, 1.0):
         driver = Driver(servers=100, gateway_count=200)
-        driver.gateway.concurrency.per_endpoint *= part
+        driver.gateway.concurrency.per_endpoint *= fraction
         for _ in range(int(driver.gateway.concurrency.slots(driver.now)[1])):  # an answer for each slot
             driver.answer(started_attempts(driver.ask())[0])
         slots.append(driver.gateway.concurrency.slots(driver.now)[1])
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Watch events of the endpoint list."""
+"""Handling of the watch events of the endpoint list."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_draining_or_gone_endpoint_gets_no_attempts(driver: Driver, state: str) -> None:
-    gone = tuple(EndpointInfo(n, state=state) for n in (0, 1, 2))  # type: ignore[arg-type]
-    driver.feed(EndpointUpdate("partial", gone))
-    assert {a.endpoint for _ in range(8) for a in started_attempts(driver.ask())} == {3}
+    unavailable = tuple(EndpointInfo(number, state=state) for number in (0, 1, 2))  # type: ignore[arg-type]
+    driver.feed(EndpointUpdate("partial", unavailable))
+    assert {attempt.endpoint for _ in range(8) for attempt in started_attempts(driver.ask())} == {3}
 
 
 def test_endpoint_missing_from_a_complete_list_is_gone(driver: Driver) -> None:
     driver.feed(EndpointUpdate("complete", (EndpointInfo(2),)))
-    assert {a.endpoint for _ in range(5) for a in started_attempts(driver.ask())} == {2}
+    assert {attempt.endpoint for _ in range(5) for attempt in started_attempts(driver.ask())} == {2}
 
 
 def test_failed_watch_is_polled_again_after_a_backoff() -> None:
@@ -33,19 +33,19 @@
     assert WatchEndpoints() in driver.all
     assert (
         driver.feed(EndpointUpdate("error")) == []
-    )  # not at once: a failing service is not helped by a storm
+    )  # not at once, so that a failing service does not get a storm of polls
     assert SetTimer(driver.now + 2500, 0) in driver.all
     assert driver.gateway.handle(driver.now + 2500, TimerFired(0)) == [WatchEndpoints()]
 
 
-def test_gone_endpoint_is_forgotten_once_nothing_is_in_flight_there() -> None:
-    # All day new servers under new ids take the places of old ones: memory grew with each.
+def test_gone_endpoint_is_removed_once_nothing_is_in_flight_there() -> None:
+    # New endpoints with new ids replace old ones all day. Guards against memory that grows with each.
     driver = Driver(servers=1)
-    (send,) = started_attempts(driver.ask())
+    (attempt,) = started_attempts(driver.ask())
     for number in range(1, 40):
         driver.feed(EndpointUpdate("partial", (EndpointInfo(number - 1, state="gone"), EndpointInfo(number))))
     assert set(driver.gateway.endpoints.by_number) == {0, 39}
-    driver.answer(send)
+    driver.answer(attempt)
     driver.feed(EndpointUpdate("partial", ()))
     assert set(driver.gateway.endpoints.by_number) == {39} and len(driver.gateway.endpoints.by_tag) == 1
-    driver.wait(10000)  # alarms that name a forgotten server do no harm
+    driver.wait(10000)  # timers for a removed endpoint do no harm
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -19,108 +19,120 @@
 from .helpers import started_attempts
 
 
-def test_full_endpoint_is_left_alone_for_a_while(driver: Driver) -> None:
-    (send,) = started_attempts(driver.ask())
-    driver.answer(send, "full")
-    assert send.endpoint not in {a.endpoint for _ in range(6) for a in started_attempts(driver.ask())}
+def test_full_endpoint_gets_no_attempts_for_a_while(driver: Driver) -> None:
+    (attempt,) = started_attempts(driver.ask())
+    driver.answer(attempt, "full")
+    assert attempt.endpoint not in {
+        later.endpoint for _ in range(6) for later in started_attempts(driver.ask())
+    }
 
 
 def test_silent_endpoint_is_ejected_and_safe_requests_are_migrated() -> None:
     driver = Driver(servers=2)
-    (send,) = started_attempts(driver.ask())
-    got = driver.wait(830)
-    assert CancelAttempt(send.request_id, 0) in got
-    (second,) = started_attempts(driver.answer(send, "cancelled"))
-    assert second.endpoint != send.endpoint
+    (attempt,) = started_attempts(driver.ask())
+    actions = driver.wait(830)
+    assert CancelAttempt(attempt.request_id, 0) in actions
+    (second,) = started_attempts(driver.answer(attempt, "cancelled"))
+    assert second.endpoint != attempt.endpoint
 
 
 def test_unsafe_request_at_a_silent_endpoint_is_not_migrated() -> None:
     driver = Driver(servers=2)
     driver.ask("bind", remaining_time=4000)
-    assert [a for a in driver.wait(2000) if not isinstance(a, SendGossip)] == []
+    assert [action for action in driver.wait(2000) if not isinstance(action, SendGossip)] == []
 
 
 def test_ejection_never_leaves_no_endpoint(driver: Driver) -> None:
     for _ in range(12):
-        for send in started_attempts(driver.ask("bind")):
-            driver.answer(send, "unreachable")
+        for attempt in started_attempts(driver.ask("bind")):
+            driver.answer(attempt, "unreachable")
     assert started_attempts(driver.ask("bind"))
 
 
-def test_slow_endpoint_rests_until_it_has_drained() -> None:
-    """Incidents id7b97c, i48f81b: a server driven too hard stays slow until it is left alone."""
+def test_slow_endpoint_is_ejected_until_its_queue_has_drained() -> None:
+    """Incidents id7b97c, i48f81b: an overloaded endpoint stays slow until it gets no more attempts."""
     driver = Driver(servers=2)
-    server = driver.gateway.endpoints.by_number[1]
+    endpoint = driver.gateway.endpoints.by_number[1]
     for latency in [50] * 30 + [900] * 30:
-        (send,) = started_attempts(driver.ask())
-        driver.answer(send, latency=latency)
-    resting = {n for n, s in driver.gateway.endpoints.by_number.items() if s.ejected_until > driver.now}
-    assert len(resting) == 1
-    assert resting.isdisjoint(a.endpoint for _ in range(4) for a in started_attempts(driver.ask()))
-    assert server.in_flight or 1 in resting
-
-
-def test_silent_endpoint_is_told_to_all_and_ejected_on_what_several_peers_say() -> None:
+        (attempt,) = started_attempts(driver.ask())
+        driver.answer(attempt, latency=latency)
+    ejected = {
+        number
+        for number, entry in driver.gateway.endpoints.by_number.items()
+        if entry.ejected_until > driver.now
+    }
+    assert len(ejected) == 1
+    assert ejected.isdisjoint(later.endpoint for _ in range(4) for later in started_attempts(driver.ask()))
+    assert endpoint.in_flight or 1 in ejected
+
+
+def test_silent_endpoint_is_reported_to_all_and_ejected_on_reports_of_several_peers() -> None:
     sender, receiver = (Driver(servers=2, gateway_count=300, gossip_enabled=True) for _ in range(2))
     for driver in (sender, receiver):
         driver.wait(30000)
-    (send,) = started_attempts(sender.ask("bind"))
-    told = [a for a in sender.wait(900) if isinstance(a, SendGossip)]
-    assert [(a.peer, decode(a.data).endpoint_ratios) for a in told] == [(-1, ((send.endpoint, SILENT),))]  # type: ignore[union-attr]
-    # On a calm day of 200 gateways 146 slow tries became 11,326 ejections: one word alone is none.
-    for teller_number in (1, 1, 1, 2):
-        receiver.feed(GossipReceived(teller_number, told[0].data))
-        assert receiver.gateway.endpoints.by_number[send.endpoint].ejected_until == 0.0
-    receiver.feed(GossipReceived(3, told[0].data))
-    assert {a.endpoint for _ in range(8) for a in started_attempts(receiver.ask())} == {1 - send.endpoint}
-    receiver.feed(GossipReceived(2, encode(0.1, (), [(endpoint_tag(send.endpoint), 0.1)])))
-    assert receiver.gateway.endpoints.by_number[send.endpoint].ejected_until == 0.0
+    (attempt,) = started_attempts(sender.ask("bind"))
+    sent = [action for action in sender.wait(900) if isinstance(action, SendGossip)]
+    assert [(message.peer, decode(message.data).endpoint_ratios) for message in sent] == [  # type: ignore[union-attr]
+        (-1, ((attempt.endpoint, SILENT),))
+    ]
+    # A single report must not eject: in a calm run of 200 gateways, 146 slow attempts led to 11,326
+    # ejections.
+    for peer in (1, 1, 1, 2):
+        receiver.feed(GossipReceived(peer, sent[0].data))
+        assert receiver.gateway.endpoints.by_number[attempt.endpoint].ejected_until == 0.0
+    receiver.feed(GossipReceived(3, sent[0].data))
+    assert {later.endpoint for _ in range(8) for later in started_attempts(receiver.ask())} == {
+        1 - attempt.endpoint
+    }
+    receiver.feed(GossipReceived(2, encode(0.1, (), [(endpoint_tag(attempt.endpoint), 0.1)])))
+    assert receiver.gateway.endpoints.by_number[attempt.endpoint].ejected_until == 0.0
 
 
 def test_hundreds_of_gateways_do_not_return_to_a_silent_endpoint_in_step() -> None:
-    back = []
+    durations = []
     for seed in range(60):
         driver = Driver(servers=2, gateway_count=300)
         driver.gateway.random.seed(seed)
         for _ in range(20):
             driver.answer(started_attempts(driver.ask())[0])
         driver.gateway.outliers.eject(driver.gateway.endpoints.by_number[0], driver.now)
-        back.append(driver.gateway.endpoints.by_number[0].ejected_until - driver.now)
-    assert max(sum(at <= one < at + 1000 for one in back) for at in back) < 12
+        durations.append(driver.gateway.endpoints.by_number[0].ejected_until - driver.now)
+    assert max(sum(at <= other < at + 1000 for other in durations) for at in durations) < 12
 
 
-def test_endpoint_that_is_met_seldom_anyway_is_not_ejected_for_longer() -> None:
-    # 200 gateways left each for 23 s on average, though each would have met it once in 30 s.
+def test_endpoint_that_each_gateway_sends_to_seldom_is_not_ejected_for_longer() -> None:
+    # Guards against 200 gateways that eject each endpoint for 23 s on average, although each of them would
+    # have sent to it only once in 30 s.
     driver = Driver(servers=200, gateway_count=200)
     for _ in range(60):
         driver.answer(started_attempts(driver.ask())[0])
         driver.wait(150)
-    rests = []
-    for server in list(driver.gateway.endpoints.by_number.values())[:40]:
-        driver.gateway.outliers.eject(server, driver.now)
-        rests.append(server.ejected_until - driver.now)
-    assert sum(rests) / len(rests) < 8000 and min(rests) >= 400
+    durations = []
+    for endpoint in list(driver.gateway.endpoints.by_number.values())[:40]:
+        driver.gateway.outliers.eject(endpoint, driver.now)
+        durations.append(endpoint.ejected_until - driver.now)
+    assert sum(durations) / len(durations) < 8000 and min(durations) >= 400
 
 
-def test_at_most_half_of_the_endpoints_rest(driver: Driver) -> None:
-    for server in driver.gateway.endpoints.by_number.values():
-        if driver.gateway.outliers.may_eject(server, driver.now):
-            server.ejected_until = driver.now + 500
-    assert sum(s.ejected_until > driver.now for s in driver.gateway.endpoints.by_number.values()) == 2
+def test_at_most_half_of_the_endpoints_are_ejected(driver: Driver) -> None:
+    for endpoint in driver.gateway.endpoints.by_number.values():
+        if driver.gateway.outliers.may_eject(endpoint, driver.now):
+            endpoint.ejected_until = driver.now + 500
+    assert sum(entry.ejected_until > driver.now for entry in driver.gateway.endpoints.by_number.values()) == 2
 
 
 def test_one_broken_connection_does_not_eject_its_endpoint_and_a_second_does() -> None:
-    # Where endpoints end single connections, most of the fleet was ejected most of the time.
+    # Guards against ejecting most of the fleet most of the time where endpoints close single connections.
     driver = Driver(servers=2)
     (first,) = started_attempts(driver.ask())
-    server = driver.gateway.endpoints.by_number[first.endpoint]
-    (again,) = started_attempts(driver.answer(first, "reset"))
-    assert not server.ejections and again.request_id == first.request_id
-    driver.answer(StartAttempt(first.request_id, again.endpoint), "ok", attempt=1)
-    while not server.ejections:
-        (send,) = started_attempts(driver.ask())
-        if send.endpoint == first.endpoint:
-            driver.answer(send, "unreachable")
+    endpoint = driver.gateway.endpoints.by_number[first.endpoint]
+    (retry,) = started_attempts(driver.answer(first, "reset"))
+    assert not endpoint.ejections and retry.request_id == first.request_id
+    driver.answer(StartAttempt(first.request_id, retry.endpoint), "ok", attempt=1)
+    while not endpoint.ejections:
+        (attempt,) = started_attempts(driver.ask())
+        if attempt.endpoint == first.endpoint:
+            driver.answer(attempt, "unreachable")
         else:
-            driver.answer(send)
-    assert server.connection_failures == 2
+            driver.answer(attempt)
+    assert endpoint.connection_failures == 2
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -15,35 +15,35 @@
 from .helpers import started_attempts
 
 
-def test_unsafe_request_in_flight_is_failed_before_its_client_gives_up(driver: Driver) -> None:
-    asked = driver.now
+def test_unsafe_request_in_flight_is_failed_before_its_client_stops_waiting(driver: Driver) -> None:
+    received_at = driver.now
     driver.ask("bind", remaining_time=1500)
-    final = [a for a in driver.wait(1500) if isinstance(a, FailRequest | RejectRequest)]
+    final = [action for action in driver.wait(1500) if isinstance(action, FailRequest | RejectRequest)]
     assert final == [FailRequest(1)]  # an unsafe request that may have run must not be rejected
-    assert driver.now <= asked + 1500
+    assert driver.now <= received_at + 1500
 
 
 def test_retry_is_not_sent_after_client_disconnect_and_unknown_request_is_ignored(driver: Driver) -> None:
-    (send,) = started_attempts(driver.ask())
-    assert started_attempts(driver.feed(ClientDisconnected(send.request_id))) == []
+    (attempt,) = started_attempts(driver.ask())
+    assert started_attempts(driver.feed(ClientDisconnected(attempt.request_id))) == []
     assert driver.feed(ClientDisconnected(999)) == []
-    assert driver.answer(send, "error") == []
+    assert driver.answer(attempt, "error") == []
 
 
 def test_attempt_is_cancelled_when_its_client_disconnects(driver: Driver) -> None:
-    (send,) = started_attempts(driver.ask())
-    assert driver.feed(ClientDisconnected(send.request_id)) == [CancelAttempt(send.request_id, 0)]
+    (attempt,) = started_attempts(driver.ask())
+    assert driver.feed(ClientDisconnected(attempt.request_id)) == [CancelAttempt(attempt.request_id, 0)]
 
 
 @pytest.mark.parametrize(
-    ("why", "setting", "asked", "waits"),
+    ("reason", "changes", "request_fields", "wait_ms"),
     [
         ("patience", {}, {"remaining_time": 5}, 0),
         ("quota", {}, {"plan": "thin", "units": 5}, 0),
         ("slot", {"servers": 0}, {"remaining_time": 900}, 900),
     ],
 )
-def test_rejection_names_its_reason(why: str, setting: dict, asked: dict, waits: int) -> None:  # type: ignore[type-arg]
-    driver = Driver(**setting)
-    got = [*driver.ask(**asked), *driver.wait(waits)]
-    assert [one.reason for one in got if isinstance(one, RejectRequest)] == [why]
+def test_rejection_names_its_reason(reason: str, changes: dict, request_fields: dict, wait_ms: int) -> None:  # type: ignore[type-arg]
+    driver = Driver(**changes)
+    actions = [*driver.ask(**request_fields), *driver.wait(wait_ms)]
+    assert [action.reason for action in actions if isinstance(action, RejectRequest)] == [reason]
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -16,13 +16,13 @@
 
 
 def test_retry_is_not_sent_after_the_final_answer(driver: Driver) -> None:
-    (send,) = started_attempts(driver.ask("look", remaining_time=500))
+    (attempt,) = started_attempts(driver.ask("look", remaining_time=500))
     driver.wait(500)
-    assert started_attempts(driver.answer(send, "timeout")) == []
+    assert started_attempts(driver.answer(attempt, "timeout")) == []
 
 
 @pytest.mark.parametrize(
-    ("cls", "status", "expected"),
+    ("class_name", "status", "expected"),
     [
         ("look", "error", StartAttempt),
         ("look", "timeout", StartAttempt),
@@ -40,24 +40,24 @@
     ],
 )
 def test_retry_follows_the_effect_of_the_request_and_the_status_of_its_attempt(
-    driver: Driver, cls: str, status: str, expected: type
+    driver: Driver, class_name: str, status: str, expected: type
 ) -> None:
-    (send,) = started_attempts(driver.ask(cls))
-    got = driver.answer(send, status)
-    assert [type(a) for a in got] == [expected]
+    (attempt,) = started_attempts(driver.ask(class_name))
+    actions = driver.answer(attempt, status)
+    assert [type(action) for action in actions] == [expected]
 
 
 def test_keyed_retry_stays_in_its_scope(driver: Driver) -> None:
-    (send,) = started_attempts(driver.ask("note"))
-    (second,) = started_attempts(driver.answer(send, "error"))
-    assert second.endpoint % 2 == send.endpoint % 2 and second.endpoint != send.endpoint
+    (attempt,) = started_attempts(driver.ask("note"))
+    (second,) = started_attempts(driver.answer(attempt, "error"))
+    assert second.endpoint % 2 == attempt.endpoint % 2 and second.endpoint != attempt.endpoint
 
 
 def test_keyed_request_is_not_retried_after_its_window() -> None:
     driver = Driver()
-    (send,) = started_attempts(driver.ask("note", remaining_time=4000))
+    (attempt,) = started_attempts(driver.ask("note", remaining_time=4000))
     driver.now += 3001
-    assert [type(a) for a in driver.answer(send, "error")] == [FailRequest]
+    assert [type(action) for action in driver.answer(attempt, "error")] == [FailRequest]
 
 
 def test_request_is_hedged_only_where_hedging_is_allowed() -> None:
@@ -65,31 +65,34 @@
     driver.ask("look")
     assert started_attempts(driver.wait(3000)) == []
     hedging = Driver(allow_hedging=True)
-    for _ in range(10):  # second copies are a part of first attempts
-        (send,) = started_attempts(hedging.ask("look"))
-        hedging.answer(send)
+    for _ in range(10):  # answers that settle the latency estimates
+        (attempt,) = started_attempts(hedging.ask("look"))
+        hedging.answer(attempt)
     (first,) = started_attempts(hedging.ask("look"))
-    (copy,) = started_attempts(hedging.wait(900))
-    assert copy.request_id == first.request_id and copy.endpoint != first.endpoint
+    (second,) = started_attempts(hedging.wait(900))
+    assert second.request_id == first.request_id and second.endpoint != first.endpoint
 
 
 def test_retry_whose_window_ends_while_it_waits_for_a_slot_is_answered_then() -> None:
-    # It waited, unsendable, until its remaining time ended; and nothing bounded when its bytes went out.
+    # Guards against a retry that waits until its remaining time ends though it may no longer be sent, and
+    # against no limit on when its bytes go out.
     driver = Driver(servers=1)
-    first = next(a for a in driver.ask("note") if isinstance(a, StartAttempt))
-    while any(isinstance(a, StartAttempt) for a in driver.ask("look", units=0.1)):
+    first = next(action for action in driver.ask("note") if isinstance(action, StartAttempt))
+    while any(isinstance(action, StartAttempt) for action in driver.ask("look", units=0.1)):
         pass  # until no slot is free
     driver.gateway.concurrency.per_endpoint = 1e-9  # and none comes free
-    assert not any(isinstance(a, StartAttempt) for a in driver.answer(first, "error"))
+    assert not any(isinstance(action, StartAttempt) for action in driver.answer(first, "error"))
     driver.now += CLASSES["note"].idempotency_window
-    assert [a.request_id for a in driver.ask("look") if isinstance(a, FailRequest)] == [first.request_id]
+    assert [action.request_id for action in driver.ask("look") if isinstance(action, FailRequest)] == [
+        first.request_id
+    ]
 
 
 def test_no_byte_of_a_retry_is_sent_after_its_window() -> None:
     driver = Driver(servers=2)
-    first = next(a for a in driver.ask("mark") if isinstance(a, StartAttempt))
+    first = next(action for action in driver.ask("mark") if isinstance(action, StartAttempt))
     assert first.send_before == math.inf
-    begun = driver.now
+    sent_at = driver.now
     driver.wait(100)
-    again = next(a for a in driver.answer(first, "error") if isinstance(a, StartAttempt))
-    assert begun < again.send_before < begun + CLASSES["mark"].idempotency_window
+    retry = next(action for action in driver.answer(first, "error") if isinstance(action, StartAttempt))
+    assert sent_at < retry.send_before < sent_at + CLASSES["mark"].idempotency_window
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What endpoints that are warming up are sent."""
+"""Slow start: the attempts sent to endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -11,58 +11,58 @@
 from .helpers import started_attempts
 
 
-def test_endpoint_in_slow_start_gets_its_part_of_warm_work() -> None:
+def test_endpoint_in_slow_start_gets_a_fraction_of_what_warm_ones_get() -> None:
     driver = Driver(slow_start_min_capacity=0.2, slow_start_duration=20000, overload_crash_after=1000)
     driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
     count = dict.fromkeys((0, 1, 2, 3, 9), 0)
     for _ in range(100):
-        out = [send for _ in range(8) for send in started_attempts(driver.ask())]
+        attempts = [attempt for _ in range(8) for attempt in started_attempts(driver.ask())]
         driver.wait(50)
-        for send in out:
-            count[send.endpoint] += 1
-            driver.answer(send)
-    assert 0 < count[9] <= 0.5 * min(count[n] for n in range(4))
+        for attempt in attempts:
+            count[attempt.endpoint] += 1
+            driver.answer(attempt)
+    assert 0 < count[9] <= 0.5 * min(count[number] for number in range(4))
 
 
-def test_endpoint_in_slow_start_gets_nothing_at_once_even_in_a_rush() -> None:
+def test_endpoint_in_slow_start_gets_no_immediate_attempt_under_a_burst_of_requests() -> None:
     driver = Driver(slow_start_min_capacity=0.2, slow_start_duration=20000)
     driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
-    assert 9 not in {a.endpoint for _ in range(20) for a in started_attempts(driver.ask())}
+    assert 9 not in {attempt.endpoint for _ in range(20) for attempt in started_attempts(driver.ask())}
 
 
 def test_endpoint_in_slow_start_gets_no_burst_from_hundreds_of_gateways() -> None:
-    first = 0
+    attempts = 0
     for seed in range(100):
         driver = Driver(servers=3, gateway_count=300, slow_start_min_capacity=0.2, slow_start_duration=20000)
         driver.gateway.random.seed(seed)
         driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
         for _ in range(2):
-            for send in started_attempts(driver.ask()):
-                first += send.endpoint == 9
-                driver.answer(send)
+            for attempt in started_attempts(driver.ask()):
+                attempts += attempt.endpoint == 9
+                driver.answer(attempt)
             driver.wait(500)
-    assert first <= 10
+    assert attempts <= 10
 
 
-def test_forty_gateways_together_send_an_endpoint_in_slow_start_its_part_and_no_more() -> None:
-    """The rule: four times its present capacity in a second, which is a quarter of a warm one's at its start.
+def test_forty_gateways_together_send_an_endpoint_in_slow_start_what_it_can_serve_and_no_more() -> None:
+    """The rule allows four times its present capacity in a second, which starts at a quarter of a warm one's.
 
-    By the slowest ramp alone it got less than it could do, while warm servers had queues.
+    Guards against sending by the slowest ramp alone: it got less than it could serve while warm endpoints
+    had queues.
     """
-    cold, warm = [0] * 6, 0
+    sent_per_second, sent_to_warm = [0] * 6, 0
     for seed in range(40):
         driver = Driver(servers=5, gateway_count=40, slow_start_min_capacity=0.25, slow_start_duration=15000)
         driver.gateway.random.seed(seed)
-        for tick in range(
-            -100, 60
-        ):  # ten requests a second for ten seconds, then six with a endpoint in slow start
+        # Ten requests a second for 10 s, then for 6 s with an endpoint in slow start.
+        for tick in range(-100, 60):
             if tick == 0:
                 driver.feed(EndpointUpdate("partial", (EndpointInfo(9, started=driver.now),)))
-            for send in started_attempts(driver.ask()):
+            for attempt in started_attempts(driver.ask()):
                 if tick >= 0:
-                    cold[tick // 10] += send.endpoint == 9
-                    warm += send.endpoint != 9
-                driver.answer(send)
+                    sent_per_second[tick // 10] += attempt.endpoint == 9
+                    sent_to_warm += attempt.endpoint != 9
+                driver.answer(attempt)
             driver.wait(100)
-    each = warm / 5 / 6  # a warm server's sends in a second
-    assert 0.5 * each < sum(cold) / 6 and max(cold) < each
+    per_warm_endpoint = sent_to_warm / 5 / 6  # in a second
+    assert 0.5 * per_warm_endpoint < sum(sent_per_second) / 6 and max(sent_per_second) < per_warm_endpoint
