--- a/tests/policy/test_slow_start_of_a_fleet.py
+++ b/tests/policy/test_slow_start_of_a_fleet.py
@@ -51,7 +51,7 @@
     for source_step in (0.0, step):  # the clock of the source of the start time was stepped too, or was not
         started = clock() + source_step
         entry = EndpointInfo(9, started=started, age=clock.age(started))
-        driver.feed(EndpointUpdate("partial", (entry,)))
+        driver.handle(EndpointUpdate("partial", (entry,)))
         endpoint = driver.gateway.endpoints.by_number[9]
         driver.now += 1.0
         assert driver.gateway.slow_start.capacity_fraction(endpoint, driver.now) < 0.3
