--- a/mapleshunt/policy/load_balancer.py
+++ b/mapleshunt/policy/load_balancer.py
@@ -62,7 +62,7 @@
         warming_up = [
             endpoint for endpoint in candidates if endpoint.up_since and capacity_fraction(endpoint, now) < 1
         ]
-        candidates = warming_up or candidates  # an allowance is to be used at once
+        candidates = warming_up or candidates  # allowances are meant for use at once
         if not candidates:
             return None
         return self._least_loaded(candidates, now)
--- a/mapleshunt/policy/outlier_detection.py
+++ b/mapleshunt/policy/outlier_detection.py
@@ -25,11 +25,11 @@
 # Consecutive connection failures that do not eject an endpoint: a single connection may break though its
 # endpoint is healthy; when an endpoint crashes, others break or are refused.
 MAX_CONNECTION_FAILURES = 1
-# Limit of the exponent of the backoff, which doubles with each ejection.
+# Maximum exponent of the backoff, which doubles with each ejection.
 MAX_BACKOFF_EXPONENT = 4
 # Ends of ejections are spread over gateway_count * `overload_crash_after` divided by this.
 SPREAD_PART = 4
-# Lower bound of the answers per ms of a warm endpoint, so that they can be divided by.
+# Lower bound of the answers per ms of a warm endpoint, which avoids a division by 0.
 MIN_WARM_RATE = 1e-9
 
 
