--- a/mapleshunt/policy/actions.py
+++ b/mapleshunt/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that `Gateway.handle` returns, for its host to carry out in their order.
+"""Actions that `Gateway.handle` returns and its host carries out in order.
 
 Times are milliseconds on the host's clock.
 """
@@ -11,27 +11,27 @@
 
 
 class RejectReason(enum.StrEnum):
-    """Why a request was rejected. The values are the words of the counters `rejected_*`."""
+    """The reason for a rejection. The values are the suffixes of the counters `rejected_*`."""
 
     UNSPECIFIED = ""
-    TIME_TOO_SHORT = "patience"  # too little time remains for an answer
-    QUEUE_TOO_LONG = "queue"  # it would wait too long for a slot
-    OVER_QUOTA = "quota"  # its customer's quota, or limit on open requests, is used up
+    TIME_TOO_SHORT = "patience"  # too little time remains to answer it
+    QUEUE_TOO_LONG = "queue"  # its wait for a slot would be too long
+    OVER_QUOTA = "quota"  # its customer's quota or limit on open requests is used up
     NO_QUOTA_REPLY = "word"  # no owner of its customer's quota replied in time
-    NO_SLOT = "slot"  # no slot came free in time
-    ATTEMPTS_FAILED = "tries"  # its attempts failed, and may be repeated
+    NO_SLOT = "slot"  # no slot became free in time
+    ATTEMPTS_FAILED = "tries"  # its attempts failed and may safely be repeated
 
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Start an attempt; attempts of a request number 0, 1, ... in the order of their `StartAttempt`.
+    """Start an attempt. A request's attempts are numbered 0, 1, ... in the order of their `StartAttempt`.
 
     Attributes:
         request_id: The request.
         endpoint: The number of the endpoint to send it to.
-        timeout: ms after which the attempt is given up; 0 for the time that remains.
-        send_before: Not one byte of it goes out from then on: the idempotency window has to cover its
-            arrival.
+        timeout: ms after which the attempt times out; 0 means the remaining time of the request.
+        send_before: No byte of it may be sent from this time on, because it has to arrive within the
+            idempotency window.
     """
 
     request_id: int
@@ -42,12 +42,12 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: declined, a retry does no harm.
+    """Final answer: rejected; the client may safely retry.
 
     Attributes:
         request_id: The request.
-        retry_after: ms after which the client may retry; 0 says nothing.
-        reason: Why, for counters and traces.
+        retry_after: ms after which the client may retry; 0 means unspecified.
+        reason: The reason, for counters and traces.
     """
 
     request_id: int
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Hand in a `TimerFired` with this token at this time."""
+    """Deliver a `TimerFired` with this token at this time."""
 
     at: float
     token: int
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """Send a message to another gateway; peer -1 is all of them."""
+    """Send a message to another gateway; peer -1 means all of them."""
 
     peer: int
     data: str
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Ask discovery for endpoint updates from now on."""
+    """Watch the endpoint list in discovery from now on."""
 
 
 Action = StartAttempt | RejectRequest | FailRequest | CancelAttempt | SetTimer | SendGossip | WatchEndpoints
--- a/mapleshunt/policy/admission.py
+++ b/mapleshunt/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: requests that cannot be answered in time are rejected early, others by their quota."""
+"""Admission: requests that cannot be answered in time are rejected; the others need quota."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from .settings import RequestClass, Settings
 from .timers import TimerKind, TimerQueue
 
-# Part of the latency objective that a client's retry has left: its first attempt used the rest.
+# Fraction of the latency objective that applies to a client's retry: the first attempt used the rest.
 RETRY_OBJECTIVE_PART = 0.5
-# Part of the objective that a request may wait for a slot: more only delays what others wait for.
+# Fraction of the objective that a request may wait for a slot: a longer wait only delays other requests.
 MAX_QUEUE_WAIT_PART = 0.3
-# Margins before the client gives up within which no request is admitted any more.
+# Deadline margins of remaining time below which a request is rejected on arrival.
 MIN_REMAINING_MARGINS = 2
-# Expected latencies before the objective at which a request that waits for a slot is rejected.
+# Expected latencies before the objective at which a request that still waits for a slot is rejected.
 SEND_BY_LATENCIES = 1.5
 
 
 class Admission:
-    """Admits requests, or rejects them early."""
+    """Admits requests or rejects them early."""
 
     __slots__ = (
         "_classes",
@@ -57,21 +57,23 @@
         self._classes = tuple(settings.classes.values())
 
     def admit(self, event: RequestReceived, now: float) -> None:
-        """Admit or reject a request, or ask its quota's owner."""
+        """Admit or reject a request, or ask the owner of its quota."""
         customer = self._customers.customer_of(event, now)
         request_class = self._settings.classes[event.request_class]
         objective = request_class.latency_objective * (RETRY_OBJECTIVE_PART if event.is_retry else 1.0)
         remaining, margin = event.remaining_time, self._requests.margin
         objective_at = now + min(objective, remaining)
         expected = self._latency.expected(request_class)
-        hopeless = remaining < max(MIN_REMAINING_MARGINS * margin, expected / 2)
-        value = self._relative_value(request_class)  # the least valuable wait least
-        if hopeless or self._queue_wait(customer, now) > MAX_QUEUE_WAIT_PART * value * (objective_at - now):
+        too_late = remaining < max(MIN_REMAINING_MARGINS * margin, expected / 2)
+        relative_value = self._relative_value(request_class)  # the least valuable class waits the shortest
+        if too_late or self._queue_wait(customer, now) > MAX_QUEUE_WAIT_PART * relative_value * (
+            objective_at - now
+        ):
             wait = request_class.latency_objective * RETRY_AFTER_PART
-            reason = RejectReason.TIME_TOO_SHORT if hopeless else RejectReason.QUEUE_TOO_LONG
+            reason = RejectReason.TIME_TOO_SHORT if too_late else RejectReason.QUEUE_TOO_LONG
             self._requests.reject(event.request_id, wait, reason, now)
             return
-        # Unsent after half its remaining time, it would cost more than one rejected before.
+        # Rejecting an unsent request after half of its remaining time costs more than rejecting it earlier.
         send_by = min(objective_at - SEND_BY_LATENCIES * expected, now + remaining / 2 - margin)
         deadline = now + remaining - margin
         request = PendingRequest(
@@ -84,13 +86,13 @@
         self._quota_check.check(request, now)
 
     def _relative_value(self, request_class: RequestClass) -> float:
-        """Return what a class earns for an endpoint's time, over what the most valuable one does."""
+        """Return a class's priority weight per ms of latency, relative to the class where it is highest."""
         means = self._latency.mean_by_class
-        best = max([one.priority_weight / means[one.name] for one in self._classes])
+        best = max([other.priority_weight / means[other.name] for other in self._classes])
         return request_class.priority_weight / means[request_class.name] / best
 
     def _queue_wait(self, customer: Customer, now: float) -> float:
-        """Return the ms until a slot for one more request of the customer, as the rounds are fair."""
+        """Return the expected ms until the customer's next request gets a slot, in fair rounds."""
         scheduler = self._scheduler
         ahead = min(scheduler.queued, (len(customer.queue) + 1) * max(1, len(scheduler)))
         return ahead * self._latency.mean / self._concurrency.slots(now)[1] if ahead else 0.0
--- a/mapleshunt/policy/customers.py
+++ b/mapleshunt/policy/customers.py
@@ -1,4 +1,4 @@
-"""What the gateway remembers of customers and of their requests, and for how long."""
+"""The state of customers and of their pending requests, and the eviction of idle customers."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 from .settings import Plan, RequestClass, Settings
 from .token_bucket import TokenBucket
 
-# ms over which the use of a customer without a quota is summed.
+# Time constant of the recent use of a customer whose plan has no rate.
 USE_SPAN_WITHOUT_RATE_MS = 1000.0
-# Idle customers are looked for once there are this many more than twice those that the last look left.
+# Idle customers are evicted once there are this many more than twice those left by the last sweep.
 MIN_CUSTOMERS_TO_SWEEP = 64
 
 
 @dataclass(slots=True, eq=False)
 class Customer:
-    """A customer's quota, queue and account.
+    """A customer's quota, queue and scheduling state.
 
     Attributes:
-        tag: The tag of its name.
+        tag: Tag of its name.
         plan: Its plan.
-        plan_code: The plan's number in gossip.
-        bucket: Its quota, exact at its owner, at most this elsewhere.
-        fallback_bucket: Even share of the quota, for when no owner replies.
-        ceiling_bucket: Part of the hard ceiling that is this gateway's to use.
-        recent_use: Units used of late: all that an owner heard of, or what it reported.
-        leases: Units that were leased for it.
-        quota_owners: Whom to ask: its primary owner, that again, and the backup owner; empty until it is met.
-        gateway_set_size: Gateways that its requests are spread over.
-        owner_replied_at: When another gateway last reported the bucket's level.
-        demand_ratio: Times its rate that its owner was asked for of late, when it reported the bucket empty.
-        open_requests: Its requests that are open.
+        plan_code: Number of the plan in gossip.
+        bucket: Its quota: exact at its owner, an upper bound at other gateways.
+        fallback_bucket: Even part of the quota, used when no owner replies.
+        ceiling_bucket: This gateway's part of the hard ceiling.
+        recent_use: Units used recently: at an owner all that it knows of, elsewhere as the owner reported.
+        leases: Units leased for it.
+        quota_owners: Owners in asking order: primary, primary again, backup; empty until its first request.
+        gateway_set_size: Number of gateways that its requests are spread over.
+        owner_replied_at: When the primary owner last reported the bucket's level.
+        demand_ratio: Demand over the rate, if its owner last reported less than a largest request, else 0.
+        open_requests: Number of its open requests.
         cost_estimate: Smoothed cost of a request, ms (k in the design note).
-        excess: What it was served beyond its turns (s in the design note).
-        active: It is in the scheduler's rounds.
+        excess: Service received beyond its turns (s in the design note).
+        active: Whether it is in the scheduler's rounds.
         queue: Its requests that wait for a slot.
     """
 
@@ -66,7 +66,7 @@
     queue: deque[PendingRequest] = field(default_factory=deque)
 
     def is_idle(self, now: float) -> bool:
-        """Return whether it has nothing open, and time has refilled its bucket for long."""
+        """Return whether nothing is open or leased and its bucket is untouched for twice its refill time."""
         rate = self.bucket.rate
         refill_time = 2 * self.bucket.burst / rate if rate else 0.0
         return not self.open_requests and not self.leases and now - self.bucket.updated_at > refill_time
@@ -83,23 +83,23 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed a final answer.
+    """A request that has no final answer yet.
 
     Attributes:
         request_id: The host's number for it.
         request_class: Its class.
         customer: Its customer.
-        units: What it is expected to cost.
-        objective_at: Until when an answer earns its full value.
-        deadline: When it is answered at the latest.
-        send_by: If it is not sent by then it is rejected.
+        units: Its expected cost.
+        objective_at: Time until which an answer earns its full value.
+        deadline: Latest time for its final answer.
+        send_by: Time at which it is rejected if it is still unsent.
         attempts: Its attempts, by number.
-        owners_asked: How many owners of its customer's quota were asked, or passed over.
-        owner_asked_at: When the last one was asked.
-        admitted: Its units are charged, and it waits for a slot or was sent.
-        retry_pending: It waits for a slot for a retry.
-        hedged: A second attempt was sent beside one in flight.
-        response_started: Its client has the beginning of the answer.
+        owners_asked: Number of its customer's quota owners that were asked or skipped.
+        owner_asked_at: When the last of them was asked.
+        admitted: Whether its units are charged; it then waits for a slot or was sent.
+        retry_pending: Whether a retry of it waits for a slot.
+        hedged: Whether a second attempt was queued beside one in flight.
+        response_started: Whether its response has started to stream.
     """
 
     request_id: int
@@ -118,43 +118,43 @@
     response_started: bool = False
 
     def may_have_run(self) -> list[Attempt]:
-        """Return the attempts that may have run, or may yet."""
-        return [one for one in self.attempts if one.status not in NEVER_RAN]
+        """Return the attempts that may have run or may still run."""
+        return [attempt for attempt in self.attempts if attempt.status not in NEVER_RAN]
 
     def has_attempt_in_flight(self) -> bool:
-        """Return whether an attempt has not ended."""
-        return any(one.status is None for one in self.attempts)
+        """Return whether any attempt is still in flight."""
+        return any(attempt.status is None for attempt in self.attempts)
 
     def idempotency_window_end(self) -> float:
-        """Return until when a repeat may arrive: counted from the first attempt that may have run."""
+        """Return until when a repeat may arrive, counted from the first attempt that may have run."""
         may_have_run = self.may_have_run() if self.request_class.effect == "keyed" else ()
         if not may_have_run:
             return math.inf
         return may_have_run[0].sent_at + self.request_class.idempotency_window
 
 
-# Chance that a gateway with no peer to ask admits a new customer: more is beyond the quota.
+# Probability, without gossip, that a new customer's fallback bucket starts full: more exceeds the quota.
 ADMIT_ALONE_CHANCE = 0.75
 
 
 class CustomerTable:
-    """Customers by tag; those that are idle with a full bucket are forgotten, which refills nothing.
+    """Customers by tag. Idle ones with a full bucket are evicted, so that no eviction refills a bucket.
 
     Attributes:
         by_tag: The customers.
-        plan_names: The plans' names, sorted; a plan's number in gossip is its place here.
+        plan_names: Sorted names of the plans; a plan's number in gossip is its index here.
     """
 
-    __slots__ = ("_after_sweep", "_latency", "_random", "_settings", "by_tag", "plan_names")
+    __slots__ = ("_latency", "_random", "_settings", "_size_after_sweep", "by_tag", "plan_names")
 
     def __init__(self, settings: Settings, latency: LatencyEstimates, rng: random.Random) -> None:
         self._settings, self._latency, self._random = settings, latency, rng
         self.by_tag: dict[int, Customer] = {}
         self.plan_names = sorted(settings.plans)
-        self._after_sweep = 0  # customers left when idle ones were last forgotten
+        self._size_after_sweep = 0  # number of customers after the last sweep
 
     def customer_of(self, event: RequestReceived, now: float) -> Customer:
-        """Return a request's customer; when it is first met its quota's owners are chosen."""
+        """Return a request's customer; at its first request the owners of its quota are chosen."""
         plan_code = self.plan_names.index(event.plan)
         customer = self.get_or_add(tag_of(event.customer), plan_code, now)
         if not customer.quota_owners:
@@ -166,29 +166,29 @@
         settings, plan = self._settings, customer.plan
         customer.gateway_set_size = size
         customer.quota_owners = choose_owners(customer.tag, plan, size, offset, settings)
-        share = plan.burst / size
-        burst = max(share, settings.max_request_units)  # an even share covers one request at least
-        alone = (not settings.gossip_enabled) * ADMIT_ALONE_CHANCE * burst
-        is_full = self._random.random() * burst < max(share, alone)
+        even_part = plan.burst / size
+        burst = max(even_part, settings.max_request_units)  # an even part covers at least one request
+        level_without_gossip = (not settings.gossip_enabled) * ADMIT_ALONE_CHANCE * burst
+        is_full = self._random.random() * burst < max(even_part, level_without_gossip)
         rate = customer.bucket.rate * primary_owner_count(plan, settings) / size
         customer.fallback_bucket = TokenBucket(rate, burst, burst * is_full, now)
         if customer.quota_owners[0] != settings.gateway_index:
             customer.ceiling_bucket = member_ceiling_bucket(customer.ceiling_bucket, size)
 
     def get_or_add(self, tag: int, plan_code: int, now: float) -> Customer:
-        """Return a customer, which is new if it is not known."""
+        """Return a customer; an unknown one is added."""
         customer = self.by_tag.get(tag)
         if customer is None:
-            self._forget_idle(now)
-            customer = self.by_tag[tag] = self._new(tag, plan_code, now)
+            self._evict_idle(now)
+            customer = self.by_tag[tag] = self._create(tag, plan_code, now)
         return customer
 
-    def _new(self, tag: int, plan_code: int, now: float) -> Customer:
-        """Make a customer; its bucket is the part of one of its owners."""
+    def _create(self, tag: int, plan_code: int, now: float) -> Customer:
+        """Return a new customer, whose bucket is one primary owner's part of its quota."""
         plan = self._settings.plans[self.plan_names[plan_code]]
         owners = primary_owner_count(plan, self._settings)
         rate, burst = plan.rate / 1000 / owners, plan.burst / owners
-        span = 1000 * plan.burst / plan.rate if plan.rate else USE_SPAN_WITHOUT_RATE_MS
+        time_constant = 1000 * plan.burst / plan.rate if plan.rate else USE_SPAN_WITHOUT_RATE_MS
         bucket = TokenBucket(rate, burst, burst, now)
         return Customer(
             tag=tag,
@@ -197,14 +197,14 @@
             bucket=bucket,
             fallback_bucket=TokenBucket(rate, burst, burst, now),
             ceiling_bucket=ceiling_bucket(plan, now),
-            recent_use=ExponentialDecay(span, 0.0, now),
+            recent_use=ExponentialDecay(time_constant, 0.0, now),
             leases=QuotaLeases(bucket),
             cost_estimate=self._latency.mean,
         )
 
-    def _forget_idle(self, now: float) -> None:
-        if len(self.by_tag) > 2 * self._after_sweep + MIN_CUSTOMERS_TO_SWEEP:
+    def _evict_idle(self, now: float) -> None:
+        if len(self.by_tag) > 2 * self._size_after_sweep + MIN_CUSTOMERS_TO_SWEEP:
             for tag, customer in list(self.by_tag.items()):
                 if customer.is_idle(now):
                     del self.by_tag[tag]
-            self._after_sweep = len(self.by_tag)
+            self._size_after_sweep = len(self.by_tag)
--- a/mapleshunt/policy/events.py
+++ b/mapleshunt/policy/events.py
@@ -1,6 +1,6 @@
-"""Events that the host of the decisions hands to `Gateway.handle`.
+"""Events that the host passes to `Gateway.handle`.
 
-Times are milliseconds on the host's clock, customers and names are opaque.
+Times are milliseconds on the host's clock; customers and names are opaque.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointInfo:
-    """An endpoint as the endpoint list has it.
+    """An endpoint's entry in the endpoint list.
 
     Attributes:
         endpoint: Its number.
         zone: The zone that it runs in.
         cell: The cell whose endpoints share idempotency keys.
         state: Whether it takes new attempts.
-        started: When it started; tells one start from another; 0 for long ago.
-        age: ms for which it can have been up at most, where the host knows better than by `started`: wall
-            clocks may have been stepped since.
+        started: When it started, which identifies the start; 0 for long ago.
+        age: Upper bound of its uptime, ms, where the host has a better one than `started`: wall clocks may
+            have been stepped since.
     """
 
     endpoint: int
@@ -38,11 +38,11 @@
     age: float | None = field(default=None, compare=False)
 
     def up_since(self, now: float) -> float:
-        """Return since when it is up, on the host's clock and never in the future; 0 for long ago."""
+        """Return its start on the host's clock, never in the future; 0 for long ago."""
         if not self.started:
             return 0.0
-        begun = self.started if self.age is None else now - self.age
-        return max(min(begun, now), 1e-3)
+        started_at = self.started if self.age is None else now - self.age
+        return max(min(started_at, now), 1e-3)
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,18 +55,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request, which is owed one final answer within the time that remains.
+    """A client's request, which gets exactly one final answer within its remaining time.
 
     Attributes:
         request_id: The host's number for the request.
         request_class: The name of its class.
         plan: The name of its customer's plan.
         customer: Its customer.
-        remaining_time: ms for which its client waits.
-        units: What it is expected to cost.
-        gateway_set_size: Gateways that the customer's requests are spread over.
+        remaining_time: ms until its client gives up.
+        units: Its expected cost.
+        gateway_set_size: Number of gateways that the customer's requests are spread over.
         gateway_set_offset: The first gateway of that set.
-        is_retry: The client has sent it before.
+        is_retry: Whether the client has sent it before.
     """
 
     request_id: int
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """A streamed response has started: the attempt now belongs to the client."""
+    """A streamed response has started: its request is no longer retried or ended at its deadline."""
 
     request_id: int
     attempt: int
@@ -94,13 +94,13 @@
     """An attempt has ended.
 
     Attributes:
-        request_id: The request that it was an attempt of.
+        request_id: The request that it belongs to.
         status: How it ended.
-        request_completed: The request has its final answer.
+        request_completed: Whether the request has its final answer.
         attempt: The attempt's number, from 0.
         endpoint: The endpoint that it was sent to.
-        latency: ms that it took.
-        cost: True units that it cost; 0 if not known.
+        latency: Its duration, ms.
+        cost: Its actual cost in units; 0 if unknown.
     """
 
     request_id: int
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """A request's client has left: no answer is owed any more."""
+    """A request's client has disconnected: no answer is needed any more."""
 
     request_id: int
 
@@ -136,9 +136,9 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaLeaseGranted:
-    """Units of a customer's quota that may be used here until `expires_at`, and no others meanwhile.
+    """A lease on units of a customer's quota: until `expires_at` only leased units may be used here.
 
-    Lease 0 has no units; it says that the replicas answer.
+    Lease 0 has no units; it shows that the replicas answer.
     """
 
     customer: str
--- a/mapleshunt/policy/gateway.py
+++ b/mapleshunt/policy/gateway.py
@@ -1,6 +1,6 @@
-"""A gateway's decisions. Times are ms on the host's clock, quotas are units.
+"""The decisions of a gateway. Times are ms on the host's clock, quotas are in units.
 
-The same events give the same actions: the clock is the host's, and chance is the seed's.
+The same events and seed give the same actions: the host supplies the clock and the seed of all randomness.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
 
 
 class Gateway:
-    """One gateway: hands each event to the decision that it concerns.
+    """One gateway, which passes each event to the component that handles it.
 
     Attributes:
         settings: Its settings.
-        random: What all chance is drawn from.
+        random: The source of all randomness.
     """
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
@@ -97,11 +97,11 @@
         )  # fmt: skip
 
     def start(self) -> list[Action]:
-        """Return the actions with which the gateway starts."""
+        """Return the actions to carry out at the start."""
         return [WatchEndpoints()] if self.settings.poll_discovery else []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take an event and return the actions to carry out, in their order."""
+        """Handle an event and return the actions to carry out, in order."""
         actions = self._actions
         actions.clear()
         match event:
@@ -110,7 +110,7 @@
             case AttemptEnded():
                 self.attempt_results.record(event, now)
             case TimerFired():
-                self.timers.note_host_timer_fired(now)
+                self.timers.record_host_timer_fired(now)
             case GossipReceived():
                 self.gossip_receiver.receive(event, now)
             case EndpointUpdate():
@@ -123,20 +123,20 @@
                 customer.leases.grant(lease_id, units, expires_at, now)
             case ResponseStarted(request_id) if request_id in self.requests.open:
                 self.requests.open[request_id].response_started = True
-        self.timers.run_due_timers(now)  # at every event, for late timers
+        self.timers.run_due_timers(now)  # at every event, as the host's timer may be late
         self.dispatcher.dispatch_waiting(now)
         self.timers.request_host_timer()
         return actions.copy()
 
     def stats(self, now: float) -> dict[str, float]:
-        """Return what the gateway goes by now, for operators."""
+        """Return current counts, limits and estimates, for operators."""
         endpoints, latency = self.endpoints, self.latency
         return {
             "servers_ready": len(endpoints.ready),
-            "servers_barred": sum(one.ejected_until > now for one in endpoints.ready),
+            "servers_barred": sum(endpoint.ejected_until > now for endpoint in endpoints.ready),
             "requests_queued": self.scheduler.queued,
             "requests_asking": len(self.requests.awaiting_owner),
-            "tries_out": sum(len(one.in_flight) for one in endpoints.by_number.values()),
+            "tries_out": sum(len(endpoint.in_flight) for endpoint in endpoints.by_number.values()),
             "bound": round(self.concurrency.per_endpoint, 3),
             "pace": round(latency.ratio, 3),
             "best": round(latency.best_ratio, 3),
--- a/mapleshunt/policy/gossip.py
+++ b/mapleshunt/policy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip that waits to be sent to other gateways, and the budget of messages to send."""
+"""The queue of gossip to other gateways, and the send budget of messages."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from .timers import TimerKind, TimerQueue
 from .token_bucket import TokenBucket
 
-# Part of a gateway's message intake that those who write to it use together: above it messages would be lost.
+# Fraction of a gateway's message intake that its senders together use: above it messages would be lost.
 INTAKE_PART_USED = 0.95
-# Peers that write to one gateway at full rate; of hundreds most have little to send.
+# Peers assumed to send to one gateway at full rate: in a fleet of hundreds most have little to send.
 WRITERS_PER_PEER = 3
-# ms of sending at full rate that the send budget saves up.
+# Maximum of the send budget, as ms of sending at full rate.
 SEND_BUDGET_MS = 250
-# The peer's number that stands for all of them.
+# Peer number that stands for all peers.
 ALL_PEERS = -1
 
 
 class GossipQueue:
-    """What waits to be sent to each peer, and how much may be sent.
+    """Entries queued for each peer, and the budget for sending them.
 
     Attributes:
-        outbox: Entries that wait, by peer.
-        send_interval: ms between two messages to the same peer at least.
-        send_budget: Messages that may be sent now; asking an owner takes one, and so does each message sent.
+        outbox: Queued entries, by peer.
+        send_interval: Minimum ms between two messages to the same peer.
+        send_budget: Messages that may be sent now: needed to ask an owner, taken by each message sent.
         last_sent: When a message was last sent, by peer.
     """
 
@@ -53,7 +53,7 @@
         now: float,
     ) -> None:
         self._settings, self._timers, self._latency, self._actions = settings, timers, latency, actions
-        rate = INTAKE_PART_USED * settings.gossip_intake_per_s / 1000  # messages a ms
+        rate = INTAKE_PART_USED * settings.gossip_intake_per_s / 1000  # messages per ms
         self.send_interval = min(settings.gateway_count - 1, WRITERS_PER_PEER) / rate
         self.send_budget = TokenBucket(rate, SEND_BUDGET_MS * rate, SEND_BUDGET_MS * rate, now)
         self.outbox: dict[int, list[GossipEntry]] = {}
@@ -63,27 +63,27 @@
         timers.on(TimerKind.SEND_GOSSIP, self._flush)
 
     def queue(self, peer: int, entry: GossipEntry, now: float) -> None:
-        """Send an entry at once, or with what else comes up within the send interval."""
-        waiting = self.outbox.get(peer)
-        if waiting is None:
+        """Send an entry at once, or batched with others once the send interval has passed."""
+        queued_entries = self.outbox.get(peer)
+        if queued_entries is None:
             at = max(now, self.last_sent.get(peer, 0.0) + self.send_interval)
             self._timers.set(at, TimerKind.SEND_GOSSIP, peer)
             self.outbox[peer] = [entry]
         else:
-            waiting.append(entry)
+            queued_entries.append(entry)
 
     def _flush(self, peer: int, now: float) -> None:
         entries = self.outbox.pop(peer)
         self.last_sent[peer] = now
         self.send_budget.level -= 1
-        sent, later = entries[: self._max_entries], entries[self._max_entries :]
+        sent, remaining = entries[: self._max_entries], entries[self._max_entries :]
         data = encode(self._latency.ratio, sent, self._latency.recent_for_gossip(now))
         self._actions.append(SendGossip(peer, data))
-        for entry in later:
+        for entry in remaining:
             self.queue(peer, entry, now)
 
     def publish_health(self, tag: int, ratio: float, now: float) -> None:
-        """Send all peers an endpoint's latency ratio, or that it is silent, if the send interval allows."""
+        """Broadcast an endpoint's latency ratio, or that it is silent, if the send interval allows."""
         interval = self.send_interval * (self._settings.gateway_count - 1)
         if self._settings.gossip_enabled and now - self._last_broadcast >= interval:
             self._last_broadcast = now
--- a/mapleshunt/policy/gossip_codec.py
+++ b/mapleshunt/policy/gossip_codec.py
@@ -1,7 +1,7 @@
-"""The text of gossip between gateways: packed base-64 digits with a checksum.
+"""The codec of gossip messages between gateways: packed base-64 digits with a checksum.
 
-A message is the sender's latency ratio, the number of entries, the entries, latency ratios of endpoints,
-and a checksum. No I/O and no decisions.
+A message consists of the sender's latency ratio, the number of entries, the entries, latency ratios of
+endpoints, and a checksum. No I/O and no decisions.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 DIGITS = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 VALUES = {digit: value for value, digit in enumerate(DIGITS)}
-UNIT_STEPS = 8  # steps of a unit that amounts are rounded to
-UNIT_OFFSET = 2048  # added to the steps, so that amounts below 0 have digits too
+UNIT_STEPS = 8  # steps per unit that amounts are rounded to
+UNIT_OFFSET = 2048  # added to the steps, so that amounts below 0 can be encoded
 MAX_UNIT_STEPS = 4095  # largest value of two digits
-REQUEST_NUMBERS = 64**3  # requests that ask are numbered up to here and round again
-SILENT = math.inf  # in place of an endpoint's latency ratio: it does not answer
+REQUEST_NUMBERS = 64**3  # request numbers in entries wrap around here
+SILENT = math.inf  # latency ratio of an endpoint that does not answer
 RATIOS = [0.005 * math.exp2(step / 6) for step in range(63)] + [SILENT]
 # Digits of an entry, of an endpoint's ratio, and of the message's own ratio, count and checksum.
 ENTRY_DIGITS, ENDPOINT_DIGITS, FRAME_DIGITS = 13, 5, 5
 CHECKSUM_DIGITS = 3
-# Endpoints whose latency ratios a message has at most.
+# Maximum number of endpoint latency ratios in a message.
 MAX_ENDPOINT_RATIOS = 2
 
 
 class EntryKind(enum.StrEnum):
-    """The kind of an entry. The order is that of the digits on the wire."""
+    """The kind of an entry. The order of the members is that of the digits on the wire."""
 
-    NOTE = "note"  # a member has used units; the owner answers with the level
+    NOTE = "note"  # a member reports use; the owner replies with the level
     ASK = "ask"  # a member asks for units
-    GRANTED = "granted"  # an owner grants what was asked for
-    DENIED = "denied"  # an owner denies it
-    LEVEL = "level"  # an owner publishes the bucket's level
-    USED = "used"  # a member has used units and wants no answer
+    GRANTED = "granted"  # an owner grants the units
+    DENIED = "denied"  # an owner denies the units
+    LEVEL = "level"  # an owner reports the bucket's level
+    USED = "used"  # a member reports use and expects no reply
 
 
 KINDS = tuple(EntryKind)
@@ -43,16 +43,16 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipEntry:
-    """An entry of a message, on one customer.
+    """An entry of a message, about one customer.
 
     Attributes:
         kind: Its kind.
-        customer_tag: The customer, by the tag of its name.
-        request_number: The request that asks.
-        units: Units asked for, or used since the last note (below 0: given back).
-        bucket_left: Part of the customer's bucket that is left, as the sender sees it.
-        code: A member's plan, plus the number of plans times n if one request in 2^n asks; in an owner's
-            reply the recent use by all, in steps of `encode_use`.
+        customer_tag: Tag of the customer's name.
+        request_number: Number of the request that asks.
+        units: Units asked for, or newly used (below 0: returned).
+        bucket_left: Fraction of the customer's bucket that is left, in the sender's view.
+        code: From a member, its plan's number plus the number of plans times n if one request in 2^n asks;
+            from an owner, the recent use by all gateways as a code of `encode_use`.
     """
 
     kind: EntryKind
@@ -65,12 +65,12 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipMessage:
-    """A message as it was read.
+    """A decoded message.
 
     Attributes:
         latency_ratio: The sender's mean latency over the objective.
-        entries: Its entries on customers.
-        endpoint_ratios: Endpoint tags with the latency ratio of an answer, or `SILENT`.
+        entries: Its entries about customers.
+        endpoint_ratios: Pairs of an endpoint tag and the latency ratio of an answer, or `SILENT`.
     """
 
     latency_ratio: float
@@ -88,13 +88,13 @@
     return endpoint % 64**4
 
 
-def encode_use(share: float) -> int:
-    """Return the code of a recent use, in bursts, on a scale that grows with it."""
-    return min(63, round(8 * math.log2(1 + 8 * max(0.0, share))))
+def encode_use(bursts: float) -> int:
+    """Return the code of a recent use, in bursts, on a logarithmic scale."""
+    return min(63, round(8 * math.log2(1 + 8 * max(0.0, bursts))))
 
 
 def decode_use(code: int) -> float:
-    """Return the recent use, in bursts, of a code."""
+    """Return the recent use, in bursts, that a code stands for."""
     return (math.exp2(code / 8) - 1) / 8
 
 
@@ -125,7 +125,7 @@
     entries: Sequence[GossipEntry] = (),
     endpoint_ratios: Sequence[tuple[int, float]] = (),
 ) -> str:
-    """Return the text of a message."""
+    """Return the encoded message."""
     text = _ratio_digit(latency_ratio) + DIGITS[len(entries)]
     for entry in entries:
         units = min(MAX_UNIT_STEPS, max(0, round(entry.units * UNIT_STEPS) + UNIT_OFFSET))
@@ -139,7 +139,7 @@
 
 
 def decode(data: str) -> GossipMessage | None:
-    """Return a message; None for anything that is not complete and well formed."""
+    """Return the decoded message, or None if the data is incomplete or malformed."""
     text = data[:-CHECKSUM_DIGITS]
     if len(text) < 2 or any(char not in VALUES for char in text):
         return None
@@ -156,12 +156,12 @@
     return GossipMessage(min(RATIOS[62], RATIOS[VALUES[text[0]]]), tuple(entries), tuple(ratios))
 
 
-def _decode_entry(row: str) -> GossipEntry:
+def _decode_entry(digits: str) -> GossipEntry:
     return GossipEntry(
-        KINDS[VALUES[row[0]] % len(KINDS)],
-        _unpack(row[1:6]),
-        _unpack(row[6:9]),
-        (_unpack(row[9:11]) - UNIT_OFFSET) / UNIT_STEPS,
-        VALUES[row[11]] / 63,
-        VALUES[row[12]],
+        KINDS[VALUES[digits[0]] % len(KINDS)],
+        _unpack(digits[1:6]),
+        _unpack(digits[6:9]),
+        (_unpack(digits[9:11]) - UNIT_OFFSET) / UNIT_STEPS,
+        VALUES[digits[11]] / 63,
+        VALUES[digits[12]],
     )
--- a/mapleshunt/policy/gossip_receiver.py
+++ b/mapleshunt/policy/gossip_receiver.py
@@ -1,4 +1,4 @@
-"""Messages from other gateways."""
+"""Handling of messages from other gateways."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .quota_owner import QuotaOwner
 from .settings import Settings
 
-# Entries for the owner of a quota; the others come from it.
+# Kinds of entries that go to a quota's owner; the others come from it.
 FOR_OWNER = (EntryKind.ASK, EntryKind.NOTE, EntryKind.USED)
 
 
 class GossipReceiver:
-    """Hands the entries of messages to the decisions that they concern."""
+    """Passes the entries of messages to the components that handle them."""
 
     __slots__ = (
         "_customers",
@@ -44,17 +44,17 @@
         self._quota_check, self._quota_owner = quota_check, quota_owner
 
     def receive(self, event: GossipReceived, now: float) -> None:
-        """Take in a message; one that is malformed or from nobody known changes nothing."""
+        """Handle a message; one that is malformed or from an unknown gateway is ignored."""
         message = decode(event.data)
         if message is None or not 0 <= event.sender < self._settings.gateway_count:
             return
         self._quota_check.silent_since.pop(event.sender, None)
         for tag, ratio in message.endpoint_ratios:
-            self._take_ratio(tag, ratio, event.sender, now)
+            self._handle_ratio(tag, ratio, event.sender, now)
         for entry in message.entries:
-            self._take_entry(entry, event.sender, now)
+            self._handle_entry(entry, event.sender, now)
 
-    def _take_ratio(self, tag: int, ratio: float, sender: int, now: float) -> None:
+    def _handle_ratio(self, tag: int, ratio: float, sender: int, now: float) -> None:
         endpoint = self._endpoints.by_tag.get(tag)
         if ratio < SILENT:
             self._latency.record_from_peer(ratio)
@@ -63,9 +63,9 @@
         elif endpoint is not None:
             self._outliers.mark_suspect(endpoint, sender, now)
 
-    def _take_entry(self, entry: GossipEntry, sender: int, now: float) -> None:
+    def _handle_entry(self, entry: GossipEntry, sender: int, now: float) -> None:
         if entry.kind in FOR_OWNER:
-            self._quota_owner.grant_as_owner(sender, entry, now)
+            self._quota_owner.handle_member_entry(sender, entry, now)
             return
         customer = self._customers.by_tag.get(entry.customer_tag)
         if customer is None or not customer.quota_owners:
--- a/mapleshunt/policy/quota.py
+++ b/mapleshunt/policy/quota.py
@@ -1,4 +1,4 @@
-"""What is charged to a customer's quota, and how its owner hears of it."""
+"""Charges to customers' quotas, and the reports of use to their owners."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from .gossip_codec import EntryKind, GossipEntry
 from .settings import Settings
 
-# Part of a largest request below which use is reported by chance, in this amount: the sum is the same on
-# average.
+# Fraction of a largest request below which use is reported at random, as this amount: the sum is the same
+# on average.
 COARSE_UNITS_PART = 1 / 4
 
 
 class QuotaLedger:
-    """Charges customers' quotas."""
+    """Charges units to customers' quotas."""
 
     __slots__ = ("_coarse_units", "_gossip", "_random", "_settings")
 
@@ -25,7 +25,7 @@
         self._coarse_units = settings.max_request_units * COARSE_UNITS_PART
 
     def charge(self, customer: Customer, units: float, now: float) -> None:
-        """Take units (below 0: give back), and report them to the customer's owner."""
+        """Charge units (below 0: return them), and report them to the quota's owner."""
         if customer.leases.spend(now, units):
             return
         bucket = customer.bucket
@@ -37,15 +37,15 @@
             self._report_to_owner(customer, units, now)
 
     def settle(self, customer: Customer, units: float, cost: float, now: float) -> None:
-        """Charge the difference between a request's true cost, if it is known, and what was charged."""
+        """Charge the difference between a request's actual cost, if known, and the units already charged."""
         if cost and self._settings.cost_known_after:
             self.charge(customer, cost - units, now)
 
     def _report_to_owner(self, customer: Customer, units: float, now: float) -> None:
         kind = EntryKind.NOTE
         if customer.gateway_set_size > WRITERS_PER_PEER + 1:
-            # Each message would come alone from so many: the owner sends no answer, and small amounts are
-            # reported by chance.
+            # In a large gateway set each report would take a message of its own: the owner sends no reply,
+            # and small amounts are reported at random.
             kind, coarse = EntryKind.USED, self._coarse_units
             if abs(units) < coarse:
                 units = math.copysign(coarse * (self._random.random() * coarse < abs(units)), units)
--- a/mapleshunt/policy/scheduler.py
+++ b/mapleshunt/policy/scheduler.py
@@ -9,11 +9,11 @@
 
 
 class Scheduler:
-    """Rounds over waiting customers, each served by its excess (design note, Figure 8 of the paper).
+    """Rounds over active customers, each served according to its excess (design note, Figure 8 of the paper).
 
-    A round visits active customers in turn with a quantum: the largest excess of the last round. A visit
-    lowers the customer's excess by the quantum + 1 and then releases requests while it is below zero, each
-    of which adds the customer's cost estimate.
+    A round visits each active customer once. Its quantum is the largest excess of the last round. A visit
+    lowers the customer's excess by the quantum + 1 and then releases requests while the excess is below
+    zero; each of them adds the customer's cost estimate.
 
     Attributes:
         queued: Requests that wait.
@@ -24,12 +24,12 @@
     def __init__(self) -> None:
         self.queued = 0
         self._ring: deque[Customer] = deque()  # active customers, the next to visit first
-        self._visited: Customer | None = None  # its visit waits for a slot
+        self._visited: Customer | None = None  # its visit was interrupted for lack of a slot
         self._visits_left = 0
         self._quantum = self._largest_excess = 0.0
 
     def __len__(self) -> int:
-        """Return the number of customers in the rounds, the one whose visit waits not counted."""
+        """Return the number of customers in the rounds, without one whose visit was interrupted."""
         return len(self._ring)
 
     def enqueue(self, request: PendingRequest) -> None:
@@ -47,7 +47,7 @@
         start_attempt: Callable[[PendingRequest, float], bool],
         now: float,
     ) -> None:
-        """Release requests until `start_attempt` finds no slot, or none waits."""
+        """Release requests until `start_attempt` finds no slot or no request waits."""
         while self._ring or self._visited is not None:
             customer = self._visited
             if customer is None:
--- a/mapleshunt/policy/settings.py
+++ b/mapleshunt/policy/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the decisions: request classes, plans and what the platform allows.
+"""Settings of the decisions: request classes, plans and the limits of the platform.
 
-Times are milliseconds, rates are units a second.
+Times are milliseconds, rates are units per second.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 # "safe" requests are idempotent, "keyed" ones carry an idempotency key, "unsafe" ones may run once only.
 Effect = Literal["safe", "keyed", "unsafe"]
-# Where repeats of a request with an idempotency key are recognized.
+# Group of endpoints in which repeats of a request with an idempotency key are recognized.
 RetryScope = Literal["all", "zone", "cell"]
 
 
@@ -29,14 +29,14 @@
         latency_objective: ms within which an answer earns its full value.
         deadline: ms after which an answer is worth nothing.
         effect: Whether a request may run more than once.
-        retry_scope: Within which group of endpoints a keyed request may be retried.
+        retry_scope: Group of endpoints within which a keyed request may be retried.
         idempotency_window: ms after a keyed request's first attempt for which repeats are recognized.
         late_priority_weight: Weight of an answer between the objective and the deadline.
-        streaming: The answer is a stream.
-        priority_weight: Weight of a request beside those of other classes.
+        streaming: Whether the answer is a stream.
+        priority_weight: Weight of a request relative to other classes.
 
     Raises:
-        ValueError: A figure is out of its range, or a word is none of those accepted.
+        ValueError: A number is out of range, or a string is not one of those accepted.
     """
 
     name: str
@@ -65,18 +65,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A plan's quotas, each for one customer over all gateways; a rate or limit of 0 means there is none.
+    """A plan's quotas, each for one customer across all gateways; a rate or limit of 0 means none.
 
     Attributes:
         name: The plan's name in requests.
-        rate: Units a second that a customer may use.
+        rate: Units per second that a customer may use.
         burst: Units that a customer may use at once.
-        max_open_requests: Requests of a customer that may be open at a time.
-        ceiling_rate: Units a second that must never be exceeded.
+        max_open_requests: Maximum number of a customer's open requests.
+        ceiling_rate: Units per second that must never be exceeded.
         ceiling_burst: Units at once that must never be exceeded.
 
     Raises:
-        ValueError: A figure is below 0, or a rate has no burst.
+        ValueError: A number is below 0, or a rate has no burst.
     """
 
     name: str
@@ -100,30 +100,30 @@
 
     Attributes:
         gateway_index: This gateway's number in the fleet, from 0.
-        gateway_count: Gateways in the fleet.
+        gateway_count: Number of gateways in the fleet.
         classes: Request classes by name.
         plans: Plans by name.
         zone: The zone that this gateway runs in.
         tick: ms between two ticks of the host's clock.
-        poll_discovery: Endpoint updates come only after a `WatchEndpoints`.
+        poll_discovery: Whether endpoint updates arrive only after a `WatchEndpoints`.
         discovery_poll_within: ms within which discovery is polled again after an error.
-        max_attempts: Attempts of a request at most.
-        max_retry_after: ms that a rejection may ask the client to wait at most.
-        allow_retry_after: A rejection may carry a Retry-After.
-        allow_hedging: A second attempt may be out beside the first.
-        can_cancel: Attempts can be cancelled.
-        gossip_enabled: Gateways may send each other messages.
-        gossip_intake_per_s: Messages a second that a gateway takes in.
-        gossip_message_bytes: Bytes of a message at most.
-        cost_known_after: The true cost of a request is known once it has been answered.
-        max_request_units: Units of a request at most.
-        slow_start_min_capacity: Part of its full capacity that an endpoint has at its start.
+        max_attempts: Maximum attempts of a request.
+        max_retry_after: Maximum Retry-After of a rejection, ms.
+        allow_retry_after: Whether a rejection may carry a Retry-After.
+        allow_hedging: Whether a second attempt may be in flight beside the first.
+        can_cancel: Whether attempts can be cancelled.
+        gossip_enabled: Whether gateways may send each other messages.
+        gossip_intake_per_s: Messages per second that a gateway can receive.
+        gossip_message_bytes: Maximum size of a message, bytes.
+        cost_known_after: Whether the actual cost of a request is known once it is answered.
+        max_request_units: Maximum units of a request.
+        slow_start_min_capacity: Fraction of its full capacity that an endpoint has at its start.
         slow_start_duration: ms until an endpoint that has started has its full capacity.
         overload_crash_after: ms of overload after which an endpoint in slow start crashes.
-        overload_crash_multiple: Times its present capacity that such an endpoint survives.
+        overload_crash_multiple: Load that such an endpoint survives, as a multiple of its current capacity.
 
     Raises:
-        ValueError: A figure is out of its range.
+        ValueError: A number is out of range.
     """
 
     gateway_index: int
--- a/mapleshunt/policy/token_bucket.py
+++ b/mapleshunt/policy/token_bucket.py
@@ -10,9 +10,9 @@
     """A token bucket that is refilled when it is read.
 
     Attributes:
-        rate: Units a ms that it is refilled with.
-        burst: Units that it holds at most.
-        level: Units that it held at `updated_at`; below 0 if more was taken than it held.
+        rate: Refill rate, units per ms.
+        burst: Maximum level, units.
+        level: Units that it held at `updated_at`; below 0 if more were taken than it held.
         updated_at: ms on the host's clock.
     """
 
@@ -22,11 +22,11 @@
     updated_at: float
 
     def refill(self, now: float) -> float:
-        """Bring the level up to `now` and return it."""
+        """Refill the bucket up to `now` and return its level."""
         self.level = min(self.burst, self.level + self.rate * (now - self.updated_at))
         self.updated_at = now
         return self.level
 
     def scaled(self, rate_factor: float, burst_factor: float) -> TokenBucket:
-        """Return an empty bucket with these parts of this one's rate and burst."""
+        """Return an empty bucket with the given fractions of this one's rate and burst."""
         return TokenBucket(self.rate * rate_factor, self.burst * burst_factor, 0.0, self.updated_at)
