--- a/mapleshunt/net/client/__init__.py
+++ b/mapleshunt/net/client/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections, from the accepted socket to the orderly close."""
+"""Client connections, from the accepted socket to the graceful close."""
--- a/mapleshunt/net/client/listener.py
+++ b/mapleshunt/net/client/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: how each is bound, and how connections are accepted from it."""
+"""Listening sockets: binding them, and accepting connections from them."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from ..config import Address, address_family
 from ..counters import Counters
 
-# Errors of accept that stand for a lack of resources: the connection stays in the backlog.
+# Errors of accept that mean a lack of resources: the connection stays in the backlog.
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# The pause after such an error: most pass in a moment, and connections wait in the backlog meanwhile. It
-# doubles while accept goes on failing; retried without a pause, the loop would do nothing else.
+# Pause after such an error, doubled while accept keeps failing. Most errors are brief, and connections wait
+# in the backlog meanwhile, so it starts short; without a pause the loop would only retry accept.
 MIN_ACCEPT_RETRY_DELAY_S = 0.001
 MAX_ACCEPT_RETRY_DELAY_S = 0.1
-BACKLOG_RETRY_DELAY_S = 0.01  # the same while the backlog is emptied before the listener closes
-BACKLOG_TIMEOUT_S = 1.0  # for which the backlog is emptied before the listener closes
-MAX_ACCEPTS_PER_TURN = 8  # hundreds that come at once must not hold up the requests of others
+BACKLOG_RETRY_DELAY_S = 0.01  # the same pause while the backlog is drained before the listener closes
+BACKLOG_TIMEOUT_S = 1.0  # limit on draining the backlog before the listener closes
+MAX_ACCEPTS_PER_TURN = 8  # a burst of connections must not delay requests of others
 
 
 class AcceptResult(enum.Enum):
-    """What one call of accept came to."""
+    """Outcome of one call of accept."""
 
     ACCEPTED = "accepted"
-    EMPTY = "empty"  # no connection is in the backlog
-    CONNECTION_FAILED = "connection failed"  # this one ended; there may be others behind it
-    NO_RESOURCES = "no resources"  # it stays in the backlog
+    EMPTY = "empty"  # the backlog holds no connection
+    CONNECTION_FAILED = "connection failed"  # this connection failed; others may be queued
+    NO_RESOURCES = "no resources"  # the connection stays in the backlog
 
 
-def bind_socket(listen: Address) -> socket.socket:
-    """A bound socket that does not listen yet. Raises OSError if the address cannot be had."""
-    listener = socket.socket(address_family(listen))
+def bind_socket(address: Address) -> socket.socket:
+    """Return a bound socket that does not listen yet. Raises OSError if the address cannot be bound."""
+    listener = socket.socket(address_family(address))
     try:
         listener.setblocking(False)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.bind(listen)
+        listener.bind(address)
     except OSError:
         listener.close()
         raise
@@ -60,15 +60,15 @@
         on_descriptors_exhausted: Callable[[], object] = lambda: None,
         inherited: bool = False,
     ) -> None:
-        """Prepare to accept.
+        """Create a stopped acceptor.
 
         Args:
-            listener: a non-blocking socket that listens, or will by `start`.
-            on_accept: called with each connection.
+            listener: a non-blocking socket that listens by the time of `start`.
+            on_accept: called with each accepted connection.
             counters: the gateway's counters.
-            counter_prefix: of the names of counters and log events.
-            on_descriptors_exhausted: called when this process may open no further descriptor.
-            inherited: the socket listened before this process began, and connections may wait in its backlog.
+            counter_prefix: prefix of the names of counters and log events.
+            on_descriptors_exhausted: called when this process has reached its descriptor limit.
+            inherited: the socket listened before this process started, so its backlog may hold connections.
         """
         self.listener, self.on_accept, self.counters = listener, on_accept, counters
         self.counter_prefix = counter_prefix
@@ -76,17 +76,17 @@
         self.running = False
         self.retry_timer: asyncio.TimerHandle | None = None
         self.retry_delay = MIN_ACCEPT_RETRY_DELAY_S
-        # s, on the loop's clock: connections may wait in the backlog since then; None if none does.
+        # Seconds on the loop's clock since when connections may wait in the backlog; None if none does.
         self.blocked_since: float | None = -math.inf if inherited else None
 
     def start(self) -> None:
-        """Accept connections as they come."""
+        """Accept connections as they arrive."""
         if not self.running:
             self.running = True
-            IOLoop.current().add_handler(self.listener, lambda *_: self._ready(), IOLoop.READ)
+            IOLoop.current().add_handler(self.listener, lambda *_: self._on_readable(), IOLoop.READ)
 
     def stop(self) -> None:
-        """Accept no further connection; they wait in the backlog."""
+        """Stop accepting; new connections wait in the backlog."""
         self._block()
         if self.running and self.retry_timer is None:
             IOLoop.current().remove_handler(self.listener)
@@ -94,14 +94,14 @@
             self.retry_timer.cancel()
         self.running, self.retry_timer = False, None
 
-    async def accept_backlog(self, has_room: Callable[[], bool]) -> None:
-        """Accept what the kernel has queued, as long as there is room: closing the listener resets the rest.
+    async def accept_backlog(self, has_capacity: Callable[[], bool]) -> None:
+        """Accept the queued connections while there is capacity; closing the listener resets the others.
 
-        A lack of resources may pass within `BACKLOG_TIMEOUT_S`. Cancelling it leaves the rest queued.
+        A lack of resources is retried for up to `BACKLOG_TIMEOUT_S`. Cancelling leaves the others queued.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + BACKLOG_TIMEOUT_S
-        while has_room() and loop.time() < deadline:
+        while has_capacity() and loop.time() < deadline:
             result = self.accept()
             if result is AcceptResult.EMPTY:
                 return
@@ -109,7 +109,7 @@
                 await asyncio.sleep(BACKLOG_RETRY_DELAY_S)
 
     def accept(self) -> AcceptResult:
-        """Accept the next connection and hand it on."""
+        """Accept the next connection and pass it to `on_accept`."""
         try:
             connection, _address = self.listener.accept()
         except BlockingIOError:
@@ -119,11 +119,11 @@
             return self._accept_failed(error)
         self.retry_delay = MIN_ACCEPT_RETRY_DELAY_S
         connection.setblocking(False)
-        self._contained(lambda: self.on_accept(connection))
+        self._call_logging_exceptions(lambda: self.on_accept(connection))
         return AcceptResult.ACCEPTED
 
-    def _contained(self, call: Callable[[], object]) -> None:
-        """A defect met by one connection must not end the caller, which may be shutting down."""
+    def _call_logging_exceptions(self, call: Callable[[], object]) -> None:
+        """Call `call`, and log an exception, which must not stop the caller, for example during shutdown."""
         try:
             call()
         except Exception:
@@ -137,10 +137,10 @@
             return AcceptResult.CONNECTION_FAILED
         self._block()
         if error.errno == errno.EMFILE:
-            self._contained(self.on_descriptors_exhausted)
+            self._call_logging_exceptions(self.on_descriptors_exhausted)
         return AcceptResult.NO_RESOURCES
 
-    def _ready(self) -> None:
+    def _on_readable(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self.running or self.retry_timer is not None:
                 return
@@ -156,7 +156,7 @@
             self.blocked_since = asyncio.get_running_loop().time()
 
     def max_backlog_wait_s(self) -> float:
-        """Return the s that a connection accepted now may have waited in the backlog, at most."""
+        """Return the longest time that a connection accepted now may have spent in the backlog."""
         return 0.0 if self.blocked_since is None else asyncio.get_running_loop().time() - self.blocked_since
 
     def _pause(self) -> None:
--- a/mapleshunt/net/client/requests.py
+++ b/mapleshunt/net/client/requests.py
@@ -1,4 +1,4 @@
-"""From a command on a client connection to a request that is parsed and admitted."""
+"""Turns a command on a client connection into a request, and admits it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from ..request.parse import parse
 from . import limits
 
-MIN_TIMEOUT_MS = 1.0  # what a request keeps whose time is up: the policy then rejects it
+MIN_TIMEOUT_MS = 1.0  # lower bound for a request whose time is used up; the policy then rejects it
 
 
 class RequestRegistry(Protocol):
-    """What the requests of all client connections share."""
+    """State shared by the requests of all client connections."""
 
     driver: PolicyDriver
     counters: Counters
@@ -33,22 +33,22 @@
 def parse_command(
     registry: RequestRegistry, words: list[memoryview], sink: ResponseSink, arrived_at: float, now: float
 ) -> RequestContext:
-    """Make the context of a request from its command; the times are s on the loop's clock.
+    """Return the context of a command's request. Times are seconds on the loop's clock.
 
     Raises:
-        InvalidCommandError: the command is no request.
-        UnacceptableRequestError: the settings know no such request.
+        InvalidCommandError: the command is not a valid request.
+        UnacceptableRequestError: the settings do not allow the request.
     """
     driver = registry.driver
-    parsed = _with_time_left(command_protocol.parse_request(words), arrived_at, now, registry.final_deadline)
+    parsed = _deduct_wait(command_protocol.parse_request(words), arrived_at, now, registry.final_deadline)
     request_id = next(registry.request_ids)
     return parse(parsed, sink, driver.settings, request_id, driver.now(), registry.open_client_ids)
 
 
-def _with_time_left(
+def _deduct_wait(
     parsed: ParsedRequest, arrived_at: float, now: float, final_deadline: float
 ) -> ParsedRequest:
-    """Take off the time that a request waited behind others, or has no process to serve it."""
+    """Reduce the timeout by the time waited, and end it before this process stops at `final_deadline`."""
     waited_ms = (now - arrived_at) * 1000
     time_left_ms = min(parsed.timeout_ms - waited_ms, (final_deadline - now) * 1000)
     if time_left_ms <= parsed.timeout_ms - 1:
@@ -57,9 +57,9 @@
 
 
 def admit_request(registry: RequestRegistry, context: RequestContext, is_first: bool) -> None:
-    """Admit a request; while new ones are rejected, only if it is its connection's first.
+    """Admit a request; while new ones are rejected, only the first one of its connection.
 
-    A client that goes on sending would otherwise keep a draining connection open for ever.
+    Otherwise a client that keeps sending would hold a draining connection open indefinitely.
     """
     retry_after_ms = 0.0
     if registry.rejecting_new_requests and not is_first:
--- a/mapleshunt/net/client/response_slot.py
+++ b/mapleshunt/net/client/response_slot.py
@@ -1,4 +1,4 @@
-"""The place of one response in the order of a connection's commands."""
+"""Slots that keep the responses of a connection in the order of its commands."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class ResponseWriter(Protocol):
-    """The connection that the responses go out on."""
+    """The connection that writes the responses."""
 
     def flush(self) -> None:
-        """Write the responses that are next in order."""
+        """Write the completed responses at the head of the queue."""
 
 
 class ResponseSlot:
-    """Keeps a response until those to earlier commands are written. It is the request's response sink."""
+    """Response sink of a request: holds its response until those of earlier commands are written."""
 
     __slots__ = ("connection", "context", "data")
 
     def __init__(self, connection: ResponseWriter) -> None:
-        """Take the next place on `connection`, which is flushed once the response is known."""
+        """Create a slot of `connection`, which is flushed when the response is set."""
         self.connection = connection
         self.context: RequestContext | None = None
         self.data: bytes | None = None
 
     def put(self, data: bytes) -> None:
-        """Set the response, and write it if it is next."""
+        """Set the response, and write it if all earlier ones are complete."""
         self.data = data
         self.connection.flush()
 
@@ -36,7 +36,7 @@
         self.put(resp.encode_bulk(value))
 
     def reject(self, retry_after_ms: float) -> None:
-        """Respond that the request is declined."""
+        """Respond that the request is rejected."""
         self.put(command_protocol.encode_rejection(retry_after_ms))
 
     def fail(self) -> None:
--- a/mapleshunt/net/client/socket_state.py
+++ b/mapleshunt/net/client/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a client's socket before its bytes are read."""
+"""Queries of a client socket's kernel state that consume no bytes."""
 
 from __future__ import annotations
 
@@ -6,36 +6,36 @@
 import socket
 import struct
 
-TCP_INFO_BYTES = 104  # of Linux's struct tcp_info that are asked for
-TCP_LAST_DATA_RECEIVED = 52  # offset in it of the ms since data last came
+TCP_INFO_BYTES = 104  # requested prefix of Linux's struct tcp_info
+LAST_DATA_RECEIVED_OFFSET = 52  # of the u32 tcpi_last_data_recv, in ms
 
 
-def has_unread_bytes(raw: socket.socket | None) -> bool:
-    """Tell whether bytes have come that are not read yet; False for a socket that is closed (None)."""
-    if raw is None:
+def has_unread_bytes(sock: socket.socket | None) -> bool:
+    """Return whether the socket holds unread bytes; False if it is closed (None)."""
+    if sock is None:
         return False
     try:
-        return bool(raw.recv(1, socket.MSG_PEEK))
+        return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError:
         return False
 
 
-def has_hung_up(raw: socket.socket | None) -> bool:
-    """Tell whether the client has closed its side, whatever is unread before that."""
-    if raw is None:
+def has_hung_up(sock: socket.socket | None) -> bool:
+    """Return whether the client has closed its side, even if bytes before that are unread."""
+    if sock is None:
         return True
     poller = select.poll()
-    poller.register(raw.fileno(), select.POLLRDHUP)
+    poller.register(sock.fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
-def seconds_since_last_data(raw: socket.socket) -> float:
-    """Return the time since data last came; 0 where the kernel does not tell."""
+def seconds_since_last_data(sock: socket.socket) -> float:
+    """Return the time since data last arrived; 0 if the kernel does not report it."""
     try:
-        info = raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return 0.0
     if len(info) < TCP_INFO_BYTES:
         return 0.0
-    age_ms: int = struct.unpack_from("=I", info, TCP_LAST_DATA_RECEIVED)[0]
+    age_ms: int = struct.unpack_from("=I", info, LAST_DATA_RECEIVED_OFFSET)[0]
     return age_ms / 1000
--- a/mapleshunt/net/policy_driver.py
+++ b/mapleshunt/net/policy_driver.py
@@ -1,4 +1,4 @@
-"""The driver of the policy, and the only caller of `Gateway.handle`: its clock, timers and actions."""
+"""The driver of the policy: supplies its clock, runs its timers and actions, and alone calls its `handle`."""
 
 from __future__ import annotations
 
@@ -33,47 +33,48 @@
 from .request import respond
 from .request.context import Attempt, RequestContext
 from .request.dispatch import dispatch
-from .request.guards import AttemptGuards
+from .request.guards import AttemptInvariantChecks
 from .request.record import record
 from .request.route import route
 from .upstream.endpoint_group import EndpointGroup
 
-# ms before a request's deadline at which the driver responds if the policy has not. The policy does so four
-# ticks before, of 1 ms or more: at the same time as it, the driver came first, failing what may be rejected.
-RESPONSE_GUARD_MS = 1.0
+# Time before a request's deadline at which the driver responds if the policy has not. The policy responds
+# four ticks of at least 1 ms before the deadline; with the same margin the driver would respond first and
+# fail requests that the policy would reject.
+RESPONSE_MARGIN_MS = 1.0
 
 
 def _drop_gossip(_peer: int, _text: str) -> None:
-    """Stand for the transport where the settings allow no gossip, or until its address can be had."""
+    """Drop a message: gossip is disabled, or its transport is not bound yet."""
 
 
 class PolicyDriver:
-    """Feeds events to the policy one at a time, and carries out the actions that it returns.
+    """Passes events to the policy one at a time, and executes the actions that it returns.
 
-    Owns the requests that await a response and the attempts in flight. A defect of the policy, or of one
-    action, is counted, logged and contained: it harms its own request at most.
+    Owns the requests that await a response and the attempts in flight. An exception in the policy or in an
+    action is counted and logged, and affects at most its own request.
     """
 
     def __init__(self, settings: Settings, seed: int, group: EndpointGroup, counters: Counters) -> None:
-        """Start the policy. Needs a running event loop."""
+        """Start the policy. Requires a running event loop."""
         self.settings, self.group, self.counters = settings, group, counters
         self.trace = counters.trace
         self.now = UnixClock()
         self.gateway = Gateway(settings, seed, self.now())
         self.loop = asyncio.get_running_loop()
-        self.open_requests: dict[int, RequestContext] = {}  # those that await a response, by their number
-        # By the request's number and the attempt's.
+        self.open_requests: dict[int, RequestContext] = {}  # those that await a response, by ID
+        # By request ID and attempt number.
         self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}
         self.pending_events: deque[Event] = deque()
-        self.applying = False
-        # Sends a message to a gateway by its number, -1 for all.
+        self.handling_events = False
+        # Sends a message to the gateway with this index, or to all for -1.
         self.send_gossip: Callable[[int, str], None] = _drop_gossip
         # Called with a request whose response is sent and whose attempts have ended.
         self.on_request_released: Callable[[RequestContext], None] | None = None
         self.on_first_attempt: Callable[[RequestReceived], None] | None = None
-        # Called with each request before the policy is; True keeps it from the policy until `resume`.
+        # Called with each request first; if it returns True, the policy gets the request only at `resume`.
         self.delay_admission: Callable[[RequestReceived], bool] | None = None
-        self.guards = AttemptGuards(
+        self.attempt_checks = AttemptInvariantChecks(
             settings, group, counters, self.now, lambda number: self.gateway.endpoints.by_number.get(number)
         )
         self._execute(self.gateway.start())
@@ -81,33 +82,33 @@
     # Events
 
     def submit(self, context: RequestContext) -> None:
-        """Take over a request, which gets its response before its deadline whatever goes wrong."""
+        """Accept a request, which gets a response before its deadline even if the policy fails."""
         self.open_requests[context.request_id] = context
         self.trace.add(context.client_request_id, "taken", context.request.request_class)
-        left = context.deadline - RESPONSE_GUARD_MS - self.now()
-        context.deadline_timer = self.loop.call_later(left / 1000, self._fail_overdue, context)
+        time_left = context.deadline - RESPONSE_MARGIN_MS - self.now()
+        context.deadline_timer = self.loop.call_later(time_left / 1000, self._fail_overdue, context)
         if self.delay_admission is None or not self.delay_admission(context.request):
             self.apply_event(context.request)
 
     def resume(self, request_id: int) -> None:
-        """Hand a request to the policy that `delay_admission` kept from it, with the time that is left."""
+        """Pass a request that `delay_admission` delayed to the policy, with its remaining time."""
         context = self.open_requests.get(request_id)
         if context is not None:
             time_left = max(0.0, context.deadline - self.now())
             self.apply_event(replace(context.request, remaining_time=time_left))
 
     def client_disconnected(self, context: RequestContext) -> None:
-        """Release a request whose client has disconnected: it gets no response."""
+        """Release a request whose client has disconnected, without a response."""
         if context.claim_response():
             self.counters.add("clients_gone")
             self.trace.add(context.client_request_id, "client_gone")
             self._log_request("client_gone", context)
-            # Removed as the event is handled: what the policy decided before comes first.
+            # `_handle` removes the request, after earlier events and their actions.
             self.apply_event(ClientDisconnected(context.request_id))
             self.release(context)
 
     def remove(self, context: RequestContext) -> None:
-        """Forget a request whose response is sent."""
+        """Remove a request whose response is sent."""
         self.open_requests.pop(context.request_id, None)
 
     def release(self, context: RequestContext) -> None:
@@ -115,7 +116,9 @@
         if self.on_request_released is None or context.awaiting_response:
             return
         context.released_at = context.released_at or self.now()
-        if any((context.request_id, one.number) in self.attempts_in_flight for one in context.attempts):
+        if any(
+            (context.request_id, attempt.number) in self.attempts_in_flight for attempt in context.attempts
+        ):
             return
         try:
             self.on_request_released(context)
@@ -124,19 +127,19 @@
             log.log_exception("record_exception", ref=context.request_id)
 
     def apply_event(self, event: Event) -> None:
-        """Hand an event to the policy and execute its actions.
+        """Pass an event to the policy and execute its actions.
 
-        Events that these lead to, in calls of this method meanwhile, follow in their order.
+        Events that the actions cause by nested calls are queued and handled afterwards, in order.
         """
         self.pending_events.append(event)
-        if self.applying:
+        if self.handling_events:
             return
-        self.applying = True
+        self.handling_events = True
         try:
             while self.pending_events:
                 self._handle(self.pending_events.popleft())
         finally:
-            self.applying = False
+            self.handling_events = False
 
     def _handle(self, event: Event) -> None:
         if isinstance(event, ClientDisconnected):
@@ -144,7 +147,7 @@
         try:
             actions = self.gateway.handle(self.now(), event)
         except Exception:
-            # One bad event must not end the program: its request fails, the others go on.
+            # Fail only the request of this event; the process and other requests continue.
             self.counters.add("exceptions")
             log.log_exception("decision_exception", kind=type(event).__name__)
             if isinstance(event, RequestReceived | AttemptEnded):
@@ -159,7 +162,7 @@
             self.release(context)
 
     def _fail_overdue(self, context: RequestContext) -> None:
-        """Fail a request that the policy has not decided on in time, before its client stops waiting."""
+        """Fail a request that has no response yet, shortly before its client stops waiting."""
         if context.awaiting_response:
             self.counters.add("guard_answers")
             self.trace.add(context.client_request_id, "guard_answer")
@@ -170,10 +173,11 @@
             self.release(context)
 
     def _log_request(self, event: str, context: RequestContext) -> None:
-        """Log what became of a request that was not served, with the id that its client knows it by."""
+        """Log a request that was not served, with its client request ID and its attempts."""
         now = self.now()
         attempts = " ".join(
-            f"{one.endpoint}:{one.status or 'out'}:{now - one.sent_at:.0f}" for one in context.attempts
+            f"{attempt.endpoint}:{attempt.status or 'out'}:{now - attempt.sent_at:.0f}"
+            for attempt in context.attempts
         )
         log.log_event(
             event,
@@ -210,7 +214,7 @@
             case SendGossip(peer, data):
                 self.send_gossip(peer, data)
             case WatchEndpoints():
-                pass  # discovery is always watched
+                pass  # the endpoint list is always watched
 
     def _reject(self, action: RejectRequest) -> None:
         context = self.open_requests.pop(action.request_id, None)
@@ -229,12 +233,12 @@
             self.release(context)
 
     def _set_timer(self, at: float, token: int) -> None:
-        left = max(0, math.ceil(at - self.now()))
-        self.loop.call_later(left / 1000, self._fire_timer, at, token)
+        delay_ms = max(0, math.ceil(at - self.now()))
+        self.loop.call_later(delay_ms / 1000, self._fire_timer, at, token)
 
     def _fire_timer(self, at: float, token: int) -> None:
-        # uvloop counts whole ms from the start of its turn, so it may fire early. The policy takes an early
-        # timer for one of the past and sets no other: what it was for would wait for the next event.
+        # uvloop counts whole ms from the start of its iteration, so a timer may fire early. The policy treats
+        # an early timer as stale and sets no new one, so its work would wait for the next event.
         if self.now() < at:
             self._set_timer(at, token)
         else:
@@ -248,27 +252,27 @@
             self.counters.add("sends_too_late")
             return
         attempt = route(context, action, self.now())
-        if not context.awaiting_response:  # its client disconnected while an action before this was executed
+        if not context.awaiting_response:  # the client disconnected during an earlier action
             self._finish_attempt(context, attempt, AttemptResult(AttemptStatus.UNSENT))
             return
         self.attempts_in_flight[context.request_id, attempt.number] = attempt
         self.counters.add("tries_sent")
-        self.guards.check_decision(context, attempt)
+        self.attempt_checks.check_decision(context, attempt)
         if self.on_first_attempt is not None and not attempt.number:
             self.on_first_attempt(context.request)
         attempt.task = self.loop.create_task(self._run_attempt(context, attempt))
 
     async def _run_attempt(self, context: RequestContext, attempt: Attempt) -> None:
-        """Send an attempt and report its result. It is never cancelled: `Attempt.cancel` ends its wait."""
+        """Send an attempt and report its result. Not cancelled as a task: `Attempt.cancel` ends the wait."""
         time_left = attempt.deadline - self.now()
         timer = self.loop.call_later(time_left / 1000, attempt.cancel, AttemptStatus.TIMEOUT)
         try:
-            result = await dispatch(context, attempt, self.group, self.now, self.guards.check_write)
+            result = await dispatch(context, attempt, self.group, self.now, self.attempt_checks.check_write)
         except Exception:
             self.counters.add("exceptions")
             log.log_exception("try_exception", ref=context.request_id)
             attempt.cancel(AttemptStatus.RESET)
-            result = AttemptResult(AttemptStatus.RESET)  # nobody knows how far it came: it may have run
+            result = AttemptResult(AttemptStatus.RESET)  # progress is unknown, so it may have run
         finally:
             timer.cancel()
         del self.attempts_in_flight[context.request_id, attempt.number]
@@ -277,7 +281,7 @@
         self.release(context)
 
     def _finish_attempt(self, context: RequestContext, attempt: Attempt, result: AttemptResult) -> None:
-        """Respond with the value of a successful attempt, and tell the policy how the attempt ended."""
+        """Respond with the value of a successful attempt, and pass its result to the policy."""
         self.counters.add(f"tries_{result.status}")
         if result.value is not None and context.awaiting_response:
             self.trace.add(context.client_request_id, "served", f"attempt {attempt.number}")
--- a/mapleshunt/net/protocol/resp.py
+++ b/mapleshunt/net/protocol/resp.py
@@ -1,4 +1,4 @@
-"""RESP2: a pure parser for commands and replies, and the encoder. It does no I/O and keeps no state.
+"""RESP2: stateless parsers for commands and replies, and encoders. They do no I/O.
 
 A parser is given the buffer and its bounds. It returns None until the message is complete, then the message
 and where it ends. Values are slices of the buffer. Every part of a message is bounded.
@@ -9,21 +9,21 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MAX_VALUE_BYTES = 65536  # of a bulk string
-MAX_ITEMS = 16  # of an array
+MAX_VALUE_BYTES = 65536  # per bulk string
+MAX_ITEMS = 16  # per array
 MAX_LINE_BYTES = 1024
-MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 8192  # that a connection needs to hold for one message
-MAX_DIGITS = 18  # of a number: what fits in 64 bits whatever its sign
-MAX_ARRAY_DEPTH = 2  # arrays in an array in a reply
-MAX_ERROR_TEXT_BYTES = MAX_LINE_BYTES - 8  # an error has to fit in a line with its framing
+MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 8192  # buffer that one message needs
+MAX_DIGITS = 18  # of an integer, sign included; always fits in 64 bits
+MAX_ARRAY_DEPTH = 2  # levels of arrays in a reply
+MAX_ERROR_TEXT_BYTES = MAX_LINE_BYTES - 8  # an error and its framing must fit in one line
 CRLF = b"\r\n"
-ARRAY_MARK, BULK_MARK = ord("*"), ord("$")
-REPLY_MARKS = (b"+", b"-", b":", b"$", b"*")
+ARRAY_TYPE, BULK_TYPE = ord("*"), ord("$")
+REPLY_TYPES = (b"+", b"-", b":", b"$", b"*")
 NULL_LENGTH = -1
 
 
 class ProtocolError(Exception):
-    """The bytes are no message; nothing after them can be read. The text goes to the client."""
+    """The bytes are not a message, so none after them can be parsed. The text may be sent to the client."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SimpleReply:
-    """A reply of one line of text."""
+    """A simple string reply."""
 
     text: str
 
@@ -43,15 +43,15 @@
 Reply = ErrorReply | SimpleReply | int | memoryview | None | list["Reply"]
 
 
-def _line(data: bytearray, start: int, end: int) -> int:
-    """Return where the line that begins at `start` ends, -1 if it is not complete."""
-    at = data.find(CRLF, start, min(end, start + MAX_LINE_BYTES))
-    if at < 0 and end - start >= MAX_LINE_BYTES:
+def _find_line_end(data: bytearray, start: int, end: int) -> int:
+    """Return where the line that begins at `start` ends, or -1 if it is incomplete."""
+    position = data.find(CRLF, start, min(end, start + MAX_LINE_BYTES))
+    if position < 0 and end - start >= MAX_LINE_BYTES:
         raise ProtocolError("a line is too long")
-    return at
+    return position
 
 
-def _number(data: bytearray, start: int, end: int) -> int:
+def _parse_integer(data: bytearray, start: int, end: int) -> int:
     digits = bytes(data[start:end])
     unsigned = digits[1:] if digits.startswith(b"-") else digits
     if not unsigned.isdigit() or len(digits) > MAX_DIGITS:
@@ -59,7 +59,7 @@
     return int(digits)
 
 
-def _bulk(data: bytearray, start: int, end: int, size: int) -> tuple[memoryview, int] | None:
+def _parse_bulk_body(data: bytearray, start: int, end: int, size: int) -> tuple[memoryview, int] | None:
     if size > MAX_VALUE_BYTES:
         raise ProtocolError(f"a value is longer than {MAX_VALUE_BYTES} bytes")
     if end < start + size + 2:
@@ -69,19 +69,19 @@
     return memoryview(data)[start : start + size], start + size + 2
 
 
-def _word(data: bytearray, start: int, end: int) -> tuple[memoryview, int] | None:
+def _parse_word(data: bytearray, start: int, end: int) -> tuple[memoryview, int] | None:
     """Parse one word of a command."""
     if start >= end:
         return None
-    if data[start] != BULK_MARK:
+    if data[start] != BULK_TYPE:
         raise ProtocolError("a word begins with $")
-    line_end = _line(data, start + 1, end)
+    line_end = _find_line_end(data, start + 1, end)
     if line_end < 0:
         return None
-    size = _number(data, start + 1, line_end)
+    size = _parse_integer(data, start + 1, line_end)
     if size < 0:
         raise ProtocolError("a word has a length of 0 or more")
-    return _bulk(data, line_end + 2, end, size)
+    return _parse_bulk_body(data, line_end + 2, end, size)
 
 
 def parse_command(data: bytearray, start: int, end: int) -> tuple[list[memoryview], int] | None:
@@ -95,23 +95,23 @@
     """
     if start >= end:
         return None
-    if data[start] != ARRAY_MARK:
+    if data[start] != ARRAY_TYPE:
         raise ProtocolError("a command begins with *")
-    line_end = _line(data, start + 1, end)
+    line_end = _find_line_end(data, start + 1, end)
     if line_end < 0:
         return None
-    count = _number(data, start + 1, line_end)
+    count = _parse_integer(data, start + 1, line_end)
     if not 1 <= count <= MAX_ITEMS:
         raise ProtocolError(f"a command has 1 to {MAX_ITEMS} words")
     words: list[memoryview] = []
-    at = line_end + 2
+    position = line_end + 2
     for _ in range(count):
-        found = _word(data, at, end)
-        if found is None:
+        parsed = _parse_word(data, position, end)
+        if parsed is None:
             return None
-        words.append(found[0])
-        at = found[1]
-    return words, at
+        words.append(parsed[0])
+        position = parsed[1]
+    return words, position
 
 
 def parse_reply(
@@ -127,46 +127,46 @@
     """
     if start >= end:
         return None
-    mark = bytes(data[start : start + 1])
-    if mark not in REPLY_MARKS:
-        raise ProtocolError("a reply begins with one of + - : $ *")
-    line_end = _line(data, start + 1, end)
+    type_byte = bytes(data[start : start + 1])
+    if type_byte not in REPLY_TYPES:
+        raise ProtocolError(f"expected a reply that begins with one of + - : $ *, got {type_byte!r}")
+    line_end = _find_line_end(data, start + 1, end)
     if line_end < 0:
         return None
-    if mark in (b"-", b"+"):
+    if type_byte in (b"-", b"+"):
         text = bytes(data[start + 1 : line_end]).decode("latin-1")
-        return (ErrorReply(text) if mark == b"-" else SimpleReply(text)), line_end + 2
-    number = _number(data, start + 1, line_end)
-    if mark == b":":
+        return (ErrorReply(text) if type_byte == b"-" else SimpleReply(text)), line_end + 2
+    number = _parse_integer(data, start + 1, line_end)
+    if type_byte == b":":
         return number, line_end + 2
-    return _sized(data, line_end + 2, end, mark, number, depth)
+    return _parse_sized(data, line_end + 2, end, type_byte, number, depth)
 
 
-def _sized(
-    data: bytearray, start: int, end: int, mark: bytes, size: int, depth: int
+def _parse_sized(
+    data: bytearray, start: int, end: int, type_byte: bytes, size: int, depth: int
 ) -> tuple[Reply, int] | None:
     """Parse what follows the length of a bulk string or an array."""
     if size < 0:
         if size != NULL_LENGTH:
-            raise ProtocolError("a length is below -1")
+            raise ProtocolError(f"a length must be -1 or more, got {size}")
         return None, start
-    if mark == b"$":
-        return _bulk(data, start, end, size)
+    if type_byte == b"$":
+        return _parse_bulk_body(data, start, end, size)
     if size > MAX_ITEMS or depth == 0:
-        raise ProtocolError("an array is too long or too deep")
+        raise ProtocolError(f"an array has more than {MAX_ITEMS} items or more than {MAX_ARRAY_DEPTH} levels")
     items: list[Reply] = []
-    at = start
+    position = start
     for _ in range(size):
-        found = parse_reply(data, at, end, depth - 1)
-        if found is None:
+        parsed = parse_reply(data, position, end, depth - 1)
+        if parsed is None:
             return None
-        items.append(found[0])
-        at = found[1]
-    return items, at
+        items.append(parsed[0])
+        position = parsed[1]
+    return items, position
 
 
 def encode_command(words: Sequence[bytes | memoryview]) -> bytes:
-    """Encode a command of these words."""
+    """Encode a command as an array of bulk strings."""
     parts: list[bytes | memoryview] = [b"*%d\r\n" % len(words)]
     for word in words:
         parts += (b"$%d\r\n" % len(word), word, CRLF)
@@ -179,6 +179,6 @@
 
 
 def encode_error(text: str) -> bytes:
-    """Encode an error in one line; what does not fit is cut off."""
+    """Encode an error as one line, truncated to the maximum length."""
     clean = text.replace("\r", " ").replace("\n", " ")[:MAX_ERROR_TEXT_BYTES]
     return b"-" + clean.encode("latin-1", "replace") + CRLF
--- a/mapleshunt/net/request/__init__.py
+++ b/mapleshunt/net/request/__init__.py
@@ -1,1 +1,1 @@
-"""The stages that a request passes: parse, admit, route, dispatch, record, respond."""
+"""The stages of a request: parse, admit, route, dispatch, record, respond."""
--- a/mapleshunt/net/request/admit.py
+++ b/mapleshunt/net/request/admit.py
@@ -1,4 +1,4 @@
-"""Admit: hand a request to the policy, unless more are open than the settings allow."""
+"""Admit: pass a request to the policy, or reject it at the limit of open requests."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     Args:
         context: the request.
         driver: the driver of the policy that decides on it.
-        max_open_requests: bound on the requests that await a response, and so on memory.
-        retry_after_ms: when it may be sent on another connection, if its own takes no more requests; else 0.
+        max_open_requests: limit on requests that await a response, which bounds memory.
+        retry_after_ms: if above 0, reject the request, which may be retried then on another connection.
     """
     driver.counters.add("requests_taken")
-    # Nothing of it was sent, so that a retry does no harm.
+    # The request was not sent to an endpoint, so a retry is harmless.
     if retry_after_ms or len(driver.open_requests) >= max_open_requests:
         respond.reject(context, retry_after_ms or driver.settings.max_retry_after, driver.counters)
         driver.release(context)
--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -1,4 +1,4 @@
-"""The state of one request and of its attempts, whatever protocol it came in."""
+"""The state of a request and of its attempts, independent of the client's protocol."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
     endpoint: int
     sent_at: float
     deadline: float  # when the gateway stops waiting
-    send_before: float = math.inf  # from then on none of its bytes may go out
+    send_before: float = math.inf  # from then on no byte of it may be sent
     connection: AttemptConnection | None = None
     cancel_status: AttemptStatus | None = None
     task: asyncio.Task[None] | None = None
     status: AttemptStatus | None = None  # None while it is in flight
-    zone: str = ""  # of its endpoint, known once its bytes go out
+    zone: str = ""  # of its endpoint; set when the attempt is written
     cell: int = 0
     latency_ms: float = 0.0
-    cost: float = 0.0  # true units as the endpoint reported them
+    cost: float = 0.0  # true units reported by the endpoint
 
     def cancel(self, status: AttemptStatus) -> None:
-        """Stop waiting, with `CANCELLED`, `TIMEOUT` or `RESET` as the status.
+        """End the attempt with the status `CANCELLED`, `TIMEOUT` or `RESET`.
 
-        The connection is closed: a reply still to come on it would be taken for that of the next attempt.
+        The connection is closed: a late reply on it would be taken for that of the next attempt.
         """
         if self.cancel_status is None:
             self.cancel_status = status
@@ -51,29 +51,31 @@
 
 @dataclass(slots=True)
 class RequestContext:
-    """One request from its admission until its response is sent and its attempts have ended."""
+    """A request, from its parsing until its response is sent and its attempts have ended."""
 
-    request_id: int  # unique in this process; the policy knows the request by it
+    request_id: int  # unique in this process; identifies the request to the policy
     request: RequestReceived
     message: RequestMessage
     response_sink: ResponseSink
     received_at: float  # ms on the driver's clock
     client_request_id: str = ""
-    open_client_ids: set[str] = field(default_factory=set)  # of all requests that await a response
+    open_client_ids: set[str] = field(
+        default_factory=set
+    )  # shared; IDs of all requests that await a response
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
     awaiting_response: bool = True
     final_result: RequestResult = RequestResult.GONE
-    released_at: float = 0.0  # ms on the driver's clock; known where requests are recorded
-    response_claimed_at: float = math.inf  # s, monotonic: its response or its client's leaving
+    released_at: float = 0.0  # ms on the driver's clock; set only if requests are recorded
+    response_claimed_at: float = math.inf  # s, monotonic; response sent or client disconnected
 
     @property
     def deadline(self) -> float:
-        """Return when its client stops waiting, in ms on the driver's clock."""
+        """Return when the client stops waiting, in ms on the driver's clock."""
         return self.received_at + self.request.remaining_time
 
     def claim_response(self) -> bool:
-        """Claim the right to send the final response; False if that has been done."""
+        """Claim the right to send the final response; return False if it was claimed before."""
         was_awaiting = self.awaiting_response
         self.awaiting_response = False
         if was_awaiting:
--- a/mapleshunt/net/request/dispatch.py
+++ b/mapleshunt/net/request/dispatch.py
@@ -1,7 +1,7 @@
 """Dispatch: send one attempt to one endpoint, and report exactly how it ended.
 
-Whether an attempt may have run decides if it may be retried: it may have, once its last byte was written.
-Before that it never ran, whatever broke or was cancelled.
+An attempt may have run once its last byte was written; before that it cannot have run, whether it failed or
+was cancelled. Retries depend on this distinction.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from ..upstream.errors import ConnectionLostError, DialError, UpstreamError
 from .context import Attempt, RequestContext
 
-# Called right before the first byte is written, with the timeout in ms that the endpoint gets.
+# Called immediately before the first byte is written, with the timeout in ms that is sent to the endpoint.
 BeforeWrite = Callable[[RequestContext, Attempt, UpstreamConnection, float], None]
 
-MIN_TIMEOUT_MS = 1  # an endpoint gets whole ms: with less left it would have no time at all
-# Part of the time left in which a reply that has begun must be complete: the rest is left for a retry.
-REPLY_TIME_PART = 0.5
+MIN_TIMEOUT_MS = 1  # the timeout is sent in whole ms; less would be sent as 0
+# Fraction of the remaining time within which a started reply must be complete; the other part allows a retry.
+REPLY_TIME_FRACTION = 0.5
 
 
-def _check_nothing(*_arguments: object) -> None:
+def _skip_check(*_arguments: object) -> None:
     pass
 
 
@@ -32,23 +32,23 @@
     attempt: Attempt,
     group: EndpointGroup,
     now: Callable[[], float],
-    before_write: BeforeWrite = _check_nothing,
+    before_write: BeforeWrite = _skip_check,
 ) -> AttemptResult:
     """Send the attempt and wait for its reply. `now` is the driver's clock, in ms.
 
-    The endpoint gets the timeout that is left once it is connected, since dialling takes time. Cancelling
-    this coroutine leaves the connection open; `Attempt.cancel` closes it and ends the wait.
+    The timeout sent to the endpoint is the time left after connecting. Cancelling this coroutine leaves the
+    connection open; `Attempt.cancel` closes it, which ends the wait.
     """
 
     def may_send() -> bool:
-        """Check once more before bytes go out.
+        """Return whether the attempt may still be sent.
 
-        A dial takes time, and so does a turn of the loop: since the decision the client may have
-        disconnected, the endpoint drained, the window for retries or the deadline passed.
+        Connecting and loop iterations take time: since the decision the client may have disconnected, the
+        endpoint may be draining, or the retry window or the deadline may have passed.
         """
-        time = now()
+        now_ms = now()
         is_wanted = context.awaiting_response and attempt.cancel_status is None
-        in_time = attempt.deadline - time >= MIN_TIMEOUT_MS and time < attempt.send_before
+        in_time = attempt.deadline - now_ms >= MIN_TIMEOUT_MS and now_ms < attempt.send_before
         return is_wanted and in_time and group.may_send(attempt.endpoint)
 
     try:
@@ -68,7 +68,7 @@
         result = await connection.exchange(
             context.message.encode(int(timeout_ms)),
             lambda: group.counters.add_for_class("upstream_requests", context.request.request_class),
-            timeout_ms * REPLY_TIME_PART / 1000,
+            timeout_ms * REPLY_TIME_FRACTION / 1000,
         )
     except UpstreamError as error:
         return AttemptResult(_status_after(attempt, error))
@@ -77,7 +77,7 @@
 
 
 def _status_after(attempt: Attempt, error: UpstreamError) -> AttemptStatus:
-    """Return how an attempt ended that met this error."""
+    """Return the status of an attempt that failed with this error."""
     is_cancelled = attempt.cancel_status is not None
     if isinstance(error, ConnectionLostError) and error.was_written:
         return attempt.cancel_status or AttemptStatus.RESET
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -1,4 +1,4 @@
-"""Checks of the invariants of sending and retrying. They change nothing but counters and traces."""
+"""Invariant checks on attempts. They only update counters, traces and an attempt's zone and cell."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from .context import Attempt, RequestContext
 
 
-class AttemptGuards:
-    """Counts and logs each invariant that an attempt breaks. A defect of a check harms no request."""
+class AttemptInvariantChecks:
+    """Counts and logs each invariant that an attempt violates. An exception in a check affects no request."""
 
     def __init__(
         self,
@@ -26,30 +26,30 @@
         group: EndpointGroup,
         counters: Counters,
         now: Callable[[], float],
-        find_server: Callable[[int], Endpoint | None],
+        find_endpoint: Callable[[int], Endpoint | None],
     ) -> None:
-        """`now` is the driver's clock in ms; `find_server` returns what the policy knows of an endpoint."""
+        """`now` is the driver's clock in ms; `find_endpoint` returns the policy's endpoint of that number."""
         self.settings, self.group, self.counters = settings, group, counters
         self.trace = counters.trace
-        self.now, self.find_server = now, find_server
+        self.now, self.find_endpoint = now, find_endpoint
 
     def check_decision(self, context: RequestContext, attempt: Attempt) -> None:
-        """Trace the decision to send, with the reason for a retry, and check it against slow start."""
+        """Trace the decision to send, count the reason for a retry, and check it against slow start."""
         try:
             self._check_decision(context, attempt)
         except Exception:
-            self._log_defect()
+            self._log_check_exception()
 
     def check_write(
         self, context: RequestContext, attempt: Attempt, connection: UpstreamConnection, timeout_ms: float
     ) -> None:
-        """Check the invariants of sending and retrying, right before an attempt's first byte is written."""
+        """Check the invariants of sending and retrying, before an attempt's first byte is written."""
         try:
             self._check_write(context, attempt, connection, timeout_ms)
         except Exception:
-            self._log_defect()
+            self._log_check_exception()
 
-    def _log_defect(self) -> None:
+    def _log_check_exception(self) -> None:
         self.counters.add("exceptions")
         log.log_exception("guard_exception")
 
@@ -58,11 +58,11 @@
         self.trace.add(client_id, "attempt_decided", f"{attempt.number} to {attempt.endpoint}")
         if attempt.number:
             self.counters.add(f"retries_after_{context.attempts[attempt.number - 1].status or 'out'}")
-        server = self.find_server(attempt.endpoint)
-        if server is not None:
-            is_cold = slow_start.capacity(server, self.settings, self.now()) < 1
-            broken = invariants.violations_of_slow_start(is_cold, server.allowance.level)
-            self.trace.report_violations(Guard.START, broken, client_id)
+        endpoint = self.find_endpoint(attempt.endpoint)
+        if endpoint is not None:
+            is_warming_up = slow_start.capacity(endpoint, self.settings, self.now()) < 1
+            violations = invariants.violations_of_slow_start(is_warming_up, endpoint.allowance.level)
+            self.trace.report_violations(Guard.START, violations, client_id)
 
     def _check_write(
         self, context: RequestContext, attempt: Attempt, connection: UpstreamConnection, timeout_ms: float
@@ -72,10 +72,10 @@
         client_id = context.client_request_id
         self.trace.add(client_id, "attempt_written", f"{attempt.number} for {timeout_ms:.0f} ms")
         is_ready = self.group.may_send(attempt.endpoint) and self.group.is_current(connection)
-        since_end = None
+        since_end_ms = None
         if not context.awaiting_response:
-            since_end = 1000 * (time.monotonic() - context.response_claimed_at)
-        facts = invariants.SendFacts(since_end, is_ready, timeout_ms, context.deadline - now)
+            since_end_ms = 1000 * (time.monotonic() - context.response_claimed_at)
+        facts = invariants.SendFacts(since_end_ms, is_ready, timeout_ms, context.deadline - now)
         self.trace.report_violations(Guard.SEND, invariants.violations_of_send(facts), client_id)
         if attempt.number:
             self._check_retry(context, attempt, now)
@@ -83,14 +83,16 @@
     def _check_retry(self, context: RequestContext, attempt: Attempt, now: float) -> None:
         earlier = [
             invariants.EarlierAttempt(
-                one.sent_at,
-                cast("events.AttemptStatus | None", one.status),  # whose literals are this one's values
-                one.zone,
-                one.cell,
+                earlier_attempt.sent_at,
+                cast(
+                    "events.AttemptStatus | None", earlier_attempt.status
+                ),  # the literals equal the enum's values
+                earlier_attempt.zone,
+                earlier_attempt.cell,
             )
-            for one in context.attempts[: attempt.number]
+            for earlier_attempt in context.attempts[: attempt.number]
         ]
         facts = invariants.RetryFacts(now, attempt.zone, attempt.cell, earlier)
-        cls = self.settings.classes[context.request.request_class]
-        broken = invariants.violations_of_retry(facts, cls, self.settings)
-        self.trace.report_violations(Guard.RETRY, broken, context.client_request_id)
+        request_class = self.settings.classes[context.request.request_class]
+        violations = invariants.violations_of_retry(facts, request_class, self.settings)
+        self.trace.report_violations(Guard.RETRY, violations, context.client_request_id)
--- a/mapleshunt/net/request/parse.py
+++ b/mapleshunt/net/request/parse.py
@@ -1,4 +1,4 @@
-"""Parse: check what a request says of itself against the settings, and make its context."""
+"""Parse: validate a request's fields against the settings, and create its context."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UnacceptableRequestError(Exception):
-    """The request contradicts the settings; nothing of it is forwarded. The text goes to the client."""
+    """The settings do not allow the request, which is not forwarded. The text is sent to the client."""
 
 
 def parse(
@@ -19,25 +19,24 @@
     now: float,
     open_client_ids: set[str],
 ) -> RequestContext:
-    """Make the context of a request.
+    """Return the context of a request.
 
     Args:
-        parsed: what the request says of itself.
-        response_sink: where its response goes.
-        settings: the classes, plans and bounds that it is checked against.
-        request_id: the number by which the policy is to know it.
+        parsed: the request's fields.
+        response_sink: receives its response.
+        settings: the classes, plans and limits that it is checked against.
+        request_id: identifies it to the policy.
         now: ms on the driver's clock.
-        open_client_ids: the clients' ids of the open requests; this one's is added to them.
+        open_client_ids: client request IDs of the open requests; its own is added.
 
     Raises:
-        UnacceptableRequestError: the settings do not know such a request, or its client's id is that of an
-        open
-            one, of which it would be a second attempt beside the first.
+        UnacceptableRequestError: the settings do not allow the request, or a request with its client request
+            ID is open, of which it would be a concurrent second attempt.
     """
-    cls = settings.classes.get(parsed.request_class)
-    if cls is None:
+    request_class = settings.classes.get(parsed.request_class)
+    if request_class is None:
         raise UnacceptableRequestError("unknown class")
-    _check(parsed, cls, settings)
+    _check(parsed, request_class, settings)
     if parsed.request_id in open_client_ids:
         raise UnacceptableRequestError("a request of this id is open")
     request = RequestReceived(
@@ -57,13 +56,13 @@
     )
 
 
-def _check(parsed: ParsedRequest, cls: RequestClass, settings: Settings) -> None:
-    """Raise UnacceptableRequestError for what an endpoint would reject, or close its connection on."""
+def _check(parsed: ParsedRequest, request_class: RequestClass, settings: Settings) -> None:
+    """Raise UnacceptableRequestError if an endpoint would reject the request or close its connection."""
     if parsed.plan not in settings.plans:
         raise UnacceptableRequestError("unknown plan")
-    if parsed.is_query != (cls.effect == "safe"):
+    if parsed.is_query != (request_class.effect == "safe"):
         raise UnacceptableRequestError("this class goes by the other command")
-    if cls.effect == "keyed" and not parsed.has_idempotency_key:
+    if request_class.effect == "keyed" and not parsed.has_idempotency_key:
         raise UnacceptableRequestError("this class needs a key")
     if not 0 < parsed.units <= settings.max_request_units:
         raise UnacceptableRequestError("units are out of range")
--- a/mapleshunt/net/request/record.py
+++ b/mapleshunt/net/request/record.py
@@ -1,4 +1,4 @@
-"""Record: note how an attempt ended, and word it for the policy."""
+"""Record: store how an attempt ended, and build the policy's event."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 def record(
     context: RequestContext, attempt: Attempt, result: AttemptResult, now: float, max_units: float
 ) -> AttemptEnded:
-    """Note the result on the attempt and return the policy's event.
+    """Store the result in the attempt and return the policy's event.
 
     Args:
         context: the attempt's request.
         attempt: the attempt that ended.
         result: how it ended.
         now: ms on the driver's clock.
-        max_units: the most that one request may cost; a higher cost is no readable figure and counts as none.
+        max_units: the maximum cost of one request; a higher reported cost is invalid and counts as 0.
     """
     attempt.status = result.status
     attempt.latency_ms = now - attempt.sent_at
     attempt.cost = result.cost if result.cost <= max_units else 0.0
     return AttemptEnded(
         request_id=context.request_id,
-        status=cast("events.AttemptStatus", result.status),  # whose literals are this one's values
+        status=cast("events.AttemptStatus", result.status),  # the literals equal the enum's values
         request_completed=not context.awaiting_response,
         attempt=attempt.number,
         endpoint=attempt.endpoint,
--- a/mapleshunt/net/request/respond.py
+++ b/mapleshunt/net/request/respond.py
@@ -1,4 +1,4 @@
-"""Respond: send the one final response to the client, and count it. All but the first do nothing."""
+"""Respond: send and count a request's single final response. Later calls for a request do nothing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def serve(context: RequestContext, value: memoryview, counters: Counters) -> None:
-    """Send the value that an endpoint answered with."""
+    """Send the value from an endpoint's reply."""
     if context.claim_response():
         context.final_result = RequestResult.SERVED
         counters.add("answers_served")
@@ -17,7 +17,7 @@
 
 
 def reject(context: RequestContext, retry_after_ms: float, counters: Counters) -> None:
-    """Decline the request, which may be retried after that time."""
+    """Reject the request, which may be retried after `retry_after_ms`."""
     if context.claim_response():
         context.final_result = RequestResult.REJECTED
         counters.add("answers_rejected")
@@ -26,7 +26,7 @@
 
 
 def fail(context: RequestContext, counters: Counters) -> None:
-    """Report failure, without any promise."""
+    """Report failure, without promising that the request did not run."""
     if context.claim_response():
         context.final_result = RequestResult.FAILED
         counters.add("answers_failed")
--- a/mapleshunt/net/request/route.py
+++ b/mapleshunt/net/request/route.py
@@ -1,4 +1,4 @@
-"""Route: turn the policy's decision to send into an attempt at an endpoint with a deadline."""
+"""Route: turn the policy's decision to send into an attempt with an endpoint and a deadline."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def route(context: RequestContext, action: StartAttempt, now: float) -> Attempt:
-    """Add the attempt that the action asks for to its request. `now` is ms on the driver's clock."""
+    """Create the action's attempt and add it to the request. `now` is ms on the driver's clock."""
     deadline = min(now + action.timeout, context.deadline) if action.timeout else context.deadline
     attempt = Attempt(
         number=len(context.attempts),
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -27,7 +27,7 @@
 )
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.periodic import PeriodicTask
-from mapleshunt.net.policy_driver import RESPONSE_GUARD_MS, PolicyDriver
+from mapleshunt.net.policy_driver import RESPONSE_MARGIN_MS, PolicyDriver
 from mapleshunt.net.protocol.command_protocol import CommandMessage
 from mapleshunt.net.request import respond
 from mapleshunt.net.request.admit import admit
@@ -163,7 +163,7 @@
 
 def test_request_that_policy_forgets_fails_before_deadline() -> None:
     async def steps(driver: PolicyDriver, policy: ScriptedPolicy) -> None:
-        context, sink = ask(driver, timeout_ms=RESPONSE_GUARD_MS + 10)
+        context, sink = ask(driver, timeout_ms=RESPONSE_MARGIN_MS + 10)
         await answered(sink)
         assert sink.answers == ["failed"] and policy.events[-1] == ClientDisconnected(context.request_id)
         assert driver.counters.counts["guard_answers"] == 1 and not driver.open_requests
