--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -65,7 +65,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
     awaiting_response: bool = True
-    final_result: RequestResult = RequestResult.GONE
+    final_result: RequestResult = RequestResult.CLIENT_GONE
     released_at: float = 0.0  # ms on the driver's clock; set only if requests are recorded
     response_claimed_at: float = math.inf  # s, monotonic; response sent or client disconnected
 
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -60,7 +60,7 @@
             self.counters.add(f"retries_after_{context.attempts[attempt.number - 1].status or 'out'}")
         endpoint = self.find_endpoint(attempt.endpoint)
         if endpoint is not None:
-            is_warming_up = slow_start.capacity(endpoint, self.settings, self.now()) < 1
+            is_warming_up = slow_start.capacity_fraction(endpoint, self.settings, self.now()) < 1
             violations = invariants.violations_of_slow_start(is_warming_up, endpoint.allowance.level)
             self.trace.report_violations(Guard.START, violations, client_id)
 
