--- a/mapleshunt/net/request/context.py
+++ b/mapleshunt/net/request/context.py
@@ -39,7 +39,7 @@
     cost: float = 0.0  # true units reported by the endpoint
 
     def cancel(self, status: AttemptStatus) -> None:
-        """End the attempt with the status `CANCELLED`, `TIMEOUT` or `RESET`.
+        """Stop waiting for the reply. `status` is `CANCELLED`, `TIMEOUT` or `RESET`.
 
         The connection is closed: a late reply on it would be taken for that of the next attempt.
         """
@@ -59,9 +59,7 @@
     response_sink: ResponseSink
     received_at: float  # ms on the driver's clock
     client_request_id: str = ""
-    open_client_ids: set[str] = field(
-        default_factory=set
-    )  # shared; IDs of all requests that await a response
+    open_client_ids: set[str] = field(default_factory=set)  # of all requests that await a response
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
     awaiting_response: bool = True
--- a/mapleshunt/net/request/guards.py
+++ b/mapleshunt/net/request/guards.py
@@ -83,14 +83,12 @@
     def _check_retry(self, context: RequestContext, attempt: Attempt, now: float) -> None:
         earlier = [
             invariants.EarlierAttempt(
-                earlier_attempt.sent_at,
-                cast(
-                    "events.AttemptStatus | None", earlier_attempt.status
-                ),  # the literals equal the enum's values
-                earlier_attempt.zone,
-                earlier_attempt.cell,
+                previous.sent_at,
+                cast("events.AttemptStatus | None", previous.status),  # the literals equal the enum's values
+                previous.zone,
+                previous.cell,
             )
-            for earlier_attempt in context.attempts[: attempt.number]
+            for previous in context.attempts[: attempt.number]
         ]
         facts = invariants.RetryFacts(now, attempt.zone, attempt.cell, earlier)
         request_class = self.settings.classes[context.request.request_class]
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -1,4 +1,4 @@
-"""Taking connections when no descriptor is left, and what the kernel holds when a gateway leaves."""
+"""Accepting connections without free descriptors, and draining the backlog at shutdown."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import pytest
 
 from mapleshunt.net import config
-from mapleshunt.net.client import listener as listening
+from mapleshunt.net.client import listener as listener_module
 from mapleshunt.net.counters import Counters
 from mapleshunt.net.request.context import RequestContext
 from mapleshunt.server.gateway_server import GatewayServer
@@ -24,112 +24,117 @@
 
 
 class FailingListener:
-    """A listener whose next calls of accept fail with the given errors."""
+    """A listener whose next `accept` calls fail with the given errors."""
 
     def __init__(self, listener: socket.socket, errors: list[int]) -> None:
         self.listener, self.errors = listener, errors
 
     def accept(self) -> object:
         if self.errors:
-            number = self.errors.pop(0)
-            raise OSError(number, os.strerror(number))
+            error_number = self.errors.pop(0)
+            raise OSError(error_number, os.strerror(error_number))
         return self.listener.accept()
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.listener, name)
 
 
-async def until(holds: object) -> None:
+async def wait_until(condition: object) -> None:
     async with asyncio.timeout(30):
-        while not holds():  # type: ignore[operator]
+        while not condition():  # type: ignore[operator]
             await asyncio.sleep(0)
 
 
 def test_listener_pauses_without_descriptors_and_accepts_later(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The listener stayed ready: the loop did nothing but try again, with a line in the log each time.
-    monkeypatch.setattr(listening, "MIN_ACCEPT_RETRY_DELAY_S", 3600.0)
+    # The listener stayed readable, so the loop did nothing but retry, with a log line each time.
+    monkeypatch.setattr(listener_module, "MIN_ACCEPT_RETRY_DELAY_S", 3600.0)
 
     async def run() -> None:
-        counters, spent, timeouts = Counters(), list[bool](), list[socket.socket]()
+        counters, exhausted_calls, accepted = Counters(), list[bool](), list[socket.socket]()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            acceptor = listening.Acceptor(
-                listener, timeouts.append, counters, on_descriptors_exhausted=lambda: spent.append(True)
+            acceptor = listener_module.Acceptor(
+                listener,
+                accepted.append,
+                counters,
+                on_descriptors_exhausted=lambda: exhausted_calls.append(True),
             )
             acceptor.start()
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             with socket.create_connection(listener.getsockname()):
-                resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))  # those that are open stay
+                resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))  # open descriptors stay open
                 try:
-                    await until(lambda: spent)
+                    await wait_until(lambda: exhausted_calls)
                     for _ in range(100):
                         await asyncio.sleep(0)
                 finally:
                     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-                assert counters.counts["accepts_failed"] == len(spent) == 1 and not timeouts
+                assert counters.counts["accepts_failed"] == len(exhausted_calls) == 1 and not accepted
                 assert acceptor.retry_timer is not None
                 acceptor.retry_timer.cancel()
                 acceptor._resume()
-                await until(lambda: timeouts)
-                timeouts[0].close()
+                await wait_until(lambda: accepted)
+                accepted[0].close()
             acceptor.stop()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("where", ["take", "descriptors"])
-def test_exception_in_one_connection_does_not_stop_shutdown(where: str) -> None:
-    # The last accepts before the listener closes are made on the way to the process's end: what they raised
-    # ended it at once, with all requests that were open.
+@pytest.mark.parametrize("failing_call", ["on_accept", "descriptors"])
+def test_exception_in_one_connection_does_not_stop_shutdown(failing_call: str) -> None:
+    # The last accepts before the listener closes happen during shutdown: an exception in them ended the
+    # process at once, with all its open requests.
     async def run() -> list[bool]:
-        timeouts: list[bool] = []
+        accepted: list[bool] = []
 
-        def take(connection: socket.socket) -> None:
+        def on_accept(connection: socket.socket) -> None:
             connection.close()
-            timeouts.append(True)
+            accepted.append(True)
             raise AttributeError
 
         counters = Counters()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            errors = [errno.EMFILE] if where == "descriptors" else []
+            errors = [errno.EMFILE] if failing_call == "descriptors" else []
             failing = cast(socket.socket, FailingListener(listener, list(errors)))
-            acceptor = listening.Acceptor(failing, take, counters, on_descriptors_exhausted=lambda: 1 / 0)
+            acceptor = listener_module.Acceptor(
+                failing, on_accept, counters, on_descriptors_exhausted=lambda: 1 / 0
+            )
             clients = [socket.create_connection(listener.getsockname()) for _ in range(3)]
             await acceptor.accept_backlog(lambda: True)
-            for one in clients:
-                one.close()
+            for client in clients:
+                client.close()
         assert counters.counts["exceptions"] == 3 + len(errors)
-        return timeouts
+        return accepted
 
     assert asyncio.run(run()) == [True] * 3
 
 
 def test_accept_retry_delay_grows_with_failures() -> None:
-    # Each failure paused the listener for 0.1 s. A fifth of all calls failing, some connections a second got
-    # through, and the requests of the others waited in the backlog until their clients disconnected.
+    # Each failure paused the listener for 0.1 s. With a fifth of all calls failing, only a few connections
+    # per second were accepted, and other requests waited in the backlog until their clients disconnected.
     async def run() -> list[float]:
-        loop, timeouts, delays = asyncio.get_running_loop(), list[socket.socket](), list[float]()
+        loop, accepted, delays = asyncio.get_running_loop(), list[socket.socket](), list[float]()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            acceptor = listening.Acceptor(listener, timeouts.append, Counters())
+            acceptor = listener_module.Acceptor(listener, accepted.append, Counters())
             failing = FailingListener(listener, [errno.ENFILE] * 12)
             acceptor.listener = cast(socket.socket, failing)
             acceptor.start()
             with socket.create_connection(listener.getsockname()):
-                while not timeouts:
-                    await until(lambda: acceptor.retry_timer is not None)
+                while not accepted:
+                    await wait_until(lambda: acceptor.retry_timer is not None)
                     assert acceptor.retry_timer is not None
                     delays.append(acceptor.retry_timer.when() - loop.time())
                     acceptor.retry_timer.cancel()
                     acceptor._resume()
-                    await until(lambda: timeouts or acceptor.retry_timer is not None)
-                timeouts.pop().close()
+                    await wait_until(lambda: accepted or acceptor.retry_timer is not None)
+                accepted.pop().close()
                 failing.errors.append(errno.ENFILE)
                 with socket.create_connection(listener.getsockname()):
-                    await until(lambda: acceptor.retry_timer is not None)
+                    await wait_until(lambda: acceptor.retry_timer is not None)
                     assert acceptor.retry_timer is not None
                     delays.append(acceptor.retry_timer.when() - loop.time())
             acceptor.stop()
@@ -142,68 +147,70 @@
 
 
 def gateway_server(**limits: int) -> GatewayServer:
-    text = {**json.loads(EXAMPLE.read_text()), "limits": limits}
+    configuration = {**json.loads(EXAMPLE.read_text()), "limits": limits}
     env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-    return GatewayServer(config.parse(json.dumps(text), env))
+    return GatewayServer(config.parse(json.dumps(configuration), env))
 
 
 def test_time_in_backlog_is_taken_off_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # While no descriptor was left requests waited to be accepted, and their timeout was counted from then:
-    # endpoints got deadlines up to 0.4 s too long, and responses came after their clients had disconnected.
+    # Without free descriptors, connections waited in the backlog, and timeouts were counted from the accept:
+    # endpoints got deadlines up to 0.4 s too long, and responses came after the clients had disconnected.
     async def run() -> float:
-        one = gateway_server()
-        task = asyncio.create_task(one.run())
-        await until(lambda: one.clients.accepting)
-        (acceptor,) = one.clients.acceptors
+        server = gateway_server()
+        task = asyncio.create_task(server.run())
+        await wait_until(lambda: server.clients.accepting)
+        (acceptor,) = server.clients.acceptors
         acceptor.stop()
-        with socket.create_connection(one.clients.listeners[0].getsockname()) as late:
-            late.sendall(query(7, b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"))
+        with socket.create_connection(server.clients.listeners[0].getsockname()) as client:
+            client.sendall(query(7, b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"))
             await asyncio.sleep(0.5)
             timeouts: list[float] = []
 
             def submit(context: RequestContext) -> None:
                 timeouts.append(context.request.remaining_time)
 
-            monkeypatch.setattr(one.driver, "submit", submit)
+            monkeypatch.setattr(server.driver, "submit", submit)
             acceptor.start()
-            await until(lambda: timeouts)
-        one.stop_requested.set()
+            await wait_until(lambda: timeouts)
+        server.stop_requested.set()
         await task
         return timeouts[0]
 
     assert 4000 < asyncio.run(run()) <= 4600
 
 
-@pytest.mark.parametrize("full", [False, True])
+@pytest.mark.parametrize("at_connection_limit", [False, True])
 def test_request_in_backlog_is_answered_before_listener_closes(
-    monkeypatch: pytest.MonkeyPatch, full: bool
+    monkeypatch: pytest.MonkeyPatch, at_connection_limit: bool
 ) -> None:
-    # It was in the kernel's queue, and the listener's close reset it; also where an idle one had its
-    # place.
+    # The close of the listener reset connections in the backlog, also where an idle connection could have
+    # been evicted for them.
     async def run() -> bytes:
-        one = gateway_server()
-        task = asyncio.create_task(one.run())
-        await until(lambda: one.clients.accepting)
-        if full:
-            one.clients.budget.max_clients = 1
-            resting = socket.create_connection(one.clients.listeners[0].getsockname())
-            resting.sendall(PING)
-            await until(lambda: any(c.last_write_at for c in one.connections.connections))
-            one.clients.stop_accepting()
-        late = socket.create_connection(one.clients.listeners[0].getsockname())
-        late.setblocking(False)
-        late.send(PING)
-        for acceptor in one.clients.acceptors:  # the loop does not get to it
+        server = gateway_server()
+        task = asyncio.create_task(server.run())
+        await wait_until(lambda: server.clients.accepting)
+        if at_connection_limit:
+            server.clients.budget.max_clients = 1
+            idle_client = socket.create_connection(server.clients.listeners[0].getsockname())
+            idle_client.sendall(PING)
+            await wait_until(
+                lambda: any(connection.last_write_at for connection in server.connections.connections)
+            )
+            server.clients.stop_accepting()
+        client = socket.create_connection(server.clients.listeners[0].getsockname())
+        client.setblocking(False)
+        client.send(PING)
+        for acceptor in server.clients.acceptors:  # the loop must not accept it before shutdown
             acceptor.stop()
-        monkeypatch.setattr(one.lifecycle, "accepts_connections", lambda now: False)
-        monkeypatch.setattr(one.lifecycle, "closes_idle_connections", lambda now: True)
-        one.stop_requested.set()
-        data = await asyncio.get_running_loop().sock_recv(late, 100)
-        late.close()
-        if full:
-            resting.close()
+        monkeypatch.setattr(server.lifecycle, "accepts_connections", lambda now: False)
+        monkeypatch.setattr(server.lifecycle, "closes_idle_connections", lambda now: True)
+        server.stop_requested.set()
+        data = await asyncio.get_running_loop().sock_recv(client, 100)
+        client.close()
+        if at_connection_limit:
+            idle_client.close()
         await task
         return data
 
@@ -216,23 +223,23 @@
 
 @pytest.mark.parametrize("errors", [CONNECTION_ERRORS, RESOURCE_ERRORS], ids=["connection", "resources"])
 def test_request_in_backlog_is_answered_when_accept_fails_during_shutdown(errors: list[int]) -> None:
-    # The last calls of accept before the listener closes stopped at the first error that means a lack of
-    # resources: the close reset the connections that were still in the backlog, requests and all.
+    # Draining the backlog stopped at the first error that means a lack of resources: the close of the
+    # listener reset the connections still in the backlog, and their requests were lost.
     async def run() -> bytes:
-        one = gateway_server()
-        task = asyncio.create_task(one.run())
-        await until(lambda: one.clients.accepting)
-        with socket.create_connection(one.clients.listeners[0].getsockname()) as late:
-            late.setblocking(False)
-            late.send(PING)
-            (acceptor,) = one.clients.acceptors
-            acceptor.stop()  # the loop does not get to it before shutdown
+        server = gateway_server()
+        task = asyncio.create_task(server.run())
+        await wait_until(lambda: server.clients.accepting)
+        with socket.create_connection(server.clients.listeners[0].getsockname()) as client:
+            client.setblocking(False)
+            client.send(PING)
+            (acceptor,) = server.clients.acceptors
+            acceptor.stop()  # the loop must not accept it before shutdown
             failing = FailingListener(acceptor.listener, list(errors))
             acceptor.listener = cast(socket.socket, failing)
-            one.lifecycle.accepts_connections = lambda now: False  # type: ignore[method-assign]
-            one.lifecycle.closes_idle_connections = lambda now: True  # type: ignore[method-assign]
-            one.stop_requested.set()
-            data = await asyncio.get_running_loop().sock_recv(late, 100)
+            server.lifecycle.accepts_connections = lambda now: False  # type: ignore[method-assign]
+            server.lifecycle.closes_idle_connections = lambda now: True  # type: ignore[method-assign]
+            server.stop_requested.set()
+            data = await asyncio.get_running_loop().sock_recv(client, 100)
         await task
         assert not failing.errors
         return data
@@ -245,17 +252,18 @@
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (200, hard))
         try:
-            one = gateway_server(sockets=4096)
+            server = gateway_server(sockets=4096)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        return one.clients.budget.max_clients, one.upstreams.max_connections
+        return server.clients.budget.max_clients, server.upstreams.max_connections
 
     clients, servers = asyncio.run(run())
     assert clients + servers <= 200 - 32
 
 
 def test_line_is_logged_without_descriptors() -> None:
-    # The codec that quotes values was imported at its first use: the line about the lack was lost.
+    # The codec that quotes values was imported at its first use, which failed without descriptors: the log
+    # line was lost.
     code = """
 import resource
 from mapleshunt.net import log
@@ -263,5 +271,5 @@
 resource.setrlimit(resource.RLIMIT_NOFILE, (3, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
 log.log_event("accept_failed", why="Too many open files")
 """
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-    assert 'why="Too many open files"' in done.stderr and "Error" not in done.stderr, done.stderr
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
+    assert 'why="Too many open files"' in process.stderr and "Error" not in process.stderr, process.stderr
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The RESP parser: complete messages, any split of them, and malformed bytes."""
+"""The RESP parsers and the read buffer: complete, split and malformed messages."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 @given(WORDS, st.binary(max_size=20), st.integers(0, 7))
 def test_command_is_parsed_once_complete(words: list[bytes], after: bytes, before: int) -> None:
     data = resp.encode_command(words)
-    room = bytearray(b"x" * before + data + after)
-    found = resp.parse_command(room, before, len(room))
-    assert found is not None and found[1] == before + len(data)
-    assert [bytes(word) for word in found[0]] == words
+    buffer = bytearray(b"x" * before + data + after)
+    parsed = resp.parse_command(buffer, before, len(buffer))
+    assert parsed is not None and parsed[1] == before + len(data)
+    assert [bytes(word) for word in parsed[0]] == words
     for end in range(before, before + len(data)):
-        assert resp.parse_command(room, before, end) is None
+        assert resp.parse_command(buffer, before, end) is None
 
 
 REPLIES: list[tuple[bytes, resp.Reply]] = [
@@ -43,9 +43,9 @@
 
 @pytest.mark.parametrize(("data", "reply"), REPLIES)
 def test_reply_is_parsed_once_complete(data: bytes, reply: resp.Reply) -> None:
-    room = bytearray(data)
-    assert resp.parse_reply(room, 0, len(room)) == (reply, len(room))
-    assert all(resp.parse_reply(room, 0, end) is None for end in range(len(room)))
+    buffer = bytearray(data)
+    assert resp.parse_reply(buffer, 0, len(buffer)) == (reply, len(buffer))
+    assert all(resp.parse_reply(buffer, 0, end) is None for end in range(len(buffer)))
 
 
 @pytest.mark.parametrize(
@@ -71,10 +71,10 @@
 def test_parsers_survive_arbitrary_bytes(data: bytes) -> None:
     for parse in (resp.parse_command, resp.parse_reply):
         try:
-            found = parse(bytearray(data), 0, len(data))
+            parsed = parse(bytearray(data), 0, len(data))
         except resp.ProtocolError:
             continue
-        assert found is None or 0 < found[1] <= len(data)
+        assert parsed is None or 0 < parsed[1] <= len(data)
 
 
 def test_error_reply_is_one_line() -> None:
@@ -85,39 +85,39 @@
 
 
 def test_fill_counts_from_replacement_of_full_buffer() -> None:
-    # `self.end += await read(self.room())` took the old buffer's end: zero bytes were read as a command.
-    async def play() -> list[bytes]:
-        ours, theirs = socket.socketpair()
-        stream, buffer, got = IOStream(ours), ReadBuffer(resp.MAX_MESSAGE_BYTES), []
+    # `self.end += await read(self.free_space())` used the old buffer's end, so zero bytes were parsed.
+    async def run() -> list[bytes]:
+        local, peer = socket.socketpair()
+        stream, buffer, parsed_arguments = IOStream(local), ReadBuffer(resp.MAX_MESSAGE_BYTES), []
         words = [[b"PING", b"%d" % n * 40] for n in range(100)]
         for sent in words:
-            theirs.send(resp.encode_command(sent))
+            peer.send(resp.encode_command(sent))
             await buffer.fill(stream)
-            found = resp.parse_command(buffer.data, buffer.start, buffer.end)
-            assert found is not None
-            buffer.consume(found[1])
-            got.append(bytes(found[0][1]))
+            parsed = resp.parse_command(buffer.data, buffer.start, buffer.end)
+            assert parsed is not None
+            buffer.consume(parsed[1])
+            parsed_arguments.append(bytes(parsed[0][1]))
         stream.close()
-        theirs.close()
-        return got
+        peer.close()
+        return parsed_arguments
 
-    assert asyncio.run(play()) == [b"%d" % n * 40 for n in range(100)]
+    assert asyncio.run(run()) == [b"%d" % n * 40 for n in range(100)]
 
 
 @given(st.lists(st.integers(1, CHUNK_BYTES), min_size=1, max_size=12))
 def test_slices_outlive_their_buffer(sizes: list[int]) -> None:
-    buffer, held = ReadBuffer(3 * CHUNK_BYTES), []
+    buffer, slices = ReadBuffer(3 * CHUNK_BYTES), []
     for number, size in enumerate(sizes):
         data = bytes([number]) * size
         while data:
-            room = buffer.free_space()
-            count = min(len(room), len(data))
-            room[:count] = data[:count]
+            free_space = buffer.free_space()
+            count = min(len(free_space), len(data))
+            free_space[:count] = data[:count]
             buffer.end += count
             data = data[count:]
-        held.append(memoryview(buffer.data)[buffer.start : buffer.end])
+        slices.append(memoryview(buffer.data)[buffer.start : buffer.end])
         buffer.consume(buffer.end)
-    assert [bytes(one) for one in held] == [bytes([n]) * size for n, size in enumerate(sizes)]
+    assert [bytes(kept_slice) for kept_slice in slices] == [bytes([n]) * size for n, size in enumerate(sizes)]
 
 
 def test_buffer_is_bounded() -> None:
