--- a/mapleshunt/net/client/connection.py
+++ b/mapleshunt/net/client/connection.py
@@ -116,7 +116,7 @@
         return self.buffer.end - self.buffer.start >= self.buffer.max_bytes - CHUNK_BYTES
 
     async def _wait_with_full_buffer(self) -> None:
-        """Pause reading, and check for a disconnect, which unread bytes hide from the stream."""
+        """Pause reading, and check for a disconnect, which unread bytes hide from reads."""
         if socket_state.has_hung_up(self._raw_socket()):
             self.close(ClientCloseReason.CLIENT_CLOSED)
             return
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -96,9 +96,8 @@
         loop = asyncio.get_running_loop()
         commands = b"".join(query() for _ in range(1000))
         sending = loop.create_task(loop.sock_sendall(client_end, commands))
-        while (
-            connection.pending_write is None or connection.pending_write.done()
-        ):  # until the kernel's buffers are full
+        # Respond until the kernel's buffers are full.
+        while connection.pending_write is None or connection.pending_write.done():
             await run_pending_callbacks()
             for context in list(driver.open_requests.values()):
                 driver.open_requests.pop(context.request_id).response_sink.serve(
@@ -544,9 +543,8 @@
             assert not connection.closing
         connection.close_if_overdue(connection.last_activity_at + limits.IDLE_TIMEOUT_S / 2)
         assert not connection.closing
-        connection.command_started_at -= (
-            limits.COMMAND_READ_TIMEOUT_S
-        )  # the limit for a whole command still applies
+        # The time limit for a whole command still applies.
+        connection.command_started_at -= limits.COMMAND_READ_TIMEOUT_S
         connection.close_if_overdue(connection.last_activity_at + limits.IDLE_TIMEOUT_S / 2)
         assert connection.close_reason == "half_a_command"
 
@@ -558,12 +556,13 @@
 
     def __init__(self) -> None:
         super().__init__()
+        # No step depends on time.
         self.saved_limits = (
             limits.LINGER_TIMEOUT_S,
             limits.UNACCEPTABLE_COMMAND_DELAY_S,
             limits.MAX_UNACCEPTABLE_COMMANDS,
             limits.EVICT_SILENT_AFTER_S,
-        )  # no step depends on time
+        )
         (
             limits.LINGER_TIMEOUT_S,
             limits.UNACCEPTABLE_COMMAND_DELAY_S,
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -112,15 +112,13 @@
                 connection: Any = driver.attempts_in_flight[1, 0].connection
                 process_reply = connection._process_reply
 
-                def process_reply_between_disconnects() -> (
-                    None
-                ):  # the reply and the disconnect arrive together
+                def reply_and_disconnect() -> None:  # the reply and the disconnect arrive together
                     if first_event == "client":
                         driver.client_disconnected(context)
                     process_reply()
                     driver.client_disconnected(context)
 
-                monkeypatch.setattr(connection, "_process_reply", process_reply_between_disconnects)
+                monkeypatch.setattr(connection, "_process_reply", reply_and_disconnect)
                 endpoint_socket.send(b"*1\r\n$1\r\nv\r\n")
                 while driver.attempts_in_flight:
                     await asyncio.sleep(0)
@@ -142,7 +140,7 @@
 
 
 def test_disconnect_between_two_actions_leaves_no_attempt_in_flight() -> None:
-    """Rejecting a request finds its connection closed, and the next action starts an attempt of another one.
+    """Rejecting a request finds its connection closed; the next action sends another request of that client.
 
     The policy got no result of that attempt, and its slot at the endpoint stayed in use for ever.
     """
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -165,7 +165,7 @@
 
 
 def test_sighup_at_any_step_of_start_is_applied(tmp_path: Path) -> None:
-    """SIGHUP before the loop handled it ended the process. It is started by the deploy file's command."""
+    """A SIGHUP before the loop handled signals ended the process. The start is the deploy file's command."""
     config, configuration = tmp_path / "config", EXAMPLE.read_text()
     os.mkfifo(config)  # a reader blocks until the test writes, which pauses the start there
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
