--- a/mapleshunt/net/admin/connection.py
+++ b/mapleshunt/net/admin/connection.py
@@ -15,32 +15,32 @@
 from ..protocol import http
 from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
 
-CALL_TIMEOUT_S = 6.0  # from the connection's begin to the last byte of the response
-LINGER_TIMEOUT_S = 0.5  # for which a client that has its response may close the connection itself
+CALL_TIMEOUT_S = 6.0  # from the start of the connection to the last byte of the response
+LINGER_TIMEOUT_S = 0.5  # time for a client that has its response to close the connection itself
 LINGER_READ_BYTES = 1024
 
 
 @dataclass(slots=True, frozen=True)
 class AdminResponse:
-    """The response to a call: an HTTP status and a plain text."""
+    """The response to a call: an HTTP status and a plain-text body."""
 
     status: int
     body: str = ""
 
 
 class CloseReason(enum.StrEnum):
-    """Why a connection was closed, as the log has it."""
+    """Why a connection was closed, as logged."""
 
     ANSWERED = "answered"
     CLIENT_CLOSED = "caller_closed"  # before it had a response
     NO_CALL = "no_call"  # no complete call came in time
-    MADE_ROOM = "made_room"  # for a newer connection
+    EVICTED = "made_room"  # for a newer connection
     EXCEPTION = "exception"  # a defect
     SHUTDOWN = "shutdown"
 
 
 class AdminConnection:
-    """Serves one call. Whoever accepts the connection runs `run` as a task."""
+    """A connection that serves one call. The code that accepts it runs `run` as a task."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         on_close: Callable[[AdminConnection], None],
         counters: Counters,
     ) -> None:
-        """Wire it. `on_close` is called once, when the connection closes."""
+        """Start without a call. `on_close` is called once, when the connection closes."""
         self.answered = False
         self.task: asyncio.Task[None] | None = None
         self._stream = stream
@@ -60,7 +60,7 @@
         self._closed = False
 
     async def run(self) -> None:
-        """Serve the call and close. Cancelling it leaves the connection open."""
+        """Serve the call and close the connection. Cancelling it leaves the connection open."""
         reason = CloseReason.CLIENT_CLOSED
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
@@ -83,7 +83,7 @@
         await self._stream.write(http.encode_response(response.status, response.body.encode()))
 
     async def _linger(self) -> None:
-        """Wait until the client closes: closing over unread bytes may take the response away."""
+        """Wait until the client closes: a close over unread bytes may discard the response."""
         if self._stream.closed():
             return
         self._stream.socket.shutdown(socket.SHUT_WR)
@@ -109,7 +109,7 @@
             return AdminResponse(500, "failed\n")
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection at once; nothing happens if it is closed already."""
+        """Close the connection at once; does nothing if it is already closed."""
         if self._closed:
             return
         self._closed = True
--- a/mapleshunt/net/admin/endpoint.py
+++ b/mapleshunt/net/admin/endpoint.py
@@ -1,7 +1,7 @@
 """The admin endpoint: an address for operators, HTTP/1.1, one call on each connection.
 
-A client may hold its connection without a complete call: there are places for a few connections, and at the
-limit the one that has been open longest without a response makes room. A complete call is answered at once.
+A client may keep its connection open without a complete call. Connections are therefore limited: at the limit
+the one open longest without a response is closed for a new one. A complete call is answered at once.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from .connection import AdminConnection, AdminResponse, CloseReason
 
 MAX_CONNECTIONS = 16
-MAX_DESCRIPTORS = MAX_CONNECTIONS + 1  # that the endpoint may hold in all, with the listener
-MAX_UNREAD_BYTES = 2 * http.MAX_HEAD_BYTES  # held of one connection
+MAX_DESCRIPTORS = MAX_CONNECTIONS + 1  # of the endpoint, its listener included
+MAX_UNREAD_BYTES = 2 * http.MAX_HEAD_BYTES  # buffered per connection
 BACKLOG = 64  # connections that wait in the kernel to be accepted
 
 
@@ -50,17 +50,17 @@
         if len(self._connections) >= MAX_CONNECTIONS:
             self._evict()
         stream = IOStream(client, max_buffer_size=MAX_UNREAD_BYTES)
-        connection = AdminConnection(stream, self._respond, self._forget, self._counters)
+        connection = AdminConnection(stream, self._respond, self._remove, self._counters)
         self._connections[connection] = None
         connection.task = asyncio.get_running_loop().create_task(connection.run())
 
     def _evict(self) -> None:
         """Close the oldest connection without a response, or the oldest of all."""
-        unanswered = (one for one in self._connections if not one.answered)
+        unanswered = (connection for connection in self._connections if not connection.answered)
         oldest = next(iter(self._connections))
-        next(unanswered, oldest).close(CloseReason.MADE_ROOM)
+        next(unanswered, oldest).close(CloseReason.EVICTED)
 
-    def _forget(self, connection: AdminConnection) -> None:
+    def _remove(self, connection: AdminConnection) -> None:
         del self._connections[connection]
 
     def close(self) -> None:
--- a/mapleshunt/net/blocking.py
+++ b/mapleshunt/net/blocking.py
@@ -1,4 +1,4 @@
-"""Calls that block, in a thread of their own: the event loop serves its connections meanwhile."""
+"""Blocking calls, each in a thread of its own, so that the event loop goes on serving connections."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 async def run_in_thread(call: Callable[[], Result]) -> Result:
-    """Return what the call returns, or raise what it raises.
+    """Run `call` in a new thread; return what it returns, or raise what it raises.
 
-    Cancelling it leaves the call to its end, whose result is dropped. The thread is a daemon: a call that
-    never returns does not hold up the end of the process, as one in the loop's executor would.
+    Cancelling it lets the call run to its end and drops the result. The thread is a daemon: a call that
+    never returns does not delay the end of the process, as one in the loop's executor would.
     """
     loop = asyncio.get_running_loop()
     future: asyncio.Future[Result] = loop.create_future()
@@ -32,7 +32,7 @@
     return await future
 
 
-# Any parameters: those of the callback, which the loop passes on.
+# `...`: the callback's parameters, which the loop passes on.
 def _call_in_loop(loop: asyncio.AbstractEventLoop, callback: Callable[..., None], *arguments: object) -> None:
     with contextlib.suppress(RuntimeError):  # the loop has been closed
         loop.call_soon_threadsafe(callback, *arguments)
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -26,30 +26,30 @@
 
 
 class ConfigError(Exception):
-    """A configuration that the gateway cannot start with; the text is for the operator."""
+    """The configuration cannot be used; the message is for the operator."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """The file cannot be read now, and may be in a moment."""
+    """The file cannot be read now; a later attempt may succeed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What one gateway process is told at its start."""
+    """The configuration of one gateway process."""
 
     name: str
     listen_address: Address
     discovery_address: Address
-    seed: int  # of this gateway's random numbers alone
+    seed: int  # for the random numbers of this gateway alone
     max_descriptors: int
     memory_bytes: int
-    accept_fd: int | None  # a socket that listens for clients, inherited
+    accept_fd: int | None  # an inherited socket that listens for clients
     admin_address: Address | None
     gossip_address: Address | None
     gossip_peers: tuple[Address, ...]
     gossip_broadcast_address: Address | None
     counter_address: Address | None
-    initial_endpoints: Mapping[str, Any] | None  # a list in discovery's form, checked where it is applied
+    initial_endpoints: Mapping[str, Any] | None  # in discovery's format, checked where it is applied
     settings: Settings
     dial_timeout_ms: float
     idle_timeout_ms: float
@@ -60,7 +60,7 @@
     """Parse HOST:PORT, where the host may be in brackets.
 
     Raises:
-        ConfigError: it is not of that form; the text names the key.
+        ConfigError: the text is not of that form; the message names the key.
     """
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
@@ -74,28 +74,30 @@
 
 
 def address_family(address: Address) -> socket.AddressFamily:
-    """Return the family of sockets for an address whose host is a number."""
+    """Return the socket family for an address whose host is numeric."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def parse(text: str, env: Mapping[str, str]) -> Config:
-    """Parse the configuration, with the variables of `env` that name one of its values in their place.
+    """Parse the configuration; the `PROXY_...` variables in `env` override some of its values.
 
     Raises:
-        ConfigError: it is not in its form; the text says what is wrong with which key.
+        ConfigError: it is malformed; the message says what is wrong with which key.
     """
     try:
         raw = json.loads(text)
     except ValueError as error:
         raise ConfigError(f"the configuration is not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError("the configuration must be a JSON object")
+        raise ConfigError(f"the configuration must be a JSON object, not {type(raw).__name__}")
     try:
         return _config(raw, env)
     except KeyError as error:
-        raise ConfigError(f"the configuration lacks {error}, or does not know it") from None
+        raise ConfigError(
+            f"the configuration lacks {error}, or has it as a value that is not known"
+        ) from None
     except (TypeError, ValueError, AttributeError) as error:
-        raise ConfigError(f"the configuration makes no sense: {error}") from None
+        raise ConfigError(f"the configuration has a value of the wrong type or form: {error}") from None
 
 
 def _config(raw: Mapping[str, Any], env: Mapping[str, str]) -> Config:
@@ -136,10 +138,10 @@
 
 
 def _seed(value: object, name: str) -> int:
-    """Return a seed of this gateway's own.
+    """Return a seed for this gateway alone.
 
-    The one in the file may be shared by several gateways, or be missing; from one seed they would draw the
-    same election timeouts, delays and endpoints, all in step.
+    The seed in the file may be missing or shared by several gateways; from one seed they would draw the same
+    election timeouts, delays and endpoints, in step.
     """
     try:
         shared = int(str(value), 16)
@@ -155,11 +157,11 @@
 
 
 def load(env: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that the environment names.
+    """Read the configuration file that `PROXY_CONFIG` in `env` names.
 
     Raises:
         ConfigUnreadableError: the file may be readable in a moment.
-        ConfigError: there is no such file, or it is not in its form.
+        ConfigError: there is no such file, or it is malformed.
     """
     path = env.get("PROXY_CONFIG")
     if not path:
@@ -176,9 +178,9 @@
 
 
 def reload(env: Mapping[str, str] = os.environ) -> Config:
-    """Read the file as it is now, without the variables that take the place of its values.
+    """Read the configuration file again, without the variables that override its values.
 
-    The environment dates from the start: its addresses may have been given up since.
+    The environment dates from the start of the process: its addresses may be out of use by now.
 
     Raises:
         ConfigError: as `load`.
--- a/mapleshunt/net/counters.py
+++ b/mapleshunt/net/counters.py
@@ -9,10 +9,10 @@
 
 
 class Counters:
-    """Counters by name, since the start. They are logged from time to time, on SIGUSR1 and at exit."""
+    """Counters by name since the start, logged periodically, on SIGUSR1 and at exit."""
 
     def __init__(self) -> None:
-        """Begin without any; a counter that counted nothing is absent."""
+        """Start without counters; one that was never incremented is absent."""
         self.counts: Counter[str] = Counter()
         self.by_class: Counter[tuple[str, str]] = Counter()  # by a counter's name and a class of requests
         self.trace = Trace(self.add)
--- a/mapleshunt/net/discovery/__init__.py
+++ b/mapleshunt/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the watch on the endpoint list, and the list's form."""
+"""Discovery: the watch on the endpoint list, and the list's JSON format."""
--- a/mapleshunt/net/discovery/endpoint_list.py
+++ b/mapleshunt/net/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in discovery's form."""
+"""The endpoint list in discovery's JSON format."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class MalformedListError(ValueError):
-    """What discovery sent, or the configuration names, is no list of endpoints."""
+    """The endpoint list that discovery or the configuration gives is malformed."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """A list of endpoints, or a change of one (`complete` is False), as of a revision."""
+    """An endpoint list, or a change of one (`complete` is False), as of a revision."""
 
     revision: int
     complete: bool
@@ -26,10 +26,10 @@
 
 
 def parse_endpoint_list(raw: Mapping[str, Any]) -> EndpointList:
-    """Parse a list; `raw` is any JSON object, whose members are checked here.
+    """Parse a list; `raw` is any JSON object, whose fields are checked here.
 
     Raises:
-        MalformedListError: a member is missing, or is of no known form.
+        MalformedListError: a field is missing or has an unexpected type or value.
     """
     try:
         endpoints = tuple(_endpoint(row) for row in raw["members"])
--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -1,7 +1,7 @@
 """The watch on the endpoint list: one call to discovery after another.
 
-Discovery is one service for all gateways. A complete list costs it every line, and a call that it rejected
-is no reason to request more, nor at once, nor in step with the others.
+Discovery is one service for all gateways. A complete list costs it every row: after a rejected call the
+watcher requests no more than before, and not at once or in step with the other gateways.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 ENDPOINTS_PATH = "/catalog/members"
 HTTP_OK = 200
-UNKNOWN_REVISION_STATUSES = (400, 404, 410)  # may mean that the call's revision is not known
+UNKNOWN_REVISION_STATUSES = (400, 404, 410)  # discovery may not know the call's revision
 MAX_STREAM_BUFFER_BYTES = 2 * http.MAX_MESSAGE_BYTES  # a response, and what may follow it
 
 
 class EndpointWatcher:
-    """Calls `on_update` with every list and every change."""
+    """Watches the endpoint list and calls `on_update` with every list and every change."""
 
     def __init__(
         self,
@@ -46,8 +46,8 @@
             agent: the address of the discovery agent.
             on_update: called with each list or change.
             counters: the gateway's counters.
-            backoff: the delays between calls, and their time limits.
-            revision: that of the list known; without one the complete list is requested.
+            backoff: the delays after failed calls, and the time limits of calls.
+            revision: that of the known list; None requests the complete list.
         """
         self.agent, self.on_update, self.counters = agent, on_update, counters
         self.backoff, self.revision = backoff, revision
@@ -56,7 +56,7 @@
         self.last_answer_at = -math.inf  # s, on the loop's clock
 
     async def run(self) -> None:
-        """Watch until it is cancelled, which closes the connection. A next call follows each."""
+        """Watch until cancelled, which closes the connection. When a connection ends, another follows."""
         await asyncio.sleep(self.backoff.initial_delay_ms() / 1000)
         while True:
             end = await self._call()
@@ -67,7 +67,7 @@
             await asyncio.sleep(delay_ms / 1000)
 
     async def _call(self) -> DiscoveryEnd:
-        """Connect, and call until the connection ends; return why it did."""
+        """Connect and make calls until the connection ends; return why it did."""
         try:
             raw = socket.socket(address_family(self.agent))
             stream = IOStream(raw, max_buffer_size=MAX_STREAM_BUFFER_BYTES)
@@ -95,7 +95,7 @@
         return DiscoveryEnd(reason)
 
     async def _watch(self, stream: IOStream) -> DiscoveryEnd:
-        """Make call after call on one connection; return why it ended."""
+        """Make one call after another on a connection; return why it ended."""
         async with asyncio.timeout(self.backoff.dial_timeout_ms / 1000):
             await stream.connect(self.agent)
         buffer = ReadBuffer(http.MAX_MESSAGE_BYTES)
@@ -103,8 +103,8 @@
         while True:
             response = await self._exchange(stream, buffer, watching)
             if response.status != HTTP_OK:
-                # Only where it may not know the revision does the next call request the complete list: after
-                # every 503 of a discovery that is overbooked, all gateways requested what costs it most.
+                # The next call requests the complete list only if discovery may not know the revision: when
+                # it did after every 503, all gateways made the costliest call to an overloaded discovery.
                 if response.status in UNKNOWN_REVISION_STATUSES:
                     self.revision = None
                 return DiscoveryEnd(DiscoveryEndReason.HTTP_STATUS, response.status)
@@ -112,7 +112,7 @@
             self.backoff.reset()
             self.last_answer_at = asyncio.get_running_loop().time()
             self.on_update(update)
-            watching = self.revision is not None  # the answer was a watch's: the next call continues it
+            watching = self.revision is not None  # the call named a revision: the next one waits for changes
             self._advance(update)
             if not response.keep_alive:
                 return DiscoveryEnd(DiscoveryEndReason.AGENT_CLOSED)
@@ -120,8 +120,9 @@
     async def _exchange(self, stream: IOStream, buffer: ReadBuffer, watching: bool) -> http.Response:
         """Make one call; the body is a slice of the buffer.
 
-        A call that begins a watch waits its turn at the one service, and for nothing else: it returns at
-        once with what changed meanwhile. Given up after a watch's usual silence it was work for nobody.
+        A call that begins a watch is queued at the one service, but does not wait for changes: it returns
+        at once with those missed. Its longer timeout allows for the queue: with the one of the other calls,
+        discovery answered callers that had given up.
         """
         path = ENDPOINTS_PATH
         if self.revision is not None:
@@ -130,13 +131,13 @@
         timeout_s = self.watch_timeout_s if watching else self.first_call_timeout_s
         async with asyncio.timeout(timeout_s):
             await stream.write(http.encode_get(path, f"{self.agent[0]}:{self.agent[1]}"))
-            while not (found := http.parse_response(buffer.data, buffer.start, buffer.end)):
+            while not (parsed := http.parse_response(buffer.data, buffer.start, buffer.end)):
                 await buffer.fill(stream)
-        buffer.consume(found[1])
-        return found[0]
+        buffer.consume(parsed[1])
+        return parsed[0]
 
     def _advance(self, update: EndpointList) -> None:
-        """Note the revision of the next call; None for the complete list."""
-        # An agent that is behind what is known cannot name what changed since: the complete list does.
+        """Set the revision of the next call; None requests the complete list."""
+        # An agent behind the known revision does not have the changes since: the complete list does.
         is_behind = self.revision is not None and update.revision < self.revision
         self.revision = None if is_behind and not update.complete else update.revision
--- a/mapleshunt/net/gossip_transport.py
+++ b/mapleshunt/net/gossip_transport.py
@@ -1,6 +1,6 @@
 """Gossip messages between gateways, as datagrams.
 
-IOStream has no datagrams: a plain socket on the loop takes its place.
+IOStream does not support datagrams: a plain socket on the loop is used.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from .config import Address, address_family
 from .counters import Counters
 
-MAX_DATAGRAM_BYTES = 256  # a longer one breaks the protocol: it is neither sent nor taken
-MAX_DATAGRAMS_PER_TURN = 64  # read before others get their turn
-EVERYONE = -1  # in place of a gateway's number
+MAX_DATAGRAM_BYTES = 256  # a longer one violates the protocol: it is neither sent nor accepted
+MAX_DATAGRAMS_PER_TURN = 64  # read before the loop handles other events
+BROADCAST = -1  # in place of a gateway's number: all of them
 
 
 class GossipTransport:
-    """Sends and receives messages. A sender is known by its address alone, and any message may be lost."""
+    """Sends and receives gossip. A sender is identified by its address alone; any message may be lost."""
 
     def __init__(
         self,
@@ -30,19 +30,19 @@
         counters: Counters,
         shared: bool = False,
     ) -> None:
-        """Bind the address and receive from now on.
+        """Bind the address and start receiving.
 
         Args:
             listen: this gateway's address.
             peers: the addresses of all gateways, by their number.
-            broadcast: the address for messages to everyone.
+            broadcast: the address for messages to all gateways.
             on_message: called with a sender's number and its message.
             counters: the gateway's counters.
-            shared: another process of this gateway may have the address too. The last to bind it receives;
-                with SO_REUSEPORT, the option not taken, the kernel would divide the senders between both.
+            shared: another process of this gateway may have bound the address too. The last to bind receives;
+                with SO_REUSEPORT, which is not used, the kernel would divide the senders between both.
 
         Raises:
-            OSError: the address cannot be had.
+            OSError: the address cannot be bound.
         """
         self.peers, self.broadcast_address = peers, broadcast
         self.on_message, self.counters = on_message, counters
@@ -59,15 +59,15 @@
         IOLoop.current().add_handler(self.socket, self._read, IOLoop.READ)
 
     def send(self, peer: int, text: str) -> None:
-        """Send a message to the gateway of that number, or to `EVERYONE`."""
+        """Send a message to the gateway numbered `peer`, or to all for `BROADCAST`."""
         data = text.encode()
-        if len(data) > MAX_DATAGRAM_BYTES or not EVERYONE <= peer < len(self.peers):
+        if len(data) > MAX_DATAGRAM_BYTES or not BROADCAST <= peer < len(self.peers):
             self.counters.add("peer_messages_unsendable")
             return
         try:
-            self.socket.sendto(data, self.broadcast_address if peer == EVERYONE else self.peers[peer])
+            self.socket.sendto(data, self.broadcast_address if peer == BROADCAST else self.peers[peer])
             self.counters.add("peer_messages_sent")
-        except OSError:  # a message may be lost anywhere
+        except OSError:  # the protocol tolerates lost messages
             self.counters.add("peer_messages_lost")
 
     def _read(self, _fd: object, _events: int) -> None:
@@ -76,7 +76,7 @@
                 data, sender = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # an earlier datagram could not be delivered
+            except OSError:  # for an earlier datagram that was not delivered
                 continue
             self._receive(data, sender[:2])
 
@@ -89,6 +89,6 @@
             self.on_message(number, data.decode("ascii"))
 
     def close(self) -> None:
-        """Stop receiving, and give up the address."""
+        """Stop receiving and release the address."""
         IOLoop.current().remove_handler(self.socket)
         self.socket.close()
--- a/mapleshunt/net/hot_restart/handover.py
+++ b/mapleshunt/net/hot_restart/handover.py
@@ -1,12 +1,12 @@
 """The files in `$TMPDIR` by which the processes of one gateway find each other and pass on their state.
 
-Each process holds a lock on a file of its own for as long as it runs, whatever ends it. Files are numbered,
-and the highest number that is locked is the newest process. Nothing depends on a file that may be left over:
-what no running process holds or waits for is removed by the next one.
+Each process locks a file of its own; the lock is released when the process ends, for whatever reason. Files
+are numbered, and the highest locked number is the newest process. Nothing depends on leftover files: the next
+process removes those that no running process has locked or waits for.
 
     NAME.gateway.3          process 3's lock; it contains "ready" once that process serves clients
     NAME.gateway.3.from.2   the warm state that process 2 handed to process 3
-    NAME.used.3.from.2      units that 2 used since, by customer; rewritten again and again until 2 ends
+    NAME.used.3.from.2      units that 2 used since then, by customer; rewritten until 2 ends
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 
 @dataclass(slots=True, frozen=True)
 class OtherProcesses:
-    """Numbers of the other running processes of this gateway, the newest first."""
+    """The numbers of the other running processes of this gateway, the newest first."""
 
     older: list[int]
     newer: list[int]
 
 
 class Handover:
-    """This process's place among the processes of its gateway, and its mailbox with each of them."""
+    """This process's number among the processes of its gateway, and the files it exchanges with them."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        """Join as the newest process of the gateway `name`.
+        """Register as the newest process of the gateway `name`.
 
         Raises:
             OSError: the folder cannot be written to.
         """
         self._folder = folder
         self._stem = re.sub(r"[^A-Za-z0-9_-]", "_", name)
-        self._lock_name = re.compile(rf"{self._stem}\.gateway\.([0-9]{{1,9}})")
+        self._lock_name_pattern = re.compile(rf"{self._stem}\.gateway\.([0-9]{{1,9}})")
         self._remove_leftovers()
         unnumbered = folder / f"{self._stem}.begun.{os.getpid()}"
         self._lock = os.open(unnumbered, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -59,7 +59,7 @@
             unnumbered.unlink(missing_ok=True)
 
     def _take_number(self, unnumbered: Path) -> int:
-        # The file gets its numbered name only once it is locked: nobody takes it for left over.
+        # The file gets its numbered name only once it is locked: no other process takes it for a leftover.
         while True:
             number = max(self._numbers(), default=0) + 1
             with contextlib.suppress(FileExistsError):
@@ -77,17 +77,17 @@
 
     def _numbers(self) -> Iterator[int]:
         for file in os.listdir(self._folder):
-            if found := self._lock_name.fullmatch(file):
+            if found := self._lock_name_pattern.fullmatch(file):
                 yield int(found[1])
 
     def _is_running(self, number: int) -> bool:
-        """Tell whether a process holds this lock. One that cannot be checked now counts as running."""
+        """Return whether a process holds this lock. One that cannot be checked counts as running."""
         try:
             with open(self._lock_path(number), "rb") as file:
                 fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except FileNotFoundError:
             return False
-        except OSError:  # BlockingIOError is the lock; others say nothing about the process
+        except OSError:  # BlockingIOError means locked; others say nothing about the process
             return True
         return False
 
@@ -96,18 +96,20 @@
         for number in list(self._numbers()):
             if not self._is_running(number):
                 self._lock_path(number).unlink(missing_ok=True)
-        handed_name = re.compile(rf"{self._stem}\.(?:gateway|used)\.([0-9]+)\.from\.[0-9]+(?:\.part)?")
+        exchange_name_pattern = re.compile(
+            rf"{self._stem}\.(?:gateway|used)\.([0-9]+)\.from\.[0-9]+(?:\.part)?"
+        )
         for file in os.listdir(self._folder):
-            found = handed_name.fullmatch(file)
+            found = exchange_name_pattern.fullmatch(file)
             if found and not self._lock_path(int(found[1])).exists():
                 (self._folder / file).unlink(missing_ok=True)
 
     @staticmethod
     def _write(path: Path, data: bytes) -> None:
-        """Replace the file as a whole: a reader sees the one before or this one."""
-        part = path.with_name(path.name + ".part")
-        part.write_bytes(data)
-        part.replace(path)
+        """Replace the file atomically: a reader sees the old content or the new, never a part."""
+        partial_path = path.with_name(path.name + ".part")
+        partial_path.write_bytes(data)
+        partial_path.replace(path)
 
     @staticmethod
     def _read(path: Path) -> bytes | None:
@@ -117,7 +119,7 @@
         except OSError:
             return None
 
-    # Which processes there are
+    # Other processes
 
     def other_processes(self) -> OtherProcesses:
         """Return the other running processes.
@@ -126,49 +128,49 @@
             OSError: the folder cannot be listed.
         """
         numbers = sorted(self._numbers(), reverse=True)
-        running = [one for one in numbers if one != self.number and self._is_running(one)]
+        running = [number for number in numbers if number != self.number and self._is_running(number)]
         return OtherProcesses(
-            older=[one for one in running if one < self.number],
-            newer=[one for one in running if one > self.number],
+            older=[number for number in running if number < self.number],
+            newer=[number for number in running if number > self.number],
         )
 
     def older_processes(self) -> list[int]:
-        """Return the running processes that began before this one, the newest first."""
+        """Return the running processes that started before this one, the newest first."""
         return self.other_processes().older
 
     def newer_processes(self) -> list[int]:
-        """Return the running processes that began after this one, the newest first."""
+        """Return the running processes that started after this one, the newest first."""
         return self.other_processes().newer
 
     def mark_ready(self) -> None:
-        """Let the other processes know that this one serves clients from now on."""
+        """Mark this process as serving clients, for the other processes to see."""
         os.pwrite(self._lock, READY, 0)
 
     def is_ready(self, number: int) -> bool:
-        """Tell whether that process serves clients."""
+        """Return whether process `number` serves clients."""
         return self._read(self._lock_path(number)) == READY
 
-    # What passes between them
+    # Exchange with other processes
 
     def write_warm_state(self, to: int, data: bytes) -> None:
         """Hand the encoded warm state to process `to`."""
         self._write(self._warm_state_path(to, self.number), data)
 
     def take_warm_state(self, source: int) -> bytes | None:
-        """Return the warm state that `source` handed to this process, once; None if there is none."""
+        """Return and remove the warm state that `source` handed to this process; None if there is none."""
         path = self._warm_state_path(self.number, source)
         data = self._read(path)
         path.unlink(missing_ok=True)
         return data
 
     def write_usage(self, to: int, units: dict[int, float]) -> None:
-        """Let process `to` know the units by customer that this one used since it handed on its state."""
+        """Publish to process `to` the units by customer used since this one handed on its state."""
         self._write(self._usage_path(to, self.number), msgspec.json.encode(units))
 
     def read_usage(self, source: int) -> dict[int, float]:
-        """Return the units by customer that `source` used since.
+        """Return the units by customer that `source` used since it handed on its state.
 
-        Empty if it has written none, or nothing that can be read.
+        Empty if it has written none, or the file cannot be read or decoded.
         """
         data = self._read(self._usage_path(self.number, source))
         try:
@@ -177,7 +179,7 @@
             return {}
 
     def close(self) -> None:
-        """Give up the lock. A file that cannot be removed now is removed by the next process."""
+        """Release the lock. A file that cannot be removed now is removed by the next process."""
         with contextlib.suppress(OSError):
             self._lock_path(self.number).unlink(missing_ok=True)
         os.close(self._lock)
--- a/mapleshunt/net/log.py
+++ b/mapleshunt/net/log.py
@@ -1,4 +1,4 @@
-"""Log lines of key=value pairs, by structlog over `logging`: lines of libraries come out in the same form."""
+"""Log lines of key=value pairs, by structlog over `logging`; lines of libraries have the same form."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 import structlog
 
-# Codecs are imported at their first use, which may be when no descriptor is left to import anything.
+# Codecs are imported at first use; by then there may be no descriptor left for the import.
 codecs.lookup("unicode_escape")
 
 LOG: Any = structlog.stdlib.get_logger("mapleshunt")  # structlog types its proxies as Any
 
 
 def _quoted(value: object) -> str:
-    """Format a value, in quotes where it would not end at the next space."""
+    """Format a value, in quotes if it is empty or has characters that need them."""
     text = f"{value:.{1 if abs(value) >= 10 else 3}f}" if isinstance(value, float) else str(value)
     if text and not any(char in ' "=\\' or not char.isprintable() for char in text):
         return text
@@ -47,13 +47,13 @@
 def render(_logger: object, _method: str, event: MutableMapping[str, Any]) -> str:
     """Render a line of key=value pairs, whose values are of any type.
 
-    The logfmt of structlog leaves control characters as they are; what strangers send may hold them.
+    structlog's logfmt renderer does not escape control characters, which untrusted input may contain.
     """
     return " ".join(f"{key}={_quoted(value)}" for key, value in event.items())
 
 
 def configure(level: int = logging.INFO) -> None:
-    """Write lines of that level and above to standard error from now on, those of libraries too."""
+    """Write log lines of `level` and above to standard error, those of libraries included."""
     shared: list[Any] = [structlog.stdlib.add_log_level, structlog.processors.format_exc_info]
     structlog.configure(
         processors=[
@@ -72,10 +72,10 @@
 
 
 def log_event(event: str, /, **fields: object) -> None:
-    """Log a line of that event with these fields."""
+    """Log an event with its fields."""
     LOG.info(event, **fields)
 
 
 def log_exception(event: str, /, **fields: object) -> None:
-    """Log an exception that was contained, with its traceback. Called while it is handled."""
+    """Log an exception that is being handled, with its traceback."""
     LOG.error(event, exc_info=True, **fields)
--- a/mapleshunt/net/reasons.py
+++ b/mapleshunt/net/reasons.py
@@ -1,7 +1,7 @@
 """Why attempts, connections and calls to discovery ended: one enum each.
 
-Log lines, counters, traces and `docs/on-call.md` share these enums. Each value is the word that operators
-read there, so that a value never changes without a note in the CHANGELOG.
+Log lines, counters, traces and `docs/on-call.md` share these enums. Operators read the values there, so a
+value never changes without a note in the CHANGELOG.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class AttemptStatus(enum.StrEnum):
-    """How an attempt ended. Counters: `tries_STATUS`, and `retries_after_STATUS` by the attempt before."""
+    """How an attempt ended. Counters: `tries_STATUS`, and `retries_after_STATUS` by the previous attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -24,7 +24,7 @@
 
 
 class RequestResult(enum.StrEnum):
-    """What the client of a request got. The values are stored in recordings."""
+    """How a request ended for its client. The values are stored in recordings."""
 
     CLIENT_GONE = "gone"
     SERVED = "served"
@@ -88,5 +88,5 @@
     http_status: int = 0
 
     def __str__(self) -> str:
-        """The word of the log line, such as `agent_silent` or `status_503`."""
+        """Return the value in the log line, such as `agent_silent` or `status_503`."""
         return f"{self.reason}_{self.http_status}" if self.http_status else str(self.reason)
--- a/mapleshunt/net/startup.py
+++ b/mapleshunt/net/startup.py
@@ -1,4 +1,4 @@
-"""Steps of a start that may fail for a moment: each is retried while there is time left to be ready."""
+"""Startup steps, each retried after a transient error while there is time left to be ready."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from . import log
 from .counters import Counters
 
-START_TIMEOUT_S = 8.0  # after which a step that still fails ends the start: most have to be ready in 10 s
+START_TIMEOUT_S = 8.0  # a step that fails after this ends the start: most must be ready in 10 s
 START_RETRY_DELAY_S = 0.02
 
 Result = TypeVar("Result")
@@ -20,17 +20,17 @@
     """The steps of one start, which share `START_TIMEOUT_S`."""
 
     def __init__(self, counters: Counters) -> None:
-        """Begin to count the time."""
+        """Start the time limit."""
         self._counters = counters
         self._deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
 
     async def run(self, name: str, step: Callable[[], Result]) -> Result:
-        """Return what the step returns.
+        """Run a step, with retries, and return what it returns.
 
-        A step that failed must have left nothing behind. Cancelling it between two attempts does no harm.
+        A step that fails must leave nothing behind. Cancelling between two attempts does no harm.
 
         Raises:
-            OSError: the step raised it, and it is not transient or did not pass in time.
+            OSError: the step raised it, and it is not transient or was still raised after the time limit.
         """
         while True:
             try:
--- a/mapleshunt/net/trace.py
+++ b/mapleshunt/net/trace.py
@@ -1,7 +1,7 @@
 """The last state changes of requests and connections, kept in memory, and violations of invariants.
 
-A line in the log for each step of each request would cost more than the requests. The steps are kept in a
-ring instead; those of one request are logged when it violates an invariant, and all of them on SIGQUIT.
+A log line for each step of each request would cost more than the requests. The steps are stored in a ring
+buffer instead; those of a request are logged when it violates an invariant, and all of them on SIGQUIT.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from . import log
 from .reasons import ClientCloseReason, UpstreamCloseReason
 
-MAX_KEPT_STEPS = 2048  # some 0.5 MB, for memory is limited and its growth is priced
+MAX_STORED_STEPS = 2048  # some 0.5 MB: memory is limited, and its growth has a price
 MAX_LOGGED_STEPS = 64  # of the request that violates an invariant
 
 
@@ -29,24 +29,24 @@
 
 
 class Trace:
-    """The last steps, and the counters of closed connections and violations."""
+    """The last steps, and the counting of closed connections and violations."""
 
     def __init__(self, count: Callable[[str], None]) -> None:
-        """Begin without steps. `count` adds one to a counter by its name."""
+        """Start without steps. `count` adds one to a counter by its name."""
         self.count = count
-        self.steps: deque[Step] = deque(maxlen=MAX_KEPT_STEPS)
+        self.steps: deque[Step] = deque(maxlen=MAX_STORED_STEPS)
 
     def add(self, subject: str, event: str, detail: str = "") -> None:
-        """Keep a step; the oldest makes room for it."""
+        """Store a step; when the buffer is full, the oldest is dropped."""
         self.steps.append(Step(time.monotonic(), subject, event, detail))
 
     def count_close(self, kind: str, reason: ClientCloseReason | UpstreamCloseReason) -> None:
-        """Count the end of a connection of that kind by its reason."""
+        """Count a closed connection of that kind by its reason."""
         self.count(f"{kind}_closed_{reason}")
 
-    def report_violations(self, guard: Guard, broken: Iterable[str], subject: str) -> None:
-        """Count and log each rule that a guard found broken, with the steps that led to it."""
-        for rule in broken:
+    def report_violations(self, guard: Guard, violated_rules: Iterable[str], subject: str) -> None:
+        """Count and log each rule that a guard found violated, with the last steps of the subject."""
+        for rule in violated_rules:
             self.count("invariant_violations")
             self.count(f"violated_{guard.value}_{rule}")
             log.log_event("invariant_violated", guard=guard.value, rule=rule, subject=subject)
--- a/mapleshunt/net/upstream/connection.py
+++ b/mapleshunt/net/upstream/connection.py
@@ -1,7 +1,7 @@
 """One connection to an endpoint. It carries one attempt at a time.
 
-Replies come in the order of commands, so that an attempt that is cancelled ends its connection: the reply
-still to come on it would be taken for that of the next attempt.
+Replies come in the order of commands, so an attempt that is cancelled closes its connection: the reply
+still to come would be taken for that of the next attempt.
 """
 
 from __future__ import annotations
@@ -27,25 +27,24 @@
 from .endpoint import Endpoint
 from .errors import ConnectionLostError
 
-# For which a reply that has begun may bring nothing: one that stalls is given up while there is time for a
-# retry.
+# Time without a new byte after which an incomplete reply is rejected, early enough for a retry.
 REPLY_STALL_TIMEOUT_S = 0.1
-# A kept connection that is reset so soon under an attempt had been closed by the endpoint before.
+# A reused connection that ends this soon after a command counts as closed by the endpoint before it.
 STALE_RESET_WITHIN_S = 0.02
 CLOSED_BY_ENDPOINT = (UpstreamCloseReason.ENDPOINT_CLOSED, UpstreamCloseReason.ENDPOINT_RESET)
-# Four of the longest replies: none that is in good form overruns the stream's own buffer.
+# Four of the longest replies: no well-formed reply overruns the stream's own buffer.
 MAX_STREAM_BUFFER_BYTES = 4 * resp.MAX_MESSAGE_BYTES
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the group that it belongs to."""
+    """The part of an endpoint group that its connections use."""
 
     counters: Counters
     connections: set[UpstreamConnection]
     dial_timeout_ms: float
 
     def reduce_max_idle(self, idle_s: float) -> None:
-        """Note that a connection was found closed after it had been idle for so long."""
+        """Lower the maximum idle time after a connection idle for `idle_s` was found closed."""
 
 
 @dataclass(slots=True, eq=False)
@@ -53,19 +52,23 @@
     """An endpoint and the idle connections to it."""
 
     endpoint: Endpoint
-    idle: list[UpstreamConnection] = field(default_factory=list)  # the last one used at the end
+    idle: list[UpstreamConnection] = field(default_factory=list)  # the most recently used last
 
     @property
     def address(self) -> Address:
-        """Return the endpoint's address as the list has it now."""
+        """Return the endpoint's address in the current endpoint list."""
         return self.endpoint.address
 
 
 class UpstreamConnection:
-    """A connection to an endpoint, from its socket to its end."""
+    """A connection to an endpoint, from the creation of its socket to its close."""
 
     def __init__(self, pool: EndpointPool, group: ConnectionOwner) -> None:
-        """Make the socket and enter the group. Raises OSError if no descriptor is left."""
+        """Create the socket and register with the group.
+
+        Raises:
+            OSError: no descriptor is left.
+        """
         self.pool, self.endpoint, self.group = pool, pool.endpoint, group
         family = address_family(pool.address)
         self.stream = IOStream(socket.socket(family), max_buffer_size=MAX_STREAM_BUFFER_BYTES)
@@ -76,17 +79,17 @@
         self.idle_since = 0.0  # s, on the loop's clock
         self.stall_timer: asyncio.TimerHandle | None = None
         self.max_reply_s = math.inf  # for the awaited reply, from its first byte
-        self.reply_deadline = math.inf  # s, on the loop's clock: when the awaited reply has to be complete
+        self.reply_deadline = math.inf  # s, on the loop's clock: when the awaited reply must be complete
         self.reader: asyncio.Task[None] | None = None
         group.connections.add(self)
 
     async def connect(self) -> None:
-        """Dial, and begin to read.
+        """Dial the endpoint and start reading.
 
-        Cancelling it leaves the connection to be closed by its owner.
+        Cancelling it leaves the connection for its owner to close.
 
         Raises:
-            DialError: the connection was not established in time; it is closed.
+            DialError: the connection was not established, or not in time; it is closed.
         """
         loop = asyncio.get_running_loop()
         timeout_s = self.group.dial_timeout_ms / 1000
@@ -103,9 +106,10 @@
         self.reader = loop.create_task(self._read())
 
     def is_reusable(self) -> bool:
-        """Tell whether nothing has come on an idle connection, its end above all.
+        """Return whether an idle connection is open and has no unread bytes.
 
-        A command written behind an unread end is lost as one that may have run, so the end is looked for.
+        A command written after the endpoint's close is lost and counts as one that may have run, so a peek
+        looks for the close first.
         """
         if self.stream.closed():
             return False
@@ -120,12 +124,12 @@
     ) -> AttemptResult:
         """Write a command and wait for its reply.
 
-        Cancelling it leaves the command on the connection, which the caller then has to close.
+        Cancelling it leaves the command in flight on the connection, which the caller then has to close.
 
         Args:
-            data: the command.
+            data: the encoded command.
             on_written: called once its last byte is written.
-            max_reply_s: in which a reply that has begun must be complete.
+            max_reply_s: time limit of the reply, from its first byte to its last.
 
         Raises:
             ConnectionLostError: the connection was closed, by either side, before the reply was complete.
@@ -171,7 +175,7 @@
         )
 
     async def _read(self) -> None:
-        """Read replies until the connection ends."""
+        """Read replies until the connection is closed."""
         reason = UpstreamCloseReason.ENDPOINT_CLOSED
         try:
             while True:
@@ -190,42 +194,45 @@
         self.close(reason)
 
     def _process_reply(self) -> None:
-        found = resp.parse_reply(self.buffer.data, self.buffer.start, self.buffer.end)
+        parsed = resp.parse_reply(self.buffer.data, self.buffer.start, self.buffer.end)
         if self.pending_result is None or self.pending_result.done():
-            raise resp.ProtocolError("bytes that belong to no attempt")
-        if found is None:
+            raise resp.ProtocolError("bytes received while no attempt awaits a reply")
+        if parsed is None:
             self._restart_stall_timer()
             return
-        self.buffer.consume(found[1])
+        self.buffer.consume(parsed[1])
         self._stop_stall_timer()
-        self.pending_result.set_result(command_protocol.parse_attempt_result(found[0]))
-        if self.buffer.start != self.buffer.end:  # the reply is good; what follows would spoil the next one
-            raise resp.ProtocolError("bytes behind a reply")
+        self.pending_result.set_result(command_protocol.parse_attempt_result(parsed[0]))
+        if self.buffer.start != self.buffer.end:  # the next attempt would read them as its reply
+            raise resp.ProtocolError("unexpected bytes after a complete reply")
 
     def _restart_stall_timer(self) -> None:
-        """Give the rest of a reply its time.
+        """Restart the time limit of an incomplete reply after new bytes.
 
-        A long reply may come slowly, in small pieces; one that stalls, or never ends, is given up while
-        there is time left for a retry.
+        A long reply may come slowly, in small pieces; one that stalls or never ends is rejected while there
+        is time left for a retry.
         """
         loop = asyncio.get_running_loop()
         self.reply_deadline = min(self.reply_deadline, loop.time() + self.max_reply_s)
         self._stop_stall_timer()
         stalled_at = min(self.reply_deadline, loop.time() + REPLY_STALL_TIMEOUT_S)
-        self.stall_timer = loop.call_at(stalled_at, self._reject_reply, "a reply that does not end")
+        self.stall_timer = loop.call_at(
+            stalled_at, self._reject_reply, "reply stalled or not complete in time"
+        )
 
     def _stop_stall_timer(self) -> None:
         if self.stall_timer is not None:
             self.stall_timer.cancel()
             self.stall_timer = None
 
-    def _reject_reply(self, why: object) -> None:
-        """Close on what is no reply. The attempt may have run, but its endpoint lives.
+    def _reject_reply(self, cause: object) -> None:
+        """Close the connection on a malformed reply and end its attempt with `ERROR`.
 
-        Reported as "reset" it had the policy take the endpoint for dead and migrate all attempts from it.
+        The attempt may have run, but the endpoint is alive: with `RESET` the policy took it for dead and
+        migrated all attempts from it.
         """
         self.group.counters.add("malformed_replies")
-        log.log_event("malformed_reply", server=self.pool.endpoint.id, why=why)
+        log.log_event("malformed_reply", server=self.pool.endpoint.id, why=cause)
         if self.pending_result is not None and not self.pending_result.done():
             self.pending_result.set_result(AttemptResult(AttemptStatus.ERROR))
         self.close(UpstreamCloseReason.MALFORMED_REPLY)
--- a/mapleshunt/net/upstream/dial.py
+++ b/mapleshunt/net/upstream/dial.py
@@ -1,4 +1,4 @@
-"""What a failed dial tells: whether the endpoint was not reached, or this machine lacks a resource."""
+"""Errors of connect: was the endpoint not reached, or does this machine lack a resource?"""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from .errors import DialError
 
-# Errors of connect that come of this machine alone and tell nothing about the endpoint.
+# Errors of connect caused by this machine alone, which say nothing about the endpoint.
 LOCAL_CONNECT_ERRORS = frozenset(
     {
         errno.EADDRNOTAVAIL,
@@ -23,6 +23,6 @@
 
 
 def dial_error(failure: StreamClosedError | OSError) -> DialError:
-    """Word the failure of a stream's connect."""
+    """Return the error for a stream whose connect failed."""
     cause = failure.real_error if isinstance(failure, StreamClosedError) else failure
     return DialError(isinstance(cause, OSError) and cause.errno in LOCAL_CONNECT_ERRORS)
--- a/mapleshunt/net/upstream/endpoint.py
+++ b/mapleshunt/net/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as discovery lists it."""
+"""An endpoint as listed by discovery."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     zone: str
     cell: int
     state: EndpointState
-    started_at_ms: float  # Unix time; 0 for long ago
+    started_at_ms: float  # Unix time; 0 counts as long ago
 
     @property
     def number(self) -> int:
-        """Return the number for gossip about it: made from the id alone, it is the same at all gateways."""
+        """Return the endpoint's number in gossip: made from the id alone, it is the same at all gateways."""
         return zlib.crc32(self.id.encode())
 
     def is_same_process(self, other: Endpoint) -> bool:
-        """Tell whether both lead to one address and one start of the server."""
+        """Return whether both are the same process: same address and same start."""
         return self.address == other.address and self.started_at_ms == other.started_at_ms
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery names, and the pools of connections to them."""
+"""The endpoints that discovery lists, and the pools of connections to them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .endpoint import Endpoint
 from .errors import NoConnectionAvailableError
 
-# Between a reply and the next attempt on its connection: what follows right behind a reply would otherwise be
-# taken for the next attempt's.
+# Between a reply and the next attempt on its connection: bytes right behind a reply would otherwise be taken
+# for the next attempt's reply.
 REUSE_DELAY_S = 0.01
-# In which the time for which a connection may be idle and be used again doubles, after it was reduced.
+# Time in which a reduced maximum idle time doubles.
 MAX_IDLE_DOUBLING_S = 5.0
-MAX_DOUBLINGS = 60.0  # keeps the power within a float, after days without a reduction
+MAX_DOUBLINGS = 60.0  # keeps the power of 2 within a float after days without a reduction
 
 
 def _unknown_age(_started_at_ms: float) -> float | None:
@@ -25,12 +25,12 @@
 
 
 class EndpointGroup:
-    """Owns the endpoint list and all connections to endpoints."""
+    """The owner of the endpoint list and of all connections to endpoints."""
 
     def __init__(
         self, counters: Counters, dial_timeout_ms: float, idle_timeout_ms: float, max_connections: int
     ) -> None:
-        """Begin without endpoints. `max_connections` bounds the open connections to all of them together."""
+        """Start without endpoints. `max_connections` bounds the open connections to all of them together."""
         self.counters = counters
         self.dial_timeout_ms = dial_timeout_ms
         self.idle_timeout_ms = idle_timeout_ms
@@ -52,8 +52,8 @@
 
         Args:
             kind: any kind but "partial" replaces the list.
-            endpoints: what discovery names.
-            age: tells for how many ms a server that started then, in Unix ms, has been up; None if unknown.
+            endpoints: the endpoints that discovery sent.
+            age: returns for how many ms an endpoint started at a Unix time, in ms, is up; None if unknown.
         """
         for endpoint in endpoints:
             pool = self.pools.setdefault(endpoint.number, EndpointPool(endpoint))
@@ -61,15 +61,22 @@
             pool.endpoint = endpoint
             if not is_same:
                 _close_idle(pool, UpstreamCloseReason.ENDPOINT_REPLACED)
-        self._remove_gone(kind, endpoints)
+        self._remove_unlisted(kind, endpoints)
         entries = tuple(
-            EndpointInfo(one.number, one.zone, one.cell, one.state, one.started_at_ms, age(one.started_at_ms))
-            for one in endpoints
+            EndpointInfo(
+                entry.number,
+                entry.zone,
+                entry.cell,
+                entry.state,
+                entry.started_at_ms,
+                age(entry.started_at_ms),
+            )
+            for entry in endpoints
         )
         return EndpointUpdate(kind, entries)
 
-    def _remove_gone(self, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Forget endpoints that are gone: new ones come under new ids all day."""
+    def _remove_unlisted(self, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
+        """Remove endpoints that are gone: new ones come under new ids, and the pools would grow."""
         listed = {endpoint.number for endpoint in endpoints}
         for number, pool in list(self.pools.items()):
             if pool.endpoint.state == "gone" or (kind != "partial" and number not in listed):
@@ -77,14 +84,14 @@
                 del self.pools[number]
 
     def may_send(self, number: int) -> bool:
-        """Tell whether the list names the endpoint as one that takes new requests."""
+        """Return whether the list has the endpoint as ready for new requests."""
         pool = self.pools.get(number)
         return pool is not None and pool.endpoint.state == "ready"
 
     # Connections
 
     def set_connection_limit(self, max_connections: int) -> None:
-        """Bound the connections; idle ones beyond the bound are closed now, the longest idle first."""
+        """Set the limit of connections; idle ones beyond it are closed now, the longest idle first."""
         self.max_connections = max_connections
         idle = [connection for pool in self.pools.values() for connection in pool.idle]
         idle.sort(key=lambda connection: connection.idle_since)
@@ -92,12 +99,12 @@
             connection.close(UpstreamCloseReason.EVICTED)
 
     def take_idle(self, number: int) -> UpstreamConnection | None:
-        """Take an idle connection to an endpoint, the one used last, or None. It leaves the pool."""
+        """Take the most recently used reusable connection out of the endpoint's pool, or return None."""
         pool = self.pools.get(number)
         now = asyncio.get_running_loop().time()
-        oldest = now - self.max_idle_s(now)
+        min_idle_since = now - self.max_idle_s(now)
         for connection in reversed(list(pool.idle)) if pool is not None else ():
-            if oldest <= connection.idle_since <= now - REUSE_DELAY_S:
+            if min_idle_since <= connection.idle_since <= now - REUSE_DELAY_S:
                 if connection.is_reusable():
                     connection.pool.idle.remove(connection)
                     return connection
@@ -105,10 +112,10 @@
         return None
 
     def new_connection(self, number: int) -> UpstreamConnection:
-        """Make a connection to an endpoint, still to be dialled; at the bound an idle one is closed for it.
+        """Create a connection to an endpoint, still to be dialled; at the limit an idle one is closed for it.
 
         Raises:
-            NoConnectionAvailableError: the endpoint is not known, or neither bound nor descriptors allow one.
+            NoConnectionAvailableError: the endpoint is not listed, or the limit or descriptors are used up.
         """
         pool = self.pools.get(number)
         if pool is None:
@@ -119,21 +126,21 @@
             return UpstreamConnection(pool, self)
         except OSError as error:
             self.counters.add("out_of_descriptors")
-            raise NoConnectionAvailableError(f"no socket: {error}") from None
+            raise NoConnectionAvailableError(f"cannot create a socket: {error}") from None
 
     def _evict_idle(self) -> None:
         longest_idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
         if not longest_idle:
-            raise NoConnectionAvailableError("all connections are in use")
+            raise NoConnectionAvailableError("connection limit reached and no connection is idle")
         min(longest_idle, key=lambda connection: connection.idle_since).close(UpstreamCloseReason.EVICTED)
 
     def is_current(self, connection: UpstreamConnection) -> bool:
-        """Tell whether it leads to its endpoint as listed now, at this address and since this start."""
+        """Return whether the connection's endpoint is still listed with the same address and start."""
         pool, endpoint = connection.pool, connection.endpoint
         return pool.endpoint.is_same_process(endpoint) and self.pools.get(endpoint.number) is pool
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Return a connection to its pool after an attempt; closed if the list has its endpoint no more."""
+        """Return a connection to its pool after an attempt, or close it if it is no longer current."""
         if connection not in self.connections:
             return
         if not self.is_current(connection):
@@ -145,7 +152,7 @@
     # Idle connections
 
     def max_idle_s(self, now: float) -> float:
-        """Return for how many s an idle connection is trusted to be open at the endpoint too.
+        """Return for how many s an idle connection is trusted to be still open at the endpoint.
 
         `now` is s on the loop's clock.
         """
@@ -153,10 +160,10 @@
         return min(self.idle_timeout_ms / 1000, self.reduced_max_idle_s * 2**doublings)
 
     def reduce_max_idle(self, idle_s: float) -> None:
-        """Trust idle connections for less: one that was idle for `idle_s` was reset by the next attempt.
+        """Lower the maximum idle time: a connection idle for `idle_s` was found closed by its next attempt.
 
-        That attempt may have run for all we know. Endpoints may close connections without notice and sooner
-        than the settings say; dialling anew costs far less than such an attempt.
+        That attempt counts as one that may have run. Endpoints may close connections without notice and
+        sooner than the settings say; dialling again costs far less than such an attempt.
         """
         now = asyncio.get_running_loop().time()
         self.counters.add("stale_connections")
@@ -164,15 +171,15 @@
         self.reduced_at = now
 
     def close_stale_idle(self) -> None:
-        """Close what has been idle for too long, well before the endpoint does."""
+        """Close connections that were idle for too long, before the endpoint does."""
         now = asyncio.get_running_loop().time()
-        oldest = now - self.max_idle_s(now)
+        min_idle_since = now - self.max_idle_s(now)
         for pool in self.pools.values():
-            for connection in [one for one in pool.idle if one.idle_since < oldest]:
+            for connection in [idle for idle in pool.idle if idle.idle_since < min_idle_since]:
                 connection.close(UpstreamCloseReason.IDLE)
 
     def close(self) -> None:
-        """Close all connections: the gateway is leaving."""
+        """Close all connections, when the gateway shuts down."""
         for connection in list(self.connections):
             connection.close(UpstreamCloseReason.SHUTDOWN)
 
