--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery against an agent that plays one fate after another on a real socket."""
+"""The discovery watch, against agents that answer, fail or stay silent on a real socket."""
 
 from __future__ import annotations
 
@@ -29,45 +29,44 @@
 from .processes import EXAMPLE
 
 
-class Prompt(Backoff):
-    """Calls again at once: the tests look at what is called, not when."""
+class ShortBackoff(Backoff):
+    """Shortens the delays a thousandfold: the tests check which calls are made, not when."""
 
-    def next_delay_ms(self, since: float = NOTIFICATION_BUDGET_MS) -> float:
-        return super().next_delay_ms(since) / 1000
+    def next_delay_ms(self, since_answer_ms: float = NOTIFICATION_BUDGET_MS) -> float:
+        return super().next_delay_ms(since_answer_ms) / 1000
 
 
-def answer(revision: int, complete: bool, status: bytes = b"200 OK") -> bytes:
+def encode_answer(revision: int, complete: bool, status: bytes = b"200 OK") -> bytes:
     row = {"id": "s-1", "host_port": "127.0.0.1:1", "phase": "Ready"}
     body = json.dumps({"revision": revision, "complete": complete, "members": [row]}).encode()
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
 def test_watch_continues_after_silence_malformed_lists_and_closes() -> None:
-    # Each answer is given to one call. None: the agent stays silent; b"": it ends the connection.
+    # Each answer is for one call. None: the agent stays silent; b"": it closes the connection.
     answers: list[bytes | None] = [
-        answer(41, True),
-        answer(43, False),
+        encode_answer(41, True),
+        encode_answer(43, False),
         None,
-        answer(44, False),
+        encode_answer(44, False),
         b"",
-        answer(45, False),
+        encode_answer(45, False),
         b"nonsense\r\n\r\n",
-        answer(46, False),
-        answer(0, False, b"503 Full"),
-        answer(47, False),
-        answer(0, False, b"410 Gone"),
-        answer(50, True),
+        encode_answer(46, False),
+        encode_answer(0, False, b"503 Full"),
+        encode_answer(47, False),
+        encode_answer(0, False, b"410 Gone"),
+        encode_answer(50, True),
     ]
     paths: list[str] = []
     updates: list[EndpointList] = []
 
-    def on_update(found: EndpointList) -> None:
-        updates.append(found)
-        discovery.watch_timeout_s = (
-            0.05 if answers[:1] == [None] else 60.0
-        )  # short only where silence follows
+    def on_update(update: EndpointList) -> None:
+        updates.append(update)
+        # Short only where silence follows.
+        discovery.watch_timeout_s = 0.05 if answers[:1] == [None] else 60.0
 
-    discovery = EndpointWatcher(("", 0), on_update, Counters(), Prompt(1, random.Random(1)))
+    discovery = EndpointWatcher(("", 0), on_update, Counters(), ShortBackoff(1, random.Random(1)))
 
     async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -94,7 +93,7 @@
         server.close()
 
     asyncio.run(run())
-    assert [(one.revision, one.complete) for one in updates] == [
+    assert [(entry.revision, entry.complete) for entry in updates] == [
         (41, True),
         (43, False),
         (44, False),
@@ -103,54 +102,57 @@
         (47, False),
         (50, True),
     ]
-    # Whatever ended it, the watch goes on from the revision held, unless discovery does not know that. The
-    # first call on a connection waits for no change: what came while there was no watch is returned at once.
-    first, on = "/catalog/members?index={}&wait=0", f"/catalog/members?index={{}}&wait={WATCH_WAIT_MS:.0f}"
+    # Whatever ended a connection, the watch continues from the known revision, unless discovery does not know
+    # that. The first call on a connection does not wait: changes missed in between are returned at once.
+    first, watching = (
+        "/catalog/members?index={}&wait=0",
+        f"/catalog/members?index={{}}&wait={WATCH_WAIT_MS:.0f}",
+    )
     assert paths == [
         "/catalog/members",
         first.format(41),
-        on.format(43),
+        watching.format(43),
         first.format(43),
-        on.format(44),
+        watching.format(44),
         first.format(44),
-        on.format(45),
+        watching.format(45),
         first.format(45),
-        on.format(46),
+        watching.format(46),
         first.format(46),
-        on.format(47),
+        watching.format(47),
         "/catalog/members",
     ]
 
 
 def test_silent_watch_is_noticed_within_notification_budget() -> None:
-    # It was noticed after 21 s; for all that time draining endpoints got requests, and new ones got none.
+    # A silent agent was noticed after 21 s; until then draining endpoints got requests, and new ones none.
     assert WATCH_WAIT_MS + SILENCE_TIMEOUT_MS <= 2000
-    discovery = EndpointWatcher(("", 0), lambda found: None, Counters(), Backoff(1, random.Random(1)))
+    discovery = EndpointWatcher(("", 0), lambda update: None, Counters(), Backoff(1, random.Random(1)))
     assert discovery.watch_timeout_s == (WATCH_WAIT_MS + SILENCE_TIMEOUT_MS) / 1000
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_forty_gateways_restarted_together_are_current_within_budget(seed: int) -> None:
-    """The service takes a call each 100 ms in turn; one that would wait 2 s is rejected, and costs its turn.
+    """The service takes one call each 100 ms; one that would wait over 2 s is rejected and loses its place.
 
-    With a fixed pause of 100 ms the line stayed full, and hardly any gateway had a list all day.
+    With a fixed delay of 100 ms the queue stayed full, and hardly any gateway ever got a list.
     """
     clients = [Backoff(40, random.Random(seed * 100 + n)) for n in range(40)]
     calls = [(client.initial_delay_ms(), n) for n, client in enumerate(clients)]
     heapq.heapify(calls)
-    free, current, made = 0.0, {}, []
+    free_at, current_at, called_at = 0.0, {}, []
     while calls:
         at, n = heapq.heappop(calls)
-        made.append(at)
-        begun = max(free, at)
-        if begun - at > 2000:
+        called_at.append(at)
+        started_at = max(free_at, at)
+        if started_at - at > 2000:
             heapq.heappush(calls, (at + clients[n].next_delay_ms(), n))
         else:
-            free = begun + 100
-            current[n] = free
-    assert len(current) == 40 and max(current.values()) < 20_000
+            free_at = started_at + 100
+            current_at[n] = free_at
+    assert len(current_at) == 40 and max(current_at.values()) < 20_000
     for second in range(20):
-        assert sum(1000 * second <= at < 1000 * (second + 1) for at in made) <= 60
+        assert sum(1000 * second <= at < 1000 * (second + 1) for at in called_at) <= 60
 
 
 def test_backoff_of_small_fleet_is_short_and_resets_after_answer() -> None:
@@ -162,15 +164,15 @@
 
 
 def test_gateway_with_pushed_list_calls_agent_without_fleet_spread() -> None:
-    # The first call of 200 gateways waited up to 5 s for its turn at an agent that answers each at no cost:
-    # 384 requests went to draining servers that the answer would have named.
+    # The first calls of 200 gateways were delayed by up to 5 s, though their agents answer at no cost: 384
+    # requests went to draining endpoints that the answer would have named.
     backoff = Backoff(0, random.Random(1))
     assert backoff.initial_delay_ms() == 0.0
     assert max(backoff.next_delay_ms() for _ in range(50)) <= 500
 
 
 class Agent:
-    """One scripted agent on a real socket: each call is given to the test, which answers it or does not."""
+    """An agent on a real socket that passes each call to the test, which may answer it."""
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
@@ -188,16 +190,17 @@
 
 
 def test_watch_resumes_after_lack_of_descriptors() -> None:
-    # The socket was made outside of the `try`: its OSError ended the task, and no list came ever again.
+    # The socket was created outside the `try`: its OSError ended the task, and no list was received again.
     updates: list[EndpointList] = []
 
     async def run() -> Counters:
         agent, counters = Agent(), Counters()
         server = await agent.start()
         address = server.sockets[0].getsockname()
-        discovery = EndpointWatcher(address, updates.append, counters, Prompt(0, random.Random(1)))
+        discovery = EndpointWatcher(address, updates.append, counters, ShortBackoff(0, random.Random(1)))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))  # those that are open stay; there is no new
+        # Open descriptors stay valid; no new one can be opened.
+        resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))
         try:
             task = asyncio.create_task(discovery.run())
             while not counters.counts["discovery_ended"] and not task.done():
@@ -206,7 +209,7 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         assert not task.done()
         _, writer = await agent.calls.get()
-        writer.write(answer(7, True))
+        writer.write(encode_answer(7, True))
         while not updates:
             await asyncio.sleep(0)
         task.cancel()
@@ -217,21 +220,21 @@
     assert updates[0].revision == 7 and counts["out_of_descriptors"] >= 1
 
 
-def test_agent_behind_known_revision_is_asked_for_complete_list() -> None:
-    # A new agent may count from before: the changes since are not among those that it goes on to send.
+def test_complete_list_is_requested_from_agent_behind_known_revision() -> None:
+    # A new agent may be at an earlier revision: the changes since then are not in what it sends next.
     async def run() -> list[str]:
         agent = Agent()
         server = await agent.start()
         updates: list[EndpointList] = []
         discovery = EndpointWatcher(
-            server.sockets[0].getsockname(), updates.append, Counters(), Prompt(0, random.Random(1)), 41
+            server.sockets[0].getsockname(), updates.append, Counters(), ShortBackoff(0, random.Random(1)), 41
         )
         task = asyncio.create_task(discovery.run())
         paths = []
-        for reply in (answer(30, False), answer(31, True), answer(32, False)):
+        for response in (encode_answer(30, False), encode_answer(31, True), encode_answer(32, False)):
             path, writer = await agent.calls.get()
             paths.append(path)
-            writer.write(reply)
+            writer.write(response)
         task.cancel()
         server.close()
         return paths
@@ -245,8 +248,9 @@
 
 @pytest.mark.parametrize("read", [False, True])
 def test_answer_of_replaced_agent_is_ignored(monkeypatch: pytest.MonkeyPatch, read: bool) -> None:
-    """SIGHUP moves discovery twice in a row, while the first one's answer comes: before it is read, and
-    between its reading and the turn of the task that waits for it.
+    """SIGHUP changes the agent twice while the first agent's answer arrives.
+
+    The change comes before the answer is read, or between the read and the task that awaits it.
     """
     updates: list[int] = []
 
@@ -254,32 +258,32 @@
         agents = [Agent() for _ in range(3)]
         servers = [await agent.start() for agent in agents]
         first, second, third = (server.sockets[0].getsockname() for server in servers)
-        base = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
-        watch = GatewayServer(base).endpoint_watch
-        monkeypatch.setattr(watch, "apply_list", lambda found: updates.append(found.revision))
+        base_config = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
+        watch = GatewayServer(base_config).endpoint_watch
+        monkeypatch.setattr(watch, "apply_list", lambda update: updates.append(update.revision))
 
         def move(*_: object) -> None:
-            watch.follow(replace(base, discovery_address=second))
-            watch.follow(replace(base, discovery_address=third))
+            watch.follow(replace(base_config, discovery_address=second))
+            watch.follow(replace(base_config, discovery_address=third))
 
         async def fill(buffer: ReadBuffer, stream: IOStream) -> None:
-            reading = asyncio.ensure_future(
+            read_future = asyncio.ensure_future(
                 stream.read_into(cast(bytearray, buffer.free_space()), partial=True)
             )
-            if not crossed:  # before the task, which waits for it only now
-                crossed.append(True)
-                reading.add_done_callback(move)
-            buffer.end += await reading
+            if not moved:  # its callback runs before the task, which awaits the read only now
+                moved.append(True)
+                read_future.add_done_callback(move)
+            buffer.end += await read_future
 
-        crossed = [] if read else [True]
+        moved = [] if read else [True]
         monkeypatch.setattr(ReadBuffer, "fill", fill)
-        watch.follow(replace(base, discovery_address=first))
+        watch.follow(replace(base_config, discovery_address=first))
         _, writer = await agents[0].calls.get()
-        writer.write(answer(1, True))
+        writer.write(encode_answer(1, True))
         await writer.drain()
         if not read:
             move()
-        (await agents[2].calls.get())[1].write(answer(3, True))
+        (await agents[2].calls.get())[1].write(encode_answer(3, True))
         while not updates:
             await asyncio.sleep(0)
         assert watch.task is not None
@@ -291,32 +295,34 @@
     assert updates == [3]
 
 
-LOST = ("silent", "reset", "refused", "moved")
+WATCH_ENDS = ("silent", "reset", "rejected", "moved")
 
 
-def told_after(backoff: Backoff, lost: str, now: float) -> float:
-    """ms from the loss of a watch to the answer of the first call that can be answered, in its turn."""
-    if lost == "moved":
+def notified_after_ms(backoff: Backoff, watch_end: str, reset_after_ms: float) -> float:
+    """Return the ms from the end of a watch to the answer of the first call that can be answered."""
+    if watch_end == "moved":
         return backoff.initial_delay_ms() + backoff.dial_timeout_ms + backoff.answer_timeout_ms
-    if lost == "refused":  # a call that began before, in vain, took all it may, long after the last answer
+    if watch_end == "rejected":  # an earlier call failed after its full timeout, long after the last answer
         return (
             backoff.dial_timeout_ms
             + backoff.answer_timeout_ms
             + backoff.next_delay_ms()
             + backoff.answer_timeout_ms
         )
-    noticed = WATCH_WAIT_MS + SILENCE_TIMEOUT_MS if lost == "silent" else now
-    return noticed + backoff.next_delay_ms(noticed) + backoff.dial_timeout_ms + backoff.answer_timeout_ms
+    noticed_ms = WATCH_WAIT_MS + SILENCE_TIMEOUT_MS if watch_end == "silent" else reset_after_ms
+    return (
+        noticed_ms + backoff.next_delay_ms(noticed_ms) + backoff.dial_timeout_ms + backoff.answer_timeout_ms
+    )
 
 
 @pytest.mark.parametrize("callers", [0, 2, 40, 200])
-@pytest.mark.parametrize("lost", LOST)
-def test_change_is_notified_within_budget_after_any_watch_end(callers: int, lost: str) -> None:
-    # With 200 gateways a pause took up to 50 s and the call after it 7 s. A move counts 4 s later.
+@pytest.mark.parametrize("watch_end", WATCH_ENDS)
+def test_change_is_notified_within_budget_after_any_watch_end(callers: int, watch_end: str) -> None:
+    # With 200 gateways a delay took up to 50 s and the call after it 7 s. After a move 4 s are allowed.
     for seed in range(500):
-        chance = random.Random(seed)
-        backoff = Backoff(callers, chance)
-        for _ in range(seed % 8 if lost == "refused" else 0):
+        rng = random.Random(seed)
+        backoff = Backoff(callers, rng)
+        for _ in range(seed % 8 if watch_end == "rejected" else 0):
             backoff.next_delay_ms()
-        took = told_after(backoff, lost, chance.uniform(0.0, WATCH_WAIT_MS))
-        assert took <= (4000.0 if lost == "moved" else NOTIFICATION_BUDGET_MS)
+        notified_ms = notified_after_ms(backoff, watch_end, rng.uniform(0.0, WATCH_WAIT_MS))
+        assert notified_ms <= (4000.0 if watch_end == "moved" else NOTIFICATION_BUDGET_MS)
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -1,4 +1,4 @@
-"""The enums of reasons and the page for on-call engineers name the same counters and log words."""
+"""The enums of reasons and the on-call page list the same counters and log values."""
 
 from __future__ import annotations
 
@@ -21,47 +21,47 @@
 
 
 def section(title: str) -> str:
-    """The page from a title to the next one."""
-    found = re.search(rf"^## {re.escape(title)}\n(.*?)(?=^## |\Z)", PAGE, re.M | re.S)
-    assert found is not None, f"docs/on-call.md has no section {title!r}"
-    return found[1]
+    """Return the text from a title of the page to the next one."""
+    match = re.search(rf"^## {re.escape(title)}\n(.*?)(?=^## |\Z)", PAGE, re.M | re.S)
+    assert match is not None, f"docs/on-call.md has no section {title!r}"
+    return match[1]
 
 
 def first_cells(title: str) -> list[str]:
-    """The words in backticks in the first column of a section's table."""
+    """Return the words in backticks in the first column of a section's table."""
     rows = [line for line in section(title).splitlines() if line.startswith("| `")]
     return [word for row in rows for word in re.findall(r"`([^`]+)`", row.split("|")[1])]
 
 
 def test_client_close_reasons_are_those_of_the_page() -> None:
-    named = first_cells("Why a client connection was closed")
-    assert sorted(named) == sorted(ClientCloseReason)
+    listed = first_cells("Why a client connection was closed")
+    assert sorted(listed) == sorted(ClientCloseReason)
 
 
 def test_upstream_close_reasons_are_those_of_the_page() -> None:
-    named = first_cells("Why a connection to an endpoint was closed")
-    assert sorted(named) == sorted(UpstreamCloseReason)
+    listed = first_cells("Why a connection to an endpoint was closed")
+    assert sorted(listed) == sorted(UpstreamCloseReason)
 
 
 def test_discovery_end_reasons_are_those_of_the_page() -> None:
-    named = first_cells("Why a call to discovery ended")
-    words = [
+    listed = first_cells("Why a call to discovery ended")
+    expected = [
         f"{reason}_CODE" if reason is DiscoveryEndReason.HTTP_STATUS else reason
         for reason in DiscoveryEndReason
     ]
-    assert sorted(named) == sorted(words)
+    assert sorted(listed) == sorted(expected)
 
 
 def test_attempt_statuses_are_the_counters_of_the_page() -> None:
-    named = [name for name in first_cells("Counters") if name.startswith("tries_") and name != "tries_sent"]
-    assert sorted(named) == sorted(f"tries_{status}" for status in AttemptStatus)
+    listed = [name for name in first_cells("Counters") if name.startswith("tries_") and name != "tries_sent"]
+    assert sorted(listed) == sorted(f"tries_{status}" for status in AttemptStatus)
 
 
 def test_reject_reasons_are_the_counters_of_the_page() -> None:
-    # The row names the first counter whole and of the others only how they end.
+    # The row gives the first counter's full name and only the suffixes of the others.
     row = next(line for line in section("Counters").splitlines() if line.startswith("| `rejected_quota`"))
-    endings = [word.removeprefix("rejected").removeprefix("_") for word in re.findall(r"`([^`]+)`", row)]
-    assert sorted(endings) == sorted(reason for reason in RejectReason if reason)
+    suffixes = [word.removeprefix("rejected").removeprefix("_") for word in re.findall(r"`([^`]+)`", row)]
+    assert sorted(suffixes) == sorted(reason for reason in RejectReason if reason)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""How the result of an attempt is classified. Each endpoint here plays one case on a socket."""
+"""How the result of an attempt is classified, for endpoints that behave in one way each on a real socket."""
 
 from __future__ import annotations
 
@@ -28,53 +28,58 @@
 from mapleshunt.net.upstream.endpoint import Endpoint
 from mapleshunt.net.upstream.endpoint_group import EndpointGroup
 
-GOOD = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=4\r\n$-1\r\n"
+VALID_REPLY = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=4\r\n$-1\r\n"
 Steps = Callable[[EndpointGroup, int, socket.socket], Awaitable[list[AttemptResult]]]
-WORDS = [memoryview(b"SVC.QUERY"), memoryview(b"c" * 16), memoryview(b"i" * 16), memoryview(b"c=look")]
+COMMAND_ARGUMENTS = [
+    memoryview(b"SVC.QUERY"),
+    memoryview(b"c" * 16),
+    memoryview(b"i" * 16),
+    memoryview(b"c=look"),
+]
 
 
-class Silent:
+class NullSink:
     def serve(self, value: memoryview) -> None: ...
-    def reject(self, wait: float) -> None: ...
+    def reject(self, retry_after_ms: float) -> None: ...
     def fail(self) -> None: ...
 
 
-def play(steps: Steps) -> list[AttemptResult]:
-    """Run steps against a group of one endpoint, whose listening socket the steps get."""
+def run_steps(steps: Steps) -> list[AttemptResult]:
+    """Run `steps` with a group of one endpoint, its number and its listening socket."""
 
     async def run() -> list[AttemptResult]:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.settimeout(10)
             group = EndpointGroup(Counters(), 5000, 10000, 2)
-            member = Endpoint("s-1", listener.getsockname(), "", 0, "ready", 0.0)
-            group.apply_endpoint_list("complete", [member])
+            endpoint = Endpoint("s-1", listener.getsockname(), "", 0, "ready", 0.0)
+            group.apply_endpoint_list("complete", [endpoint])
             try:
-                return await steps(group, member.number, listener)
+                return await steps(group, endpoint.number, listener)
             finally:
                 group.close()
 
     return asyncio.run(run())
 
 
-def request_at(number: int) -> tuple[RequestContext, Attempt]:
-    answer: ResponseSink = Silent()
-    message = CommandMessage(WORDS, {"c": "look", "d": "480", "r": "1"})
-    context = RequestContext(1, RequestReceived(1, "look", "wide", "c", 480), message, answer, 0.0)
+def new_request(number: int) -> tuple[RequestContext, Attempt]:
+    sink: ResponseSink = NullSink()
+    message = CommandMessage(COMMAND_ARGUMENTS, {"c": "look", "d": "480", "r": "1"})
+    context = RequestContext(1, RequestReceived(1, "look", "wide", "c", 480), message, sink, 0.0)
     return context, Attempt(0, number, 0.0, 480.0)
 
 
-def attempt_at(group: EndpointGroup, number: int) -> tuple[Attempt, asyncio.Task[AttemptResult]]:
-    context, attempt = request_at(number)
+def start_attempt(group: EndpointGroup, number: int) -> tuple[Attempt, asyncio.Task[AttemptResult]]:
+    context, attempt = new_request(number)
     return attempt, asyncio.create_task(dispatch(context, attempt, group, lambda: 179.3))
 
 
-async def taken(server: socket.socket) -> bytes:
+async def receive_command(server: socket.socket) -> bytes:
     server.settimeout(10)
     data = b""
     while not resp.parse_command(bytearray(data), 0, len(data)):
-        if not (more := await asyncio.to_thread(server.recv, 65536)):
+        if not (received := await asyncio.to_thread(server.recv, 65536)):
             raise ConnectionResetError
-        data += more
+        data += received
     return data
 
 
@@ -85,7 +90,7 @@
 @pytest.mark.parametrize(
     ("data", "result"),
     [
-        (GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
+        (VALID_REPLY, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
         (b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nqps=1\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
         (b"-ERR failed\r\n", AttemptResult(AttemptStatus.ERROR)),
         (b"-BUSY\r\n", AttemptResult(AttemptStatus.FULL)),
@@ -94,8 +99,8 @@
         (b"*3\r\n$1\r\n", AttemptResult(AttemptStatus.RESET)),
         (b"*1\r\n$1\r\nv\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
         (b"*3\r\n$1\r\nv\r\n$4\r\n\x00=\xff,\r\n:5\r\n", AttemptResult(AttemptStatus.OK, memoryview(b"v"))),
-        (GOOD + GOOD, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
-        # Malformed: it may have run, and the endpoint lives.
+        (VALID_REPLY + VALID_REPLY, AttemptResult(AttemptStatus.OK, memoryview(b"value"), 4.0)),
+        # Malformed: the attempt may have run, and the endpoint is alive.
         (b"nonsense\r\n", AttemptResult(AttemptStatus.ERROR)),
         (b"*1\r\n$70000\r\n", AttemptResult(AttemptStatus.ERROR)),
         (b"*3\r\n$3000000000\r\nvvvv", AttemptResult(AttemptStatus.ERROR)),
@@ -106,63 +111,65 @@
 )
 def test_attempt_result_by_reply_after_last_byte(data: bytes, result: AttemptResult) -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        _, task = attempt_at(group, number)
+        _, task = start_attempt(group, number)
         with await accept(listener) as server:
-            assert b"c=look,d=300,r=1" in await taken(server)  # all as it came, but for the wait
+            # As the client sent it, except for the timeout.
+            assert b"c=look,d=300,r=1" in await receive_command(server)
             server.send(data)
             server.shutdown(socket.SHUT_WR)
             return [await task]
 
-    assert play(steps) == [result]
+    assert run_steps(steps) == [result]
 
 
 def test_refused_connection_is_unreachable() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         listener.close()
-        return [await attempt_at(group, number)[1]]
+        return [await start_attempt(group, number)[1]]
 
-    assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
+    assert run_steps(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
 def test_dial_timeout_is_unreachable() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.dial_timeout_ms = 0.0
-        return [await attempt_at(group, number)[1]]
+        return [await start_attempt(group, number)[1]]
 
-    assert play(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
+    assert run_steps(steps) == [AttemptResult(AttemptStatus.UNREACHABLE)]
 
 
 def test_unknown_endpoint_and_lack_of_descriptors_leave_attempt_unsent() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         group.max_connections = 0
-        return [await attempt_at(group, number + 1)[1], await attempt_at(group, number)[1]]
+        return [await start_attempt(group, number + 1)[1], await start_attempt(group, number)[1]]
 
-    assert play(steps) == [AttemptResult(AttemptStatus.UNSENT), AttemptResult(AttemptStatus.UNSENT)]
+    assert run_steps(steps) == [AttemptResult(AttemptStatus.UNSENT), AttemptResult(AttemptStatus.UNSENT)]
 
 
 def test_cancelled_attempt_is_unsent_before_write_and_cancelled_after() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        early, task = attempt_at(group, number)
-        await asyncio.sleep(0)  # it dials
+        early, task = start_attempt(group, number)
+        await asyncio.sleep(0)  # the attempt starts to dial
         early.cancel(AttemptStatus.CANCELLED)
         results = [await task]
         statuses = (AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT)
         for status in statuses:
-            late, task = attempt_at(group, number)
+            late, task = start_attempt(group, number)
             server = await accept(listener)
             with contextlib.suppress(ConnectionResetError):
-                await taken(server)  # unless it is the first one, which may have come up for a moment
+                # Unless this is the first connection, which may have been established briefly.
+                await receive_command(server)
                 late.cancel(status)
             if not late.cancel_status:
                 server = await accept(listener)
-                await taken(server)
+                await receive_command(server)
                 late.cancel(status)
             results.append(await task)
-            assert await asyncio.to_thread(server.recv, 1) == b""  # the connection ends with it
+            assert await asyncio.to_thread(server.recv, 1) == b""  # the connection is closed with the attempt
             server.close()
         return results
 
-    assert play(steps) == [
+    assert run_steps(steps) == [
         AttemptResult(AttemptStatus.UNSENT),
         AttemptResult(AttemptStatus.CANCELLED),
         AttemptResult(AttemptStatus.TIMEOUT),
@@ -171,47 +178,48 @@
 
 def test_connection_is_reused_unless_endpoint_closed_it() -> None:
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        _, task = attempt_at(group, number)
+        _, task = start_attempt(group, number)
         server = await accept(listener)
-        await taken(server)
-        server.send(GOOD)
+        await receive_command(server)
+        server.send(VALID_REPLY)
         results = [await task]
         await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
-        _, task = attempt_at(group, number)
-        await taken(server)  # on the same connection
-        server.send(GOOD)
+        _, task = start_attempt(group, number)
+        await receive_command(server)  # on the same connection
+        server.send(VALID_REPLY)
         results.append(await task)
-        server.close()  # unread on our side: a try written now would end as one that may have run
-        _, task = attempt_at(group, number)
+        # The close is not read yet: an attempt written now would count as one that may have run.
+        server.close()
+        _, task = start_attempt(group, number)
         with await accept(listener) as server:
-            await taken(server)
-            server.send(GOOD)
+            await receive_command(server)
+            server.send(VALID_REPLY)
             results.append(await task)
         return results
 
-    assert [one.status for one in play(steps)] == ["ok", "ok", "ok"]
+    assert [result.status for result in run_steps(steps)] == ["ok", "ok", "ok"]
 
 
-@pytest.mark.parametrize("more", [b"*3\r\n$5\r\nval", b"\r\n", b"+", GOOD])
-def test_bytes_behind_reply_never_reach_next_attempt(more: bytes) -> None:
-    # A part of a reply stayed in the buffer, and the next answer was read as its end.
+@pytest.mark.parametrize("extra", [b"*3\r\n$5\r\nval", b"\r\n", b"+", VALID_REPLY])
+def test_bytes_behind_reply_never_reach_next_attempt(extra: bytes) -> None:
+    # Part of a reply stayed in the buffer, and the next reply was read as its continuation.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        _, first = attempt_at(group, number)
+        _, first = start_attempt(group, number)
         with await accept(listener) as server:
-            await taken(server)
-            server.send(GOOD + more)
+            await receive_command(server)
+            server.send(VALID_REPLY + extra)
             results = [await first]
-            _, second = attempt_at(group, number)
-            with await accept(listener) as other:
-                await taken(other)
-                other.send(GOOD)
+            _, second = start_attempt(group, number)
+            with await accept(listener) as second_server:
+                await receive_command(second_server)
+                second_server.send(VALID_REPLY)
                 return [*results, await second]
 
-    assert [one.status for one in play(steps)] == ["ok", "ok"]
+    assert [result.status for result in run_steps(steps)] == ["ok", "ok"]
 
 
 def test_connection_is_not_reused_before_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Noise that came a moment behind an answer would have been taken for the next one's.
+    # Bytes that arrived a moment after a reply would have been taken for the next attempt's reply.
     monkeypatch.setattr(upstream, "REUSE_DELAY_S", 3600.0)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
@@ -223,42 +231,41 @@
             assert group.take_idle(number) is connection
         return []
 
-    assert play(steps) == []
+    assert run_steps(steps) == []
 
 
 def test_stalled_reply_is_malformed_after_stall_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "REPLY_STALL_TIMEOUT_S", 0.01)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        _, task = attempt_at(group, number)
+        _, task = start_attempt(group, number)
         with await accept(listener) as server:
-            await taken(server)
+            await receive_command(server)
             server.send(b"*3\r\n$50\r\nshort\r\n")
             return [await task]
 
-    assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
+    assert run_steps(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
 def test_max_idle_time_is_reduced_after_stale_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Each attempt on one of them ended as reset: it may have run, and its endpoint was taken for dead.
+    # Each attempt on a stale connection ended as reset: it may have run, and its endpoint counted as dead.
     monkeypatch.setattr(upstream_connection, "STALE_RESET_WITHIN_S", 10.0)
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        _, task = attempt_at(group, number)
+        _, task = start_attempt(group, number)
         with await accept(listener) as server:
-            await taken(server)
-            server.send(GOOD)
+            await receive_command(server)
+            server.send(VALID_REPLY)
             results = [await task]
             await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
-            _, task = attempt_at(group, number)
-            await taken(server)
+            _, task = start_attempt(group, number)
+            await receive_command(server)
         results.append(await task)
         now = asyncio.get_running_loop().time()
-        assert (
-            upstream.REUSE_DELAY_S <= group.max_idle_s(now) < 1.0
-        )  # it had been idle for less than a second
+        # The connection had been idle for less than a second.
+        assert upstream.REUSE_DELAY_S <= group.max_idle_s(now) < 1.0
         assert group.max_idle_s(now + 100 * upstream.MAX_IDLE_DOUBLING_S) == group.idle_timeout_ms / 1000
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener):
@@ -267,7 +274,7 @@
             assert group.take_idle(number) is None
         return results
 
-    assert [one.status for one in play(steps)] == ["ok", "reset"]
+    assert [result.status for result in run_steps(steps)] == ["ok", "reset"]
 
 
 def test_removed_endpoints_are_forgotten_and_their_connections_closed() -> None:
@@ -276,15 +283,14 @@
         with await accept_while(connection.connect(), listener):
             address = listener.getsockname()
             group.apply_endpoint_list("partial", [Endpoint("s-1", address, "", 0, "gone", 0.0)])
-            group.apply_endpoint_list(
-                "partial", [Endpoint("s-2", address, "", 0, "ready", 0.0)]
-            )  # at the same address
+            # At the same address:
+            group.apply_endpoint_list("partial", [Endpoint("s-2", address, "", 0, "ready", 0.0)])
             assert number not in group.pools and len(group.pools) == 1
-            group.release(connection)  # its try had still been out
+            group.release(connection)  # its attempt was still in flight
             assert connection.close_reason == "server_moved" and not group.connections
         return []
 
-    assert play(steps) == []
+    assert run_steps(steps) == []
 
 
 def test_unsolicited_reply_closes_connection() -> None:
@@ -292,17 +298,17 @@
         connection = group.new_connection(number)
         with await accept_while(connection.connect(), listener) as server:
             group.release(connection)
-            server.send(GOOD)
+            server.send(VALID_REPLY)
             while not connection.stream.closed():
                 await asyncio.sleep(0)
         assert connection.close_reason == "malformed_reply" and group.take_idle(number) is None
         return []
 
-    assert play(steps) == []
+    assert run_steps(steps) == []
 
 
-async def accept_while(step: Awaitable[None], listener: socket.socket) -> socket.socket:
-    _, server = await asyncio.gather(step, accept(listener))
+async def accept_while(dial: Awaitable[None], listener: socket.socket) -> socket.socket:
+    _, server = await asyncio.gather(dial, accept(listener))
     return server
 
 
@@ -312,70 +318,72 @@
             connection = group.new_connection(number)
             with await accept_while(connection.connect(), listener):
                 group.release(connection)
-                group.idle_timeout_ms = -1000.0  # ms ago
+                group.idle_timeout_ms = -1000.0  # already past
                 close()
                 assert isinstance(connection.stream, IOStream) and connection.stream.closed()
         return []
 
-    assert play(steps) == []
+    assert run_steps(steps) == []
 
 
-def listed_as(**changes: Any) -> Callable[[EndpointGroup, int], None]:
-    """The list changes under a try."""
+def endpoint_changed_to(**changes: Any) -> Callable[[EndpointGroup, int], None]:
+    """Return a change of the endpoint in the list while an attempt is in flight."""
 
-    def change(group: EndpointGroup, number: int) -> None:
+    def apply(group: EndpointGroup, number: int) -> None:
         group.apply_endpoint_list("partial", [replace(group.pools[number].endpoint, **changes)])
 
-    return change
+    return apply
 
 
-CROSSINGS: dict[str, Callable[[EndpointGroup, int, RequestContext, Attempt, list[float]], Any]] = {
-    "drained": lambda group, number, *_: listed_as(state="draining")(group, number),
-    "gone": lambda group, number, *_: listed_as(state="gone")(group, number),
-    "restarted": lambda group, number, *_: listed_as(started_at_ms=5.0)(group, number),
-    "moved": lambda group, number, *_: listed_as(address=("127.0.0.1", 1))(group, number),
-    "left": lambda _group, _number, context, *_: context.claim_response(),
+CHANGES: dict[str, Callable[[EndpointGroup, int, RequestContext, Attempt, list[float]], Any]] = {
+    "drained": lambda group, number, *_: endpoint_changed_to(state="draining")(group, number),
+    "gone": lambda group, number, *_: endpoint_changed_to(state="gone")(group, number),
+    "restarted": lambda group, number, *_: endpoint_changed_to(started_at_ms=5.0)(group, number),
+    "moved": lambda group, number, *_: endpoint_changed_to(address=("127.0.0.1", 1))(group, number),
+    "client disconnected": lambda _group, _number, context, *_: context.claim_response(),
     "cancelled": lambda _group, _number, _context, attempt, _clock: attempt.cancel(AttemptStatus.CANCELLED),
-    "window over": lambda _group, _number, _context, attempt, _clock: setattr(attempt, "send_before", 179.0),
+    "idempotency window over": lambda _group, _number, _context, attempt, _clock: setattr(
+        attempt, "send_before", 179.0
+    ),
     "deadline passed": lambda _group, _number, _context, _attempt, clock: clock.append(479.5),
 }
 
 
-# With a kept connection, one that restarted or moved is dialled anew and gets its request there.
+# With a cached connection, an endpoint that restarted or moved is dialled again and gets the request there.
 @pytest.mark.parametrize(
-    ("crossing", "kept"),
-    [(one, False) for one in CROSSINGS]
-    + [(one, True) for one in CROSSINGS if one not in ("restarted", "moved")],
+    ("change", "cached"),
+    [(name, False) for name in CHANGES]
+    + [(name, True) for name in CHANGES if name not in ("restarted", "moved")],
 )
-def test_nothing_is_written_for_attempt_that_is_no_longer_wanted(crossing: str, kept: bool) -> None:
-    """Between the decision and the bytes lie a turn of the loop and, without a kept connection, a dial.
+def test_nothing_is_written_for_attempt_that_is_no_longer_wanted(change: str, cached: bool) -> None:
+    """Guards the check before the write: a turn of the loop and often a dial come after the decision.
 
-    Only the time was checked again: a server that began to drain meanwhile got the request, and so did one
-    whose client had left, or whose window for repeats had ended.
+    Only the time was checked again: endpoints got requests although they had begun to drain, the client had
+    disconnected or the idempotency window had ended.
     """
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         connection = group.new_connection(number)
         server = await accept_while(connection.connect(), listener)
-        if kept:
+        if cached:
             group.release(connection)
             await asyncio.sleep(2 * upstream.REUSE_DELAY_S)
-        else:  # the next one's dial is the turn of the loop in which all changes
+        else:  # the change comes while the next connection is dialled
             connection.close(UpstreamCloseReason.SHUTDOWN)
-        (context, attempt), clock = request_at(number), [179.3]
+        (context, attempt), clock = new_request(number), [179.3]
         task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
-        if not kept:
-            await asyncio.sleep(0)  # it dials
+        if not cached:
+            await asyncio.sleep(0)  # the attempt starts to dial
             assert attempt.connection is not None
-        CROSSINGS[crossing](group, number, context, attempt, clock)
+        CHANGES[change](group, number, context, attempt, clock)
         result = await task
         group.close()
-        if not kept:
+        if not cached:
             server.close()
             listener.settimeout(0.0)
             try:
                 server = listener.accept()[0]
-            except BlockingIOError:  # cancelled, it ended before it came up
+            except BlockingIOError:  # cancelled before the connection was established
                 return [result]
             server.settimeout(10)
         with contextlib.suppress(ConnectionResetError):
@@ -383,29 +391,29 @@
         server.close()
         return [result]
 
-    assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
+    assert run_steps(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
 
 def test_slow_long_reply_is_accepted_while_it_progresses() -> None:
-    # It counted as malformed 0.1 s after its first part, however it went on.
+    # A reply counted as malformed 0.1 s after its first bytes, even while more arrived.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        attempt, task = attempt_at(group, number)
+        attempt, task = start_attempt(group, number)
         with await accept(listener) as server:
-            await taken(server)
-            connection, ends = attempt.connection, list[float]()
+            await receive_command(server)
+            connection, timeouts_at = attempt.connection, list[float]()
             assert isinstance(connection, UpstreamConnection)
-            for at in range(0, len(GOOD) - 1, 4):
-                server.send(GOOD[at : min(at + 4, len(GOOD) - 1)])
-                while connection.buffer.end < min(at + 4, len(GOOD) - 1):
+            for at in range(0, len(VALID_REPLY) - 1, 4):
+                server.send(VALID_REPLY[at : min(at + 4, len(VALID_REPLY) - 1)])
+                while connection.buffer.end < min(at + 4, len(VALID_REPLY) - 1):
                     await asyncio.sleep(0)
                 assert connection.stall_timer is not None
-                ends.append(connection.stall_timer.when())
-            assert ends == sorted(set(ends))  # each part moves the moment at which it counts as malformed
-            assert ends[-1] <= connection.reply_deadline  # which half of what is left of the try bounds
-            server.send(GOOD[-1:])
+                timeouts_at.append(connection.stall_timer.when())
+            assert timeouts_at == sorted(set(timeouts_at))  # each part postpones the stall timeout
+            assert timeouts_at[-1] <= connection.reply_deadline  # half of the attempt's remaining time
+            server.send(VALID_REPLY[-1:])
             return [await task]
 
-    assert [one.status for one in play(steps)] == ["ok"]
+    assert [result.status for result in run_steps(steps)] == ["ok"]
 
 
 def test_endless_reply_is_malformed_before_deadline() -> None:
@@ -414,26 +422,27 @@
         with await accept_while(connection.connect(), listener) as server:
             task = asyncio.create_task(connection.exchange(b"x", max_reply_s=0.0))
             await asyncio.to_thread(server.recv, 1)
-            server.send(GOOD[:1])
+            server.send(VALID_REPLY[:1])
             return [await task]
 
-    assert play(steps) == [AttemptResult(AttemptStatus.ERROR)]
+    assert run_steps(steps) == [AttemptResult(AttemptStatus.ERROR)]
 
 
 @pytest.mark.parametrize(
-    "crossing", ["drained", "gone", "left", "cancelled", "window over", "deadline passed"]
+    "change",
+    ["drained", "gone", "client disconnected", "cancelled", "idempotency window over", "deadline passed"],
 )
-def test_attempt_that_is_no_longer_wanted_is_not_dialled(crossing: str) -> None:
-    # An attempt cancelled before its task began dialled all the same: work for the endpoint, and for nobody.
+def test_attempt_that_is_no_longer_wanted_is_not_dialled(change: str) -> None:
+    # An attempt cancelled before its task started was dialled all the same: useless work for the endpoint.
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        (context, attempt), clock = request_at(number), [179.3]
+        (context, attempt), clock = new_request(number), [179.3]
         task = asyncio.create_task(dispatch(context, attempt, group, lambda: clock[-1]))
-        CROSSINGS[crossing](group, number, context, attempt, clock)
+        CHANGES[change](group, number, context, attempt, clock)
         result = await task
         assert not group.counters.counts["dials"]
         return [result]
 
-    assert play(steps) == [AttemptResult(AttemptStatus.UNSENT)]
+    assert run_steps(steps) == [AttemptResult(AttemptStatus.UNSENT)]
 
 
 @pytest.mark.parametrize(
@@ -450,42 +459,42 @@
 def test_local_connect_error_leaves_attempt_unsent(
     error: int, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Two such failures in a row ejected a sound server, and every peer learned that it was silent.
+    # Two such failures in a row ejected a healthy endpoint, and gossip reported it as silent to every peer.
     def connect(stream: IOStream, address: object) -> asyncio.Future[IOStream]:
         stream.close(exc_info=OSError(error, os.strerror(error)))
         raise StreamClosedError(real_error=OSError(error, os.strerror(error)))
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
         monkeypatch.setattr(IOStream, "connect", connect)
-        _, task = attempt_at(group, number)
+        _, task = start_attempt(group, number)
         return [await task]
 
-    assert [result.status for result in play(steps)] == [status]
+    assert [result.status for result in run_steps(steps)] == [status]
 
 
-@pytest.mark.parametrize(("data", "status"), [(GOOD, "ok"), (b"", "timeout")])
-def test_attempt_cancelled_in_turn_of_its_reply_keeps_reply(
+@pytest.mark.parametrize(("data", "status"), [(VALID_REPLY, "ok"), (b"", "timeout")])
+def test_attempt_cancelled_right_after_its_reply_keeps_reply(
     data: bytes, status: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An answer that was read counts; what a reset ended may have run, whatever cancelled it meanwhile."""
+    """A reply that was read counts; an attempt ended by a reset may have run, even if cancelled meanwhile."""
 
     async def steps(group: EndpointGroup, number: int, listener: socket.socket) -> list[AttemptResult]:
-        attempt, task = attempt_at(group, number)
+        attempt, task = start_attempt(group, number)
         with await accept(listener) as server:
-            await taken(server)
+            await receive_command(server)
             connection = attempt.connection
             assert isinstance(connection, UpstreamConnection)
-            ended = "_process_reply" if data else "close"
-            reads = getattr(connection, ended)
+            method = "_process_reply" if data else "close"
+            original = getattr(connection, method)
 
-            def read_and_given_up(*args: str) -> None:
-                reads(*args)
-                attempt.cancel(AttemptStatus.TIMEOUT)  # before the task that waits for the end has its turn
+            def run_and_cancel(*args: str) -> None:
+                original(*args)
+                attempt.cancel(AttemptStatus.TIMEOUT)  # before the task that awaits the result runs
 
-            monkeypatch.setattr(connection, ended, read_and_given_up)
+            monkeypatch.setattr(connection, method, run_and_cancel)
             server.send(data)
         result = await task
         assert attempt.cancel_status == "timeout" and not group.connections
         return [result]
 
-    assert [one.status for one in play(steps)] == [status]
+    assert [attempt_result.status for attempt_result in run_steps(steps)] == [status]
