--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from mapleshunt.cli.model import scenario_named
-from mapleshunt.simulation.day import draw_day
+from mapleshunt.simulation.day import draw_run
 from mapleshunt.simulation.score import Score
 from mapleshunt.testbed.fleet import play_day
 from mapleshunt.testbed.ports import free_port
@@ -35,7 +35,7 @@
         folder = Path(text)
         env = {"PROXY_OPERATORS": str(operators(folder))} if on else {}
         scenario = scenario_named("quiet", GATEWAYS, 14, 150.0, 20.0)
-        _, found = play_day(draw_day(scenario, seed), folder / "logs", env=env)
+        _, found = play_day(draw_run(scenario, seed), folder / "logs", env=env)
         return found
 
 
--- a/benchmarks/model_order.py
+++ b/benchmarks/model_order.py
@@ -39,7 +39,7 @@
 def equal() -> None:
     none = 0
     for number in range(20):
-        scenario = resized(SCENARIOS["busy" if number % 2 else "overload"], servers=8, seconds=10)
+        scenario = resized(SCENARIOS["busy" if number % 2 else "overload"], backends=8, seconds=10)
         found = compare(scenario, parse("here"), parse("here"), range(100 * number, 100 * number + 8))
         none += found.verdict == "none"
     print(f"\nequal variants: 'none' in {none} of 20 comparisons (8 days each; 18 wanted)")
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -11,7 +11,7 @@
 import simpy
 
 from mapleshunt.policy.gateway import Gateway
-from mapleshunt.simulation.day import draw_day, resized
+from mapleshunt.simulation.day import draw_run, resized
 from mapleshunt.simulation.engine import Engine
 from mapleshunt.simulation.event_queue import EventQueue
 from mapleshunt.simulation.scenarios import SCENARIOS
@@ -25,7 +25,7 @@
         ratios, walls = [], []
         for seed in range(REPEATS):
             begun = time.perf_counter()
-            engine = Engine(draw_day(resized(SCENARIOS[name], seconds=48), seed), Gateway)
+            engine = Engine(draw_run(resized(SCENARIOS[name], seconds=48), seed), Gateway)
             engine.run()
             walls.append(time.perf_counter() - begun)
             fleet_cpu_ns = engine.total_cpu_ns - engine.gateway_cpu_ns
@@ -66,7 +66,7 @@
         found = []
         for seed in range(REPEATS):
             engine = Engine(
-                draw_day(resized(SCENARIOS["busy"], gateways, servers, seconds=seconds), seed), Quick
+                draw_run(resized(SCENARIOS["busy"], gateways, servers, seconds=seconds), seed), Quick
             )
             engine.run()
             found.append((engine.total_cpu_ns - engine.gateway_cpu_ns) / engine.events / 1000)
--- a/benchmarks/replication_fleet.py
+++ b/benchmarks/replication_fleet.py
@@ -10,10 +10,10 @@
 
 from joblib import Parallel, delayed
 
-from mapleshunt.simulation.day import draw_day
+from mapleshunt.simulation.day import draw_run
 from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine
 from mapleshunt.simulation.replication_scenarios import replication_scenario
-from mapleshunt.simulation.score import Score, score_day
+from mapleshunt.simulation.score import Score, score_run
 from mapleshunt.simulation.stats import interval
 
 # Seconds by trouble: the burst lasts six tenths of them, and what breaks begins at three tenths.
@@ -23,9 +23,9 @@
 
 def play(what: str, gateways: int, seed: int, leased: bool) -> tuple[Score, dict[str, float]]:
     seconds = TROUBLES[what]
-    engine = ReplicatedFleetEngine(draw_day(replication_scenario(what, gateways, seconds), seed), leased)
+    engine = ReplicatedFleetEngine(draw_run(replication_scenario(what, gateways, seconds), seed), leased)
     engine.run()
-    found = score_day(engine)
+    found = score_run(engine)
     load = {
         "frames": engine.frames / seconds, "bytes": engine.bytes / seconds,
         "operations": 100 * engine.operations / found.requests, "elections": engine.elections,
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -52,12 +52,12 @@
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
     from ..simulation.day import resized
-    from ..simulation.scenarios import scenario_of
+    from ..simulation.scenarios import get_scenario
 
     try:
         if ":" in name:
             return _recorded(name, gateways, servers, rate, seconds)
-        return resized(scenario_of(name), gateways, servers, rate, seconds)
+        return resized(get_scenario(name), gateways, servers, rate, seconds)
     except (ValueError, OSError) as error:
         raise Trouble(str(error)) from None
 
@@ -69,7 +69,7 @@
     from ..simulation.day import resized
     from ..simulation.fitted_fleet import decode_fit
     from ..simulation.replay import scenario_from
-    from ..simulation.scenarios import scenario_of
+    from ..simulation.scenarios import get_scenario
 
     kind, _, rest = name.partition(":")
     if kind != "fit":
@@ -78,14 +78,14 @@
         raise ValueError("a fitted fleet has its gateways and rates; scale it with xSCALE")
     file, *parts = rest.split(",")
     found = decode_fit(Path(file).read_bytes())
-    scale, by, base = 1.0, "customers", scenario_of("quiet")
+    scale, by, base = 1.0, "customers", get_scenario("quiet")
     for part in parts:
         if part in ("customers", "rates"):
             by = part
         elif part[:1] == "x" and part[1:].replace(".", "", 1).isdigit():
             scale = float(part[1:])
         else:
-            base = scenario_of(part)
+            base = get_scenario(part)
     if servers is not None:
         import msgspec
 
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -32,12 +32,12 @@
 
 
 def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
-    from ..simulation.day import draw_day
+    from ..simulation.day import draw_run
     from ..testbed import fleet
     from ..testbed.errors import GatewayError
 
     try:
-        return fleet.play_day(draw_day(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
+        return fleet.play_day(draw_run(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
     except (GatewayError, OSError) as error:
         raise Trouble(str(error)) from None
 
@@ -248,7 +248,8 @@
         )
     else:
         click.echo(
-            f"{gateways} gateways, {servers} till servers, {len(fleet.day.traffic.customers)} customers, "
+            f"{gateways} gateways, {servers} till servers, "
+            f"{len(fleet.scenario_run.traffic.customers)} customers, "
             f"{seconds:g} s: {len(fleet.rule_checker.client_attempts)} requests\n"
         )
         table(
--- a/mapleshunt/fleet/discovery.py
+++ b/mapleshunt/fleet/discovery.py
@@ -15,7 +15,7 @@
 class EndpointEntry:
     """One endpoint of the list. `started_at` is in ms; 0 for one that has run for long."""
 
-    server: int
+    endpoint: int
     cell: int
     state: EndpointState = "ready"
     started_at: float = 0.0
@@ -37,7 +37,7 @@
 
         A start is noticed soon, an end later, and the end of an unresponsive machine (`silent`) later still.
         """
-        self.entries[entry.server] = entry
+        self.entries[entry.endpoint] = entry
         noticed_at = now + self._notice_delay(entry, silent)
         deliveries = []
         for gateway in range(gateways):
--- a/mapleshunt/simulation/backend_execution.py
+++ b/mapleshunt/simulation/backend_execution.py
@@ -36,11 +36,11 @@
 
     def begin(self, one: ClientAttempt, attempt: UpstreamAttempt) -> None:
         """Keep an attempt that arrived, until its backend ends it."""
-        self.in_progress[attempt.server][attempt.backend_request] = (one, attempt)
+        self.in_progress[attempt.endpoint][attempt.backend_request] = (one, attempt)
 
     def discard(self, attempt: UpstreamAttempt) -> None:
         """Forget an attempt, if it is in progress: nobody waits for its response."""
-        self.in_progress[attempt.server].pop(attempt.backend_request, None)
+        self.in_progress[attempt.endpoint].pop(attempt.backend_request, None)
 
     def schedule(self, backend: Backend) -> None:
         """Schedule the backend's next event, unless it is scheduled already."""
--- a/mapleshunt/simulation/backend_transport.py
+++ b/mapleshunt/simulation/backend_transport.py
@@ -6,7 +6,7 @@
 
 from ..fleet.backend import Backend, BackendRequest
 from .backend_execution import NEVER, BackendExecution
-from .day import Day
+from .day import ScenarioRun
 from .event_queue import EventQueue
 from .fleet_host import FleetHost
 from .idle_connections import IdleConnections
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioRun,
         host: FleetHost,
         event_queue: EventQueue,
         schedule_end: Callable[[float, ClientAttempt, UpstreamAttempt, str], None],
@@ -36,7 +36,7 @@
 
     def send(self, one: ClientAttempt, attempt: UpstreamAttempt) -> None:
         """Send an attempt on an idle connection or a new one, if its backend accepts it."""
-        backend = self._host.backend_models[attempt.server]
+        backend = self._host.backend_models[attempt.endpoint]
         at = attempt.sent_at
         delay = self._host.network.backend_delay.next()
         if self._idle_connections[one.gateway].take(backend, at):
@@ -59,7 +59,7 @@
         if attempt.status is not None or attempt.backend_request.cancelled:
             return
         host, now = self._host, self._event_queue.now
-        backend = host.backend_models[attempt.server]
+        backend = host.backend_models[attempt.endpoint]
         if not backend.up:
             self.respond(one, attempt, "reset")
             return
@@ -68,7 +68,7 @@
         if backend.silent:
             self.execution.begin(one, attempt)
             return
-        knows_start = host.rule_checker.knows_start(one.gateway, attempt.server, backend.started_at)
+        knows_start = host.rule_checker.knows_start(one.gateway, attempt.endpoint, backend.started_at)
         collapsed_before = backend.collapsed
         status, ended = backend.offer(now, attempt.backend_request, knows_start)
         if backend.collapsed and not collapsed_before:
@@ -91,9 +91,9 @@
     def release_connection(self, gateway: int, attempt: UpstreamAttempt, status: str) -> None:
         """Keep an attempt's connection after a complete response, else close it."""
         if status in ("ok", "error", "full"):
-            self._idle_connections[gateway].put(attempt.server, self._event_queue.now)
+            self._idle_connections[gateway].put(attempt.endpoint, self._event_queue.now)
             return
-        backend = self._host.backend_models[attempt.server]
+        backend = self._host.backend_models[attempt.endpoint]
         backend.connections = max(0, backend.connections - 1)
         backend.cancel(attempt.backend_request)
 
@@ -103,7 +103,7 @@
         attempt.status = "cancelled"
         self.execution.discard(attempt)
         if attempt.holds_connection:
-            self._host.backend_models[attempt.server].connections -= 1
+            self._host.backend_models[attempt.endpoint].connections -= 1
 
     def close_idle_connections(self, gateway: int) -> None:
         """Close the idle connections of a gateway that was killed."""
--- a/mapleshunt/simulation/day.py
+++ b/mapleshunt/simulation/day.py
@@ -35,7 +35,7 @@
     load: tuple[float, float]
     fault_plan: FaultPlan = no_faults
     gateways: int = 3
-    servers: int = 14
+    backends: int = 14
     seconds: float = 30.0
     rate: float | None = None  # requests a second inside quotas, in place of `load`
     fixed_parameters: Mapping[str, float] = field(default_factory=dict)
@@ -44,7 +44,7 @@
     # The seed of an installation, whose machines, parameters and customers stay from day to day.
     installation_seed: int | None = None
     # Draws the day in another way, from a recording for instance.
-    day_factory: Callable[[Scenario, int], Day] | None = None
+    run_factory: Callable[[Scenario, int], ScenarioRun] | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Day:
+class ScenarioRun:
     """A scenario with everything drawn that is not the gateways' to decide."""
 
     scenario: Scenario
@@ -125,14 +125,14 @@
     return MS_PER_SECOND * servers * drawn["cores"] * drawn["speed"]
 
 
-def draw_day(scenario: Scenario, seed: int) -> Day:
+def draw_run(scenario: Scenario, seed: int) -> ScenarioRun:
     """Draw the day of a scenario and a seed.
 
     Raises:
         ParameterError: The scenario fixes a parameter that there is not, or at no number of 0 or more.
     """
-    if scenario.day_factory is not None:
-        return scenario.day_factory(scenario, seed)
+    if scenario.run_factory is not None:
+        return scenario.run_factory(scenario, seed)
     streams = RandomStreams(seed, scenario.installation_seed)
     drawn = parameters.draw_parameters(
         streams.generator("figures"), scenario.fixed_parameters, scenario.parameter_ranges
@@ -140,26 +140,26 @@
     load = float(streams.generator("load").uniform(*scenario.load))
     rate = scenario.rate
     if rate is None:
-        rate = load * fleet_capacity(drawn, scenario.servers) / clients.mean_work(drawn)
+        rate = load * fleet_capacity(drawn, scenario.backends) / clients.mean_work(drawn)
     planned = faults.sorted_by_time(scenario.fault_plan(streams.generator("troubles"), scenario))
     length_ms = MS_PER_SECOND * scenario.seconds
     units_per_s = rate * clients.mean_units(drawn)
     traffic = clients.draw_traffic(drawn, scenario.gateways, units_per_s, length_ms, planned, streams)
-    return Day(scenario, seed, streams, drawn, traffic, planned)
+    return ScenarioRun(scenario, seed, streams, drawn, traffic, planned)
 
 
 def resized(
     scenario: Scenario,
     gateways: int | None = None,
-    servers: int | None = None,
+    backends: int | None = None,
     rate: float | None = None,
     seconds: float | None = None,
 ) -> Scenario:
     """Return the scenario at other sizes. Raises ValueError for a size that is not above 0."""
-    for name, value in (("gateways", gateways), ("servers", servers), ("rate", rate), ("seconds", seconds)):
+    for name, value in (("gateways", gateways), ("servers", backends), ("rate", rate), ("seconds", seconds)):
         if value is not None and not (value > 0 and math.isfinite(value)):
             raise ValueError(f"{name} must be above 0, not {value:g}")
     return replace(
-        scenario, gateways=gateways or scenario.gateways, servers=servers or scenario.servers,
+        scenario, gateways=gateways or scenario.gateways, backends=backends or scenario.backends,
         rate=rate if rate is not None else scenario.rate, seconds=seconds or scenario.seconds,
     )  # fmt: skip
--- a/mapleshunt/simulation/day_summary.py
+++ b/mapleshunt/simulation/day_summary.py
@@ -52,7 +52,7 @@
     )
 
 
-def summarize_played(client_attempts: Sequence[ClientAttempt]) -> Summary:
+def summarize_run(client_attempts: Sequence[ClientAttempt]) -> Summary:
     """Return the summary of a played day."""
     return summarize(
         [
--- a/mapleshunt/simulation/engine.py
+++ b/mapleshunt/simulation/engine.py
@@ -18,7 +18,7 @@
 from ..fleet.faults import Fault
 from .backend_transport import BackendTransport
 from .client_timeouts import ClientTimeouts
-from .day import Day
+from .day import ScenarioRun
 from .event_queue import EventQueue
 from .fleet_host import FleetHost
 from .gateway_policy import CounterCall, CounterReply, GatewayPolicy, PolicyFactory
@@ -34,7 +34,7 @@
     Events and actions are untyped: `words` is the package with the gateways' types, of whatever checkout.
     """
 
-    def __init__(self, day: Day, factory: PolicyFactory, words: Any = policy) -> None:
+    def __init__(self, day: ScenarioRun, factory: PolicyFactory, words: Any = policy) -> None:
         self.factory = factory
         self.words = words
         self.event_queue = EventQueue()
@@ -76,14 +76,14 @@
         """Return the time since the day began (ms)."""
         return self.event_queue.now
 
-    def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         """Schedule a call; the arguments are the function's own, hence untyped."""
         self.event_queue.schedule(when, call, *arguments)
 
     def run(self) -> None:
         """Play the day, and on until all requests are answered."""
         begun = time.process_time_ns()
-        end = self.day.length_ms + 2 * self.idempotency_window_ms + SETTLING_MS
+        end = self.scenario_run.length_ms + 2 * self.idempotency_window_ms + SETTLING_MS
         # A run keeps what it makes: collecting garbage takes a tenth of the time, and finds none.
         collecting = gc.isenabled()
         gc.disable()
@@ -100,7 +100,7 @@
 
     def _start_gateway(self, number: int) -> None:
         now = self.event_queue.now
-        seed = self.day.streams.seed_for("gateway", number * 1000 + self.epochs[number])
+        seed = self.scenario_run.streams.seed_for("gateway", number * 1000 + self.epochs[number])
         gateway = self.factory(self.settings[number], seed, now)
         self.gateways[number] = gateway
         self.busy_until[number] = now
@@ -111,7 +111,7 @@
 
     def _endpoint_info(self, entry: EndpointEntry) -> Any:
         return self.words.EndpointInfo(
-            entry.server, self.settings[0].zone, entry.cell, entry.state, entry.started_at
+            entry.endpoint, self.settings[0].zone, entry.cell, entry.state, entry.started_at
         )
 
     def deliver_event(self, number: int, event: Any) -> None:
@@ -165,7 +165,7 @@
         self.counter_calls += 1
         status: str
         status, done, total = self.counter.call(at, action.name, action.amount, action.lifetime_ms, gateway)
-        timeout_at = at + self.day.parameters["counter_wait_ms"]
+        timeout_at = at + self.scenario_run.parameters["counter_wait_ms"]
         reply_at = done + 2 * self.network.backend_delay.next()
         if reply_at > timeout_at:
             status = "timeout"
@@ -197,13 +197,13 @@
         self.client_timeouts.add(record, one)
         self.records[one.request_id] = record
         request = one.request
-        customer = self.day.traffic.customers[request.customer]
+        customer = self.scenario_run.traffic.customers[request.customer]
         self.deliver_event(
             one.gateway,
             self.words.RequestReceived(
                 request_id=one.request_id,
                 request_class=self.classes[request.class_index],
-                plan=self.day.parameters.plans[customer.plan].name,
+                plan=self.scenario_run.parameters.plans[customer.plan].name,
                 customer=customer.name,
                 remaining_time=one.sent_at + one.timeout_ms - self.event_queue.now,
                 units=request.estimated_units,
@@ -217,7 +217,7 @@
         if not one.client_notified:
             self._notify_client(record, one, "late", 0.0)
         if one.result is None and self.open_requests[one.gateway].get(one.request_id) is one:
-            overdue_at = self.event_queue.now + self.day.rules.answer_slack_ms
+            overdue_at = self.event_queue.now + self.scenario_run.rules.answer_slack_ms
             self.event_queue.schedule(overdue_at, self._answer_overdue, one)
 
     def _answer_overdue(self, one: ClientAttempt) -> None:
@@ -307,7 +307,7 @@
                 status=status,
                 request_completed=one.result is not None or one.request_id not in self.open_requests[gateway],
                 attempt=number,
-                endpoint=attempt.server,
+                endpoint=attempt.endpoint,
                 latency=now - attempt.sent_at,
                 cost=cost,
             ),
@@ -366,7 +366,7 @@
             breaks_at = now + self.network.client_delay.next()
             self.event_queue.schedule(breaks_at, self._notify_client, record, one, "failed", 0.0)
         self.open_requests[number] = {}
-        noticed_at = now + self.day.parameters["front_notice_ms"]
+        noticed_at = now + self.scenario_run.parameters["front_notice_ms"]
         self.event_queue.schedule(noticed_at, self._mark_gateway_down, number, self.epochs[number])
 
     def _mark_gateway_down(self, number: int, epoch: int) -> None:
--- a/mapleshunt/simulation/experiments.py
+++ b/mapleshunt/simulation/experiments.py
@@ -16,9 +16,9 @@
 
 from joblib import Parallel, delayed
 
-from .day import Scenario, draw_day
+from .day import Scenario, draw_run
 from .engine import Engine
-from .score import Score, score_day
+from .score import Score, score_run
 from .stats import Interval, interval, verdict
 from .variants import Variant, load, with_pairs
 
@@ -41,10 +41,10 @@
     begun = time.perf_counter()
     chosen = variant or Variant("here", "here")
     factory, words = load(chosen)
-    day = draw_day(chosen.scenario(scenario), seed)
+    day = draw_run(chosen.scenario(scenario), seed)
     engine = Engine(day, lambda settings, drawn, now: factory(settings, drawn ^ salt, now), words)
     engine.run()
-    found = score_day(engine)
+    found = score_run(engine)
     found.wall_s = time.perf_counter() - begun
     return found
 
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -20,8 +20,8 @@
 from ..fleet.parameters import PARAMETER_RANGES
 from ..fleet.random_streams import RandomStreams
 from ..policy.gateway import Gateway
-from .day import Day, Scenario
-from .day_summary import Summary, summarize_played, summarize_recording
+from .day import Scenario, ScenarioRun
+from .day_summary import Summary, summarize_recording, summarize_run
 from .engine import Engine
 from .fit_estimates import fit_classes, fit_customers, fit_units
 from .fitted_fleet import FORMAT_VERSION, Fit, FittedPlan
@@ -49,7 +49,7 @@
     day = day_from(candidate, scenario, seed, Replay(candidate, aligned=True), 0)
     engine = Engine(day, Gateway)
     engine.run()
-    return draw, summarize_played(engine.rule_checker.client_attempts)
+    return draw, summarize_run(engine.rule_checker.client_attempts)
 
 
 def fit_fleet(
@@ -137,7 +137,7 @@
         "a recorded day",
         (0, 0),
         gateways=base.gateways,
-        servers=base.servers,
+        backends=base.servers,
         seconds=max(1.0, base.length_ms / 1000),
     )
     played: list[tuple[Draw, Summary]] = []
@@ -162,7 +162,7 @@
     return msgspec.structs.replace(base, draws=tuple(played[int(n)][0] for n in best), played=spread)
 
 
-def plans_of(day: Day) -> list[FittedPlan]:
+def plans_of(day: ScenarioRun) -> list[FittedPlan]:
     """Return the plans of a day's gateways, for a fit of its recording."""
     return [
         FittedPlan(p.name, p.share, p.rate, p.burst, p.price, p.over_quota_cost, p.gateway_share)
--- a/mapleshunt/simulation/fleet_host.py
+++ b/mapleshunt/simulation/fleet_host.py
@@ -17,7 +17,7 @@
 from ..fleet.faults import Fault
 from ..fleet.network import MessageRateLimiter, Network
 from ..fleet.random_streams import BufferedDraws, Rng, lognormal
-from .day import CLASSES, Day
+from .day import CLASSES, ScenarioRun
 from .quota_accounting import QuotaAccounting
 from .records import ClientAttempt, RequestRecord
 from .rule_checker import RuleChecker
@@ -30,10 +30,10 @@
 class FleetHost:
     """The machines of a day. Times are in ms since its start; a subclass has the clock and the wire."""
 
-    def __init__(self, day: Day, words: Any = policy) -> None:
+    def __init__(self, day: ScenarioRun, words: Any = policy) -> None:
         """Args: `words` is the package with the gateways' types, of whatever checkout is played."""
         f, streams = day.parameters, day.streams
-        self.day = day
+        self.scenario_run = day
         self.network = Network(f, streams)
         self.counter = SharedCounter(f)
         self.discovery = Discovery(f, streams.generator("discovery"))
@@ -60,7 +60,7 @@
         self.backend_models: dict[int, Backend] = {}
         self.idempotency_stores: list[IdempotencyStore] = []
         self._add_backends(streams.generator("speeds"))
-        self.next_server = day.scenario.servers
+        self.next_backend = day.scenario.backends
         self.endpoint_lists: list[dict[int, EndpointEntry]] = [
             dict(self.discovery.entries) for _ in range(count)
         ]
@@ -71,13 +71,13 @@
             lognormal(rng, 1.0, cls.noise, NOISE_TABLE_SIZE).tolist()
             if cls.noise
             else [1.0] * NOISE_TABLE_SIZE
-            for cls in self.day.parameters.classes
+            for cls in self.scenario_run.parameters.classes
         ]
 
     def _add_backends(self, speeds: Rng) -> None:
         """Add the day's backends, cell by cell."""
-        cell_size = max(1, round(self.day.parameters["cell_size"]))
-        for number in range(self.day.scenario.servers):
+        cell_size = max(1, round(self.scenario_run.parameters["cell_size"]))
+        for number in range(self.scenario_run.scenario.backends):
             if number % cell_size == 0:
                 self.idempotency_stores.append(IdempotencyStore(self.idempotency_window_ms))
             self._add_backend(number, speeds)
@@ -88,7 +88,7 @@
         """Return the time since the day began (ms)."""
         raise NotImplementedError
 
-    def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         """Schedule a call; the arguments are the function's own, hence untyped."""
         raise NotImplementedError
 
@@ -124,10 +124,10 @@
 
     def _add_backend(self, number: int, speeds: Rng) -> Backend:
         """Add a backend to the newest cell, its speed drawn."""
-        f, rules = self.day.parameters, self.day.rules
+        f, rules = self.scenario_run.parameters, self.scenario_run.rules
         cell = len(self.idempotency_stores) - 1
         speed = max(MIN_BACKEND_SPEED, f["speed"] * (1 + f["speed_cv"] * float(speeds.standard_normal())))
-        errors = BufferedDraws(self.day.streams.generator("errors", number).random)
+        errors = BufferedDraws(self.scenario_run.streams.generator("errors", number).random)
         keys = self.idempotency_stores[cell]
         backend = Backend(
             number, f, speed, cell, keys, errors, rules.overload_window_ms, rules.overload_multiple
@@ -156,7 +156,9 @@
         if number > 1:
             draw = self.client_behaviour.retry_gateway_draw(request, number)
         count = len(self.endpoint_lists)
-        gateway = self.day.traffic.pick_gateway(request.customer, now, draw, count, self.gateways_marked_down)
+        gateway = self.scenario_run.traffic.pick_gateway(
+            request.customer, now, draw, count, self.gateways_marked_down
+        )
         self.last_request_id += 1
         record.attempt_count = number
         one = ClientAttempt(self.last_request_id, request, number, gateway, now, timeout_ms)
@@ -181,13 +183,13 @@
 
     def _publish_endpoint(self, entry: EndpointEntry, silent: bool = False) -> None:
         for at, gateway in self.discovery.apply_change(self.now(), entry, len(self.endpoint_lists), silent):
-            self.at(at, self._deliver_endpoint, gateway, entry)
+            self.call_at(at, self._deliver_endpoint, gateway, entry)
 
     def _deliver_endpoint(self, gateway: int, entry: EndpointEntry) -> None:
         if entry.state == "gone":
-            self.endpoint_lists[gateway].pop(entry.server, None)
+            self.endpoint_lists[gateway].pop(entry.endpoint, None)
         else:
-            self.endpoint_lists[gateway][entry.server] = entry
+            self.endpoint_lists[gateway][entry.endpoint] = entry
         self._endpoint_delivered(gateway, entry)
 
     def _remove_backend(self, number: int) -> None:
@@ -199,7 +201,7 @@
         for number in fault.targets:
             self._remove_backend(number)
             if fault.duration:
-                self.at(fault.end, self._recover_backend, number)
+                self.call_at(fault.end, self._recover_backend, number)
 
     def _recover_backend(self, number: int) -> None:
         backend = self.backend_models[number]
@@ -219,7 +221,7 @@
                 EndpointEntry(number, self.backend_models[number].cell, "gone"), silent=True
             )
             if fault.duration:
-                self.at(fault.end, self._recover_backend, number)
+                self.call_at(fault.end, self._recover_backend, number)
 
     def _on_drain(self, fault: Fault) -> None:
         for number in fault.targets:
@@ -231,27 +233,27 @@
                     self.backend_models[number].started_at,
                 )
             )
-            self.at(fault.end + 2 * self.idempotency_window_ms, self._remove_backend, number)
+            self.call_at(fault.end + 2 * self.idempotency_window_ms, self._remove_backend, number)
 
     def _on_add(self, fault: Fault) -> None:
-        speeds = self.day.streams.generator("added", int(fault.at))
+        speeds = self.scenario_run.streams.generator("added", int(fault.at))
         for _ in range(int(fault.magnitude)):
-            backend = self._add_backend(self.next_server, speeds)
-            self.next_server += 1
+            backend = self._add_backend(self.next_backend, speeds)
+            self.next_backend += 1
             backend.start(self.now())
             self._publish_endpoint(EndpointEntry(backend.number, backend.cell, "ready", self.now()))
 
     def _on_restart(self, fault: Fault) -> None:
         for number in fault.targets:
             self._kill_gateway(number)
-            self.at(fault.end, self._restart_gateway, number)
+            self.call_at(fault.end, self._restart_gateway, number)
 
     def _on_burst(self, fault: Fault) -> None:
         """Drawn into the traffic."""
 
     def _on_counter_down(self, fault: Fault, how: Any = "refusing") -> None:
         self.counter.outage = how
-        self.at(fault.end, self._counter_back, fault.magnitude > 0.5)
+        self.call_at(fault.end, self._counter_back, fault.magnitude > 0.5)
 
     def _on_counter_silent(self, fault: Fault) -> None:
         self._on_counter_down(fault, "silent")
@@ -263,16 +265,16 @@
 
     def _on_counter_slow(self, fault: Fault) -> None:
         self.counter.slowdown = fault.magnitude
-        self.at(fault.end, setattr, self.counter, "slowdown", 1.0)
+        self.call_at(fault.end, setattr, self.counter, "slowdown", 1.0)
 
     def _on_counter_split(self, fault: Fault) -> None:
         self.counter.split(frozenset(fault.targets))
-        self.at(fault.end, self.counter.split, frozenset())
+        self.call_at(fault.end, self.counter.split, frozenset())
 
     def _on_cut(self, fault: Fault) -> None:
         self.network.partition = frozenset(fault.targets)
-        self.at(fault.end, setattr, self.network, "partition", frozenset())
+        self.call_at(fault.end, setattr, self.network, "partition", frozenset())
 
     def _on_loss(self, fault: Fault) -> None:
         before, self.network.loss_rate = self.network.loss_rate, fault.magnitude
-        self.at(fault.end, setattr, self.network, "loss_rate", before)
+        self.call_at(fault.end, setattr, self.network, "loss_rate", before)
--- a/mapleshunt/simulation/gateway_leases.py
+++ b/mapleshunt/simulation/gateway_leases.py
@@ -157,7 +157,7 @@
         expired = [name for name, waiting in self._waiting.items() if waiting[0].deadline <= now]
         for customer in expired:
             self._resume(customer)
-        self._engine.at(now + TICK_INTERVAL_MS, self._tick)
+        self._engine.call_at(now + TICK_INTERVAL_MS, self._tick)
 
     def _apply_actions(self, actions: list[Action]) -> None:
         for action in actions:
--- a/mapleshunt/simulation/quota_accounting.py
+++ b/mapleshunt/simulation/quota_accounting.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..fleet.quota import TokenBucket
-from .day import Day
+from .day import ScenarioRun
 from .records import ClientAttempt
 
 CEILING_SLACK = (
@@ -16,7 +16,7 @@
 class QuotaAccounting:
     """Token buckets of quotas and ceilings. Times are in ms."""
 
-    def __init__(self, day: Day, on_ceiling_exceeded: Callable[[ClientAttempt, float], None]) -> None:
+    def __init__(self, day: ScenarioRun, on_ceiling_exceeded: Callable[[ClientAttempt, float], None]) -> None:
         """Args: `on_ceiling_exceeded` gets the attempt that broke a ceiling, and by how many units."""
         self._plans = day.settings()[0].plans
         self._parameters = day.parameters
--- a/mapleshunt/simulation/records.py
+++ b/mapleshunt/simulation/records.py
@@ -12,7 +12,7 @@
 class UpstreamAttempt:
     """An attempt of a gateway at a backend."""
 
-    server: int
+    endpoint: int
     cell: int
     sent_at: float
     backend_request: BackendRequest
--- a/mapleshunt/simulation/replay.py
+++ b/mapleshunt/simulation/replay.py
@@ -13,7 +13,7 @@
 from ..fleet.faults import Fault
 from ..fleet.parameters import ClassParameters, Parameters, PlanParameters
 from ..fleet.random_streams import RandomStreams
-from .day import Day, Scenario
+from .day import Scenario, ScenarioRun
 from .fitted_fleet import Fit, FittedCustomer
 from .recorded_traffic import Floats
 
@@ -115,12 +115,12 @@
     return replace(
         base,
         gateways=fit.gateways,
-        servers=fit.servers,
-        day_factory=lambda s, seed: day_from(fit, s, seed, replay),
+        backends=fit.servers,
+        run_factory=lambda s, seed: day_from(fit, s, seed, replay),
     )
 
 
-def day_from(fit: Fit, scenario: Scenario, seed: int, replay: Replay, draw: int | None = None) -> Day:
+def day_from(fit: Fit, scenario: Scenario, seed: int, replay: Replay, draw: int | None = None) -> ScenarioRun:
     """Return a day of the fitted fleet: the seed chooses among the draws too, unless one is given."""
     streams = RandomStreams(seed)
     rng = streams.generator("fitted")
@@ -129,4 +129,4 @@
     drawn = replace(drawn, values={**drawn.values, **scenario.fixed_parameters})
     day_faults = faults.sorted_by_time(scenario.fault_plan(streams.generator("troubles"), scenario))
     traffic = replay(drawn, scenario, day_faults, streams)
-    return Day(scenario, seed, streams, drawn, traffic, day_faults)
+    return ScenarioRun(scenario, seed, streams, drawn, traffic, day_faults)
--- a/mapleshunt/simulation/replica_cluster.py
+++ b/mapleshunt/simulation/replica_cluster.py
@@ -89,7 +89,7 @@
         replica.state = ReplicatedState()
         replica.state.restore(disk.stored.snapshot.data)
         stream = replica.group * 100_000 + replica.gateway * 100 + replica.incarnation
-        seed = self._engine.day.streams.seed_for("copies", stream)
+        seed = self._engine.scenario_run.streams.seed_for("copies", stream)
         replica.node = RaftNode(replica.name, disk.stored, RaftConfig(), seed & 0xFFFFFFFF, self._now_s())
         self._step(replica, m.Tick())
 
@@ -123,7 +123,7 @@
         wake_at = max(1000 * replica.node.wake_time(), self._engine.now() + 1)
         if wake_at < replica.wake_at - 1:
             replica.wake_at = wake_at
-            self._engine.at(wake_at, self._wake, replica, replica.incarnation, wake_at)
+            self._engine.call_at(wake_at, self._wake, replica, replica.incarnation, wake_at)
 
     def _wake(self, replica: SimulatedReplica, incarnation: int, scheduled_at: float) -> None:
         if replica.incarnation != incarnation or replica.node is None or replica.wake_at != scheduled_at:
@@ -132,7 +132,7 @@
         wake_at = 1000 * replica.node.wake_time()
         if wake_at > self._engine.now() + 1:
             replica.wake_at = wake_at
-            self._engine.at(wake_at, self._wake, replica, incarnation, wake_at)
+            self._engine.call_at(wake_at, self._wake, replica, incarnation, wake_at)
         else:
             self._step(replica, m.Tick())
 
@@ -144,7 +144,7 @@
             case m.Write():
                 replica.disk.pending.append(output)
                 durable_at = now + DISK_WRITE_MS
-                self._engine.at(durable_at, self._write_completed, replica, output.number, incarnation)
+                self._engine.call_at(durable_at, self._write_completed, replica, output.number, incarnation)
             case m.Apply(entry, number):
                 result: Result = Applied()
                 if entry.data:
@@ -156,7 +156,7 @@
                 replica.state.restore(snapshot.data)
             case m.CreateSnapshot(index):
                 data = msgspec.msgpack.encode(replica.state.snapshot())
-                self._engine.at(now, self._snapshot_created, replica, incarnation, index, data)
+                self._engine.call_at(now, self._snapshot_created, replica, incarnation, index, data)
             case m.RoleChanged(role, _, _, _) if role is Role.LEADER:
                 self.elections += 1
 
@@ -189,14 +189,14 @@
         """Schedule a call at the receiver, whose arguments are the function's own, hence untyped."""
         engine = self._engine
         if sender == receiver:
-            engine.at(engine.now(), call, *arguments)
+            engine.call_at(engine.now(), call, *arguments)
         elif not self.is_cut(sender, receiver) and engine.gateways[receiver] is not None:
-            engine.at(engine.now() + engine.network.peer_delay.next(), call, *arguments)
+            engine.call_at(engine.now() + engine.network.peer_delay.next(), call, *arguments)
 
     def _post(self, sender: int, receiver: int, group: int, message: m.Message) -> None:
         waiting = self._outbox.setdefault((sender, receiver), [])
         if not waiting:
-            self._engine.at(self._engine.now(), self._flush, sender, receiver)
+            self._engine.call_at(self._engine.now(), self._flush, sender, receiver)
         waiting.append((group, message))
 
     def _flush(self, sender: int, receiver: int) -> None:
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -11,7 +11,7 @@
 from ..policy.gateway import Gateway
 from ..replicated_state.results import Result
 from ..replication import messages as m
-from .day import Day
+from .day import ScenarioRun
 from .engine import Engine
 from .gateway_leases import GatewayLeases, PendingCall
 from .replica_cluster import GROUP_COUNT, ReplicaCluster, SimulatedReplica, gateway_number
@@ -25,7 +25,7 @@
 class ReplicatedFleetEngine(Engine):
     """Plays a day with quotas that are leased from replicas or, if not `leased`, kept without them."""
 
-    def __init__(self, day: Day, leased: bool = True) -> None:
+    def __init__(self, day: ScenarioRun, leased: bool = True) -> None:
         self.operations = 0
         self._cluster = ReplicaCluster(self, self._reply)
         self._replicas_placed = False
@@ -115,7 +115,7 @@
         ]
         if not running:
             return call.gateway
-        return running[self.day.streams.seed_for("asks", self._last_call) % len(running)]
+        return running[self.scenario_run.streams.seed_for("asks", self._last_call) % len(running)]
 
     def _receive_call(self, number: int, call: PendingCall, gateway: int) -> None:
         replica = self._cluster.replica(call.group, gateway)
--- a/mapleshunt/simulation/replication_scenarios.py
+++ b/mapleshunt/simulation/replication_scenarios.py
@@ -43,7 +43,7 @@
         (0.5, 0.5),
         replication_faults(what),
         gateways=gateways,
-        servers=max(8, round(rate / 8)),
+        backends=max(8, round(rate / 8)),
         seconds=seconds,
         rate=rate,
     )
--- a/mapleshunt/simulation/rule_checker.py
+++ b/mapleshunt/simulation/rule_checker.py
@@ -9,7 +9,7 @@
 from ..fleet.backend import Backend, BackendRequest
 from ..fleet.clients import ClientRequest, ClientResult
 from ..fleet.discovery import EndpointEntry
-from .day import CLASSES, Day
+from .day import CLASSES, ScenarioRun
 from .records import ClientAttempt, UpstreamAttempt
 
 # These names are keys of the score's JSON, which operators read.
@@ -21,9 +21,9 @@
 class RuleChecker:
     """Observes each attempt, effect and result, and counts the violations of each rule."""
 
-    def __init__(self, day: Day, settings: Any) -> None:
+    def __init__(self, day: ScenarioRun, settings: Any) -> None:
         """Args: `settings` are a gateway's, of whatever checkout is played, hence untyped."""
-        self.day = day
+        self.scenario_run = day
         self.settings = settings
         self.violations: Counter[str] = Counter({name: 0 for name in RULE_NAMES})
         self.client_attempts: list[ClientAttempt] = []
@@ -42,14 +42,14 @@
 
     def endpoint_list_delivered(self, gateway: int, entries: Iterable[EndpointEntry], now: float) -> None:
         """Record that a gateway got a complete list in place of what it knew."""
-        self.notified_endpoints[gateway] = {entry.server: (now, entry) for entry in entries}
+        self.notified_endpoints[gateway] = {entry.endpoint: (now, entry) for entry in entries}
 
     def endpoint_notified(self, gateway: int, entry: EndpointEntry, now: float) -> None:
         """Record that a gateway got a change; a repeated one does not move the time of the first."""
         known = self.notified_endpoints.setdefault(gateway, {})
-        before = known.get(entry.server)
+        before = known.get(entry.endpoint)
         if before is None or before[1].state != entry.state or before[1].started_at != entry.started_at:
-            known[entry.server] = (now, entry)
+            known[entry.endpoint] = (now, entry)
 
     def knows_start(self, gateway: int, server: int, started_at: float) -> bool:
         """Return whether the gateway was notified of this start of the server."""
@@ -77,15 +77,15 @@
 
     def _check_drain(self, one: ClientAttempt, attempt: UpstreamAttempt, gateway: int, at: float) -> None:
         """Check that the server was listed as ready, or drains for less than the grace period."""
-        known = self.notified_endpoints.get(gateway, {}).get(attempt.server)
+        known = self.notified_endpoints.get(gateway, {}).get(attempt.endpoint)
         if known is None:
             state = "not listed"
-        elif known[1].state != "ready" and at > known[0] + self.day.rules.drain_grace_ms:
+        elif known[1].state != "ready" and at > known[0] + self.scenario_run.rules.drain_grace_ms:
             state = f"{known[1].state} since {known[0]:.0f}"
         else:
             return
         sender = f"request {one.request_id} sent at {at:.0f} by gateway {gateway}"
-        self._violation("drain", f"{sender} to server {attempt.server}: {state}")
+        self._violation("drain", f"{sender} to server {attempt.endpoint}: {state}")
 
     def sent_after_end(self, request_id: int) -> None:
         """Record an attempt for a request that has its final result."""
@@ -107,7 +107,7 @@
         may_have_run = any(a.status not in NEVER_RAN for a in one.attempts)
         if result == "refused" and may_have_run and cls.get("effect", "safe") != "safe":
             self._violation("doubled", f"request {one.request_id} refused though it may have run")
-        if at > one.sent_at + one.timeout_ms + self.day.rules.answer_slack_ms:
+        if at > one.sent_at + one.timeout_ms + self.scenario_run.rules.answer_slack_ms:
             late = at - one.sent_at - one.timeout_ms
             self._violation("lost", f"request {one.request_id} answered {late:.0f} ms late")
 
--- a/mapleshunt/simulation/scenarios.py
+++ b/mapleshunt/simulation/scenarios.py
@@ -33,7 +33,7 @@
 
 def _crash(rng: Rng, scenario: Scenario) -> list[Fault]:
     lasts = _scaled(scenario, float(rng.uniform(5400, 23000)))
-    who = faults.sample_machines(rng, scenario.servers, float(rng.uniform(0.11, 0.23)))
+    who = faults.sample_machines(rng, scenario.backends, float(rng.uniform(0.11, 0.23)))
     return [Fault(_when(rng, scenario, lasts), "crash", lasts, who)]
 
 
@@ -58,10 +58,10 @@
 
 def _cold(rng: Rng, scenario: Scenario) -> list[Fault]:
     """A third more servers are switched on while a few drain."""
-    drained = faults.sample_machines(rng, scenario.servers, 0.15)
+    drained = faults.sample_machines(rng, scenario.backends, 0.15)
     begin = 0.2 * 1000 * scenario.seconds
     return [
-        Fault(begin, "add", magnitude=max(1, round(scenario.servers / 3))),
+        Fault(begin, "add", magnitude=max(1, round(scenario.backends / 3))),
         Fault(begin + 2000, "drain", 3000, drained),
     ]
 
@@ -74,7 +74,7 @@
     lasts = _scaled(scenario, float(rng.uniform(5400, 15000)))
     return [
         Fault(
-            _when(rng, scenario, lasts), "silent", lasts, faults.sample_machines(rng, scenario.servers, 0.12)
+            _when(rng, scenario, lasts), "silent", lasts, faults.sample_machines(rng, scenario.backends, 0.12)
         )
     ]
 
@@ -83,7 +83,7 @@
     """Till servers are released in four groups; in the middle most gateways are killed at once."""
     within = _scaled(scenario, 9000)
     begin = _when(rng, scenario, within)
-    who = [int(n) for n in rng.permutation(scenario.servers)]
+    who = [int(n) for n in rng.permutation(scenario.backends)]
     releases = []
     for n in range(4):
         group, at = tuple(sorted(who[n::8])), begin + n * within / 4
@@ -97,7 +97,7 @@
     lasts = _scaled(scenario, float(rng.uniform(5400, 10000)))
     return [
         Fault(
-            _when(rng, scenario, lasts), "silent", lasts, faults.sample_machines(rng, scenario.servers, 0.33)
+            _when(rng, scenario, lasts), "silent", lasts, faults.sample_machines(rng, scenario.backends, 0.33)
         )
     ]
 
@@ -105,8 +105,8 @@
 def _join(rng: Rng, scenario: Scenario) -> list[Fault]:
     """Six in ten till servers are replaced by cold ones within 7 s, half of them at a time."""
     begin, within = _when(rng, scenario, 7000), _scaled(scenario, 7000)
-    who = [int(n) for n in rng.permutation(scenario.servers)]
-    size = max(1, round(0.3 * scenario.servers))
+    who = [int(n) for n in rng.permutation(scenario.backends)]
+    size = max(1, round(0.3 * scenario.backends))
     steps = []
     for n in range(2):
         group, at = tuple(sorted(who[n * size : (n + 1) * size])), begin + n * within / 2
@@ -136,7 +136,7 @@
 }
 
 
-def scenario_of(name: str) -> Scenario:
+def get_scenario(name: str) -> Scenario:
     """Raises `UnknownScenario`."""
     if name not in SCENARIOS:
         raise UnknownScenarioError(f"no scenario {name!r}; there are {', '.join(SCENARIOS)}")
--- a/mapleshunt/simulation/score.py
+++ b/mapleshunt/simulation/score.py
@@ -12,7 +12,7 @@
 from ..fleet.backend import Backend
 from ..fleet.parameters import Parameters
 from ..fleet.quota import TokenBucket
-from .day import CLASSES, Day
+from .day import CLASSES, ScenarioRun
 from .records import ClientAttempt, RequestRecord
 from .rule_checker import RULE_NAMES, RuleChecker
 
@@ -27,10 +27,10 @@
 NS_PER_S = 1e9
 
 
-class PlayedDay(Protocol):
+class CompletedRun(Protocol):
     """What a day leaves behind, played in virtual time or on sockets."""
 
-    day: Day
+    scenario_run: ScenarioRun
     requests: list[RequestRecord]
     rule_checker: RuleChecker
     backend_models: dict[int, Backend]
@@ -80,7 +80,7 @@
         return asdict(self)
 
 
-def requests_inside_quota(day: Day) -> list[bool]:
+def requests_inside_quota(day: ScenarioRun) -> list[bool]:
     """Return which requests one gateway that saw them all would admit, by their first attempts."""
     buckets = _Buckets(day)
     inside = []
@@ -93,7 +93,7 @@
     return inside
 
 
-def request_values(day: Day) -> list[float]:
+def request_values(day: ScenarioRun) -> list[float]:
     """Return priority weight x plan price x true units for each request."""
     classes, plans, customers = day.parameters.classes, day.parameters.plans, day.traffic.customers
     return [
@@ -107,7 +107,7 @@
 class _Buckets:
     """A token bucket for each customer's quota, made when it is first needed."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: ScenarioRun) -> None:
         self._plans = day.parameters.plans
         self._customers = day.traffic.customers
         self._buckets: dict[int, TokenBucket] = {}
@@ -139,7 +139,7 @@
         return min(1.0, float(self.earned[mask].sum()) / offered) if offered else 1.0
 
 
-def _measure_service(day: Day, records: Sequence[RequestRecord]) -> _Service:
+def _measure_service(day: ScenarioRun, records: Sequence[RequestRecord]) -> _Service:
     inside, values = requests_inside_quota(day), request_values(day)
     objectives = [CLASSES[cls.name]["latency_objective"] for cls in day.parameters.classes]
     earned = np.zeros(len(records))
@@ -158,7 +158,9 @@
     return _Service(offered, earned, latencies, late)
 
 
-def _worst_window(day: Day, records: Sequence[RequestRecord], service: _Service, everything: Mask) -> float:
+def _worst_window(
+    day: ScenarioRun, records: Sequence[RequestRecord], service: _Service, everything: Mask
+) -> float:
     """Return the least share earned in a window of `WINDOW_S` that holds enough of the offered value."""
     arrivals = np.array([r.request.arrives_at for r in records]) / 1000 if records else np.zeros(0)
     last_begin = max(WINDOW_STEP_S, day.scenario.seconds - WINDOW_S + WINDOW_STEP_S / 2)
@@ -180,7 +182,7 @@
     inside_rejected: int = 0
 
 
-def _measure_quota_use(day: Day, attempts: Sequence[ClientAttempt]) -> _QuotaUse:
+def _measure_quota_use(day: ScenarioRun, attempts: Sequence[ClientAttempt]) -> _QuotaUse:
     """Sum up units over quota, and rejections of attempts that a global view would admit.
 
     The global view is a bucket that is charged with what was forwarded inside the quota.
@@ -208,7 +210,7 @@
     return use
 
 
-def _penalties(played: PlayedDay, service: _Service, use: _QuotaUse) -> dict[str, float]:
+def _penalties(played: CompletedRun, service: _Service, use: _QuotaUse) -> dict[str, float]:
     offered_work = sum(record.request.work_ms for record in played.requests) or 1.0
     done = sum(backend.work_done_ms for backend in played.backend_models.values())
     useful = sum(
@@ -235,9 +237,9 @@
     return {plan.name: service.share(plan_numbers == n) for n, plan in enumerate(parameters.plans)}
 
 
-def score_day(played: PlayedDay) -> Score:
+def score_run(played: CompletedRun) -> Score:
     """Score a day that has been played."""
-    day, records, attempts = played.day, played.requests, played.rule_checker.client_attempts
+    day, records, attempts = played.scenario_run, played.requests, played.rule_checker.client_attempts
     service = _measure_service(day, records)
     everything = np.ones(len(records), dtype=bool)
     plan_numbers = np.array([day.traffic.customers[r.request.customer].plan for r in records], dtype=int)
--- a/mapleshunt/simulation/validation.py
+++ b/mapleshunt/simulation/validation.py
@@ -14,7 +14,7 @@
 from joblib import Parallel, delayed
 
 from . import recorded_traffic as recorded
-from .day import Scenario, draw_day, resized
+from .day import Scenario, draw_run, resized
 from .experiments import run_seeds
 from .fit import Search, fit_fleet, plans_of
 from .fitted_fleet import Fit
@@ -103,7 +103,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     say(f"playing and recording a {RECORDED_SCENARIO} day")
     play(base, first, folder)
-    day = draw_day(base, first)
+    day = draw_run(base, first)
     traffic = recorded.together(sorted(folder.glob("*.rec")))
     say(f"fitting a world to {len(traffic.rows)} requests")
     fit = fit_fleet(
@@ -121,7 +121,7 @@
             replace(
                 SCENARIOS[kind],
                 gateways=gateways,
-                servers=servers,
+                backends=servers,
                 seconds=seconds,
                 installation_seed=seed,
                 load=base.load,
@@ -137,7 +137,7 @@
         if isinstance(found, str):
             result.errors.append(f"{scenario.name}, seed {number}: {found}")
             continue
-        known = draw_day(scenario, number).faults
+        known = draw_run(scenario, number).faults
         told = scenario_from(fit, replace(scenario, fault_plan=lambda rng, s, known=known: list(known)))  # type: ignore[misc]
         seeds = range(10**6 + 1000 * number, 10**6 + 1000 * number + foretold)
         model = [one.score for one in run_seeds(told, seeds, Variant("here", "here"), 0, jobs) if one.score]
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -119,7 +119,7 @@
         fleet = self.fleet
         command, longer = (
             fleet.command(one, name),
-            fleet.day.rules.answer_slack_ms - RuleLimits().answer_slack_ms,
+            fleet.scenario_run.rules.answer_slack_ms - RuleLimits().answer_slack_ms,
         )
         for last in (False, True):
             link = self._link(one.gateway)
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -90,8 +90,8 @@
     def _member(self, entry: EndpointEntry) -> dict[str, Any]:
         started = round(self._clock.unix_ms + entry.started_at) if entry.started_at else 0
         return {
-            "id": f"s-{entry.server:08x}",
-            "host_port": f"{HOST}:{self._port_of(entry.server)}",
+            "id": f"s-{entry.endpoint:08x}",
+            "host_port": f"{HOST}:{self._port_of(entry.endpoint)}",
             "locality": self._zone,
             "flavor": "std-3core",
             "cell": entry.cell,
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -17,10 +17,10 @@
 from ..fleet.faults import Fault
 from ..net.protocol import resp
 from ..platform_terms import init_from_settings
-from ..simulation.day import Day, RuleLimits
+from ..simulation.day import RuleLimits, ScenarioRun
 from ..simulation.fleet_host import FleetHost
 from ..simulation.records import ClientAttempt, RequestRecord
-from ..simulation.score import Score, score_day
+from ..simulation.score import Score, score_run
 from .backends import InFlightAttempt, SocketBackend
 from .clients import SocketClients
 from .clock import DayClock
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioRun,
         folder: Path,
         program: Path = CHECKOUT_ROOT,
         env: Mapping[str, str] | None = None,
@@ -85,21 +85,21 @@
         """When an attempt was sent that is read now."""
         return now
 
-    def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         self.clock.at(when, call, *arguments)
 
     def _backend_added(self, till: Backend) -> None:
         self.backends[till.number] = self.backend_class(till, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
-        gossip, count = self.gossip, self.day.scenario.gateways
-        f = self.day.parameters
+        gossip, count = self.gossip, self.scenario_run.scenario.gateways
+        f = self.scenario_run.parameters
         settings = init_from_settings(
             self.settings[number], DialTimeout=f["dial_ms"], ConnIdle=f["conn_idle_ms"], MaxOpen=20000
         )
         return {
             "name": f"n{number}", "discovery": f"{HOST}:{self.agents[number].port}",
-            "seed": self.day.streams.seed_for("gateway", number),
+            "seed": self.scenario_run.streams.seed_for("gateway", number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **limits},
             "peers": [gossip.address(number, peer) for peer in range(count)],
             "peers_all": gossip.address(number, ALL_PEERS), "counter": f"{HOST}:{self.counters[number].port}",
@@ -120,7 +120,7 @@
             self.clock.begin()
             for number in range(len(self.gateways)):
                 self._hand_list(number)
-            for fault in self.day.faults:
+            for fault in self.scenario_run.faults:
                 self.clock.at(fault.at, self._inject_fault, fault)
             self._begun()
             looking = asyncio.get_running_loop().create_task(self._look())
@@ -137,7 +137,7 @@
         self.events = sum(len(one.attempts) + 1 for one in self.rule_checker.client_attempts)
         if self.exited_gateways:
             raise GatewayError(f"gateways {self.exited_gateways} ended by themselves; see {self.folder}")
-        found = score_day(self)
+        found = score_run(self)
         found.wall_s = time.perf_counter() - wall
         return found
 
@@ -203,9 +203,9 @@
 
     def command(self, one: ClientAttempt, name: str) -> bytes:
         ask = one.request
-        who = self.day.traffic.customers[ask.customer]
+        who = self.scenario_run.traffic.customers[ask.customer]
         pairs = (
-            f"c={self.classes[ask.class_index]},t={self.day.parameters.plans[who.plan].name},d={one.timeout_ms:.3f},"
+            f"c={self.classes[ask.class_index]},t={self.scenario_run.parameters.plans[who.plan].name},d={one.timeout_ms:.3f},"
             f"units={ask.estimated_units:.0f},spread={who.gateway_set_size},first={who.first_gateway}"
         )
         if one.number > 1:
@@ -225,7 +225,7 @@
 
     def cancel(self, in_flight: InFlightAttempt) -> None:
         """Cancel an attempt whose gateway has ended its connection."""
-        self.backends[in_flight.attempt.server].cancel(in_flight)
+        self.backends[in_flight.attempt.endpoint].cancel(in_flight)
 
     def unwell(self, gateway: int) -> bool:
         """It has been killed, or told to end: connections that it ends are no loss of its own."""
@@ -251,7 +251,9 @@
         self.kills.append((self.clock.now(), number))
         self.clients.drop(number)
         self.clock.at(
-            self.clock.now() + self.day.parameters["front_notice_ms"], self._mark_gateway_down, number
+            self.clock.now() + self.scenario_run.parameters["front_notice_ms"],
+            self._mark_gateway_down,
+            number,
         )
 
     def _mark_gateway_down(self, number: int) -> None:
@@ -292,20 +294,24 @@
             server.close_connections()
 
 
-def on_sockets(day: Day) -> Day:
+def on_sockets(day: ScenarioRun) -> ScenarioRun:
     """The day under the rules as they hold on sockets."""
     return replace(day, rules=SOCKET_RULES)
 
 
 async def _play(
-    day: Day, folder: Path, program: Path, env: Mapping[str, str] | None, limits: Mapping[str, float] | None
+    day: ScenarioRun,
+    folder: Path,
+    program: Path,
+    env: Mapping[str, str] | None,
+    limits: Mapping[str, float] | None,
 ) -> tuple[LoopbackFleet, Score]:
     fleet = LoopbackFleet(on_sockets(day), folder, program, env, limits)
     return fleet, await fleet.run()
 
 
 def play_day(
-    day: Day,
+    day: ScenarioRun,
     folder: Path | None = None,
     program: Path = CHECKOUT_ROOT,
     env: Mapping[str, str] | None = None,
--- a/mapleshunt/testbed/recording.py
+++ b/mapleshunt/testbed/recording.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from ..simulation.day import Scenario, draw_day
+from ..simulation.day import Scenario, draw_run
 from ..simulation.score import Score
 from .fleet import play_day
 
@@ -22,5 +22,5 @@
             operators = Path(folder) / "operators.sexp"
             operators.write_text(f'(record (file "{recordings}/{{name}}.rec") (size-mb 64) (salt "rig"))')
             env["PROXY_OPERATORS"] = str(operators)
-        _, score = play_day(draw_day(scenario, seed), Path(folder), env=env)
+        _, score = play_day(draw_run(scenario, seed), Path(folder), env=env)
         return score
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -42,7 +42,7 @@
 
     def __init__(self, machine: Backend, fleet: SoakFleet) -> None:
         self.misbehaviour = Misbehaviour()
-        self.random = random.Random(f"{fleet.day.seed} backend {machine.number}")
+        self.random = random.Random(f"{fleet.scenario_run.seed} backend {machine.number}")
         self.fillers: list[socket.socket] = []  # connections that fill the backlog
         self.used: dict[IOStream, float] = {}  # when something last crossed each connection
         super().__init__(machine, fleet)
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -43,7 +43,7 @@
 
     def __init__(self, fleet: SoakFleet) -> None:
         super().__init__(fleet)
-        self.random = random.Random(f"{fleet.day.seed} clients")
+        self.random = random.Random(f"{fleet.scenario_run.seed} clients")
         self.habits: dict[str, int] = dict.fromkeys(HABITS, 0)
         self.left = 0
         self.resent = 0  # after a close that crossed them, on used and on new connections
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -77,7 +77,7 @@
         getattr(self, f"_inject_{fault.kind}")(fault)
 
     def _later(self, seconds: float, call: Any, *arguments: Any) -> None:
-        self.at(self.now() + 1000 * seconds, call, *arguments)
+        self.call_at(self.now() + 1000 * seconds, call, *arguments)
 
     def _task(self, coroutine: Any) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
@@ -113,8 +113,8 @@
         self.gateways[number].terminate()
         # The front sends no new connections to one that is drained.
         self._begin_absence(number, self.now() + (0.0 if number in self.drained else NEW_CONNECTIONS_MS))
-        self.at(self.now() + SEEN_DOWN_MS, self.gateways_marked_down.add, number)
-        self.at(self.now() + self._until_kill(), self._end_leaving, number)
+        self.call_at(self.now() + SEEN_DOWN_MS, self.gateways_marked_down.add, number)
+        self.call_at(self.now() + self._until_kill(), self._end_leaving, number)
 
     def _end_leaving(self, number: int) -> None:
         told = self.leaving.pop(number)
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -21,7 +21,7 @@
 from typing import Any, cast
 
 from ...fleet.discovery import EndpointEntry
-from ...simulation.day import Day, RuleLimits, Scenario, draw_day
+from ...simulation.day import RuleLimits, Scenario, ScenarioRun, draw_run
 from ...simulation.records import ClientAttempt
 from ..discovery_agent import DiscoveryAgent
 from ..errors import GatewayError
@@ -61,7 +61,12 @@
     clients_class = SoakClients
 
     def __init__(
-        self, day: Day, folder: Path, faults: Sequence[ScheduledFault], program: Path, replicas: int = 0
+        self,
+        day: ScenarioRun,
+        folder: Path,
+        faults: Sequence[ScheduledFault],
+        program: Path,
+        replicas: int = 0,
     ) -> None:
         """The first `replicas` gateways hold replicas."""
         self.faults = faults
@@ -141,7 +146,7 @@
             return
         left = self.leaving.get(one.gateway)
         since = f", {one.sent_at - left:.0f} ms after SIGTERM" if left is not None else ""
-        tried = " ".join(f"{a.server}:{a.status}" for a in one.attempts) or "none"
+        tried = " ".join(f"{a.endpoint}:{a.status}" for a in one.attempts) or "none"
         name = f"{self.request_id_base + one.request_id:016x}"
         self.break_rule(
             "lost",
@@ -169,12 +174,12 @@
         """
         now = self.now()
         if gateway in self.down_since or gateway in self.impaired:
-            return self.at(now + 10.0, self._count_as_told, gateway, entry, since)
+            return self.call_at(now + 10.0, self._count_as_told, gateway, entry, since)
         moved, repaired = self.moved_at.get(gateway, -MOVED_MS), self.repaired_at.get(gateway, -TOLD_MS)
         due = max(since, moved + MOVED_MS, repaired + TOLD_MS if repaired >= since else since)
         if now < due:
-            return self.at(due, self._count_as_told, gateway, entry, since)
-        held = self.endpoint_lists[gateway].get(entry.server)
+            return self.call_at(due, self._count_as_told, gateway, entry, since)
+        held = self.endpoint_lists[gateway].get(entry.endpoint)
         if held is entry or (held is None and entry.state == "gone"):
             self.rule_checker.endpoint_notified(gateway, entry, now)
 
@@ -251,7 +256,11 @@
             injected.update(counts)
         report.injected = dict(injected)
         report.memory_mb = sum(gateway.peak_memory_kb for gateway in self.gateways) / 1024
-        calm = [one for one in self.requests if one.request.arrives_at > self.day.length_ms - 1000 * CALM_S]
+        calm = [
+            one
+            for one in self.requests
+            if one.request.arrives_at > self.scenario_run.length_ms - 1000 * CALM_S
+        ]
         report.calm_share = sum(one.served_at is not None for one in calm) / max(1, len(calm))
         if report.calm_share < MIN_CALM_SHARE:
             self.break_rule(
@@ -269,7 +278,7 @@
 def scenario(gateways: int, backends: int, rate: float, seconds: float) -> Scenario:
     """A usual day of that size."""
     return Scenario(
-        "soak", "real processes, overlapping faults", (0.5, 0.6), gateways=gateways, servers=backends,
+        "soak", "real processes, overlapping faults", (0.5, 0.6), gateways=gateways, backends=backends,
         seconds=seconds, rate=rate,
     )  # fmt: skip
 
@@ -284,7 +293,7 @@
     gc.collect()
     gc.disable()  # a collection holds up all that this process plays, and what it keeps is needed to the end
     try:
-        day = draw_day(scenario(gateways, backends, rate, seconds), seed)
+        day = draw_run(scenario(gateways, backends, rate, seconds), seed)
         faults = schedule.draw_schedule(seed, seconds - CALM_S, gateways, backends, replicas, only)
         fleet = SoakFleet(replace(day, rules=SOAK_RULES), folder, faults, program, replicas)
         report = await fleet.soak()
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -47,7 +47,7 @@
     """Return the counts of clients' attempts by final answer and reason."""
     found: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
     buckets: dict[int, TokenBucket] = {}
-    plans, customers = fleet.day.parameters.plans, fleet.day.traffic.customers
+    plans, customers = fleet.scenario_run.parameters.plans, fleet.scenario_run.traffic.customers
     for attempt in fleet.rule_checker.client_attempts:
         request = attempt.request
         plan = plans[customers[request.customer].plan]
--- a/tests/test_copies_fleet.py
+++ b/tests/test_copies_fleet.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from mapleshunt.simulation.day import draw_day
+from mapleshunt.simulation.day import draw_run
 from mapleshunt.simulation.replicated_fleet import ReplicatedFleetEngine
 from mapleshunt.simulation.replication_scenarios import replication_scenario
-from mapleshunt.simulation.score import Score, score_day
+from mapleshunt.simulation.score import Score, score_run
 
 
 def play(what: str, leased: bool = True) -> tuple[ReplicatedFleetEngine, Score]:
-    engine = ReplicatedFleetEngine(draw_day(replication_scenario(what, 6, 12.0), 3), leased)
+    engine = ReplicatedFleetEngine(draw_run(replication_scenario(what, 6, 12.0), 3), leased)
     engine.run()
-    return engine, score_day(engine)
+    return engine, score_run(engine)
 
 
 @pytest.mark.parametrize("what", ["restart", "lost", "cut3"])
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -16,11 +16,11 @@
 from mapleshunt.recording import file_format as form
 from mapleshunt.recording.file_format import RecordedAttempt, RecordedRequest
 from mapleshunt.simulation import fit, fit_estimates, fitted_fleet, recorded_traffic, replay
-from mapleshunt.simulation.day import Day, Scenario, draw_day, resized
+from mapleshunt.simulation.day import Scenario, ScenarioRun, draw_run, resized
 from mapleshunt.simulation.engine import Engine
 from mapleshunt.simulation.experiments import play
 from mapleshunt.simulation.scenarios import SCENARIOS
-from mapleshunt.simulation.score import score_day
+from mapleshunt.simulation.score import score_run
 from mapleshunt.simulation.validation import compare_with_prediction
 
 ROOT = Path(__file__).parent.parent
@@ -29,7 +29,7 @@
 
 def rows_of(engine: Engine) -> list[tuple[RecordedRequest, int]]:
     """What gateways would have recorded of a played day."""
-    day, out = engine.day, []
+    day, out = engine.scenario_run, []
     for one in engine.rule_checker.client_attempts:
         if one.accepted:
             request, customer = one.request, day.traffic.customers[one.request.customer]
@@ -41,7 +41,7 @@
                 one.answered_at - one.sent_at,
                 tuple(
                     RecordedAttempt(
-                        a.server, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at
+                        a.endpoint, a.status or "out", a.sent_at - one.sent_at, one.answered_at - a.sent_at
                     )
                     for a in one.attempts
                 ),
@@ -50,12 +50,12 @@
 
 
 @pytest.fixture(scope="module")
-def day() -> Day:
-    return draw_day(BASE, 1)
+def day() -> ScenarioRun:
+    return draw_run(BASE, 1)
 
 
 @pytest.fixture(scope="module")
-def rows(day: Day) -> list[tuple[RecordedRequest, int]]:
+def rows(day: ScenarioRun) -> list[tuple[RecordedRequest, int]]:
     engine = Engine(day, Gateway)
     engine.run()
     return rows_of(engine)
@@ -77,7 +77,7 @@
 
 @pytest.fixture(scope="module")
 def fitted(
-    day: Day, rows: list[tuple[RecordedRequest, int]], tmp_path_factory: pytest.TempPathFactory
+    day: ScenarioRun, rows: list[tuple[RecordedRequest, int]], tmp_path_factory: pytest.TempPathFactory
 ) -> fitted_fleet.Fit:
     traffic = recorded_traffic.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
     priority_weights = {c.name: c.priority_weight for c in day.parameters.classes}
@@ -87,7 +87,7 @@
 
 
 def test_fit_finds_work_units_and_customers_without_recorded_speeds(
-    day: Day, fitted: fitted_fleet.Fit
+    day: ScenarioRun, fitted: fitted_fleet.Fit
 ) -> None:
     slow = float(np.mean([1 / backend.speed for backend in Engine(day, Gateway).backend_models.values()]))
     for found in fitted.classes:
@@ -104,7 +104,7 @@
 
 
 def test_retries_are_not_replayed_as_new_requests(
-    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit
+    day: ScenarioRun, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit
 ) -> None:
     repeats = sum(row.is_retry for row, _ in rows)
     assert repeats > 100
@@ -112,7 +112,7 @@
     assert abs(len(replayed.traffic.requests) / len(day.traffic.requests) - 1) < 0.15
 
 
-def dispersion(day: Day, customers: int) -> float:
+def dispersion(day: ScenarioRun, customers: int) -> float:
     """Variance over mean of a customer's requests in windows of 2 s, mean over those with many."""
     found = []
     for number in range(customers):
@@ -128,12 +128,12 @@
 ) -> None:
     long = replace(BASE, seconds=60.0)
 
-    def days(scale: float, by: str) -> list[Day]:
+    def days(scale: float, by: str) -> list[ScenarioRun]:
         return [replay.day_from(fitted, long, seed, replay.Replay(fitted, scale, by)) for seed in (1, 2, 3)]
 
     once, more, faster = days(1, "customers"), days(3, "customers"), days(3, "rates")
 
-    def count(drawn: list[Day]) -> float:
+    def count(drawn: list[ScenarioRun]) -> float:
         return float(np.mean([len(d.traffic.requests) for d in drawn]))
 
     assert 2.8 < count(more) / count(once) < 3.2 and 2.8 < count(faster) / count(once) < 3.2
@@ -148,7 +148,7 @@
 
 
 def test_fit_of_two_of_three_recordings_finds_the_same_fleet(
-    day: Day, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit, tmp_path: Path
+    day: ScenarioRun, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit, tmp_path: Path
 ) -> None:
     traffic = recorded_traffic.together(write(rows, tmp_path, 3, (0, 2)))
     assert traffic.coverage == pytest.approx(2 / 3) and traffic.recorded == (0, 2)
@@ -195,9 +195,9 @@
 def test_fitted_fleet_predicts_another_day_of_the_same_installation(fitted: fitted_fleet.Fit) -> None:
     predicted = replay.scenario_from(fitted, BASE)
     model = [play(predicted, 100 + seed) for seed in range(19)]
-    engine = Engine(draw_day(BASE, 2), Gateway)
+    engine = Engine(draw_run(BASE, 2), Gateway)
     engine.run()
-    lines = compare_with_prediction("quiet", 2, model, score_day(engine))
+    lines = compare_with_prediction("quiet", 2, model, score_run(engine))
     assert {line.figure for line in lines} == {"service", "waste", "late_fail", "messages", "over_quota"}
     service = lines[0]
     assert service.low < service.mean < service.high
@@ -206,7 +206,7 @@
 
 
 def test_fit_command_writes_a_fit_that_the_run_command_plays(
-    day: Day, rows: list[tuple[RecordedRequest, int]], tmp_path: Path
+    day: ScenarioRun, rows: list[tuple[RecordedRequest, int]], tmp_path: Path
 ) -> None:
     files = write(rows, tmp_path, 3, (0, 1, 2))
     plans = [
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -25,25 +25,25 @@
 )
 from mapleshunt.policy.gateway import Gateway
 from mapleshunt.simulation import experiments, stats
-from mapleshunt.simulation.day import Scenario, draw_day, resized
+from mapleshunt.simulation.day import Scenario, draw_run, resized
 from mapleshunt.simulation.engine import Engine
 from mapleshunt.simulation.gateway_policy import PolicyFactory
 from mapleshunt.simulation.policies import POLICIES
 from mapleshunt.simulation.scenarios import SCENARIOS
-from mapleshunt.simulation.score import Score, score_day
+from mapleshunt.simulation.score import Score, score_run
 from mapleshunt.simulation.variants import VariantError, load, parse
 
 ROOT = Path(__file__).parent.parent
 
 
 def played(scenario: Scenario, seed: int = 1, factory: PolicyFactory = Gateway) -> tuple[Engine, Score]:
-    engine = Engine(draw_day(scenario, seed), factory)
+    engine = Engine(draw_run(scenario, seed), factory)
     engine.run()
-    return engine, score_day(engine)
+    return engine, score_run(engine)
 
 
 def short(name: str, seconds: float = 12.0, **changes: Any) -> Scenario:
-    return replace(resized(SCENARIOS[name], servers=8, seconds=seconds), **changes)
+    return replace(resized(SCENARIOS[name], backends=8, seconds=seconds), **changes)
 
 
 def test_the_same_seed_gives_the_same_run_bit_for_bit_and_another_one_does_not() -> None:
@@ -205,9 +205,9 @@
 def test_two_variants_meet_the_same_days() -> None:
     scenario = short("worst")
     one, other = played(scenario, 6)[0], played(scenario, 6, POLICIES["let-all"])[0]
-    assert one.day.faults == other.day.faults
-    assert [(a.arrives_at, a.work_ms, a.units, a.customer) for a in one.day.traffic.requests] == [
-        (a.arrives_at, a.work_ms, a.units, a.customer) for a in other.day.traffic.requests
+    assert one.scenario_run.faults == other.scenario_run.faults
+    assert [(a.arrives_at, a.work_ms, a.units, a.customer) for a in one.scenario_run.traffic.requests] == [
+        (a.arrives_at, a.work_ms, a.units, a.customer) for a in other.scenario_run.traffic.requests
     ]
     assert [t.speed for t in one.backend_models.values()] == [t.speed for t in other.backend_models.values()]
 
@@ -272,7 +272,7 @@
 
 def test_settings_constants_and_figures_can_be_set() -> None:
     one = parse("set:mail_per_s=10,TARGET=0.5,world.peer_loss=0.2,plan.basic.rate=9")
-    day = draw_day(one.scenario(SCENARIOS["quiet"]), 1)
+    day = draw_run(one.scenario(SCENARIOS["quiet"]), 1)
     assert day.parameters["peer_loss"] == 0.2
     settings = day.settings()[0]
     assert settings.gossip_intake_per_s == 10 and settings.plans["basic"].rate == 9
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -17,7 +17,7 @@
 from mapleshunt.fleet.discovery import EndpointEntry
 from mapleshunt.fleet.faults import Fault
 from mapleshunt.recording import file_format as form
-from mapleshunt.simulation.day import RuleLimits, Scenario, draw_day, resized
+from mapleshunt.simulation.day import RuleLimits, Scenario, draw_run, resized
 from mapleshunt.simulation.records import ClientAttempt, RequestRecord, UpstreamAttempt
 from mapleshunt.simulation.rule_checker import RuleChecker
 from mapleshunt.simulation.scenarios import SCENARIOS
@@ -32,7 +32,7 @@
 
 
 def scenario(*faults: Fault, seconds: float = 4.0, **changes: Any) -> Scenario:
-    base = resized(SCENARIOS["quiet"], gateways=2, servers=4, seconds=seconds)
+    base = resized(SCENARIOS["quiet"], gateways=2, backends=4, seconds=seconds)
     return replace(base, fault_plan=lambda rng, scenario: list(faults), **changes)
 
 
@@ -52,7 +52,7 @@
 
 
 def test_a_gateway_killed_with_requests_open_a_crash_and_a_drain_break_no_rule(tmp_path: Path) -> None:
-    day = draw_day(scenario(
+    day = draw_run(scenario(
         Fault(800, "crash", 1200, (0,)), Fault(1000, "restart", 600, (1,)), Fault(1500, "drain", 300, (1,)),
         Fault(1200, "add", magnitude=1), Fault(500, "loss", 2000, magnitude=0.5),
         Fault(600, "counter_down", 900),
@@ -73,9 +73,9 @@
         and found.unknown_requests == 0
         and found.gossip.oversized_datagrams == 0
     )
-    after = [a for t in tries for a in t.attempts if a.server == 1 and a.sent_at > 1500 + 300 + 550 + 400]
+    after = [a for t in tries for a in t.attempts if a.endpoint == 1 and a.sent_at > 1500 + 300 + 550 + 400]
     assert not after, "sent to a draining server"
-    assert any(a.server == 4 for t in tries for a in t.attempts), "the new server was not used"
+    assert any(a.endpoint == 4 for t in tries for a in t.attempts), "the new server was not used"
     assert summary.exactly_once(found) is False  # the kill left some without an answer, and that shows
 
 
@@ -107,7 +107,8 @@
         day: Any = SimpleNamespace(
             gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])],
             clock=DayClock(), timed_out=[],
-            day=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)), command=lambda *_: b"PING\r\n",
+            scenario_run=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)),
+            command=lambda *_: b"PING\r\n",
             rule_checker=SimpleNamespace(client_answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
         one: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
@@ -125,7 +126,7 @@
     """0.1 more than a policy that sees all, if late, is allowed; here against none. A program that lets in
     whoever its view refuses shows that the day would tell.
     """
-    day = draw_day(resized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
+    day = draw_run(resized(SCENARIOS["quiet"], gateways=3, backends=4, seconds=5.0), 2)
     program = checkout(tmp_path, QUOTA_IGNORED) if bad else ROOT
     _, score = fleet.play_day(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
@@ -134,18 +135,18 @@
 
 def test_a_silent_machine_is_left_alone_and_found_again(tmp_path: Path) -> None:
     fault = Fault(500, "silent", 1500, (0,))
-    day = draw_day(
+    day = draw_run(
         scenario(fault, seconds=5.0, fixed_parameters={"silent_notice_ms": 5000, "add_ms": 100}), 6
     )
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
-    at = [a.sent_at for t in found.rule_checker.client_attempts for a in t.attempts if a.server == 0]
+    at = [a.sent_at for t in found.rule_checker.client_attempts for a in t.attempts if a.endpoint == 0]
     assert sum(1200 < one < 2000 for one in at) < sum(one < 500 for one in at)
     assert any(one > 2500 for one in at)
 
 
 def test_a_planned_leave_loses_nothing(tmp_path: Path) -> None:
-    day = draw_day(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
+    day = draw_run(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
     found, score = fleet.play_day(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     assert all(t.result is not None for t in found.rule_checker.client_attempts if t.accepted)
@@ -189,7 +190,7 @@
 
 def test_bytes_that_a_killed_gateway_left_are_judged_by_what_it_had_been_told() -> None:
     # They arrive after the kill. The list was forgotten with the process: each such attempt broke the rule.
-    day = draw_day(scenario(), 8)
+    day = draw_run(scenario(), 8)
     watchman = RuleChecker(day, day.settings()[0])
     watchman.endpoint_list_delivered(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
     ask = RequestRecord(day.traffic.requests[0]).request
@@ -202,13 +203,13 @@
 
 @pytest.mark.parametrize("rule", BAD)
 def test_the_rig_sees_a_bad_program_break_a_rule(tmp_path: Path, rule: str) -> None:
-    day = draw_day(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
+    day = draw_run(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
     _, score = fleet.play_day(day, tmp_path / "logs", checkout(tmp_path, *BAD[rule]))
     assert score.rules[rule] > 0, score.rules
 
 
 def test_a_program_that_does_not_start_or_ends_is_told_in_a_line(tmp_path: Path) -> None:
-    day = draw_day(scenario(seconds=2.0), 9)
+    day = draw_run(scenario(seconds=2.0), 9)
     broken = checkout(
         tmp_path / "a",
         (
@@ -235,7 +236,7 @@
 
 def test_gateways_record_what_crossed_the_sockets(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text(f'(record (file "{tmp_path}/{{name}}.rec") (salt "s"))')
-    day = draw_day(scenario(seconds=2.0, rate=60.0), 10)
+    day = draw_run(scenario(seconds=2.0, rate=60.0), 10)
     found, _ = fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
     rows = [row for n in range(2) for row in form.read_recording((tmp_path / f"n{n}.rec").read_bytes()).rows]
     tries = [t for t in found.rule_checker.client_attempts if t.accepted]
@@ -249,6 +250,6 @@
 
 def test_an_operators_file_that_makes_no_sense_is_one_line_and_exit_status_2(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text("(record (file 3))")
-    day = draw_day(scenario(seconds=1.0), 9)
+    day = draw_run(scenario(seconds=1.0), 9)
     with pytest.raises(GatewayError, match=r"mapleshunt: .*o\.sexp:1:15: file: expected `str`, got `int`"):
         fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
