--- a/mapleshunt/net/replication/connection.py
+++ b/mapleshunt/net/replication/connection.py
@@ -48,7 +48,7 @@
         """Wire it. `dialed_peer` is the gateway that was dialed, empty for an accepted connection."""
         self.stream = stream
         self.dialed_peer = dialed_peer
-        self.hello: wire.Handshake | None = None  # of the other end, once it has come
+        self.remote_handshake: wire.Handshake | None = None  # of the other end, once it has come
         self._fleet = fleet
         self._handlers = handlers
         self._counters = counters
@@ -62,9 +62,9 @@
         loop = asyncio.get_running_loop()
         handshake_timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self._handshake_overdue)
         try:
-            hello = self._handlers.handshake()
-            self._sent_incarnation = hello.incarnation
-            self.write(hello)
+            handshake = self._handlers.handshake()
+            self._sent_incarnation = handshake.incarnation
+            self.write(handshake)
             return await self._read_frames()
         except StreamClosedError:
             return "closed"
@@ -92,7 +92,7 @@
             await buffer.fill(self.stream)
 
     def _handshake_overdue(self) -> None:
-        if self.hello is None:
+        if self.remote_handshake is None:
             self.stream.close()
 
     def is_stale(self) -> bool:
@@ -105,11 +105,11 @@
     def _receive(self, frame: wire.Frame) -> None:
         if self.is_stale():
             raise wire.ProtocolError("greeted as another incarnation")
-        if self.hello is None:
+        if self.remote_handshake is None:
             self._receive_handshake(frame)
-        elif isinstance(frame, wire.MessageBatch) and self.hello.incarnation:
+        elif isinstance(frame, wire.MessageBatch) and self.remote_handshake.incarnation:
             for group, message in frame.messages:
-                self._handlers.on_message(self.hello, group, message)
+                self._handlers.on_message(self.remote_handshake, group, message)
         elif isinstance(frame, wire.ClientRequest | wire.AdminRequest):
             self._handlers.on_request(self, frame)
         elif isinstance(frame, wire.ClientResponse):
@@ -121,7 +121,7 @@
         if not isinstance(frame, wire.Handshake):
             raise wire.ProtocolError("no greeting")
         wire.check_handshake(frame, self._fleet)
-        self.hello = frame
+        self.remote_handshake = frame
         self._handlers.on_handshake(self)
 
     def write(self, frame: wire.Frame) -> None:
--- a/mapleshunt/net/replication/connections.py
+++ b/mapleshunt/net/replication/connections.py
@@ -129,8 +129,8 @@
     async def _run(self, connection: PeerConnection) -> None:
         reason = await connection.run()
         self._unidentified.pop(connection, None)
-        hello = connection.hello
-        peer = hello.gateway if hello is not None and hello.incarnation else ""
+        handshake = connection.remote_handshake
+        peer = handshake.gateway if handshake is not None and handshake.incarnation else ""
         if self._by_peer.get(peer) is connection:
             del self._by_peer[peer]
         if peer or reason != "closed":
@@ -138,18 +138,23 @@
 
     def _identify(self, connection: PeerConnection) -> None:
         """File a connection under the gateway whose handshake has come."""
-        hello = connection.hello
-        assert hello is not None
-        if not hello.incarnation:
+        handshake = connection.remote_handshake
+        assert handshake is not None
+        if not handshake.incarnation:
             return  # a client
-        if hello.gateway not in self._addresses.peers or connection.dialed_peer not in ("", hello.gateway):
-            raise wire.ProtocolError(f"{hello.gateway!r} is not expected here")
+        if handshake.gateway not in self._addresses.peers or connection.dialed_peer not in (
+            "",
+            handshake.gateway,
+        ):
+            raise wire.ProtocolError(f"{handshake.gateway!r} is not expected here")
         self._unidentified.pop(connection, None)
-        if (before := self._by_peer.get(hello.gateway)) is not None:
+        if (before := self._by_peer.get(handshake.gateway)) is not None:
             before.close()  # the other end has begun anew
-        self._by_peer[hello.gateway] = connection
-        log.log_event("link_up", peer=hello.gateway, incarnation=hello.incarnation, boot=hello.boot)
-        self._handlers.on_peer(hello)
+        self._by_peer[handshake.gateway] = connection
+        log.log_event(
+            "link_up", peer=handshake.gateway, incarnation=handshake.incarnation, boot=handshake.boot
+        )
+        self._handlers.on_peer(handshake)
 
     def connected_peers(self) -> list[str]:
         """Return the gateways that are connected, in the order in which they came."""
@@ -162,12 +167,16 @@
     def handshake_of(self, peer: str) -> wire.Handshake | None:
         """Return the handshake of a gateway, if it is connected."""
         connection = self._by_peer.get(peer)
-        return connection.hello if connection is not None else None
+        return connection.remote_handshake if connection is not None else None
 
     def send(self, peer: str, incarnation: str, group: int, message: Message) -> None:
         """Send to that incarnation of a gateway at the end of this turn; dropped if it is not connected."""
         connection = self._by_peer.get(peer)
-        if connection is None or connection.hello is None or connection.hello.incarnation != incarnation:
+        if (
+            connection is None
+            or connection.remote_handshake is None
+            or connection.remote_handshake.incarnation != incarnation
+        ):
             return
         if connection.is_stale():
             return
--- a/mapleshunt/net/replication/fleet_knowledge.py
+++ b/mapleshunt/net/replication/fleet_knowledge.py
@@ -38,16 +38,16 @@
             self._generations,
         )
 
-    def merge(self, hello: wire.Handshake) -> int:
+    def merge(self, handshake: wire.Handshake) -> int:
         """Take over what another gateway knows; return the boot of this store that it has met."""
-        received = dict(hello.known_boots)
+        received = dict(handshake.known_boots)
         own_boot = received.pop(self._store.incarnation, 0)
         known = boots.remember_boot(
-            boots.merge_known_boots(self._known_boots, received), hello.incarnation, hello.boot
+            boots.merge_known_boots(self._known_boots, received), handshake.incarnation, handshake.boot
         )
-        changed = known != self._known_boots or hello.formed_groups | self._formed != self._formed
+        changed = known != self._known_boots or handshake.formed_groups | self._formed != self._formed
         self._known_boots = known  # also if nothing changed: the order of the boots counts
-        self._formed |= hello.formed_groups
+        self._formed |= handshake.formed_groups
         if changed:
             self._save()
         return own_boot
--- a/mapleshunt/net/replication/fleet_presence.py
+++ b/mapleshunt/net/replication/fleet_presence.py
@@ -39,8 +39,8 @@
 
     def replica_of(self, gateway: str) -> m.Replica | None:
         """Return a connected gateway as its incarnation."""
-        hello = self._peers.handshake_of(gateway)
-        return f"{gateway}/{hello.incarnation}" if hello is not None else None
+        handshake = self._peers.handshake_of(gateway)
+        return f"{gateway}/{handshake.incarnation}" if handshake is not None else None
 
     def connected_voters(self, members: m.Members) -> int:
         """Return how many voters are this gateway or connected, as the incarnations that vote."""
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -165,16 +165,16 @@
     def _disconnect(self) -> None:
         self.peers.disconnect()
 
-    def _peer_connected(self, hello: wire.Handshake) -> None:
-        own_boot = self.knowledge.merge(hello)
-        self.presence.peer_connected(hello.gateway, _now())
+    def _peer_connected(self, handshake: wire.Handshake) -> None:
+        own_boot = self.knowledge.merge(handshake)
+        self.presence.peer_connected(handshake.gateway, _now())
         if boots.is_store_outdated(self.store.boot, own_boot):
-            self.groups.renew(hello.gateway, own_boot)
-        for group, generation in hello.generations.items():
+            self.groups.renew(handshake.gateway, own_boot)
+        for group, generation in handshake.generations.items():
             if 0 <= group < self.section.groups and generation > self.knowledge.generation(group):
                 self.groups.supersede(group, generation)
 
-    def _message_received(self, hello: wire.Handshake, channel: int, message: m.Message) -> None:
+    def _message_received(self, handshake: wire.Handshake, channel: int, message: m.Message) -> None:
         group, generation = generations.group_and_generation(channel)
         if not 0 <= group < self.section.groups:
             raise wire.ProtocolError(f"there is no group {group}")
@@ -187,7 +187,7 @@
         if host is None:
             self.groups.create(group)
         else:
-            host.step(m.MessageReceived(f"{hello.gateway}/{hello.incarnation}", message))
+            host.step(m.MessageReceived(f"{handshake.gateway}/{handshake.incarnation}", message))
 
     def _request_received(
         self, connection: PeerConnection, request: wire.ClientRequest | wire.AdminRequest
--- a/mapleshunt/net/replication/membership_manager.py
+++ b/mapleshunt/net/replication/membership_manager.py
@@ -96,11 +96,11 @@
         zones = self._presence.zones
         holders = place_replicas(group, zones, self._section.size)
         handshakes = {name: self._peers.handshake_of(name) for name in zones if name != me}
-        connected = {name: hello for name, hello in handshakes.items() if hello is not None}
+        connected = {name: handshake for name, handshake in handshakes.items() if handshake is not None}
         if holders[0] != me or not all(name == me or name in connected for name in holders):
             return
         has_majority = 2 * (len(connected) + 1) > len(zones)
-        if not has_majority or any(hello.formed_groups >> group & 1 for hello in connected.values()):
+        if not has_majority or any(handshake.formed_groups >> group & 1 for handshake in connected.values()):
             return
         voters = tuple(
             self._services.replica() if name == me else f"{name}/{connected[name].incarnation}"
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -11,7 +11,7 @@
 from mapleshunt.replication import messages as m
 from mapleshunt.replication.roles import Role
 
-from .test_replica_stores import NAMES, copies_in
+from .test_replica_stores import GATEWAY_NAMES, replication_host_in
 
 MESSAGE_DELAY_S = 0.001
 ELECTIONS = 10  # timeouts of the longest kind within which two of three have to agree
@@ -58,8 +58,8 @@
     """Two of three are left. With timeouts drawn alike both campaign at once, and neither gets a vote."""
 
     async def run() -> str:
-        copies = [copies_in(tmp_path / name, name) for name in NAMES[:2]]
-        play = Play(copies, missing=f"{NAMES[2]}/gone")
+        copies = [replication_host_in(tmp_path / name, name) for name in GATEWAY_NAMES[:2]]
+        play = Play(copies, missing=f"{GATEWAY_NAMES[2]}/gone")
         leader = play.leader(play.start + ELECTIONS * 2 * copies[0].services.raft_config.election_timeout_s)
         for one in copies:
             one.peers.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -329,7 +329,7 @@
         ours, theirs = socket.socketpair()
         handlers = ConnectionHandlers(
             handshake=handshake,
-            on_handshake=lambda connection: heard.append(connection.hello),
+            on_handshake=lambda connection: heard.append(connection.remote_handshake),
             on_message=lambda *message: heard.append(message),
             on_request=lambda *request: heard.append(request),
             on_response=heard.append,
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -32,17 +32,19 @@
 from .test_sessions import WAIT_S, until
 
 FLEET = "f"
-NAMES = ("g0", "g1", "g2")
+GATEWAY_NAMES = ("g0", "g1", "g2")
 
 
 def text_of(folder: Path, more: str = "", election_ms: int = 100) -> str:
     """The operators' file of a gateway whose peers are not there."""
-    peers = " ".join(f'(peer (name "{one}") (address "127.0.0.1:{free_port()}"))' for one in NAMES)
+    peers = " ".join(f'(peer (name "{one}") (address "127.0.0.1:{free_port()}"))' for one in GATEWAY_NAMES)
     section = f'(fleet "{FLEET}") (folder "{folder}") (groups 2) (size 3) (election-ms {election_ms})'
     return f"(copies {section} {more}{peers})\n"
 
 
-def copies_in(folder: Path, name: str = NAMES[0], election_ms: int = 100) -> ReplicationHost:
+def replication_host_in(
+    folder: Path, name: str = GATEWAY_NAMES[0], election_ms: int = 100
+) -> ReplicationHost:
     """The replication host of a gateway whose peers are not there."""
     section = operators.parse_settings(text_of(folder, election_ms=election_ms)).copies
     assert section is not None
@@ -65,7 +67,7 @@
     """A message to a group that an older disk lacks, and the word that the disk is older, in one turn."""
 
     async def run() -> None:
-        copies = copies_in(tmp_path)
+        copies = replication_host_in(tmp_path)
         copies.start()
         before = copies.store.incarnation
         copies.groups.create(1, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
@@ -78,7 +80,7 @@
         copies.close()
 
     asyncio.run(run())
-    disk = DurableStore(tmp_path, FLEET, NAMES[0])
+    disk = DurableStore(tmp_path, FLEET, GATEWAY_NAMES[0])
     assert not disk.set_aside
     disk.close()
 
@@ -102,7 +104,7 @@
     monkeypatch.setenv(operators.ENVIRONMENT_VARIABLE, str(file))
     monkeypatch.setattr(extensions, "open_store", open_slowly)
     monkeypatch.setattr(extensions, "STORE_RETRY_DELAY_S", 0.01)
-    parsed = config.parse(json.dumps({**replicas_only_config(), "name": NAMES[0]}), {})
+    parsed = config.parse(json.dumps({**replicas_only_config(), "name": GATEWAY_NAMES[0]}), {})
 
     async def run() -> None:
         made = extensions.Extensions(parsed, None, Counters(), None)  # type: ignore[arg-type]
@@ -163,7 +165,7 @@
     """A read and an operation are confirmed by the same message of a follower."""
 
     async def run() -> None:
-        copies = copies_in(tmp_path, election_ms=5000)
+        copies = replication_host_in(tmp_path, election_ms=5000)
         copies.start()
         host = host_in(copies)
         await lead(host, "g1/1")
@@ -189,7 +191,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def run() -> None:
-        copies = copies_in(tmp_path, election_ms=50)
+        copies = replication_host_in(tmp_path, election_ms=50)
         copies.start()
         host = host_in(copies)
         step, met = host.node.step, list[m.Event]()
