--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small bench-free driver: one gateway, a clock, and servers that answer when told."""
+"""A driver for tests of the decisions, and the tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
 
 
 class Driver:
-    """Feeds events at a clock, runs the timers, and keeps every action."""
+    """One gateway on a simulated clock: passes it events, fires its timers and records all actions."""
 
     def __init__(self, endpoints: int = 4, **changes: Any) -> None:
-        base: dict[str, Any] = {
+        defaults: dict[str, Any] = {
             "gateway_index": 0,
             "gateway_count": 1,
             "classes": CLASSES,
@@ -64,53 +64,64 @@
             "max_attempts": 4,
         }
         self.now, self.last_request_id = 1000.0, 0
-        self.gateway = Gateway(Settings(**{**base, **changes}), seed=7, now=self.now)
+        self.gateway = Gateway(Settings(**{**defaults, **changes}), seed=7, now=self.now)
         self.actions: list[Action] = []
         self.timers: list[float] = []
         self.record(self.gateway.start())
-        rows = tuple(EndpointInfo(n, zone=f"z{n % 2}", cell=n % 2) for n in range(endpoints))
-        self.handle(EndpointUpdate("persisted", rows))
+        infos = tuple(
+            EndpointInfo(number, zone=f"z{number % 2}", cell=number % 2) for number in range(endpoints)
+        )
+        self.handle(EndpointUpdate("persisted", infos))
 
     def record(self, actions: list[Action]) -> list[Action]:
-        self.timers += [a.at for a in actions if isinstance(a, SetTimer)]
+        self.timers += [action.at for action in actions if isinstance(action, SetTimer)]
         self.actions += actions
-        return [a for a in actions if not isinstance(a, SetTimer)]
+        return [action for action in actions if not isinstance(action, SetTimer)]
 
     def handle(self, event: Event) -> list[Action]:
         return self.record(self.gateway.handle(self.now, event))
 
     def request(
         self,
-        cls: str = "look",
+        request_class: str = "look",
         plan: str = "wide",
         customer: str = "c",
         remaining_time: float = 4000,
         units: float = 1,
-        **more: Any,
+        **fields: Any,
     ) -> list[Action]:
         self.last_request_id += 1
         return self.handle(
-            RequestReceived(self.last_request_id, cls, plan, customer, remaining_time, units, **more)
+            RequestReceived(
+                self.last_request_id, request_class, plan, customer, remaining_time, units, **fields
+            )
         )
 
     def end_attempt(
-        self, send: StartAttempt, status: Any = "ok", attempt: int = 0, latency: float = 50, cost: float = 0
+        self,
+        started: StartAttempt,
+        status: Any = "ok",
+        attempt: int = 0,
+        latency: float = 50,
+        cost: float = 0,
     ) -> list[Action]:
         return self.handle(
-            AttemptEnded(send.request_id, status, status == "ok", attempt, send.endpoint, latency, cost=cost)
+            AttemptEnded(
+                started.request_id, status, status == "ok", attempt, started.endpoint, latency, cost=cost
+            )
         )
 
     def advance(self, ms: float) -> list[Action]:
-        """Let the clock run, firing timers as they fall due."""
+        """Advance the clock and fire the timers that become due."""
         from mapleshunt import TimerFired
 
-        end, got = self.now + ms, []
+        end, actions = self.now + ms, []
         while self.timers and min(self.timers) <= end:
             self.now = max(self.now, min(self.timers))
             self.timers.remove(min(self.timers))
-            got += self.handle(TimerFired(0))
+            actions += self.handle(TimerFired(0))
         self.now = end
-        return got
+        return actions
 
 
 @pytest.hookimpl(tryfirst=True)
@@ -124,7 +135,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the tests that KNOWN-RED.txt lists, so that no run passes over them in silence."""
+    """Print the tests that KNOWN-RED.txt lists, so that every run reports them."""
     for failure in known_failures.load():
         terminalreporter.write_line(f"known to fail: {failure.test}: {failure.cause} ({failure.issue})")
 
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the decisions share."""
+"""Helpers of the tests of the decisions."""
 
 from __future__ import annotations
 
@@ -23,62 +23,71 @@
 
 
 def started_attempts(actions: list) -> list[StartAttempt]:  # type: ignore[type-arg]
-    return [a for a in actions if isinstance(a, StartAttempt)]
+    return [action for action in actions if isinstance(action, StartAttempt)]
 
 
-def customer_owned_by(owner: int, spread: int = 2) -> str:
-    """A customer whose owner is that member of a set that begins at gateway 0."""
-    return next(f"c{n}" for n in range(999) if tag_of(f"c{n}") % spread == owner)
+def customer_owned_by(owner: int, set_size: int = 2) -> str:
+    """Return a customer whose quota's primary owner is that member of a set that begins at gateway 0."""
+    return next(f"c{number}" for number in range(999) if tag_of(f"c{number}") % set_size == owner)
 
 
 def sent_entries(actions: list) -> list[tuple[int, GossipEntry]]:  # type: ignore[type-arg]
-    told = [(a.peer, decode(a.data)) for a in actions if isinstance(a, SendGossip)]
-    return [(peer, line) for peer, report in told if report for line in report.entries]
-
-
-def reply_as_owner(driver: Driver, line: GossipEntry, kind: str, left: float = 1.0, use: float = 0.0) -> list:  # type: ignore[type-arg]
-    reply = GossipEntry(EntryKind(kind), line.customer_tag, line.request_number, 0.0, left, encode_use(use))
+    messages = [(action.peer, decode(action.data)) for action in actions if isinstance(action, SendGossip)]
+    return [(peer, entry) for peer, message in messages if message for entry in message.entries]
+
+
+def reply_as_owner(
+    driver: Driver, request: GossipEntry, kind: str, bucket_left: float = 1.0, recent_use: float = 0.0
+) -> list:  # type: ignore[type-arg]
+    reply = GossipEntry(
+        EntryKind(kind),
+        request.customer_tag,
+        request.request_number,
+        0.0,
+        bucket_left,
+        encode_use(recent_use),
+    )
     return driver.handle(GossipReceived(1, encode(0.1, [reply])))
 
 
-ONE = "00000000000000c1"
+CUSTOMER_NAME = "00000000000000c1"
 
 
-def member(me: int = 7, plan: str = "thin", **changes: Any) -> tuple[Driver, Customer]:
-    """One of 200 gateways that has met a request of a customer whose set is wide, and what it holds of it."""
-    driver = Driver(gateway_count=200, gateway_index=me, gossip_enabled=True, **changes)
-    driver.request(plan=plan, customer=ONE, gateway_set_size=150)
-    return driver, driver.gateway.customers.by_tag[tag_of(ONE)]
+def member_gateway(gateway_index: int = 7, plan: str = "thin", **changes: Any) -> tuple[Driver, Customer]:
+    """Return one of 200 gateways after a request of a customer with a large set, and the customer."""
+    driver = Driver(gateway_count=200, gateway_index=gateway_index, gossip_enabled=True, **changes)
+    driver.request(plan=plan, customer=CUSTOMER_NAME, gateway_set_size=150)
+    return driver, driver.gateway.customers.by_tag[tag_of(CUSTOMER_NAME)]
 
 
 def send_uncertain_request(driver: Driver, number: int) -> list[SendGossip]:
-    """A request whose customer's bucket the gateway does not know well enough; the asks it leads to."""
-    got = driver.request(plan="thin", customer=f"c{number}", gateway_set_size=3, units=3)
+    """Send a request that this gateway cannot decide alone; return the messages that ask for its units."""
+    actions = driver.request(plan="thin", customer=f"c{number}", gateway_set_size=3, units=3)
     return [
-        one
-        for one in [*got, *driver.advance(30)]
-        if isinstance(one, SendGossip) and "ask" in entry_kinds(one)
+        action
+        for action in [*actions, *driver.advance(30)]
+        if isinstance(action, SendGossip) and "ask" in entry_kinds(action)
     ]
 
 
-def entry_kinds(tell: SendGossip) -> list[str]:
-    report = decode(tell.data)
-    return [line.kind for line in report.entries] if report else []
+def entry_kinds(sent: SendGossip) -> list[str]:
+    message = decode(sent.data)
+    return [entry.kind for entry in message.entries] if message else []
 
 
 def first_ask(driver: Driver) -> tuple[SendGossip, GossipEntry]:
-    """The ask, and its line, that a request led to whose customer's owner is another gateway."""
+    """Return the first message that asks another gateway for units, and its entry."""
     for number in range(60):
-        if asks := send_uncertain_request(driver, number):
-            return asks[0], next(one for one in entries_of([asks[0]]) if one.kind == "ask")
-    raise AssertionError("every customer's owner is this gateway")
+        if sent := send_uncertain_request(driver, number):
+            return sent[0], next(entry for entry in entries_of([sent[0]]) if entry.kind == "ask")
+    raise AssertionError("expected a message that asks another gateway, got none for 60 customers")
 
 
 def entries_of(actions: list) -> list[GossipEntry]:  # type: ignore[type-arg]
-    reports = [decode(one.data) for one in actions if isinstance(one, SendGossip)]
-    return [line for report in reports if report for line in report.entries]
+    messages = [decode(action.data) for action in actions if isinstance(action, SendGossip)]
+    return [entry for message in messages if message for entry in message.entries]
 
 
 def entries_after_message(driver: Driver, peer: int, data: str) -> list[GossipEntry]:
-    """What a peer's message leads to being told."""
+    """Return the entries that are sent after a peer's message."""
     return entries_of([*driver.handle(GossipReceived(peer, data)), *driver.advance(200)])
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,4 +1,4 @@
-"""How many messages are sent to peers."""
+"""The number and size of messages to peers."""
 
 from __future__ import annotations
 
@@ -10,31 +10,35 @@
 from .helpers import started_attempts
 
 
-def test_messages_fit_and_go_to_one_peer_each() -> None:
+def test_messages_fit_the_size_limit_and_go_to_one_peer_each() -> None:
     driver = Driver(gateway_count=300, gossip_enabled=True)
-    for n in range(60):
-        driver.request(plan="thin", customer=f"c{n}", gateway_set_size=200)
-    told = [a for a in driver.actions if isinstance(a, SendGossip)]
-    assert 0 < len(told) <= 60 and all(len(a.data.encode()) <= 256 and a.peer != 0 for a in told)
+    for number in range(60):
+        driver.request(plan="thin", customer=f"c{number}", gateway_set_size=200)
+    messages = [action for action in driver.actions if isinstance(action, SendGossip)]
+    assert 0 < len(messages) <= 60 and all(
+        len(action.data.encode()) <= 256 and action.peer != 0 for action in messages
+    )
 
 
-def test_many_asks_to_one_peer_share_messages() -> None:
+def test_entries_to_one_peer_are_batched() -> None:
     driver = Driver(gateway_count=2, gossip_enabled=True)
-    for n in range(60):
-        driver.request(plan="thin", customer=f"c{n}", gateway_set_size=2)
-    told = [a for a in driver.actions + driver.advance(60) if isinstance(a, SendGossip)]
-    assert len(told) <= 8 and all(len(a.data.encode()) <= 256 for a in told)
+    for number in range(60):
+        driver.request(plan="thin", customer=f"c{number}", gateway_set_size=2)
+    messages = [action for action in driver.actions + driver.advance(60) if isinstance(action, SendGossip)]
+    assert len(messages) <= 8 and all(len(action.data.encode()) <= 256 for action in messages)
 
 
-def test_gateways_use_nearly_all_of_what_their_peers_take_in_and_no_more() -> None:
-    # With a fifth of it unused, words on quotas came later, and more was used beyond them.
+def test_gateways_use_nearly_all_of_the_intake_of_their_peers_and_no_more() -> None:
+    # With a fifth of the intake unused, gossip about quotas arrived later and more was used beyond them.
     gateway = Driver(gateway_count=4, gossip_enabled=True, gossip_intake_per_s=40).gateway
     assert 0.9 * 40 < 3 * 1000 / gateway.gossip.send_interval < 40
 
 
-def test_gateway_of_a_large_fleet_sends_no_more_messages_than_all_may_take_in() -> None:
-    """Each of 200 sent 28 messages a second where they take in 12: two in three were lost, and what the lost
-    words would have rejected was admitted by chance. By its even share it is not.
+def test_gateway_of_a_large_fleet_sends_no_more_messages_than_its_part_of_the_intake() -> None:
+    """Each of 200 gateways sent 28 messages per second where each takes in 12, and two in three were lost.
+
+    Requests that the lost replies would have rejected were admitted at random; the fallback bucket rejects
+    them.
     """
     driver, seconds = (
         Driver(
@@ -46,9 +50,9 @@
         ),
         10,
     )
-    for n in range(40 * seconds):
-        driver.request(plan="thin", customer=f"{n % 40:016x}", gateway_set_size=150)
+    for number in range(40 * seconds):
+        driver.request(plan="thin", customer=f"{number % 40:016x}", gateway_set_size=150)
         driver.advance(25)
-    told = sum(isinstance(one, SendGossip) for one in driver.actions)
-    assert 0.8 * 12 * seconds <= told <= 12 * seconds + 3
+    message_count = sum(isinstance(action, SendGossip) for action in driver.actions)
+    assert 0.8 * 12 * seconds <= message_count <= 12 * seconds + 3
     assert len(started_attempts(driver.actions)) < 40 * seconds / 5
--- a/tests/policy/test_gossip_receiver.py
+++ b/tests/policy/test_gossip_receiver.py
@@ -1,4 +1,4 @@
-"""Messages of peers."""
+"""Messages from peers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from ..conftest import Driver
 
 
-def test_garbled_message_changes_nothing() -> None:
+def test_malformed_message_is_ignored() -> None:
     driver = Driver(gateway_count=2, gossip_enabled=True)
-    pace = driver.gateway.latency.ratio
-    good = encode(2.0, [GossipEntry(EntryKind.NOTE, tag_of("c"), 0, 4.0)], [(endpoint_tag(1), 2.0)])
-    for bad in ("", "x", good[:-1], good[:-1] + "!", "é" + good[1:], good[1:] + good[0]):
-        driver.handle(GossipReceived(1, bad))
-    assert driver.gateway.latency.ratio == pace and not driver.gateway.customers.by_tag
-    driver.handle(GossipReceived(1, good))
-    assert driver.gateway.latency.ratio > pace and driver.gateway.customers.by_tag
+    ratio = driver.gateway.latency.ratio
+    message = encode(2.0, [GossipEntry(EntryKind.NOTE, tag_of("c"), 0, 4.0)], [(endpoint_tag(1), 2.0)])
+    for malformed in ("", "x", message[:-1], message[:-1] + "!", "é" + message[1:], message[1:] + message[0]):
+        driver.handle(GossipReceived(1, malformed))
+    assert driver.gateway.latency.ratio == ratio and not driver.gateway.customers.by_tag
+    driver.handle(GossipReceived(1, message))
+    assert driver.gateway.latency.ratio > ratio and driver.gateway.customers.by_tag
--- a/tests/policy/test_timers.py
+++ b/tests/policy/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers of the decisions."""
+"""The timers of the gateway."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 def test_late_timer_does_not_lose_a_request() -> None:
     driver = Driver(endpoints=0)
     driver.request(remaining_time=900)
-    driver.now += 890  # no timer came
-    assert [a.request_id for a in driver.handle(ClientDisconnected(999)) if isinstance(a, RejectRequest)] == [
-        1
-    ]
+    driver.now += 890  # the host's timer did not fire
+    assert [
+        action.request_id
+        for action in driver.handle(ClientDisconnected(999))
+        if isinstance(action, RejectRequest)
+    ] == [1]
 
 
-def test_idle_gateway_sleeps() -> None:
+def test_idle_gateway_sets_no_timers() -> None:
     driver = Driver(gateway_count=300, gossip_enabled=True)
-    (send,) = started_attempts(driver.request("look", remaining_time=1500))
-    driver.end_attempt(send)
-    before = len(driver.actions)
+    (started,) = started_attempts(driver.request("look", remaining_time=1500))
+    driver.end_attempt(started)
+    action_count = len(driver.actions)
     driver.advance(60000)
-    assert [a for a in driver.actions[before:] if not isinstance(a, SetTimer)] == []
-    assert len(driver.actions) - before < 5 and not driver.timers
+    assert [action for action in driver.actions[action_count:] if not isinstance(action, SetTimer)] == []
+    assert len(driver.actions) - action_count < 5 and not driver.timers
