--- a/mapleshunt/policy/customers.py
+++ b/mapleshunt/policy/customers.py
@@ -19,7 +19,7 @@
 
 # Time constant of the recent use of a customer whose plan has no rate.
 USE_SPAN_WITHOUT_RATE_MS = 1000.0
-# Idle customers are evicted once there are this many more than twice those left by the last sweep.
+# Idle customers are evicted above twice the number of customers after the last sweep plus this.
 MIN_CUSTOMERS_TO_SWEEP = 64
 
 
@@ -167,7 +167,7 @@
         customer.gateway_set_size = size
         customer.quota_owners = choose_owners(customer.tag, plan, size, offset, settings)
         even_part = plan.burst / size
-        burst = max(even_part, settings.max_request_units)  # an even part covers at least one request
+        burst = max(even_part, settings.max_request_units)  # a part covers at least one request
         level_without_gossip = (not settings.gossip_enabled) * ADMIT_ALONE_CHANCE * burst
         is_full = self._random.random() * burst < max(even_part, level_without_gossip)
         rate = customer.bucket.rate * primary_owner_count(plan, settings) / size
--- a/tests/policy/test_quota_check.py
+++ b/tests/policy/test_quota_check.py
@@ -94,7 +94,7 @@
 
 
 def admitted_without_replies(gateway_count: int, seed: int, granted_part: float) -> list[bool]:
-    """Return which of a customer's 20 requests are admitted, each by another of gateways without replies."""
+    """Return which of a customer's 20 requests were admitted, each at another gateway, without a reply."""
     admitted = []
     for number in range(20):
         gateway_index = (number * gateway_count // 20) % gateway_count
@@ -113,16 +113,16 @@
 
 
 @pytest.mark.parametrize(
-    ("granted_part", "least", "most"), [(1.0, 0.9, 1.0), (0.5, 0.3, 0.7), (0.0, 0.0, 0.15)]
+    ("granted_part", "min_admitted", "max_admitted"), [(1.0, 0.9, 1.0), (0.5, 0.3, 0.7), (0.0, 0.0, 0.15)]
 )
 def test_partitioned_gateways_admit_the_fraction_that_owners_granted(
-    granted_part: float, least: float, most: float
+    granted_part: float, min_admitted: float, max_admitted: float
 ) -> None:
     """In the split scenario 89 of 100 attempts were rejected while half of their quota was unused."""
     admitted = [
         is_admitted for seed in range(5) for is_admitted in admitted_without_replies(200, seed, granted_part)
     ]
-    assert least <= sum(admitted) / len(admitted) <= most
+    assert min_admitted <= sum(admitted) / len(admitted) <= max_admitted
 
 
 def test_request_whose_owner_never_replies_is_removed() -> None:
