--- a/mapleshunt/net/admin/connection.py
+++ b/mapleshunt/net/admin/connection.py
@@ -49,7 +49,7 @@
         on_close: Callable[[AdminConnection], None],
         counters: Counters,
     ) -> None:
-        """Start without a call. `on_close` is called once, when the connection closes."""
+        """Initialize the connection. `on_close` is called once, when it closes."""
         self.answered = False
         self.task: asyncio.Task[None] | None = None
         self._stream = stream
@@ -109,7 +109,7 @@
             return AdminResponse(500, "failed\n")
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection at once; does nothing if it is already closed."""
+        """Close the connection at once; do nothing if it is already closed."""
         if self._closed:
             return
         self._closed = True
--- a/mapleshunt/net/clock.py
+++ b/mapleshunt/net/clock.py
@@ -17,7 +17,7 @@
         return self.offset_ms + time.monotonic() * 1000
 
     def age(self, started_at_ms: float) -> float:
-        """Return for how many ms at least an endpoint started at a Unix time, in ms, has been up.
+        """Return the least time in ms for which an endpoint that started at `started_at_ms` has been up.
 
         The wall clock may have been stepped since this clock started, here or where the start was recorded.
         The lower of the two ages counts, since an endpoint taken for older than it is gets too much load.
--- a/mapleshunt/net/config.py
+++ b/mapleshunt/net/config.py
@@ -93,9 +93,7 @@
     try:
         return _config(raw, env)
     except KeyError as error:
-        raise ConfigError(
-            f"the configuration lacks {error}, or has it as a value that is not known"
-        ) from None
+        raise ConfigError(f"the configuration lacks {error}, or has it as an unknown value") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"the configuration has a value of the wrong type or form: {error}") from None
 
--- a/mapleshunt/net/discovery/backoff.py
+++ b/mapleshunt/net/discovery/backoff.py
@@ -7,17 +7,17 @@
 
 import random
 
-# By the protocol, a change that a call could return counts as notified after this, whatever calls failed.
+# By the protocol, a change that a call could return counts as notified this much later, even if calls fail.
 NOTIFICATION_BUDGET_MS = 6000.0
-# For which a call waits for a change: soon after it, an agent that does not answer counts as silent.
+# How long a call waits for a change; short, so that an agent that stops answering is noticed soon.
 WATCH_WAIT_MS = 1000.0
-# Short, because the agent is on this machine.
+# Time to establish a connection; the agent is on this machine.
 DIAL_TIMEOUT_MS = 500.0
-# Without an answer, past a call's own wait; then the agent counts as silent.
+# An agent that has not answered this long after a call's own wait counts as silent.
 SILENCE_TIMEOUT_MS = 500.0
-# Added for the first call of a watch, which may be queued: one service answers the whole fleet.
+# Extra time for the first call of a watch, which may be queued: one service answers the whole fleet.
 QUEUE_ALLOWANCE_MS = 1500.0
-# Of one call in that service, which all gateways of the fleet may call at once.
+# Time of one call in that service, which all gateways of the fleet may call at once.
 SERVICE_TIME_MS = 25.0
 # Lower bounds of the first and of the widest window from which a delay is drawn.
 MIN_FIRST_WINDOW_MS = 100.0
@@ -61,7 +61,7 @@
         self.max_delay_ms = NOTIFICATION_BUDGET_MS - failed_call_ms - self.answer_timeout_ms
 
     def initial_delay_ms(self) -> float:
-        """Return the ms before the first call, which spread gateways that start or move together."""
+        """Return the delay of the first call in ms; it spreads gateways that start or move together."""
         return self.random.uniform(0.0, min(self.fleet_service_ms, self.max_delay_ms))
 
     def reset(self) -> None:
--- a/mapleshunt/net/discovery/watcher.py
+++ b/mapleshunt/net/discovery/watcher.py
@@ -1,7 +1,7 @@
 """The watch on the endpoint list: one call to discovery after another.
 
-Discovery is one service for all gateways. A complete list costs it every row: after a rejected call the
-watcher requests no more than before, and not at once or in step with the other gateways.
+Discovery is one service for all gateways. A complete list costs it every row, so a rejected call alone
+is no reason to request one, nor to call at once or in step with the other gateways.
 """
 
 from __future__ import annotations
--- a/mapleshunt/net/hot_restart/takeover.py
+++ b/mapleshunt/net/hot_restart/takeover.py
@@ -118,7 +118,7 @@
         log.log_event("handover_failed", why=error)
 
     def _charge_usage_of(self, running: list[int]) -> None:
-        """Charge the units that older processes used after their handover; `running` are still there."""
+        """Charge the units older processes used after their handover; those not in `running` have ended."""
         for source, charged in list(self._charged_units.items()):
             has_ended = source not in running
             for tag, units in self._handover.read_usage(source).items():
--- a/mapleshunt/net/messages.py
+++ b/mapleshunt/net/messages.py
@@ -22,7 +22,7 @@
         """Send the value that an endpoint returned."""
 
     def reject(self, retry_after_ms: float) -> None:
-        """Reject the request, which is safe to retry after `retry_after_ms`; 0 gives no time."""
+        """Reject the request, which is safe to retry after `retry_after_ms`; 0 if no time is given."""
 
     def fail(self) -> None:
         """Report failure; the request may or may not have run."""
--- a/mapleshunt/net/periodic.py
+++ b/mapleshunt/net/periodic.py
@@ -13,7 +13,7 @@
 
 
 class PeriodicTask:
-    """Calls `work` every `interval_s` between `start` and `stop`; missed times are skipped."""
+    """Calls `work` every `interval_s` seconds between `start` and `stop`; missed times are skipped."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._due_at = 0.0  # s, on the loop's clock
 
     def start(self) -> None:
-        """Start; the first call comes after one interval. Does nothing if already running."""
+        """Start; the first call comes after one interval. Do nothing if already running."""
         if self._timer is None:
             self._schedule()
 
--- a/mapleshunt/net/startup.py
+++ b/mapleshunt/net/startup.py
@@ -10,7 +10,7 @@
 from . import log
 from .counters import Counters
 
-START_TIMEOUT_S = 8.0  # a step that fails after this ends the start: most must be ready in 10 s
+START_TIMEOUT_S = 8.0  # a step that fails after this ends the start: most starts must be ready in 10 s
 START_RETRY_DELAY_S = 0.02
 
 Result = TypeVar("Result")
--- a/mapleshunt/net/upstream/endpoint.py
+++ b/mapleshunt/net/upstream/endpoint.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One backend server in the endpoint list."""
+    """One backend in the endpoint list."""
 
     id: str
     address: Address
--- a/mapleshunt/net/upstream/endpoint_group.py
+++ b/mapleshunt/net/upstream/endpoint_group.py
@@ -76,7 +76,7 @@
         return EndpointUpdate(kind, entries)
 
     def _remove_unlisted(self, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Remove endpoints that are gone: new ones come under new ids, and the pools would grow."""
+        """Remove endpoints that are gone or unlisted: new ones have new ids, so the pools would grow."""
         listed = {endpoint.number for endpoint in endpoints}
         for number, pool in list(self.pools.items()):
             if pool.endpoint.state == "gone" or (kind != "partial" and number not in listed):
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""How the result of an attempt is classified, for endpoints that behave in one way each on a real socket."""
+"""How the result of an attempt is classified, against endpoints on real sockets with one behaviour each."""
 
 from __future__ import annotations
 
