--- a/mapleshunt/lifecycle/lifecycle.py
+++ b/mapleshunt/lifecycle/lifecycle.py
@@ -1,8 +1,8 @@
 """The states of a gateway process: starting, serving, draining, stopping.
 
-SIGTERM, the admin endpoint and maintenance share this one state machine. It does no I/O and reads no clock:
-`now` is passed in, in seconds of any clock that advances evenly. `docs/operators-door.md` has the table of
-what each state does.
+SIGTERM, the admin endpoint and maintenance share this state machine. It does no I/O and reads no clock: `now`
+is passed in, in seconds of any monotonic clock. `docs/operators-door.md` has a table of the behaviour in each
+state.
 """
 
 from __future__ import annotations
@@ -11,28 +11,29 @@
 import math
 from collections.abc import Mapping
 
-# For how long new clients and idle connections are kept once a load balancer could first read "not ready": it
-# polls ten times a second and stops 0.2 s after one such answer; at a planned restart it goes on for 0.4 s at
-# most.
+# For how long new clients are accepted and idle connections kept after a load balancer can first read "not
+# ready". It polls ten times a second and stops sending 0.2 s after such an answer; at a planned restart it
+# goes on for 0.4 s at most.
 DRAIN_GRACE_S = 0.5
-# After which a connection with a response pending is not read any further: with what it holds answered it can
-# end. The operators want none with a request of the last 2 s left after 4 s.
+# After which a connection with a pending response is not read further, so that it can be closed once the
+# requests read so far have their responses. The operators require that no connection with a request in the
+# last 2 s is left after 4 s.
 READ_GRACE_S = 1.5
 # A process may be killed this long after the longest deadline, counted from SIGTERM. Deadlines beyond the
 # maximum count as the maximum.
 KILL_DELAY_S = 0.7
 KILL_MAX_DEADLINE_S = 3.0
-# How long before that the last response has to be given.
+# How long before that time the last response has to be sent.
 LAST_RESPONSE_MARGIN_S = 0.2
 
 
 class State(enum.Enum):
-    """What the process does for its clients at present."""
+    """The state of a gateway process."""
 
     STARTING = "starting"  # not listening yet
     SERVING = "serving"
     DRAINING = "draining"  # lame duck: running, but clients are sent to other gateways; can be resumed
-    STOPPING = "stopping"  # asked to end, by SIGTERM
+    STOPPING = "stopping"  # ending, by SIGTERM
 
 
 LEGAL_TRANSITIONS: Mapping[State, frozenset[State]] = {
@@ -44,20 +45,20 @@
 
 
 class DrainRequester(enum.Enum):
-    """Who may drain the gateway. It serves again once none of them wants it drained."""
+    """A party that may drain the gateway, which serves again once none requests the drain."""
 
     OPERATORS = "operators"  # through the admin endpoint
-    MAINTENANCE = "maintenance"  # by a grant for work on the machine
+    MAINTENANCE = "maintenance"  # by a maintenance grant for the machine
 
 
 class Lifecycle:
-    """The current state, and what follows from it for clients and connections."""
+    """The current state, and the treatment of clients and connections that follows from it."""
 
     def __init__(self) -> None:
         self.state = State.STARTING
         self.drain_requesters: set[DrainRequester] = set()
-        self._emptying_since = -math.inf  # when connections began to be emptied: draining or stopping
-        self._has_successor = False  # another process takes the clients at the same address
+        self._emptying_since = -math.inf  # when draining, or stopping without a drain, began
+        self._has_successor = False  # another process serves clients at the same address
         self._stop_requested_at = math.inf
 
     def _enter(self, state: State) -> bool:
@@ -66,14 +67,14 @@
         self.state = state
         return True
 
-    # Events. Each returns whether the state changed.
+    # Transitions. Each returns whether the state changed.
 
     def start_serving(self) -> bool:
-        """The process listens for clients."""
+        """Record that the process listens for clients."""
         return self.state is State.STARTING and self._enter(State.SERVING)
 
     def drain(self, now: float, requester: DrainRequester) -> bool:
-        """`requester` wants the gateway drained; ignored while it is starting or stopping."""
+        """Drain the gateway for `requester`; ignored while it is starting or stopping."""
         if self.state not in (State.SERVING, State.DRAINING):
             return False
         self.drain_requesters.add(requester)
@@ -83,54 +84,54 @@
         return True
 
     def resume(self, requester: DrainRequester) -> bool:
-        """`requester` no longer wants the gateway drained; it serves again unless another one does."""
+        """Withdraw the drain request of `requester`; serve again unless another requester is left."""
         self.drain_requesters.discard(requester)
         if self.state is not State.DRAINING or self.drain_requesters:
             return False
         return self._enter(State.SERVING)
 
     def stop(self, now: float, has_successor: bool = False) -> bool:
-        """The process is to end. With a successor, another process takes the clients at the same address."""
+        """Begin to stop. With a successor, another process serves clients at the same address."""
         was_draining = self.state is State.DRAINING
         if not self._enter(State.STOPPING):
             return False
-        if not was_draining:  # one that was draining is emptied already: nobody waits for more
+        if not was_draining:  # the grace periods of a drain have begun already
             self._emptying_since = now
         self._has_successor = has_successor
         self._stop_requested_at = now
         return True
 
-    # What follows from the state.
+    # Behaviour that follows from the state.
 
     def is_serving(self) -> bool:
-        """Tell whether operators who ask for readiness get a "yes"."""
+        """Return whether the operators' readiness call is answered with "yes"."""
         return self.state is State.SERVING
 
     def is_ready(self) -> bool:
-        """Tell whether a load balancer's PING gets PONG. A process with a successor answers for both."""
+        """Return whether a load balancer's PING gets PONG. With a successor, the process answers for both."""
         return self.is_serving() or (self.state is State.STOPPING and self._has_successor)
 
     def accepts_connections(self, now: float) -> bool:
-        """Tell whether new connections are accepted.
+        """Return whether new connections are accepted.
 
-        A draining gateway accepts them too: the load balancer has to be able to read "not ready".
+        A draining gateway accepts them too, so that a load balancer can read "not ready".
         """
         if self.state is State.STOPPING:
             return not self._has_successor and now - self._emptying_since < DRAIN_GRACE_S
         return self.state is not State.STARTING
 
     def closes_idle_connections(self, now: float) -> bool:
-        """Tell whether a client connection ends as soon as no response is pending on it."""
+        """Return whether a client connection is closed as soon as no response is pending on it."""
         if self.state is State.STOPPING and self._has_successor:
             return True
         return self._is_emptying() and now - self._emptying_since >= DRAIN_GRACE_S
 
     def reads_while_responding(self, now: float) -> bool:
-        """Tell whether a connection is read on while a response is pending on it."""
+        """Return whether a connection is read while a response is pending on it."""
         return not self._is_emptying() or now - self._emptying_since < READ_GRACE_S
 
     def last_response_at(self, longest_deadline_s: float) -> float:
-        """Return when the last response to requests that arrive while stopping has to be given.
+        """Return the time by which requests that arrive while stopping must have their last response.
 
         `longest_deadline_s` is the longest deadline of any request class. Infinity unless stopping.
         """
--- a/mapleshunt/lifecycle/statistics.py
+++ b/mapleshunt/lifecycle/statistics.py
@@ -1,7 +1,7 @@
 """The statistics that operators fetch: counters by request class and gauges, as lines of `name:value|type`.
 
-The form is that of statsd's text protocol: `c` for counters, which only grow from 0 at the start of the
-process, and `g` for gauges.
+The format is statsd's text protocol: `c` for counters, which start at 0 with the process and only grow, and
+`g` for gauges.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 def render(classes: Iterable[str], counts: Counter[tuple[str, str]], gauges: Mapping[str, int]) -> str:
-    """Return one line for each statistic.
+    """Return the statistics, one per line.
 
     Args:
-        classes: names of the request classes; each gets all `CLASS_COUNTERS`, also those that are 0.
+        classes: names of the request classes; each has all `CLASS_COUNTERS`, including those that are 0.
         counts: counts by counter and class.
         gauges: current values by name.
     """
--- a/mapleshunt/lifecycle/warm_state.py
+++ b/mapleshunt/lifecycle/warm_state.py
@@ -1,9 +1,9 @@
-"""The warm state that one process of a gateway hands to the next: quotas, limits, what it knows of endpoints.
+"""The warm state that one process of a gateway hands over to the next: quotas, limits, endpoint estimates.
 
-No I/O and no clock. `capture` reads it off the decisions, `encode` and `decode` convert it to and from JSON,
-and `restore` puts it into the decisions of the process that follows. Times are the host's, in ms since 1970,
-and differ from one process to the next where the wall clock was stepped in between; `monotonic`, in ms, is
-the machine's own clock, which is never stepped.
+No I/O and no clock. `capture` reads it from the policy, `encode` and `decode` convert it to and from JSON,
+and `restore` puts it into the policy of the next process. Times are wall clock times of the host, in ms since
+1970; they differ between the processes if the wall clock was stepped in between. `monotonic`, in ms, is the
+machine's monotonic clock, which is never stepped.
 """
 
 from __future__ import annotations
@@ -19,73 +19,73 @@
 VERSION: Literal[1] = 1
 MAX_CUSTOMERS = 4000
 MAX_ENCODED_BYTES = 1 << 20
-# An older warm state is refused: estimates have changed, and every quota has refilled by then.
+# An older warm state is refused: by then estimates are outdated and every quota has refilled.
 MAX_AGE_MS = 10_000.0
-# A notification of a quota owner from longer ago counts as none.
+# A report on a token bucket from another gateway that is older than this counts as none.
 MAX_NOTIFICATION_AGE_MS = 100_000.0
-MIN_RECENT_USE = 0.01  # units of late below which a customer with a full token bucket is left out
+MIN_RECENT_USE_UNITS = 0.01  # below it a customer with a full token bucket is left out
 MIN_LATENCY_RATIO = 1e-6
 
 
 class WarmStateError(ValueError):
-    """A warm state that cannot be taken over: malformed, too old, or of other settings."""
+    """A warm state that cannot be restored: malformed, too old, or of other settings."""
 
 
 class CustomerState(msgspec.Struct, array_like=True, frozen=True):
-    """What is handed on of one customer; stored as an array, so that only the order of the fields counts."""
+    """The state of one customer; stored as an array, so that only the order of the fields matters."""
 
     tag: int
-    plan: int  # its index among the plans' sorted names
-    tokens: float  # in its token bucket, units
-    recent_use: float  # units used of late
-    notified_ago: float  # ms since another gateway last reported on the bucket; below 0 for never
+    plan: int  # its index in the sorted names of the plans
+    tokens: float  # units in its token bucket
+    recent_use: float  # units used recently
+    notified_ago: float  # ms since another gateway last reported the bucket's level; below 0 for never
     demand_ratio: float
     cost_estimate: float  # smoothed, ms
 
 
 class EndpointState(msgspec.Struct, array_like=True, frozen=True):
-    """What is handed on of one endpoint; stored as an array, so that only the order of the fields counts."""
+    """The state of one endpoint; stored as an array, so that only the order of the fields matters."""
 
     server: int
-    started: float  # its start, as the endpoint list has it
+    started: float  # its start time in the endpoint list
     latency_ratio: float
     ejected_for: float  # ms for which it is still ejected
     ejections: int
     silent_for: float  # ms since its last response
-    slow_start_budget: float  # attempts that it may be sent while it is warming up
+    slow_start_budget: float  # attempts that it may get while it is warming up
 
 
 class WarmState(msgspec.Struct, frozen=True):
-    """What one process hands to the next. The stored names of the fields are those of version 1."""
+    """The state that one process hands over to the next. The fields' stored names are those of version 1."""
 
     version: Literal[1]
     captured_at: float = msgspec.field(name="at")  # ms since 1970
     plans: tuple[str, ...]
     concurrency_limit: float = msgspec.field(name="bound")
     latency_ratio: float = msgspec.field(name="pace")
-    best_latency_ratio: float = msgspec.field(name="best")  # the lowest of late
+    best_latency_ratio: float = msgspec.field(name="best")  # the lowest recent ratio
     response_time: float = msgspec.field(name="answer")  # smoothed over all classes, ms
     owner_reply_time: float = msgspec.field(name="word_ms")  # smoothed, of quota owners, ms
-    warm_response_rate: float = msgspec.field(name="warm")  # of one endpoint that is warm
-    response_rate: float = msgspec.field(name="alive")  # of one endpoint of any age
+    warm_response_rate: float = msgspec.field(name="warm")  # recent responses of one warm endpoint
+    response_rate: float = msgspec.field(name="alive")  # recent responses of one ready endpoint
     response_time_by_class: dict[str, float] = msgspec.field(name="mean")
-    grant_ratios: tuple[float, ...] = msgspec.field(name="shares")  # by plan: granted by quota owners of late
+    grant_ratios: tuple[float, ...] = msgspec.field(name="shares")  # by plan: part granted recently
     customers: tuple[CustomerState, ...]
     endpoints: tuple[EndpointState, ...] = msgspec.field(name="servers")
     captured_monotonic: float | None = msgspec.field(name="monotonic", default=None)  # older versions omit it
 
     def age(self, now: float, monotonic: float | None) -> float:
-        """Return how many ms ago it was captured: by the monotonic clock if both processes tell it."""
+        """Return the ms since it was captured, by the monotonic clock if both processes have recorded it."""
         if monotonic is None or self.captured_monotonic is None:
             return now - self.captured_at
         return monotonic - self.captured_monotonic
 
 
 def capture(gateway: Gateway, now: float, monotonic: float | None = None) -> WarmState:
-    """Return what is worth handing on at `now`.
+    """Return the warm state at `now`.
 
-    Customers whose token bucket is full and who used nothing of late are left out, and so are those that used
-    least where there are more than `MAX_CUSTOMERS`.
+    Customers with a full token bucket and no recent use are left out. If there are more than `MAX_CUSTOMERS`,
+    those with the least recent use are left out too.
     """
     return WarmState(
         version=VERSION,
@@ -101,18 +101,23 @@
         response_time_by_class=dict(gateway.latency.mean_by_class),
         grant_ratios=tuple(gateway.quota_check.granted_parts),
         customers=_capture_customers(gateway, now),
-        endpoints=tuple(_capture_endpoint(one, now) for one in gateway.endpoints.by_number.values()),
+        endpoints=tuple(
+            _capture_endpoint(endpoint, now) for endpoint in gateway.endpoints.by_number.values()
+        ),
         captured_monotonic=monotonic,
     )
 
 
 def _capture_customers(gateway: Gateway, now: float) -> tuple[CustomerState, ...]:
-    known = gateway.customers.by_tag.values()
-    spent = [
-        c for c in known if c.bucket.refill(now) < c.bucket.burst or c.recent_use.add(now) > MIN_RECENT_USE
+    customers = gateway.customers.by_tag.values()
+    active = [
+        customer
+        for customer in customers
+        if customer.bucket.refill(now) < customer.bucket.burst
+        or customer.recent_use.add(now) > MIN_RECENT_USE_UNITS
     ]
-    spent.sort(key=lambda c: c.recent_use.value, reverse=True)
-    return tuple(_capture_customer(c, now) for c in spent[:MAX_CUSTOMERS])
+    active.sort(key=lambda customer: customer.recent_use.value, reverse=True)
+    return tuple(_capture_customer(customer, now) for customer in active[:MAX_CUSTOMERS])
 
 
 def _capture_customer(customer: Customer, now: float) -> CustomerState:
@@ -141,25 +146,25 @@
 
 
 def encode(warm_state: WarmState) -> bytes:
-    """Return the warm state as JSON, the form in which it is stored."""
+    """Return the warm state as JSON, its stored format."""
     return msgspec.json.encode(warm_state)
 
 
 def decode(data: bytes) -> WarmState:
-    """Return what `encode` wrote.
+    """Return the warm state that `encode` wrote.
 
     Raises:
         ValueError: the data is incomplete, malformed, too long, or of another version.
     """
     if len(data) > MAX_ENCODED_BYTES:
-        raise WarmStateError(f"the warm state has more than {MAX_ENCODED_BYTES} bytes")
+        raise WarmStateError(f"the warm state must have at most {MAX_ENCODED_BYTES} bytes")
     return msgspec.json.decode(data, type=WarmState)
 
 
 def restore(gateway: Gateway, warm_state: WarmState, now: float, monotonic: float | None = None) -> None:
-    """Put a warm state into decisions that know the endpoints and have had no request yet.
+    """Put a warm state into a policy that has the endpoint list and has received no request yet.
 
-    No token bucket gets more than it had, or than the settings of now let it hold.
+    No token bucket gets more than it had, or than the current settings allow.
 
     Raises:
         WarmStateError: it is too old or of other plans; nothing is changed.
@@ -186,12 +191,14 @@
 
 def _check(gateway: Gateway, warm_state: WarmState, age: float) -> None:
     if not -MAX_AGE_MS <= age <= MAX_AGE_MS:
-        raise WarmStateError(f"the warm state was captured {age:.0f} ms ago")
+        raise WarmStateError(
+            f"the warm state was captured {age:.0f} ms ago, at most {MAX_AGE_MS:.0f} are allowed"
+        )
     plans = warm_state.plans
     if plans != tuple(gateway.customers.plan_names) or len(warm_state.grant_ratios) != len(plans):
-        raise WarmStateError("the warm state is of other plans")
+        raise WarmStateError("the warm state has other plans than the settings")
     if any(not 0 <= customer.plan < len(plans) for customer in warm_state.customers):
-        raise WarmStateError("the warm state has a customer whose plan's index is out of range")
+        raise WarmStateError("the warm state has a customer with a plan index that no plan has")
     means = (
         warm_state.concurrency_limit,
         warm_state.latency_ratio,
@@ -200,7 +207,7 @@
         warm_state.owner_reply_time,
     )
     if min(means) <= 0:
-        raise WarmStateError("the warm state has a mean that is not above 0")
+        raise WarmStateError("the warm state has a mean that is 0 or less")
 
 
 def _restore_customer(gateway: Gateway, state: CustomerState, now: float, age: float) -> None:
@@ -218,7 +225,7 @@
 def _restore_endpoint(gateway: Gateway, state: EndpointState, now: float) -> None:
     endpoint = gateway.endpoints.by_number.get(state.server)
     if endpoint is None or endpoint.started != state.started:
-        return  # it is gone, or has started anew
+        return  # it was removed or has restarted
     endpoint.latency_ratio = max(MIN_LATENCY_RATIO, state.latency_ratio)
     endpoint.ejections = max(0, state.ejections)
     endpoint.ejected_until = now + state.ejected_for if state.ejected_for > 0 else 0.0
@@ -227,10 +234,10 @@
 
 
 def charge_usage(gateway: Gateway, tag: int, units: float, now: float) -> None:
-    """Charge a customer for `units` that the other process of this gateway used after it handed on its state.
+    """Charge a customer for `units` that the other process of this gateway used after handing over its state.
 
     That process has notified the customer's quota owner itself; here only this gateway's view of the token
-    bucket and of the use is lowered.
+    bucket and of the recent use is updated.
     """
     customer = gateway.customers.by_tag.get(tag)
     if customer is None:
--- a/mapleshunt/server/__init__.py
+++ b/mapleshunt/server/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway process: wiring, start, signals, reload, drain and shutdown; the top of the layers."""
+"""The gateway process: its parts, startup, signals, reload, drain and shutdown. The top layer."""
--- a/mapleshunt/server/admin_calls.py
+++ b/mapleshunt/server/admin_calls.py
@@ -18,7 +18,7 @@
 
 
 class AdminCalls:
-    """Answers the calls of operators. Paths and bodies are part of the operators' interface."""
+    """Responds to the operators' calls. Paths and bodies are part of the operators' interface."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         driver: PolicyDriver,
         counters: Counters,
     ) -> None:
-        """Wire it; `current_config` returns the configuration in force."""
+        """Store the parts that calls use; `current_config` returns the configuration in force."""
         self._current_config = current_config
         self._controller = controller
         self._upstreams = upstreams
@@ -36,7 +36,7 @@
         self._counters = counters
 
     def respond(self, method: str, path: str) -> AdminResponse:
-        """Carry out a call, and return its response."""
+        """Carry out a call and return its response."""
         lifecycle = self._controller.lifecycle
         match method, path:
             case "GET", "/_ready":
@@ -53,9 +53,9 @@
 
     def _statistics(self) -> str:
         now = self._driver.now()
-        known = self._driver.gateway.endpoints.by_number
+        endpoints = self._driver.gateway.endpoints.by_number
         unavailable = sum(
-            pool.endpoint.state != "ready" or (number in known and known[number].ejected_until > now)
+            pool.endpoint.state != "ready" or (number in endpoints and endpoints[number].ejected_until > now)
             for number, pool in self._upstreams.pools.items()
         )
         gauges = {
--- a/mapleshunt/server/bootstrap.py
+++ b/mapleshunt/server/bootstrap.py
@@ -1,4 +1,4 @@
-"""The start of the gateway's process: log, first signals, configuration, event loop, exit status."""
+"""The startup of the gateway process: logging, early signals, configuration, event loop, exit status."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ..net.config import Config, ConfigError, ConfigUnreadableError, load
 from .gateway_server import GatewayServer
 
-CONFIG_TIMEOUT_S = 3.0  # for which a start waits for a configuration that cannot be read for the moment
+CONFIG_TIMEOUT_S = 3.0  # how long startup retries a configuration file that cannot be read
 CONFIG_RETRY_DELAY_S = 0.05
 
 
@@ -20,7 +20,8 @@
     """Run the gateway until a signal ends it, and return its exit status."""
     log.configure()
     early_reloads: list[int] = []
-    # Until the loop handles it, SIGHUP would end the program. Up to here `run` in the deploy file ignores it.
+    # SIGHUP would terminate the process until the event loop handles it; `run` in the deploy file makes the
+    # process ignore it until here.
     signal.signal(signal.SIGHUP, lambda number, _frame: early_reloads.append(number))
     try:
         config = load_config()
@@ -36,10 +37,10 @@
 
 
 def load_config() -> Config:
-    """Return the configuration, read again for a while if the file cannot be read for the moment.
+    """Return the configuration, retrying for `CONFIG_TIMEOUT_S` while the file cannot be read.
 
     Raises:
-        ConfigError: the file is wrong, or could not be read in time.
+        ConfigError: the file is invalid, or could not be read in time.
     """
     deadline = time.monotonic() + CONFIG_TIMEOUT_S
     while True:
--- a/mapleshunt/server/client_admission.py
+++ b/mapleshunt/server/client_admission.py
@@ -1,7 +1,7 @@
-"""When client connections are accepted.
+"""Admission of client connections.
 
-At the limit an idle connection is evicted for a new one, and with none idle new ones wait in the kernel: one
-that was accepted and closed might have carried a request, which would be lost.
+At the limit an idle connection is evicted for each new one. If none is idle, new connections wait in the
+kernel's backlog: one that is accepted and closed may have carried a request, which would be lost.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from ..net.counters import Counters
 from .descriptor_budget import DescriptorBudget
 
-BACKLOG = 512  # connections that wait in the kernel to be accepted
-MAX_LINGERING = 8  # connections that only wait for their clients to close, beside those that are served
-EVICT_RESTED_AFTER_S = 0.1  # without a pending response, where there are many connections
+BACKLOG = 512  # connections that the kernel queues until they are accepted
+MAX_LINGERING = 8  # connections that only wait for the client to close, beyond those that are served
+CROWDED_IDLE_TIMEOUT_S = 0.1  # idle time allowed above the eviction threshold
 
 
 class ClientAdmission:
-    """Accepts client connections while the life cycle and the descriptor budget allow it."""
+    """Accepts client connections while the lifecycle and the descriptor budget allow it."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         counters: Counters,
         max_unwritten_bytes: int,
     ) -> None:
-        """Wire it, without a listener. A client that does not read holds `max_unwritten_bytes` at most."""
+        """Start without a listener; `max_unwritten_bytes` bounds the unwritten responses of one client."""
         self.connections = connections
         self.budget = budget
         self.max_unwritten_bytes = max_unwritten_bytes
@@ -46,7 +46,7 @@
         connections.on_connection_ended = self.resume_accepting
 
     def add_listener(self, listener: socket.socket, inherited: bool) -> None:
-        """Accept from this socket too. An inherited one listened before this process began."""
+        """Accept from this socket too. An inherited one listened before this process started."""
         acceptor = Acceptor(
             listener,
             self._accept,
@@ -58,37 +58,39 @@
         self.acceptors.append(acceptor)
 
     def start_listening(self) -> None:
-        """Let the kernel queue connections; refused until now."""
+        """Let the kernel queue connections, which it refuses until now."""
         for listener in self.listeners:
             listener.listen(BACKLOG)
 
     def _accept(self, connection: socket.socket) -> None:
-        waited = max(acceptor.max_backlog_wait_s() for acceptor in self.acceptors)
-        self.connections.add(IOStream(connection, max_write_buffer_size=self.max_unwritten_bytes), waited)
-        if not self.has_room() and not self.connections.evict_idle():
+        backlog_wait_s = max(acceptor.max_backlog_wait_s() for acceptor in self.acceptors)
+        self.connections.add(
+            IOStream(connection, max_write_buffer_size=self.max_unwritten_bytes), backlog_wait_s
+        )
+        if not self.has_capacity() and not self.connections.evict_idle():
             log.log_event("accepting_paused", client_connections=len(self.connections.connections))
             self.stop_accepting()
-        if not self.has_room():
+        if not self.has_capacity():
             self.connections.close_lingering(MAX_LINGERING)
 
     def free_descriptors(self) -> None:
-        """Close what can be closed in good order: no descriptor is left."""
+        """Close an idle connection and all lingering ones, because no descriptor is left."""
         self.connections.evict_idle()
         self.connections.close_lingering(0)
 
-    def has_room(self) -> bool:
-        """Tell whether one more connection may be accepted. A few that only linger are not counted."""
+    def has_capacity(self) -> bool:
+        """Return whether one more connection may be accepted; `MAX_LINGERING` lingering ones do not count."""
         lingering = min(self.connections.lingering_count, MAX_LINGERING)
         return len(self.connections.connections) - lingering < self.budget.max_clients
 
     def reap_overdue(self) -> None:
-        """Close connections that are overdue, and rested ones where there are many. Called periodically."""
-        self.connections.reap_overdue(self.budget.many_clients, EVICT_RESTED_AFTER_S)
+        """Close overdue connections, and idle ones above the eviction threshold. Called periodically."""
+        self.connections.reap_overdue(self.budget.eviction_threshold, CROWDED_IDLE_TIMEOUT_S)
 
     def resume_accepting(self) -> None:
-        """Accept again, if accepting was paused and there is room by now."""
+        """Resume accepting if it is paused and the lifecycle and the descriptor budget allow it."""
         now = asyncio.get_running_loop().time()
-        if not self.accepting and self._lifecycle.accepts_connections(now) and self.has_room():
+        if not self.accepting and self._lifecycle.accepts_connections(now) and self.has_capacity():
             log.log_event("accepting_resumed", client_connections=len(self.connections.connections))
             self.start_accepting()
 
@@ -99,21 +101,21 @@
             acceptor.start()
 
     def stop_accepting(self) -> None:
-        """Leave new connections in the kernel's queue."""
+        """Leave new connections in the kernel's backlog."""
         self.accepting = False
         for acceptor in self.acceptors:
             acceptor.stop()
 
     async def accept_backlog(self) -> None:
-        """Accept what the kernel has queued, as long as there is room.
+        """Accept the connections that the kernel has queued, while there is capacity.
 
-        Cancelling it leaves the rest in the queue.
+        Cancelling it leaves the others in the backlog.
         """
         for acceptor in self.acceptors:
-            await acceptor.accept_backlog(self.has_room)
+            await acceptor.accept_backlog(self.has_capacity)
 
     def close_listeners(self) -> None:
-        """Stop accepting, and close the sockets: the kernel resets what is still queued."""
+        """Stop accepting and close the sockets. The kernel resets connections that are still queued."""
         self.stop_accepting()
         for listener in self.listeners:
             listener.close()
--- a/mapleshunt/server/config_reload.py
+++ b/mapleshunt/server/config_reload.py
@@ -9,23 +9,23 @@
 from ..net.config import Config, ConfigError, ConfigUnreadableError, format_address, reload
 from ..net.counters import Counters
 
-RETRY_DELAY_S = 0.05  # until a configuration that could not be read now is read again
+RETRY_DELAY_S = 0.05  # before a configuration that could not be read is read again
 
 
 class ConfigReloader:
-    """Owns the configuration in force; requests that are being served go on through a reload."""
+    """Holds the configuration in force. A reload does not interrupt requests that are being served."""
 
     def __init__(self, config: Config, counters: Counters, on_reload: Callable[[Config], None]) -> None:
-        """`on_reload` gets each new configuration, once it is in force."""
+        """Start with `config`; `on_reload` is called with each new configuration once it is in force."""
         self.config = config
         self._counters = counters
         self._on_reload = on_reload
 
     def reload(self) -> None:
-        """Put the addresses that the configuration file names now into force. SIGHUP calls it.
+        """Put the addresses that the configuration file now names into force. Called on SIGHUP.
 
-        A file that cannot be read for the moment is read again later. A bad one changes nothing: the
-        addresses before may still do, and ending would lose the requests that are being served.
+        A file that cannot be read is retried after `RETRY_DELAY_S`. An invalid one changes nothing: the
+        previous addresses may still work, and exiting would lose the requests that are being served.
         """
         try:
             config = reload()
--- a/mapleshunt/server/endpoint_watch.py
+++ b/mapleshunt/server/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of a discovery agent: which one is followed, and what its endpoint lists change."""
+"""The watch of a discovery agent, and the application of its endpoint lists."""
 
 from __future__ import annotations
 
@@ -19,62 +19,62 @@
 from ..net.upstream.endpoint_group import EndpointGroup
 from ..policy import UpdateKind
 
-RESTART_DELAY_S = 0.1  # until a watch that a defect ended is begun anew
+RESTART_DELAY_S = 0.1  # before a watch that a defect ended is restarted
 
 
 class EndpointWatch:
-    """Follows one discovery agent at a time, and hands its endpoint lists to the group and the decisions."""
+    """Watches one discovery agent at a time and passes its lists to the endpoint group and the policy."""
 
     def __init__(
         self, config: Config, driver: PolicyDriver, upstreams: EndpointGroup, counters: Counters
     ) -> None:
-        """Wire it; `follow` begins the watch."""
+        """Create the watch; `follow` starts it."""
         self.task: asyncio.Task[None] | None = None
         self._config = config
         self._driver = driver
         self._upstreams = upstreams
         self._counters = counters
         self._random = random.Random(config.seed)
-        self._revision: int | None = None  # of the endpoint list known
+        self._revision: int | None = None  # of the last endpoint list; None if unknown
         self._last_update_at = -math.inf  # s, on the loop's clock: when discovery last answered
 
     def apply_persisted_list(self, raw: Mapping[str, Any]) -> None:
-        """Begin with the endpoint list that the configuration holds.
+        """Apply the endpoint list that the configuration holds.
 
         Raises:
             ValueError: the list is malformed.
         """
-        known = parse_endpoint_list(raw)
+        persisted = parse_endpoint_list(raw)
         self._driver.apply_event(
-            self._upstreams.apply_endpoint_list("persisted", known.endpoints, self._driver.now.age)
+            self._upstreams.apply_endpoint_list("persisted", persisted.endpoints, self._driver.now.age)
         )
-        self._revision = known.revision if known.endpoints else None
+        self._revision = persisted.revision if persisted.endpoints else None
 
-    def apply_list(self, found: EndpointList) -> None:
-        """Apply a list or a change that discovery sent."""
-        kind: UpdateKind = "complete" if found.complete else "partial"
+    def apply_list(self, update: EndpointList) -> None:
+        """Apply an endpoint list, or a change to it, that discovery sent."""
+        kind: UpdateKind = "complete" if update.complete else "partial"
         self._driver.apply_event(
-            self._upstreams.apply_endpoint_list(kind, found.endpoints, self.max_endpoint_age)
+            self._upstreams.apply_endpoint_list(kind, update.endpoints, self.max_endpoint_age)
         )
-        self._revision = found.revision
+        self._revision = update.revision
         self._last_update_at = asyncio.get_running_loop().time()
-        if found.complete or found.endpoints:
-            log.log_event("members", kind=kind, revision=found.revision, entries=len(found.endpoints))
+        if update.complete or update.endpoints:
+            log.log_event("members", kind=kind, revision=update.revision, entries=len(update.endpoints))
 
     def max_endpoint_age(self, started_at_ms: float) -> float:
-        """Return for how many ms an endpoint that the list newly names has been up at most.
+        """Return the longest time, in ms, that an endpoint new to the list may have been up.
 
-        The wall clock may have been stepped before this process began, and no list shows that. But what
-        started long before the last update would have been in that one: discovery sends all within
-        `NOTIFICATION_BUDGET_MS`.
+        The wall clock may have been stepped before this process started, which no list shows. But an
+        endpoint that started long before the last update would have been in that update: discovery sends
+        each one within `NOTIFICATION_BUDGET_MS`.
         """
         since_update = 1000 * (asyncio.get_running_loop().time() - self._last_update_at)
         return min(self._driver.now.age(started_at_ms), since_update + NOTIFICATION_BUDGET_MS)
 
     def follow(self, config: Config) -> None:
-        """Watch the discovery agent of this configuration from now on, and no longer the one before."""
+        """Watch the discovery agent of `config` from now on, in place of the previous one."""
         if config.discovery_address != self._config.discovery_address:
-            self._revision = None  # another agent may count revisions otherwise
+            self._revision = None  # another agent may number revisions differently
         self._config = config
         if self.task is not None:
             self.task.cancel()
@@ -87,18 +87,18 @@
         self.task.add_done_callback(self._watch_ended)
 
     def _watch_ended(self, task: asyncio.Task[None]) -> None:
-        """Restart a watch that ended by a defect: one without a defect goes on until it is cancelled."""
+        """Restart a watch that ended by a defect; without one it runs until it is cancelled."""
         if not task.cancelled() and task is self.task:
             self._counters.add("exceptions")
             log.log_event("watch_ended", why=repr(task.exception()))
             asyncio.get_running_loop().call_later(RESTART_DELAY_S, self._restart, task)
 
-    def _restart(self, ended: asyncio.Task[None]) -> None:
-        if ended is self.task:
+    def _restart(self, ended_task: asyncio.Task[None]) -> None:
+        if ended_task is self.task:
             self.follow(self._config)
 
     async def close(self) -> None:
-        """End the watch. Cancelling it leaves the watch to end by itself."""
+        """End the watch and wait for it. Cancelling this leaves the watch to end by itself."""
         if self.task is not None:
             self.task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -1,6 +1,6 @@
-"""One gateway as a server: its parts, its start, its signals and its shutdown.
+"""The server of one gateway: its parts, startup, signals and shutdown.
 
-Parts that the configuration leaves off (admin endpoint, hot restart, extensions) are not imported.
+Modules of parts that the configuration leaves off (admin endpoint, hot restart, extensions) are not imported.
 """
 
 from __future__ import annotations
@@ -42,24 +42,24 @@
     from ..net.hot_restart.takeover import Takeover
 
 PROCESS_STARTED_AT = time.monotonic()  # s: when this module was imported
-# For which the loop runs, with everything ready, before the gateway listens. What comes in while a start uses
-# up the processor stands unread in the kernel's queue for as long, and its patience would be counted from the
-# time at which it was read.
+# For which the event loop runs, with everything ready, before the gateway listens. Requests that arrive while
+# startup keeps the processor busy stay unread in the kernel's queue, and their remaining time would only be
+# counted from when they are read.
 LISTEN_DELAY_S = 0.002
-SHUTDOWN_MARGIN_S = 0.5  # past the longest deadline, in which pending responses may still be written
+SHUTDOWN_MARGIN_S = 0.5  # after the longest deadline, for writing pending responses
 SHUTDOWN_POLL_INTERVAL_S = 0.01
 UPSTREAM_SWEEP_INTERVAL_S = 1.0
 CLIENT_SWEEP_INTERVAL_S = 0.1
-COUNTERS_INTERVAL_S = 10.0  # a process that is killed logs none at its end
-# A client that does not read its responses holds no more than this part of the process's memory.
+COUNTERS_LOG_INTERVAL_S = 10.0  # a process that is killed logs no counters at its end
+# Bounds the responses that a client does not read to the process's memory divided by this.
 UNWRITTEN_MEMORY_DIVISOR = 64
 
 
 class GatewayServer:
-    """Wires the parts of one gateway and runs them from start to exit."""
+    """Creates the parts of one gateway and runs them from startup to exit."""
 
     def __init__(self, config: Config) -> None:
-        """Wire all that does no I/O before `prepare`. Needs a running event loop."""
+        """Create the parts that do no I/O before `prepare`. Needs a running event loop."""
         self.counters = Counters()
         self.stop_requested = asyncio.Event()
         self.upstreams = EndpointGroup(self.counters, config.dial_timeout_ms, config.idle_timeout_ms / 3, 0)
@@ -70,9 +70,13 @@
         )
         self.connections.is_ready = self._is_ready
         self.lifecycle = Lifecycle()
-        memory_share = max(4 * resp.MAX_VALUE_BYTES, config.memory_bytes // UNWRITTEN_MEMORY_DIVISOR)
+        max_unwritten_bytes = max(4 * resp.MAX_VALUE_BYTES, config.memory_bytes // UNWRITTEN_MEMORY_DIVISOR)
         self.clients = ClientAdmission(
-            self.connections, budget, self.lifecycle, self.counters, min(MAX_UNWRITTEN_BYTES, memory_share)
+            self.connections,
+            budget,
+            self.lifecycle,
+            self.counters,
+            min(MAX_UNWRITTEN_BYTES, max_unwritten_bytes),
         )
         self.endpoint_watch = EndpointWatch(config, self.driver, self.upstreams, self.counters)
         self.reloader = ConfigReloader(config, self.counters, self._config_reloaded)
@@ -86,14 +90,14 @@
     def _is_ready(self) -> bool:
         return self.lifecycle.is_ready() and bool(self.upstreams.pools)
 
-    # Start
+    # Startup
 
     async def run(self, early_reloads: Sequence[int] = ()) -> None:
-        """Run the gateway from its start until it has shut down.
+        """Run the gateway from startup until it has shut down.
 
         Args:
-            early_reloads: SIGHUPs since before the configuration was read, which may be another by now. It
-                is looked at only once the handler of SIGHUP is in place.
+            early_reloads: SIGHUPs since before the configuration was read. The list is checked once the event
+                loop handles SIGHUP; if it has any, the configuration is reloaded, as it may have changed.
 
         Raises:
             ConfigError: the gateway cannot start.
@@ -108,7 +112,7 @@
                 self.counters.add,
                 self._monitoring.report_loop_delay,
             ),
-            PeriodicTask(self._monitoring.log_counters, COUNTERS_INTERVAL_S, self.counters.add),
+            PeriodicTask(self._monitoring.log_counters, COUNTERS_LOG_INTERVAL_S, self.counters.add),
         ]
         for sweep in sweeps:
             sweep.start()
@@ -151,7 +155,7 @@
         self.clients.add_listener(listener, inherited=config.accept_fd is not None)
 
     def _join_hot_restart(self) -> None:
-        from tempfile import gettempdir  # loads shutil and its compressors, 0.3 MB
+        from tempfile import gettempdir  # imports shutil and its compressors, 0.3 MB
 
         from ..net.hot_restart.takeover import Takeover
 
@@ -179,10 +183,10 @@
         self.admin = AdminEndpoint(address, calls.respond, self.counters)
 
     def load_extensions(self) -> None:
-        """Load what the operators' file asks for; without one nothing of it is imported.
+        """Load the extensions that the operators' file turns on; without a file none is imported.
 
         Raises:
-            ConfigError: the file is wrong, or libraries are missing.
+            ConfigError: the file is invalid, or libraries are missing.
             OSError: another attempt may succeed.
         """
         if not os.environ.get("PROXY_OPERATORS"):
@@ -207,8 +211,8 @@
 
     def _load(self) -> float:
         """Return the fraction of this gateway's concurrency limit that attempts in flight use."""
-        now = self.driver.gateway.figures(self.driver.now())
-        return now["tries_out"] / max(1.0, now["bound"] * now["servers_ready"])
+        figures = self.driver.gateway.figures(self.driver.now())
+        return figures["tries_out"] / max(1.0, figures["bound"] * figures["servers_ready"])
 
     def _handle_signals(self, early_reloads: Sequence[int]) -> None:
         loop = asyncio.get_running_loop()
@@ -226,13 +230,13 @@
             self.extensions.reload()
 
     def start_serving(self) -> None:
-        """Accept client connections, which are refused until now."""
+        """Start to accept client connections; a socket that is not inherited refuses them until now."""
         config = self.reloader.config
         if config.accept_fd is None:
             self.clients.start_listening()
         start_ms = 1000 * (time.monotonic() - PROCESS_STARTED_AT)
-        broken = violations_of_start(start_ms, bool(self.connections.connections))
-        self.counters.trace.report_violations(Guard.START, broken, "process")
+        violations = violations_of_start(start_ms, bool(self.connections.connections))
+        self.counters.trace.report_violations(Guard.START, violations, "process")
         self.clients.start_accepting()
         self.lifecycle.start_serving()
         self.counters.trace.add("process", "listening")
@@ -251,9 +255,10 @@
     # Shutdown
 
     async def shut_down(self) -> None:
-        """Accept connections for a little longer, then answer what is pending and end.
+        """Accept connections for a grace period, then finish the pending requests and close.
 
-        Load balancers learn late that the gateway stops. Cancelling it leaves connections open.
+        Load balancers detect only after a delay that the gateway is stopping. Cancelling it leaves
+        connections open.
         """
         has_successor = self.takeover is not None and self.takeover.has_successor()
         classes = self.reloader.config.settings.classes.values()
@@ -264,9 +269,9 @@
         log.log_event("stopping", open=len(self.driver.open_requests), succeeded=has_successor)
         await _poll_until(lambda: not self.lifecycle.accepts_connections(_now()))
         self.controller.tick_contained()
-        # What the kernel has accepted may carry a request; the close of its listener would reset it, or leave
-        # it to a process that comes late. The places of those that rested are free now. Where another process
-        # accepts from the same socket, that takes the rest.
+        # A connection in the kernel's backlog may carry a request. Closing the listener would reset it, or
+        # leave it to a process that starts late. The tick has closed idle connections, so there is capacity.
+        # If another process accepts from the same socket, it takes the connections that are queued.
         if self.takeover is None or not self.takeover.has_sibling:
             await self.clients.accept_backlog()
         self.clients.close_listeners()
@@ -276,11 +281,13 @@
     async def _finish_requests(self, timeout_s: float) -> None:
         try:
             async with asyncio.timeout(timeout_s):
-                # Both change on the hot path, where setting an event would cost every request.
+                # Both change on the hot path, where setting an event would be a cost to every request.
                 await _poll_until(lambda: not (self.connections.connections or self.driver.open_requests))
-        except TimeoutError:  # a client that does not read must not hold up the restart
-            left = len(self.connections.connections)
-            log.log_event("stopped_late", open=len(self.driver.open_requests), client_connections=left)
+        except TimeoutError:  # a client that does not read must not delay the restart
+            open_connections = len(self.connections.connections)
+            log.log_event(
+                "stopped_late", open=len(self.driver.open_requests), client_connections=open_connections
+            )
             for connection in list(self.connections.connections):
                 connection.close(ClientCloseReason.PROCESS_STOPPED)
 
@@ -311,12 +318,12 @@
     listener = socket.socket(fileno=config.accept_fd)
     listener.setblocking(False)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        raise ValueError(f"descriptor {config.accept_fd} does not listen")
+        raise ValueError(f"PROXY_ACCEPT_FD must be a listening socket, got descriptor {config.accept_fd}")
     return listener
 
 
 async def _poll_until(condition: Callable[[], bool]) -> None:
-    """Wait for what changes with the clock, or on the hot path, where an event would cost every request."""
+    """Wait until `condition` holds, by polling: an event set on the hot path would cost every request."""
     while True:
         if condition():
             return
--- a/mapleshunt/server/gossip_port.py
+++ b/mapleshunt/server/gossip_port.py
@@ -1,4 +1,4 @@
-"""The socket of gossip between gateways: when it is opened, and what it connects."""
+"""The socket for gossip between gateways: when it is opened, and where its messages go."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ..net.policy_driver import PolicyDriver
 from ..policy import GossipReceived
 
-RETRY_INTERVAL_S = 0.1  # between two attempts to bind the address
+RETRY_INTERVAL_S = 0.1  # between attempts to bind the address
 
 
 class GossipPort:
-    """Opens the socket of gossip, if the configuration asks for it, and hands messages to the decisions."""
+    """Opens the gossip socket if the configuration asks for it, and passes messages to the policy."""
 
     def __init__(self, driver: PolicyDriver, counters: Counters, shared: bool) -> None:
-        """`shared`: an older or newer process of this gateway may have the address too."""
+        """Start without a socket; with `shared`, other processes of this gateway may have the address too."""
         self._driver = driver
         self._counters = counters
         self._shared = shared
@@ -27,7 +27,7 @@
         self._last_attempt_at = -math.inf  # s, on the loop's clock
 
     def open(self, config: Config) -> None:
-        """Exchange messages with other gateways from now on, if the configuration asks for it.
+        """Open the socket and exchange messages with other gateways, if the configuration asks for it.
 
         Raises:
             OSError: the address cannot be bound.
@@ -45,9 +45,9 @@
         self._driver.send_gossip = self._transport.send
 
     def retry_open(self, config: Config) -> None:
-        """Open the socket if it is not open, unless the last attempt has just failed.
+        """Open the socket if it is not open; at most one attempt is made per `RETRY_INTERVAL_S`.
 
-        An older process of a version that does not share the address may have it until it ends.
+        An older process whose version does not share the address may hold it until it ends.
         """
         if self._transport is not None or config.gossip_address is None:
             return
--- a/mapleshunt/server/lifecycle_controller.py
+++ b/mapleshunt/server/lifecycle_controller.py
@@ -1,4 +1,4 @@
-"""Carries out what the life cycle's state asks of the client connections."""
+"""The application of the lifecycle state to the client connections."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class LifecycleController:
-    """Drains and resumes the gateway, and closes connections as its state asks for."""
+    """Drains and resumes the gateway, and closes connections as its state requires."""
 
     def __init__(
         self, lifecycle: Lifecycle, connections: ClientConnections, driver: PolicyDriver, counters: Counters
     ) -> None:
-        """Wire it. Nothing is done periodically until `update_timer` finds that there is work."""
+        """Create it without a running timer; `update_timer` starts it when there is periodic work."""
         self.lifecycle = lifecycle
-        # What a hot restart needs done at each tick; None where there is no inherited listener.
+        # The work of a hot restart at each tick; None without an inherited listener.
         self.hot_restart_tick: Callable[[], None] | None = None
         self._connections = connections
         self._driver = driver
@@ -31,14 +31,14 @@
         self._timer = PeriodicTask(self.tick, TICK_INTERVAL_S, counters.add)
 
     def drain(self, requester: DrainRequester) -> None:
-        """Send clients to other gateways, because `requester` asks for it."""
-        self._state_requested("drained", self.lifecycle.drain(_now(), requester))
+        """Send clients to other gateways for `requester`."""
+        self._apply_request("drained", self.lifecycle.drain(_now(), requester))
 
     def resume(self, requester: DrainRequester) -> None:
         """Serve clients again, unless another requester wants the gateway drained."""
-        self._state_requested("back_to_work", self.lifecycle.resume(requester))
+        self._apply_request("back_to_work", self.lifecycle.resume(requester))
 
-    def _state_requested(self, event: str, changed: bool) -> None:
+    def _apply_request(self, event: str, changed: bool) -> None:
         if changed:
             self._counters.trace.add("process", event)
             log.log_event(
@@ -50,18 +50,18 @@
         self.update_timer()
 
     def update_timer(self) -> None:
-        """Tick periodically for as long as there is something to do."""
+        """Start the timer if there is periodic work, else stop it."""
         if self.hot_restart_tick is None and self.lifecycle.is_serving():
             self._timer.stop()
         elif not self._timer.is_running():
             self._timer.start()
 
     def stop_timer(self) -> None:
-        """Tick no more."""
+        """Stop the periodic ticks."""
         self._timer.stop()
 
     def tick(self) -> None:
-        """Do what the state asks for now."""
+        """Do the hot restart's work, and close the connections that the state requires to be closed."""
         now = _now()
         if self.hot_restart_tick is not None:
             self.hot_restart_tick()
@@ -70,7 +70,7 @@
         )
 
     def tick_contained(self) -> None:
-        """Tick; a defect must not end the process while requests await their responses."""
+        """Tick and log any exception: a defect must not end the process while requests are pending."""
         try:
             self.tick()
         except Exception:
--- a/mapleshunt/server/monitoring.py
+++ b/mapleshunt/server/monitoring.py
@@ -1,4 +1,4 @@
-"""What the process reports of itself in its log: its counters, and when its event loop was held up."""
+"""The process's own reports in its log: its counters, and delays of its event loop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ..net.policy_driver import PolicyDriver
 from ..net.upstream.endpoint_group import EndpointGroup
 
-LOOP_DELAY_THRESHOLD_S = 0.1  # by which the event loop may turn late before that is counted and logged
+LOOP_DELAY_THRESHOLD_S = 0.1  # longer delays of the event loop are counted and logged
 
 
 class Monitoring:
@@ -21,14 +21,14 @@
         upstreams: EndpointGroup,
         driver: PolicyDriver,
     ) -> None:
-        """Wire it; it is called periodically and by signals."""
+        """Store the sources of the figures. Timers and signals call the methods."""
         self._counters = counters
         self._connections = connections
         self._upstreams = upstreams
         self._driver = driver
 
     def log_counters(self) -> None:
-        """Log all counters, with gauges of now."""
+        """Log all counters and the current gauges."""
         self._counters.log_totals(
             open=len(self._driver.open_requests),
             client_connections_now=len(self._connections.connections),
@@ -37,7 +37,7 @@
         )
 
     def report_loop_delay(self, seconds: float) -> None:
-        """Log that the event loop turned so late: the process was held up, or a callback took long."""
+        """Log a long delay of the event loop: the process was suspended, or a callback took long."""
         if seconds > LOOP_DELAY_THRESHOLD_S:
             self._counters.add("loop_held_up")
             self._counters.trace.add("process", "loop_held_up", f"{1000 * seconds:.0f} ms")
--- a/tests/test_gateway_server.py
+++ b/tests/test_gateway_server.py
@@ -177,7 +177,7 @@
     server = asyncio.run(run())
     assert 4 * resp.MAX_VALUE_BYTES <= server.clients.max_unwritten_bytes <= memory_mb * (1 << 20) // 32
     budget = server.clients.budget
-    assert sockets // 3 < budget.max_clients < 0.6 * sockets and budget.many_clients < sockets // 3
+    assert sockets // 3 < budget.max_clients < 0.6 * sockets and budget.eviction_threshold < sockets // 3
 
 
 def test_no_configuration_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
