--- a/mapleshunt/__init__.py
+++ b/mapleshunt/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a quota-keeping gateway for a shared API."""
+"""Request gateway that enforces quotas for a shared API; this module exports its policy."""
 
 from .policy import (
     Action,
--- a/mapleshunt/__main__.py
+++ b/mapleshunt/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mapleshunt`: the gateway; with arguments, the command line."""
+"""Entry point of `python -m mapleshunt`: the gateway, or the command line if there are arguments."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def main() -> int:
     """Run the gateway, or the command line if there are arguments, and return the exit status.
 
-    The gateway does without the command line's libraries.
+    The gateway does not need the command line's libraries.
     """
     if len(sys.argv) == 1:
         return run_gateway()
--- a/mapleshunt/extensions.py
+++ b/mapleshunt/extensions.py
@@ -1,6 +1,6 @@
-"""What the operators' file switches on: the recorder, replication with its leases, and maintenance.
+"""Extensions that the operators' file turns on: the recorder, replication with its leases, and maintenance.
 
-Imported only where `PROXY_OPERATORS` names a file; the libraries that it needs come with the extra 'tools'.
+Imported only if `PROXY_OPERATORS` names a file; the libraries that it needs come with the extra 'tools'.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 from .storage.errors import StoreUnavailableError
 from .transient_errors import is_transient
 
-STORE_RETRY_DELAY_S = 0.5  # until a store that could not be opened is tried again
+STORE_RETRY_DELAY_S = 0.5  # between attempts to open the store
 BYTES_PER_MB = 1 << 20
 
 
 class Extensions:
-    """The parts that the operators' file asks for; what it leaves out is not made."""
+    """The parts that the operators' file turns on; the others are not created."""
 
     def __init__(
         self, config: Config, driver: PolicyDriver, counters: Counters, controls: GatewayControls
     ) -> None:
-        """Read the file and begin to record.
+        """Read the file and start the recorder.
 
         Raises:
-            ConfigError: the file is wrong.
+            ConfigError: the file is invalid.
             OSError: another attempt may succeed.
         """
         self.recorder: Recorder | None = None
@@ -49,7 +49,7 @@
         self._driver = driver
         self._counters = counters
         self._controls = controls
-        self._opening: asyncio.Task[None] | None = None
+        self._open_task: asyncio.Task[None] | None = None
         try:
             self._settings = _load_settings()
             if self._settings.record is not None:
@@ -74,10 +74,10 @@
         log.log_event("recording", path=path, bytes=size)
 
     def start(self) -> None:
-        """Open the store and take part in replication.
+        """Open the store and start replication.
 
-        A store that cannot be opened now is tried again in the background: the gateway serves without it. So
-        is one that an older process of this gateway has, beside which this one is started.
+        A store that cannot be opened now is retried in the background, while the gateway serves without it.
+        So is one that an older process of this gateway holds during a hot restart.
 
         Raises:
             ConfigError: the store or its address cannot be used.
@@ -90,10 +90,10 @@
             if isinstance(error, ReplicationInUseError) and self._config.accept_fd is None:
                 raise
             self._report_unavailable(error)
-            self._opening = asyncio.get_running_loop().create_task(self._open_store(section))
+            self._open_task = asyncio.get_running_loop().create_task(self._open_store(section))
 
     async def _open_store(self, section: operators.ReplicationSettings) -> None:
-        """Try again until the store is open. Cancelling it leaves the gateway without its replicas."""
+        """Retry until the store is open. Cancelling it leaves the gateway without its replicas."""
         while self.replication is None:
             await asyncio.sleep(STORE_RETRY_DELAY_S)
             try:
@@ -101,7 +101,7 @@
                 self._start_replication(section, store)
             except (StoreUnavailableError, ConfigError) as error:
                 self._report_unavailable(error)
-            except Exception:  # a defect must not leave the gateway without its replicas for good
+            except Exception:  # a defect must not leave the gateway without replicas permanently
                 self._counters.add("exceptions")
                 log.log_exception("copies_exception")
 
@@ -123,7 +123,7 @@
             self._maintenance.start()
 
     def reload(self) -> None:
-        """Read the file again: the budget of maintenance holds from now on. A bad file changes nothing."""
+        """Read the file again and apply its maintenance budget. An invalid file changes nothing."""
         if self._settings.maintenance is None:
             return
         try:
@@ -138,9 +138,9 @@
                 self._maintenance.reload(settings.maintenance)
 
     def close(self) -> None:
-        """End all parts; what was recorded and what is durable is kept."""
-        if self._opening is not None:
-            self._opening.cancel()
+        """Close all parts; recorded and durable data stays."""
+        if self._open_task is not None:
+            self._open_task.cancel()
         for part in (self._maintenance, self._leases, self.replication, self.recorder):
             if part is not None:
                 part.close()
--- a/mapleshunt/lifecycle/warm_state.py
+++ b/mapleshunt/lifecycle/warm_state.py
@@ -69,7 +69,7 @@
     warm_response_rate: float = msgspec.field(name="warm")  # recent responses of one warm endpoint
     response_rate: float = msgspec.field(name="alive")  # recent responses of one ready endpoint
     response_time_by_class: dict[str, float] = msgspec.field(name="mean")
-    grant_ratios: tuple[float, ...] = msgspec.field(name="shares")  # by plan: part granted recently
+    grant_ratios: tuple[float, ...] = msgspec.field(name="shares")  # by plan: part that quota owners granted
     customers: tuple[CustomerState, ...]
     endpoints: tuple[EndpointState, ...] = msgspec.field(name="servers")
     captured_monotonic: float | None = msgspec.field(name="monotonic", default=None)  # older versions omit it
@@ -157,7 +157,7 @@
         ValueError: the data is incomplete, malformed, too long, or of another version.
     """
     if len(data) > MAX_ENCODED_BYTES:
-        raise WarmStateError(f"the warm state must have at most {MAX_ENCODED_BYTES} bytes")
+        raise WarmStateError(f"the warm state must have at most {MAX_ENCODED_BYTES} bytes, got {len(data)}")
     return msgspec.json.decode(data, type=WarmState)
 
 
@@ -207,7 +207,7 @@
         warm_state.owner_reply_time,
     )
     if min(means) <= 0:
-        raise WarmStateError("the warm state has a mean that is 0 or less")
+        raise WarmStateError(f"the means of the warm state must be above 0, got {min(means)}")
 
 
 def _restore_customer(gateway: Gateway, state: CustomerState, now: float, age: float) -> None:
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -1,4 +1,4 @@
-"""The gateway's side of a recording: rows are buffered until a block is full, or for some seconds."""
+"""The gateway's writer of a recording: rows are buffered until a block is full or the flush interval ends."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 if TYPE_CHECKING:
     from ..net.request.context import RequestContext
 
-FLUSH_INTERVAL_S = 5.0  # a block that is not full is written so often, and again when it is full
-MAX_ATTEMPTS = 16  # of a request; a row has to fit into a slot
-MAX_CACHED_HASHES = 4096  # of customers
-MIN_SLOTS = 2  # one is written while the other stays readable
+FLUSH_INTERVAL_S = 5.0  # a block that is not full is written at this interval, and again once it is full
+MAX_ATTEMPTS = 16  # per request: a row must fit into a slot
+MAX_CACHED_HASHES = 4096  # of customers' names
+MIN_SLOTS = 2  # one stays readable while the other is written
 
 
 class Recorder:
-    """Writes requests to a file. An I/O error ends the recording, and never the program."""
+    """Writes requests to a file. An I/O error ends the recording but not the process."""
 
     def __init__(self, path: Path, size: int, salt: bytes, settings: Settings, now: float) -> None:
         """Open the file at `path`, of at most `size` bytes; `now` is Unix time in ms.
 
-        An empty `salt` stands for a random one.
+        An empty `salt` is replaced by a random one.
 
         Raises:
             OSError: the file cannot be opened or written.
@@ -49,14 +49,14 @@
         self._slots = max(MIN_SLOTS, (size - FILE_HEADER.size) // SLOT_BYTES)
         self._rows: list[bytes] = []
         self._row_bytes = 0
-        self._first_arrival = 0.0  # of the block, Unix time in ms
+        self._first_arrival = 0.0  # in the current block, Unix time in ms
         self._hashes: dict[str, bytes] = {}
-        self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)  # -1 once it is closed
-        self._number = self._continue_or_begin(settings, now)  # of the block that is filled
+        self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)  # -1 once closed
+        self._number = self._continue_or_begin(settings, now)  # of the current block
         self._flushing = PeriodicTask(self.flush, FLUSH_INTERVAL_S)
 
     def _continue_or_begin(self, settings: Settings, now: float) -> int:
-        """The number of the next block: of the file's recording if it has the same shape, else 0."""
+        """Continue a recording of the same shape, or begin a new one; return the next block's number."""
         header = os.pread(self.file, FILE_HEADER.size, 0)
         shape = (SLOT_BYTES, self._slots, settings.gateway_index, settings.gateway_count)
         is_complete = len(header) == FILE_HEADER.size and header.startswith(FILE_MAGIC)
@@ -67,32 +67,32 @@
         return 0
 
     def _last_number(self) -> int:
-        """The highest number of a block in the file; -1 if there is none."""
-        last = -1
+        """Return the highest number of a block in the file; -1 if there is none."""
+        last_number = -1
         for slot in range(self._slots):
             header = os.pread(self.file, BLOCK_HEADER.size, FILE_HEADER.size + slot * SLOT_BYTES)
             if len(header) == BLOCK_HEADER.size and header.startswith(BLOCK_MAGIC):
-                last = max(last, BLOCK_HEADER.unpack(header)[1])
-        return last
+                last_number = max(last_number, BLOCK_HEADER.unpack(header)[1])
+        return last_number
 
     def start(self) -> None:
-        """Write the current block periodically, on the running event loop."""
+        """Start to write the current block periodically, on the running event loop."""
         self._flushing.start()
 
     def hash_customer(self, name: str) -> bytes:
-        """The customer's salted hash."""
-        found = self._hashes.get(name)
-        if found is None:
+        """Return the customer's salted hash, cached."""
+        hashed = self._hashes.get(name)
+        if hashed is None:
             if len(self._hashes) >= MAX_CACHED_HASHES:
                 self._hashes.clear()
-            found = self._hashes[name] = hash_customer(name, self._salt)
-        return found
+            hashed = self._hashes[name] = hash_customer(name, self._salt)
+        return hashed
 
     def record(self, context: RequestContext) -> None:
-        """Record a request that has ended, and whose attempts have."""
+        """Record a request that has ended and whose attempts have ended."""
         if self.file < 0:
             return
-        row = ROW_ENCODER.encode(self._recorded(context))
+        row = ROW_ENCODER.encode(self._to_row(context))
         if self._row_bytes + len(row) > MAX_BLOCK_ROW_BYTES:
             self.flush(done=True)
         if not self._rows:
@@ -100,7 +100,7 @@
         self._rows.append(row)
         self._row_bytes += len(row)
 
-    def _recorded(self, context: RequestContext) -> RecordedRequest:
+    def _to_row(self, context: RequestContext) -> RecordedRequest:
         request = context.request
         attempts = context.attempts[:MAX_ATTEMPTS]
         return RecordedRequest(
@@ -128,7 +128,7 @@
         )
 
     def flush(self, done: bool = False) -> None:
-        """Write the current block; `done`: it is full, and the next one begins."""
+        """Write the current block; with `done`, begin the next one after it."""
         if self.file < 0 or not self._rows:
             return
         try:
@@ -142,7 +142,7 @@
         self._row_bytes = sum(map(len, self._rows))
 
     def _write_blocks(self, done: bool) -> None:
-        """Write the rows as one block, or as several if they do not compress as usual.
+        """Write the rows as one block, or as several if one does not fit into a slot.
 
         Raises:
             OSError: the file cannot be written, or a row is longer than a slot.
@@ -154,7 +154,7 @@
             if len(block) > SLOT_BYTES:
                 half = len(rows) // 2
                 if not half:
-                    raise OSError("a row is longer than a slot")
+                    raise OSError(f"a row must fit into {SLOT_BYTES} bytes, got a block of {len(block)}")
                 parts += [rows[half:], rows[:half]]
                 continue
             os.pwrite(self.file, block, FILE_HEADER.size + self._number % self._slots * SLOT_BYTES)
@@ -163,7 +163,7 @@
             self._rows = rows
 
     def close(self, write: bool = True) -> None:
-        """End the recording, with the current block if `write`; done again it changes nothing."""
+        """End the recording, writing the current block if `write`. Repeated calls have no effect."""
         if write:
             self.flush(done=True)
         self._flushing.stop()
--- a/mapleshunt/settings/__init__.py
+++ b/mapleshunt/settings/__init__.py
@@ -1,6 +1,6 @@
-"""The operators' settings: one file of S-expressions under `deploy/`, read, checked and typed by section.
+"""The operators' settings: a file of S-expressions, parsed into typed and validated sections.
 
-`reader` turns text into nodes that know their place, `schema` fits them to typed sections and words what is
-wrong with file, line and column, `operators` holds the sections. No sockets, no clock; the daemon loads this
-only where `PROXY_OPERATORS` names a file.
+`reader` parses the text into nodes with line and column, `schema` converts the nodes to typed sections and
+reports errors with file, line and column, and `operators` defines the sections. No sockets and no clock; the
+gateway imports this only if `PROXY_OPERATORS` names a file.
 """
--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -1,4 +1,4 @@
-"""The sections of the operators' file. Each is off unless it is there."""
+"""The sections of the operators' file. Each is off unless the file has it."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class RecordingSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """Record the traffic that the gateway meets."""
+    """The recording of the gateway's traffic."""
 
     file: Annotated[str, Meta(min_length=1)]
     size_mb: Annotated[float, Meta(ge=0.1, le=4096)] = 16.0
-    salt: str = ""  # customers are hashed with it; the same at all gateways, or none can be told from another
+    salt: str = ""  # for hashing customers; must be the same at all gateways to match their customers
 
 
 class PeerSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """A gateway of the fleet that may hold copies."""
+    """A gateway of the fleet that may have replicas."""
 
     name: Annotated[str, Meta(min_length=1, pattern=r"^[^/ ]+$")]
     address: Annotated[str, Meta(pattern=r"^.+:[0-9]{1,5}$")]
@@ -35,23 +35,23 @@
 
 
 class ReplicationSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """Keep copies of what gateways promise on several of them."""
+    """Replication of the gateways' commitments to several gateways."""
 
-    folder: Annotated[str, Meta(min_length=1)]  # of this gateway's own, on a disk that outlives the process
+    folder: Annotated[str, Meta(min_length=1)]  # for this gateway alone, on a disk that outlives the process
     fleet: Annotated[str, Meta(min_length=1, max_length=64)]
-    peer: tuple[PeerSettings, ...] = ()  # all gateways of the fleet, this one too
+    peer: tuple[PeerSettings, ...] = ()  # all gateways of the fleet, including this one
     groups: Annotated[int, Meta(ge=1, le=64)] = 8
-    size: int = 3  # copies of a group
-    lease: bool = True  # the gateway's quotas are leased from the copies
+    size: int = 3  # replicas of a group
+    lease: bool = True  # lease the gateway's quotas from the replicas
     election_ms: Annotated[float, Meta(ge=50, le=60_000)] = 1000.0
-    replace_after_s: Annotated[float, Meta(ge=1)] = 600.0  # a machine gone for so long is replaced
-    settle_after_s: Annotated[float, Meta(ge=1)] = 600.0  # one here for so long takes its place
-    transfer_kb_per_s: Annotated[float, Meta(ge=16)] = 8192.0  # to copies that lag far behind
+    replace_after_s: Annotated[float, Meta(ge=1)] = 600.0  # absence after which a machine is replaced
+    settle_after_s: Annotated[float, Meta(ge=1)] = 600.0  # presence after which a machine may replace it
+    transfer_kb_per_s: Annotated[float, Meta(ge=16)] = 8192.0  # to replicas that lag far behind
 
     def __post_init__(self) -> None:
         if self.size not in (3, 5):
             raise ValueError("size must be 3 or 5")
-        names = [one.name for one in self.peer]
+        names = [peer.name for peer in self.peer]
         if len(set(names)) != len(names):
             raise ValueError("a peer is named twice")
         if len(names) < self.size:
@@ -59,18 +59,18 @@
 
 
 class ClosedWindow(msgspec.Struct, frozen=True, rename="kebab"):
-    """Nobody is taken out from then to then, Unix time in s."""
+    """A period in which no machine is taken out, Unix time in s."""
 
     begin: float
     end: float
 
 
 class MaintenanceSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """Take machines out for work one after another; needs copies. Times in s."""
+    """Maintenance of machines within a budget; needs the `copies` section. Times in s."""
 
-    most: int = 1  # out at once, planned and unplanned together
-    zone: int = 1  # of one zone
-    most_load: float = 0.8  # of those left
+    most: int = 1  # machines out at once, planned and unplanned together
+    zone: int = 1  # machines out at once in one zone
+    most_load: float = 0.8  # of the machines left, 1 being their full capacity
     slack: float = 0.1
     pause_s: float = 10.0
     drain_s: float = 60.0
@@ -79,18 +79,19 @@
     version: str = ""  # of this gateway, for rolls
 
     def __post_init__(self) -> None:
-        if why := budget_error(self.budget()):
-            raise ValueError(why)
+        if problem := budget_error(self.budget()):
+            raise ValueError(problem)
 
     def budget(self) -> Budget:
+        """Return the maintenance budget of this section."""
         return Budget(
             self.most, self.zone, self.most_load, self.slack, self.pause_s, self.drain_s, self.failures,
-            tuple((one.begin, one.end) for one in self.closed),
+            tuple((window.begin, window.end) for window in self.closed),
         )  # fmt: skip
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """All sections."""
+    """All sections of the file."""
 
     record: RecordingSettings | None = None
     copies: ReplicationSettings | None = None
@@ -102,13 +103,20 @@
 
 
 def parse_settings(text: str, file: str = "settings") -> OperatorSettings:
-    """The settings that a text holds. Raises `SettingsError`."""
+    """Return the settings in `text`; `file` is its name in messages.
+
+    Raises:
+        SettingsError: the text is invalid.
+    """
     return fill_file(OperatorSettings, parse(text, file), file)
 
 
 def load(path: Path) -> OperatorSettings:
-    """Raises `SettingsError`, also for a file that cannot be read, and the OSError of one that may be
-    readable in a moment.
+    """Return the settings in the file at `path`.
+
+    Raises:
+        SettingsError: the file is invalid or cannot be read.
+        OSError: another attempt may succeed.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -120,5 +128,5 @@
 
 
 def path_from_environment(env: Mapping[str, str] = os.environ) -> Path | None:
-    """The file that the environment names, if any."""
+    """Return the path of the file that the environment names, if any."""
     return Path(env[ENVIRONMENT_VARIABLE]) if env.get(ENVIRONMENT_VARIABLE) else None
--- a/mapleshunt/settings/reader.py
+++ b/mapleshunt/settings/reader.py
@@ -1,8 +1,8 @@
-"""S-expressions with places: lists, symbols, numbers and strings. Pure and bounded.
+"""A parser of S-expressions (lists, symbols, numbers and strings) with positions. No I/O; bounded input.
 
-A symbol is any run of characters but blanks, quotes, brackets and semicolons; a number is a symbol that reads
-as one; a string stands in double quotes, with a backslash before a quote, a backslash, n or t. A semicolon
-begins a comment that goes on to the end of its line.
+A symbol is a run of characters other than blanks, quotes, parentheses and semicolons. A number is a symbol in
+the form of a number. A string is in double quotes; in it, a backslash escapes a quote, a backslash, n or t. A
+semicolon begins a comment that extends to the end of the line.
 """
 
 from __future__ import annotations
@@ -10,31 +10,32 @@
 import re
 from dataclasses import dataclass
 
-MOST_TEXT = 1 << 20  # characters
-MOST_DEPTH = 16
-MOST_NODES = 200_000
+MAX_CHARACTERS = 1 << 20
+MAX_DEPTH = 16  # of nested lists
+MAX_NODES = 200_000
 TOKEN = re.compile(
     r'(?P<blank>[ \t\r\n]+|;[^\n]*)|(?P<open>\()|(?P<close>\))|(?P<string>"(?:[^"\\\n]|\\.)*")'
     r'|(?P<symbol>[^\s()";]+)'
 )
 ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\"}
-WHOLE, REAL = (
+INTEGER, DECIMAL = (
     re.compile(r"[+-]?\d{1,18}"),
     re.compile(r"[+-]?(\d{1,18}\.?\d{0,18}|\.\d{1,18})([eE][+-]?\d{1,3})?"),
 )
 
 
 class SettingsError(ValueError):
-    """Something wrong at a place in the settings; its text is one line for the operator."""
+    """An error at a position in the settings; the message is one line for the operator."""
 
-    def __init__(self, file: str, line: int, column: int, what: str) -> None:
-        super().__init__(f"{file}:{line}:{column}: {what}")
-        self.file, self.line, self.column, self.what = file, line, column, what
+    def __init__(self, file: str, line: int, column: int, message: str) -> None:
+        """Create the error at `line` and `column` of `file`, both counted from 1."""
+        super().__init__(f"{file}:{line}:{column}: {message}")
+        self.file, self.line, self.column, self.message = file, line, column, message
 
 
 @dataclass(slots=True, frozen=True)
 class Atom:
-    """A symbol (str), a number (int, float), a truth value, or a string (`quoted`)."""
+    """A symbol (str), a number (int, float), a boolean, or a string (`quoted`)."""
 
     value: str | int | float | bool
     line: int
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Group:
-    """A list in brackets, with the place of its opening one."""
+    """A list in parentheses, with the position of the opening one."""
 
     items: tuple[Atom | Group, ...]
     line: int
@@ -52,7 +53,7 @@
 
     @property
     def name(self) -> str | None:
-        """Its first item, if that is a symbol."""
+        """The first item, if that is a symbol."""
         first = self.items[0] if self.items else None
         return (
             first.value
@@ -65,9 +66,9 @@
 
 
 def _atom(text: str, line: int, column: int) -> Atom:
-    if WHOLE.fullmatch(text):
+    if INTEGER.fullmatch(text):
         return Atom(int(text), line, column)
-    if REAL.fullmatch(text):
+    if DECIMAL.fullmatch(text):
         return Atom(float(text), line, column)
     if text in ("true", "false"):
         return Atom(text == "true", line, column)
@@ -75,49 +76,55 @@
 
 
 def parse(text: str, file: str = "settings") -> list[Node]:
-    """The nodes of a text. Raises `SettingsError` at the place of what is wrong."""
-    if len(text) > MOST_TEXT:
-        raise SettingsError(file, 1, 1, f"more than {MOST_TEXT} characters")
-    top: list[Node] = []
+    """Return the top-level nodes of `text`; `file` is its name in messages.
+
+    Raises:
+        SettingsError: the text is malformed, at the position of the first error.
+    """
+    if len(text) > MAX_CHARACTERS:
+        raise SettingsError(file, 1, 1, f"expected at most {MAX_CHARACTERS} characters, got {len(text)}")
+    top_level: list[Node] = []
     open_groups: list[tuple[list[Node], int, int]] = []
-    at, line, begin, count = 0, 1, 0, 0
-    while at < len(text):
-        found = TOKEN.match(text, at)
-        column = at - begin + 1
-        if found is None:
-            what = (
-                "a string that does not end on its line"
-                if text[at] == '"'
-                else f"{text[at]!r} makes no sense"
+    position, line, line_begin, count = 0, 1, 0, 0
+    while position < len(text):
+        match = TOKEN.match(text, position)
+        column = position - line_begin + 1
+        if match is None:
+            message = (
+                "a string must end on the line on which it begins"
+                if text[position] == '"'
+                else f"unexpected character {text[position]!r}"
             )
-            raise SettingsError(file, line, column, what)
-        kind, token = found.lastgroup, found.group()
-        into = open_groups[-1][0] if open_groups else top
+            raise SettingsError(file, line, column, message)
+        kind, token = match.lastgroup, match.group()
+        parent_items = open_groups[-1][0] if open_groups else top_level
         count += kind not in ("blank", "close")
-        if count > MOST_NODES:
-            raise SettingsError(file, line, column, f"more than {MOST_NODES} items")
+        if count > MAX_NODES:
+            raise SettingsError(file, line, column, f"expected at most {MAX_NODES} items")
         if kind == "open":
-            if len(open_groups) >= MOST_DEPTH:
-                raise SettingsError(file, line, column, f"brackets deeper than {MOST_DEPTH}")
+            if len(open_groups) >= MAX_DEPTH:
+                raise SettingsError(file, line, column, f"lists must not be nested deeper than {MAX_DEPTH}")
             open_groups.append(([], line, column))
         elif kind == "close":
             if not open_groups:
-                raise SettingsError(file, line, column, "a bracket closes that was not opened")
-            items, *place = open_groups.pop()
-            (open_groups[-1][0] if open_groups else top).append(Group(tuple(items), *place))
+                raise SettingsError(file, line, column, "unexpected ')': no list is open")
+            items, *opened_at = open_groups.pop()
+            (open_groups[-1][0] if open_groups else top_level).append(Group(tuple(items), *opened_at))
         elif kind == "string":
-            body = re.sub(r"\\(.)", lambda one: ESCAPES.get(one[1], "\0"), token[1:-1])
+            body = re.sub(r"\\(.)", lambda escape: ESCAPES.get(escape[1], "\0"), token[1:-1])
             if "\0" in body:
                 raise SettingsError(
-                    file, line, column, "a backslash stands before quote, backslash, n or t only"
+                    file, line, column, "a backslash must be followed by a quote, a backslash, n or t"
                 )
-            into.append(Atom(body, line, column, quoted=True))
+            parent_items.append(Atom(body, line, column, quoted=True))
         elif kind == "symbol":
-            into.append(_atom(token, line, column))
+            parent_items.append(_atom(token, line, column))
         newlines = token.count("\n")
         if newlines:
-            line, begin = line + newlines, at + token.rindex("\n") + 1
-        at = found.end()
+            line, line_begin = line + newlines, position + token.rindex("\n") + 1
+        position = match.end()
     if open_groups:
-        raise SettingsError(file, *open_groups[-1][1:], "a bracket that is not closed")
-    return top
+        raise SettingsError(
+            file, *open_groups[-1][1:], "expected a ')' for this list, got the end of the file"
+        )
+    return top_level
--- a/mapleshunt/settings/show.py
+++ b/mapleshunt/settings/show.py
@@ -1,4 +1,4 @@
-"""What holds and where it comes from: a line of the file, or the default."""
+"""The effective settings and their origins: a line of the file, or the default."""
 
 from __future__ import annotations
 
@@ -11,37 +11,45 @@
 from .reader import Group, Node, parse
 
 
-def _places(nodes: tuple[Node, ...], prefix: str, found: dict[str, int]) -> None:
-    seen: dict[str, int] = {}
+def _collect_lines(nodes: tuple[Node, ...], prefix: str, lines: dict[str, int]) -> None:
+    counts: dict[str, int] = {}
     for node in nodes:
         if isinstance(node, Group) and node.name is not None:
-            count = seen[node.name] = seen.get(node.name, 0) + 1
+            count = counts[node.name] = counts.get(node.name, 0) + 1
             for name in (f"{prefix}{node.name}", f"{prefix}{node.name}[{count - 1}]"):
-                found.setdefault(name, node.line)
-                _places(node.items[1:], f"{name}.", found)
+                lines.setdefault(name, node.line)
+                _collect_lines(node.items[1:], f"{name}.", lines)
 
 
-def _values(value: Any, name: str, found: list[tuple[str, Any]]) -> None:
+def _collect_values(value: Any, name: str, values: list[tuple[str, Any]]) -> None:
     if isinstance(value, msgspec.Struct):
-        for one in msgspec.structs.fields(value):
-            _values(getattr(value, one.name), f"{name}.{one.encode_name}" if name else one.encode_name, found)
+        for field in msgspec.structs.fields(value):
+            _collect_values(
+                getattr(value, field.name),
+                f"{name}.{field.encode_name}" if name else field.encode_name,
+                values,
+            )
     elif isinstance(value, tuple) and value and isinstance(value[0], msgspec.Struct):
-        for number, one in enumerate(value):
-            _values(one, f"{name}[{number}]", found)
+        for index, section in enumerate(value):
+            _collect_values(section, f"{name}[{index}]", values)
     else:
-        found.append((name, value))
+        values.append((name, value))
 
 
 def effective_settings(path: Path) -> list[tuple[str, str, str]]:
-    """(setting, value, place) for each that holds. Raises `SettingsError`."""
-    chosen: OperatorSettings = load(path)
-    places: dict[str, int] = {}
-    _places(tuple(parse(path.read_text(encoding="utf-8"), str(path))), "", places)
+    """Return (setting, value, origin) of each effective setting. Secrets are hidden.
+
+    Raises:
+        SettingsError: the file is invalid or cannot be read.
+    """
+    settings: OperatorSettings = load(path)
+    lines: dict[str, int] = {}
+    _collect_lines(tuple(parse(path.read_text(encoding="utf-8"), str(path))), "", lines)
     values: list[tuple[str, Any]] = []
-    _values(chosen, "", values)
-    out = []
+    _collect_values(settings, "", values)
+    rows = []
     for name, value in values:
-        secret = name.endswith(("salt", "secret"))
-        text = "off" if value is None else "(hidden)" if secret and value else str(value)
-        out.append((name, text, f"{path.name}:{places[name]}" if name in places else "default"))
-    return out
+        is_secret = name.endswith(("salt", "secret"))
+        text = "off" if value is None else "(hidden)" if is_secret and value else str(value)
+        rows.append((name, text, f"{path.name}:{lines[name]}" if name in lines else "default"))
+    return rows
--- a/mapleshunt/transient_errors.py
+++ b/mapleshunt/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that may pass by themselves, as against those that are a configuration's fault."""
+"""Errors of system calls that may pass by themselves, as opposed to errors of the configuration."""
 
 from __future__ import annotations
 
@@ -20,5 +20,5 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Tell whether the same call may succeed in a moment."""
+    """Return whether the same call may succeed shortly afterwards."""
     return error.errno in TRANSIENT_ERRNOS
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -1,4 +1,4 @@
-"""The reload of the configuration."""
+"""Reload of the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from .processes import EXAMPLE
 
 
-def test_reload_is_retried_when_the_file_cannot_be_read_for_a_moment(
+def test_reload_is_retried_while_the_file_cannot_be_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # SIGHUP came while no descriptor was left: the new address of discovery was never heeded.
+    # SIGHUP arrived while no descriptor was left, and the new address of discovery was never applied.
     env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-    answers: list[Any] = [
+    errors: list[Any] = [
         config.ConfigUnreadableError("no descriptor"),
         config.ConfigUnreadableError("no descriptor"),
     ]
 
     def read() -> config.Config:
-        if answers:
-            raise answers.pop()
+        if errors:
+            raise errors.pop()
         return config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:2"})
 
     async def run() -> None:
--- a/tests/test_daemon_loads.py
+++ b/tests/test_daemon_loads.py
@@ -1,4 +1,4 @@
-"""The daemon loads none of the tools' libraries, and starts as small as it was."""
+"""Imports and memory of the gateway process: no libraries of the extra 'tools', a bounded size."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 TOOLS = ("click", "joblib", "matplotlib", "msgspec", "numpy", "scipy", "zstandard", "mapleshunt.fleet",
          "mapleshunt.simulation", "mapleshunt.testbed", "mapleshunt.cli", "mapleshunt.recording")  # fmt: skip
-MOST_KB = 17_100  # 16,112 before the model, and one MB
+MAX_ANONYMOUS_KB = 17_100  # 1 MB above 16,112 KB, the size before the simulation model was added
 
 
-def test_the_daemon_and_the_adapter_load_none_of_the_tools() -> None:
+def test_gateway_and_adapter_import_no_library_of_the_tools() -> None:
     for module in ("mapleshunt.__main__", "mapleshunt.simulator_adapter"):
         code = f"import sys, json, {module}; print(json.dumps(sorted(sys.modules)))"
-        found = subprocess.run(
+        done = subprocess.run(
             [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
         )
-        loaded = json.loads(found.stdout)
+        loaded = json.loads(done.stdout)
         assert [name for name in loaded if name.startswith(TOOLS)] == []
 
 
-def test_the_daemon_starts_at_no_more_memory() -> None:
-    # Compiled before: what a compiler leaves in the daemon's memory is not the daemon's.
+def test_started_gateway_stays_within_its_memory_bound() -> None:
+    # Compiled beforehand, so that the memory of the byte compiler is not counted.
     subprocess.run([sys.executable, "-m", "compileall", "-q", "mapleshunt"], cwd=ROOT, check=True)
     toy = run("-m", "examples.toy_server", "0")
     assert toy.stdout is not None
@@ -45,8 +45,8 @@
         time.sleep(0.2)
         status = Path(f"/proc/{gateway.pid}/status").read_text().splitlines()
         anonymous = next(int(line.split()[1]) for line in status if line.startswith("RssAnon"))
-        assert anonymous < MOST_KB, anonymous
+        assert anonymous < MAX_ANONYMOUS_KB, anonymous
     finally:
-        for one in (gateway, toy):
-            one.kill()
-            one.communicate()
+        for process in (gateway, toy):
+            process.kill()
+            process.communicate()
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of a discovery agent, by a gateway."""
+"""A gateway's watch of its discovery agent."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from .processes import EXAMPLE
 
 
-def test_watch_begins_anew_when_a_defect_ended_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nobody noticed its end, and no list came ever again.
-    began = asyncio.Event()
+def test_watch_is_restarted_after_an_unexpected_exception(monkeypatch: pytest.MonkeyPatch) -> None:
+    # An exception ended the watch unnoticed, and no further endpoint list arrived.
+    restarted = asyncio.Event()
     calls = iter([ZeroDivisionError, None])
 
     async def watch(_: EndpointWatcher) -> None:
         if error := next(calls):
             raise error
-        began.set()
+        restarted.set()
         await asyncio.Event().wait()
 
     async def run() -> GatewayServer:
-        base = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
-        server = GatewayServer(base)
-        server.endpoint_watch.follow(replace(base, discovery_address=("127.0.0.1", 1)))
+        parsed = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
+        server = GatewayServer(parsed)
+        server.endpoint_watch.follow(replace(parsed, discovery_address=("127.0.0.1", 1)))
         async with asyncio.timeout(30):
-            await began.wait()
+            await restarted.wait()
         assert server.endpoint_watch.task is not None
-        server.endpoint_watch.task.cancel()  # a cancelled one does not
+        server.endpoint_watch.task.cancel()  # a cancelled watch is not restarted
         await asyncio.sleep(0)
         return server
 
@@ -42,17 +42,17 @@
     assert asyncio.run(run()).counters.counts["exceptions"] == 1
 
 
-def test_new_endpoint_is_young_though_the_wall_clock_was_stepped_before_the_start(
+def test_new_endpoint_is_not_taken_for_old_after_the_wall_clock_was_stepped_before_the_start(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The gateway's clock is an hour ahead: a server that has just started seemed to have been up for as long.
+    # With the gateway's clock an hour ahead, an endpoint that had just started seemed to be up for an hour.
     async def run() -> None:
         now = time.time() * 1000
         with monkeypatch.context() as patched:
             patched.setattr(time, "time", lambda: now / 1000 + 3600)
             server = GatewayServer(config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:1"}))
             watch = server.endpoint_watch
-            assert watch.max_endpoint_age(now) > 3_500_000.0  # of a first list nothing else is known
+            assert watch.max_endpoint_age(now) > 3_500_000.0  # before the first list there is no other bound
             watch.apply_list(EndpointList(1, True, ()))
             assert watch.max_endpoint_age(now) <= 7_000.0
             assert watch.max_endpoint_age(now + 3_600_000.0) <= 1_000.0
--- a/tests/test_gateway_server.py
+++ b/tests/test_gateway_server.py
@@ -1,4 +1,4 @@
-"""The whole program as a process, with the example's configuration and toy server; and when it refuses."""
+"""The gateway as a process with the example configuration and toy server, and its refusal to start."""
 
 from __future__ import annotations
 
@@ -42,25 +42,26 @@
         assert process.poll() is None
     with socket.create_connection(("127.0.0.1", port), timeout=10) as client:
         yield process, client
-    for one in (process, toy):
-        one.kill()
-        one.communicate()
+    for started in (process, toy):
+        started.kill()
+        started.communicate()
 
 
-def test_serves_rejects_and_leaves_in_good_order(
+def test_serves_within_the_quota_rejects_beyond_it_and_exits_0_on_sigterm(
     gateway: tuple[subprocess.Popen[str], socket.socket],
 ) -> None:
     process, client = gateway
     client.sendall(
         resp.encode_command([b"PING"]) + b"".join(query(n) for n in range(9)) + query(9, b"c=odd,d=1")
     )
-    pong, *rest, odd = replies(client, 11)
-    assert pong == resp.SimpleReply("PONG") and odd == resp.ErrorReply("ERR unknown class")
-    served = [bytes(one) for one in rest if isinstance(one, memoryview)]
-    # The plan's store holds 5 units and fills by one a second; each answer has its own request's id.
-    assert len(served) >= 5 and all(b"did %016x" % n in one for n, one in enumerate(served))
+    pong, *responses, unknown_class = replies(client, 11)
+    assert pong == resp.SimpleReply("PONG") and unknown_class == resp.ErrorReply("ERR unknown class")
+    served = [bytes(response) for response in responses if isinstance(response, memoryview)]
+    # The plan's token bucket holds 5 units and refills by 1 a second. Each value has its own request's id.
+    assert len(served) >= 5 and all(b"did %016x" % n in value for n, value in enumerate(served))
     assert all(
-        isinstance(one, resp.ErrorReply) and one.text.startswith("BUSY ") for one in rest[len(served) :]
+        isinstance(response, resp.ErrorReply) and response.text.startswith("BUSY ")
+        for response in responses[len(served) :]
     )
     process.send_signal(signal.SIGUSR1)
     process.send_signal(signal.SIGTERM)
@@ -71,8 +72,8 @@
     assert "event=client_connection_ended reason=drained commands=11 owed=0" in log
 
 
-def test_reload_swaps_discovery_while_serving_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    # The signal ended the program, and with it lost the requests it had taken.
+def test_reload_changes_discovery_while_serving_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    # SIGHUP terminated the process, and the requests in flight were lost.
     toys = [run("-m", "examples.toy_server", "0") for _ in range(2)]
     agents = [toy.stdout.readline().split()[-1] for toy in toys if toy.stdout is not None]
     file, port = tmp_path / "config.json", free_port()
@@ -114,7 +115,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("{", "the configuration is not JSON"),
         ("[]", "the configuration must be a JSON object"),
@@ -126,18 +127,20 @@
         ({"listen": "203.0.113.1:1"}, "cannot start: [Errno"),
     ],
 )
-def test_bad_configuration_is_one_plain_message_and_exit_2(text: Any, said: str, tmp_path: Path) -> None:
+def test_invalid_configuration_gives_a_one_line_message_and_exit_status_2(
+    text: Any, message: str, tmp_path: Path
+) -> None:
     file = tmp_path / "config.json"
     if isinstance(text, dict):
         text = json.dumps({**json.loads(EXAMPLE.read_text()), **text})
     file.write_text(text)
     process = run("-m", "mapleshunt", PROXY_CONFIG=str(file))
-    _, message = process.communicate(timeout=60)
-    assert process.returncode == 2 and message.startswith(f"mapleshunt: {said}") and message.count("\n") == 1
+    _, stderr = process.communicate(timeout=60)
+    assert process.returncode == 2 and stderr.startswith(f"mapleshunt: {message}") and stderr.count("\n") == 1
 
 
-def test_at_the_limit_new_connections_wait_in_the_kernel() -> None:
-    # One that was accepted and closed at once may have carried a request, which was then lost.
+def test_new_connections_wait_in_the_backlog_when_the_limit_is_reached_and_none_is_idle() -> None:
+    # A connection that was accepted and closed at once may have carried a request, which was lost.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
         server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
@@ -148,9 +151,12 @@
         clients = []
         for number in range(3):
             reader, writer = await asyncio.open_connection(*server.clients.listeners[0].getsockname())
-            writer.write(query(1)[:20])  # part of a command: none of them is idle
+            writer.write(query(1)[:20])  # part of a command, so that none is idle
             clients.append((reader, writer))
-            while number < 2 and sum(one.is_busy() for one in server.connections.connections) <= number:
+            while (
+                number < 2
+                and sum(connection.is_busy() for connection in server.connections.connections) <= number
+            ):
                 await asyncio.sleep(0)
         while server.clients.accepting:
             await asyncio.sleep(0)
@@ -167,8 +173,8 @@
 
 
 @pytest.mark.parametrize(("memory_mb", "sockets"), [(32, 256), (192, 1024)])
-def test_what_clients_may_hold_follows_the_limits_of_the_configuration(memory_mb: int, sockets: int) -> None:
-    # A constant of 2 MB for each client that does not read passed 32 MB with sixteen of them.
+def test_limits_for_clients_follow_the_limits_of_the_configuration(memory_mb: int, sockets: int) -> None:
+    # With a constant 2 MB per client, sixteen clients that do not read exceeded a limit of 32 MB.
     text = {**json.loads(EXAMPLE.read_text()), "limits": {"memory_mb": memory_mb, "sockets": sockets}}
 
     async def run() -> GatewayServer:
@@ -180,28 +186,30 @@
     assert sockets // 3 < budget.max_clients < 0.6 * sockets and budget.eviction_threshold < sockets // 3
 
 
-def test_no_configuration_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_or_unreadable_configuration_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     with pytest.raises(config.ConfigError, match="PROXY_CONFIG"):
         config.load({})
     with pytest.raises(config.ConfigError, match="cannot be read"):
         config.load({"PROXY_CONFIG": "no such file"})
 
 
-def test_nobody_can_connect_until_the_start_has_let_time_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Killed gateways that started again took requests 0.5 s after they stood in the kernel's queue.
+def test_connections_are_refused_until_the_event_loop_has_run_after_startup(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A restarted gateway read requests after they had waited 0.5 s in the kernel's queue.
 
-    Their patience was counted from then: two were answered after their clients had left.
+    Their remaining time was counted from then: two got responses after their clients had disconnected.
     """
-    waited: list[bool] = []
+    fired: list[bool] = []
     monkeypatch.setenv("PROXY_CONFIG", str(EXAMPLE))
 
     async def start() -> None:
         server = GatewayServer(config.load())
         loop = asyncio.get_running_loop()
-        monkeypatch.setattr(server, "load_extensions", lambda: loop.call_later(0.0005, waited.append, True))
+        monkeypatch.setattr(server, "load_extensions", lambda: loop.call_later(0.0005, fired.append, True))
 
         def listen() -> None:
-            assert waited, "it listens before anything else has had its turn"
+            assert fired, "the gateway listens before a pending timer has fired"
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(server.clients.listeners[0].getsockname())
             server.stop_requested.set()
@@ -211,24 +219,26 @@
         await server.run()
 
     asyncio.run(start())
-    assert waited
+    assert fired
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
-def test_periodic_work_goes_on_when_the_wall_clock_is_stepped(
+def test_periodic_work_continues_when_the_wall_clock_is_stepped(
     monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
-    # Its next time was kept as a time of the wall clock: stepped back by an hour, no idle or half-open client
-    # connection was ended, no idle server connection closed and no lease renewed for an hour.
+    # Periodic work was scheduled by the wall clock. Stepped back by an hour, no idle or half-open client
+    # connection and no idle endpoint connection was closed, and no lease renewed, for an hour.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
         server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
         task = asyncio.create_task(server.run())
         while not server.clients.accepting:
             await asyncio.sleep(0)
-        wall, sweeps = time.time, list[int]()
-        monkeypatch.setattr(time, "time", lambda: wall() + step)
-        monkeypatch.setattr(server.connections, "reap_overdue", lambda many, rested: sweeps.append(many))
+        wall_clock, sweeps = time.time, list[int]()
+        monkeypatch.setattr(time, "time", lambda: wall_clock() + step)
+        monkeypatch.setattr(
+            server.connections, "reap_overdue", lambda threshold, _idle_s: sweeps.append(threshold)
+        )
         try:
             async with asyncio.timeout(20):
                 while len(sweeps) < 5:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life cycle that SIGTERM, the admin endpoint and maintenance share, against a model."""
+"""The lifecycle that SIGTERM, the admin endpoint and maintenance share, compared with a model."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class LifecycleMachine(RuleBasedStateMachine):
-    """The model keeps the list of what happened and reads the state off it."""
+    """The lifecycle beside a model that derives the state from the history of transitions."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,48 +41,52 @@
 
     @rule(requester=st.sampled_from(DrainRequester))
     def drain(self, requester: DrainRequester) -> None:
-        may = self.history and self.history[-1][0] != "stop"
-        assert self.lifecycle.drain(self.now, requester) == bool(may and not self.requesters)
-        if may:
+        allowed = self.history and self.history[-1][0] != "stop"
+        assert self.lifecycle.drain(self.now, requester) == bool(allowed and not self.requesters)
+        if allowed:
             if not self.requesters:
                 self.history.append(("drain", self.now, False))
             self.requesters.add(requester)
 
     @rule(requester=st.sampled_from(DrainRequester))
     def resume(self, requester: DrainRequester) -> None:
-        last = self.requesters == {requester} and self.history[-1][0] != "stop"
-        assert self.lifecycle.resume(requester) == last
+        is_last = self.requesters == {requester} and self.history[-1][0] != "stop"
+        assert self.lifecycle.resume(requester) == is_last
         self.requesters.discard(requester)
-        if last:
+        if is_last:
             self.history.append(("resume", self.now, False))
 
     @rule(has_successor=st.booleans())
     def stop(self, has_successor: bool) -> None:
-        is_first = "stop" not in [one[0] for one in self.history]
+        is_first = "stop" not in [transition[0] for transition in self.history]
         assert self.lifecycle.stop(self.now, has_successor) == is_first
         if is_first:
             self.history.append(("stop", self.now, has_successor))
 
     @invariant()
-    def agrees(self) -> None:
+    def lifecycle_agrees_with_model(self) -> None:
         last = self.history[-1] if self.history else ("start", 0.0, False)
         before = self.history[-2] if len(self.history) > 1 else ("start", 0.0, False)
-        working = last[0] in ("start_serving", "resume")
-        emptying = last[1] if last[0] in ("drain", "stop") else None
+        serving = last[0] in ("start_serving", "resume")
+        drained_at = last[1] if last[0] in ("drain", "stop") else None
         if last[0] == "stop" and before[0] == "drain":
-            emptying = before[1]
-        gone = self.now - emptying if emptying is not None else -1.0
+            drained_at = before[1]
+        drained_for = self.now - drained_at if drained_at is not None else -1.0
         has_successor = last[0] == "stop" and last[2]
-        left = last[1] if last[0] == "stop" else math.inf
-        assert self.lifecycle.last_response_at(2.0) == left + 2.0 + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
-        at_most = left + KILL_MAX_DEADLINE_S + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
-        assert self.lifecycle.last_response_at(10.0) == at_most
-        assert self.lifecycle.is_serving() == working
-        assert self.lifecycle.is_ready() == (working or has_successor)
-        assert self.lifecycle.closes_idle_connections(self.now) == (has_successor or gone >= DRAIN_GRACE_S)
-        assert self.lifecycle.reads_while_responding(self.now) == (gone < READ_GRACE_S)
+        stopped_at = last[1] if last[0] == "stop" else math.inf
+        assert (
+            self.lifecycle.last_response_at(2.0) == stopped_at + 2.0 + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
+        )
+        latest = stopped_at + KILL_MAX_DEADLINE_S + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
+        assert self.lifecycle.last_response_at(10.0) == latest
+        assert self.lifecycle.is_serving() == serving
+        assert self.lifecycle.is_ready() == (serving or has_successor)
+        assert self.lifecycle.closes_idle_connections(self.now) == (
+            has_successor or drained_for >= DRAIN_GRACE_S
+        )
+        assert self.lifecycle.reads_while_responding(self.now) == (drained_for < READ_GRACE_S)
         if last[0] == "stop":
-            accepts = not has_successor and gone < DRAIN_GRACE_S
+            accepts = not has_successor and drained_for < DRAIN_GRACE_S
             assert self.lifecycle.accepts_connections(self.now) == accepts
         else:
             assert self.lifecycle.accepts_connections(self.now) == (last[0] != "start")
@@ -101,7 +105,7 @@
     assert lifecycle.resume(DrainRequester.OPERATORS) and lifecycle.is_serving()
 
 
-def test_stopping_is_never_left_and_starting_is_never_entered_again() -> None:
+def test_no_transition_leaves_stopping_or_enters_starting() -> None:
     assert not LEGAL_TRANSITIONS[State.STOPPING]
     assert not any(State.STARTING in targets for targets in LEGAL_TRANSITIONS.values())
     assert all(state not in targets for state, targets in LEGAL_TRANSITIONS.items())
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""The adapter, the settings' refusals, the README's example, and the limits on the module's text."""
+"""The simulator adapter, validation of settings, the README's example, the policy's text, the deploy file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from mapleshunt import Plan, RequestClass, Settings
 from mapleshunt.simulator_adapter import main
 
-ODD: Any = "odd"
+INVALID_EFFECT: Any = "odd"
 ROOT = Path(__file__).parent.parent
 ENV: dict[str, Any] = {
     "Me": 0,
@@ -40,8 +40,8 @@
     return [["BeginBatch", now], *lines, ["Go"]]
 
 
-def play(*batches: list[list[Any]]) -> tuple[int, list[list[Any]]]:
-    text = "\n".join(json.dumps(line) for one in batches for line in one)
+def run_adapter(*batches: list[list[Any]]) -> tuple[int, list[list[Any]]]:
+    text = "\n".join(json.dumps(line) for messages in batches for line in messages)
     out = io.StringIO()
     code = main(io.StringIO(text), out)
     return code, [json.loads(line) for line in out.getvalue().splitlines()]
@@ -54,14 +54,14 @@
     return ["Ingress", node, ref, "look", "thin", "00ff", 900.0, 1, 1, 0, False, False]
 
 
-def test_round_trip() -> None:
-    code, got = play([], START, batch(20.0, ingress(1), ingress(2)))
+def test_requests_within_the_quota_are_submitted_and_others_shed() -> None:
+    code, got = run_adapter([], START, batch(20.0, ingress(1), ingress(2)))
     assert code == 0
     assert [line[0] for line in got] == ["Ready", "SubmitTo", "SetAlarm", "Shed", "Ready"]
     assert got[1] == ["SubmitTo", 3, 1, 0.0, 5]
 
 
-def test_every_event_is_taken() -> None:
+def test_each_event_is_accepted() -> None:
     lines = [
         ["Finished", 3, 1, "served", True, 86, 0, 3, 18.5, 5, {"odd": 1}],
         ["ClientGone", 3, 99],
@@ -72,28 +72,30 @@
         ["Tallied", 3, 7, "no_answer", 0, 50.0],
         ["Topology", 3, "Error", 0, 0],
     ]
-    code, got = play(START, batch(20.0, ingress(1)), batch(30.0, *lines))
+    code, got = run_adapter(START, batch(20.0, ingress(1)), batch(30.0, *lines))
     assert code == 0 and not [line for line in got if line[0] == "Broken"]
 
 
-def test_destroy_and_init_in_one_batch_start_anew() -> None:
-    code, got = play(START, batch(20.0, ingress(1)), batch(30.0, ["Destroy", 3], *START[1:-1], ingress(2)))
+def test_destroy_and_init_in_one_batch_reset_the_gateway() -> None:
+    code, got = run_adapter(
+        START, batch(20.0, ingress(1)), batch(30.0, ["Destroy", 3], *START[1:-1], ingress(2))
+    )
     assert code == 0 and [line for line in got if line[0] == "Shed"] == []
 
 
-def test_reused_catalog_number_counts_from_there_on() -> None:
+def test_redefined_catalog_number_has_its_new_meaning_from_then_on() -> None:
     other = [6, *ROW[1:]]
-    code, got = play(
+    code, got = run_adapter(
         START, batch(20.0, ["Catalog", 0, [other]], ["Topology", 3, "Complete", 2, 0], ingress(1))
     )
     assert code == 0 and ["SubmitTo", 3, 1, 0.0, 6] in got
 
 
-def test_exception_in_the_decisions_is_broken() -> None:
-    line = ingress(1)
-    line[3] = "no such class"
-    code, got = play(START, batch(20.0, line))
-    assert code == 0 and [one[:2] for one in got if one[0] == "Broken"] == [["Broken", 3]]
+def test_exception_in_the_policy_is_reported_as_broken() -> None:
+    request = ingress(1)
+    request[3] = "no such class"
+    code, got = run_adapter(START, batch(20.0, request))
+    assert code == 0 and [line[:2] for line in got if line[0] == "Broken"] == [["Broken", 3]]
 
 
 @pytest.mark.parametrize(
@@ -108,21 +110,23 @@
         '["Topology",3,"Complete",1,9]',
     ],
 )
-def test_malformed_line_is_told_plainly(text: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_malformed_line_gives_a_message_with_its_number_and_exit_status_2(
+    text: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     out = io.StringIO()
     assert main(io.StringIO("\n" + text), out) == 2
-    said = capsys.readouterr().err
-    assert said.startswith("line 2: ") and "Traceback" not in said and out.getvalue() == ""
+    message = capsys.readouterr().err
+    assert message.startswith("line 2: ") and "Traceback" not in message and out.getvalue() == ""
 
 
 @pytest.mark.parametrize(
-    ("make", "said"),
+    ("make", "message"),
     [
         (lambda: Plan("p", rate=-1, burst=1), "rate must be 0 or more, not -1"),
         (lambda: Plan("p", rate=1), "burst must be above 0 with a rate"),
         (lambda: RequestClass("c", latency_objective=0, deadline=1), "latency_objective must be above 0 ms"),
         (
-            lambda: RequestClass("c", latency_objective=1, deadline=1, effect=ODD),
+            lambda: RequestClass("c", latency_objective=1, deadline=1, effect=INVALID_EFFECT),
             "effect must be 'safe', 'keyed' or 'unsafe'",
         ),
         (
@@ -135,19 +139,19 @@
         ),
     ],
 )
-def test_settings_that_make_no_sense_are_refused(make: Any, said: str) -> None:
-    with pytest.raises(ValueError, match=re.escape(said)):
+def test_invalid_settings_raise_value_error(make: Any, message: str) -> None:
+    with pytest.raises(ValueError, match=re.escape(message)):
         make()
 
 
-def test_readme_example_does_what_the_readme_says(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_gives_the_documented_output(capsys: pytest.CaptureFixture[str]) -> None:
     example = (ROOT / "README.md").read_text().split("```python\n")[1].split("```")[0]
     exec(compile(example, "README.md", "exec"), {})
     assert capsys.readouterr().out.splitlines() == ["start attempt 0", "start attempt 1", "reject 2"]
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "mapleshunt" / "policy").glob("*.py")), ids=lambda p: p.stem)
-def test_policy_module_is_small_narrow_and_names_no_site(path: Path) -> None:
+def test_policy_module_is_short_and_has_no_name_of_a_deployment(path: Path) -> None:
     text = path.read_text()
     lines = text.splitlines()
     assert len(lines) < 400 and max(map(len, lines)) <= 110
@@ -184,47 +188,48 @@
 
 
 POLICY = ROOT / "mapleshunt" / "policy"
-# Modules of the policy that hold types, encodings and arithmetic only.
+# Policy modules with types, encodings and arithmetic only.
 WITHOUT_DECISIONS = {
     "__init__", "actions", "bounded_table", "events", "exponential_decay", "gossip_codec", "settings",
     "token_bucket",
 }  # fmt: skip
 
 
-def test_deploy_file_names_all_modules_that_hold_decisions() -> None:
+def test_deploy_file_lists_all_policy_modules_that_make_decisions() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     modules = [path for path in sorted(POLICY.glob("*.py")) if path.stem not in WITHOUT_DECISIONS]
     assert deploy["policy"] == [str(path.relative_to(ROOT)) for path in modules]
 
 
 def imported_modules(path: Path) -> set[str]:
-    """The modules that a file imports, at any depth; relative ones with their dots."""
+    """Return the modules that a file imports, in any scope; relative ones with their dots."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            found |= {one.name for one in node.names}
+            found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             found.add("." * node.level + (node.module or ""))
     return found
 
 
 @pytest.mark.parametrize("path", sorted(POLICY.glob("*.py")), ids=lambda p: p.stem)
-def test_policy_module_imports_no_io_no_clock_and_nothing_above_it(path: Path) -> None:
+def test_policy_module_imports_only_the_allowed_modules_and_other_policy_modules(path: Path) -> None:
     allowed = {
         "__future__", "collections", "collections.abc", "dataclasses", "enum", "heapq", "math", "random",
         "typing", "zlib",
     }  # fmt: skip
-    own = {f".{one.stem}" for one in POLICY.glob("*.py")}
+    own = {f".{module.stem}" for module in POLICY.glob("*.py")}
     assert imported_modules(path) <= allowed | own
 
 
-def test_build_makes_the_environment_anew_where_one_was_cut_off_halfway(tmp_path: Path) -> None:
-    # A folder that was begun was taken for whole: the gateway did not start, and building again did nothing.
+def test_build_recreates_an_incomplete_or_outdated_environment(tmp_path: Path) -> None:
+    # An interrupted build left an incomplete folder that counted as complete: the gateway did not start, and
+    # building again did nothing.
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     shutil.copy(ROOT / "requirements.txt", tmp_path)
     tools = tmp_path / "tools"
     tools.mkdir()
-    python = tools / "python3"  # stands for python: writes down its calls, and makes what `venv` would
+    python = tools / "python3"  # a fake python: logs its calls and creates what `venv` would create
     python.write_text(
         '#!/bin/sh\necho "$*" >> "$CALLS"\n'
         'case "$*" in "-m venv"*) rm -rf .venv-run; mkdir -p .venv-run/bin; cp "$0" .venv-run/bin/python;;\n'
@@ -236,10 +241,10 @@
         calls = tmp_path / "calls"
         calls.write_text("")
         env = {"PATH": f"{tools}:{os.environ['PATH']}", "CALLS": str(calls), "FAILS": str(fails)}
-        done = subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=tmp_path, env=env, timeout=60)
-        return done.returncode, [line.split()[1] for line in calls.read_text().splitlines()]
+        completed = subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=tmp_path, env=env, timeout=60)
+        return completed.returncode, [line.split()[1] for line in calls.read_text().splitlines()]
 
-    assert build(1) == (1, ["venv", "pip"])  # cut off while packages are installed
+    assert build(1) == (1, ["venv", "pip"])  # the installation of packages fails
     assert build(0) == (0, ["venv", "pip", "compileall"])
     assert build(0) == (0, ["compileall"])
     with (tmp_path / "requirements.txt").open("a") as file:
@@ -247,8 +252,8 @@
     assert build(0) == (0, ["venv", "pip", "compileall"])
 
 
-def test_run_ends_in_one_process() -> None:
+def test_run_and_sim_replace_the_shell_by_one_process() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    # Before it the shell may only set what it ignores itself, which starts no process.
+    # Before `exec` the shell may only ignore a signal, which starts no process.
     assert re.fullmatch(r"(trap '' HUP; )?exec [^;&|`$()]+", deploy["run"])
     assert re.fullmatch(r"exec [^;&|`$()]+", deploy["sim"])
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""Recordings: what the daemon writes, what a reader makes of it, and of files that are damaged."""
+"""Recordings: the writer in the gateway, and the reader with intact and damaged files."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 def context(number: int, customer: str = "", noise: bool = False) -> RequestContext:
     name = os.urandom(400).hex() if noise else customer or f"{number:016x}"
     request = RequestReceived(number, "look", "wide", name, 2000.0, 3.0, 2, 1, number % 5 == 0)
-    one: Any = RequestContext(number, request, None, None, 1000.0 * number)  # type: ignore[arg-type]
-    one.final_result, one.awaiting_response, one.released_at = "served", False, 1000.0 * number + 90
-    one.attempts = [
+    made: Any = RequestContext(number, request, None, None, 1000.0 * number)  # type: ignore[arg-type]
+    made.final_result, made.awaiting_response, made.released_at = "served", False, 1000.0 * number + 90
+    made.attempts = [
         Attempt(0, 7, 1000.0 * number + 2, 0.0, status=AttemptStatus.FULL, latency_ms=3.0),
         Attempt(1, 8, 1000.0 * number + 6, 0.0, status=AttemptStatus.OK, latency_ms=80.0, cost=4.0),
     ]
-    return one  # type: ignore[no-any-return]
+    return made  # type: ignore[no-any-return]
 
 
-def record(path: Path, numbers: range, size: int = SIZE, **more: Any) -> None:
+def record(path: Path, numbers: range, size: int = SIZE, **options: Any) -> None:
     async def go() -> None:
         recorder = Recorder(path, size, b"salt", SETTINGS, 0.0)
         for number in numbers:
-            recorder.record(context(number, **more))
+            recorder.record(context(number, **options))
         recorder.close()
 
     asyncio.run(go())
 
 
-def test_a_row_holds_what_was_met_and_no_name(tmp_path: Path) -> None:
+def test_row_has_the_request_and_its_attempts_but_no_customer_name(tmp_path: Path) -> None:
     record(tmp_path / "r", range(1, 3))
     found = form.read_recording((tmp_path / "r").read_bytes())
     row = found.rows[0]
@@ -80,15 +80,15 @@
     assert f"{1:016x}".encode() not in (tmp_path / "r").read_bytes()
 
 
-def test_the_file_stays_within_its_size_and_old_rows_go_first(tmp_path: Path) -> None:
+def test_file_stays_within_its_size_and_overwrites_the_oldest_rows(tmp_path: Path) -> None:
     record(tmp_path / "r", range(20000))
     assert (tmp_path / "r").stat().st_size <= SIZE
     rows = form.read_recording((tmp_path / "r").read_bytes()).rows
-    kept = [round(row.arrived_at / 1000) for row in rows]
-    assert kept == list(range(kept[0], 20000)) and 1000 < len(kept) < 20000
+    numbers = [round(row.arrived_at / 1000) for row in rows]
+    assert numbers == list(range(numbers[0], 20000)) and 1000 < len(numbers) < 20000
 
 
-def test_rows_that_do_not_compress_are_split_over_slots(tmp_path: Path) -> None:
+def test_rows_that_do_not_compress_are_split_over_several_slots(tmp_path: Path) -> None:
     async def go() -> None:
         recorder = Recorder(tmp_path / "r", SIZE, b"salt", SETTINGS, 0.0)
         recorder.hash_customer = lambda name: os.urandom(3000)  # type: ignore[method-assign]
@@ -101,14 +101,14 @@
     assert [round(row.arrived_at / 1000) for row in found.rows] == list(range(30)) and found.blocks >= 3
 
 
-def test_a_restart_goes_on_behind_what_was_written(tmp_path: Path) -> None:
+def test_restarted_recorder_continues_after_the_last_block(tmp_path: Path) -> None:
     record(tmp_path / "r", range(10))
     record(tmp_path / "r", range(10, 20))
     found = form.read_recording((tmp_path / "r").read_bytes())
     assert [round(row.arrived_at / 1000) for row in found.rows] == list(range(20)) and found.blocks == 2
 
 
-def test_a_block_that_is_not_full_is_written_and_written_again(tmp_path: Path) -> None:
+def test_block_that_is_not_full_is_written_and_later_overwritten(tmp_path: Path) -> None:
     async def go() -> None:
         recorder = Recorder(tmp_path / "r", SIZE, b"salt", SETTINGS, 0.0)
         for number in range(6):
@@ -122,26 +122,28 @@
     assert form.read_recording((tmp_path / "r").read_bytes()).blocks == 1
 
 
-def test_what_is_damaged_or_cut_off_is_told_and_the_rest_is_read(tmp_path: Path) -> None:
+def test_damaged_or_truncated_blocks_are_reported_and_the_others_are_read(tmp_path: Path) -> None:
     record(tmp_path / "r", range(4000))
     whole = (tmp_path / "r").read_bytes()
     count = form.read_recording(whole).blocks
     assert count >= 3
-    hurt = bytearray(whole)
-    hurt[form.FILE_HEADER.size + form.SLOT_BYTES + 200] ^= 0xFF
-    found = form.read_recording(bytes(hurt))
+    damaged = bytearray(whole)
+    damaged[form.FILE_HEADER.size + form.SLOT_BYTES + 200] ^= 0xFF
+    found = form.read_recording(bytes(damaged))
     assert found.blocks == count - 1 and any("damaged" in line for line in found.problems)
     assert any("missing" in line for line in found.problems)
-    cut = form.read_recording(whole[: form.FILE_HEADER.size + form.SLOT_BYTES + 1000])
-    assert cut.blocks == 1 and "not whole" in cut.problems[0]
-    for bad in (b"", b"x" * 500, whole[:20]):
+    truncated = form.read_recording(whole[: form.FILE_HEADER.size + form.SLOT_BYTES + 1000])
+    assert truncated.blocks == 1 and "incomplete" in truncated.problems[0]
+    for invalid in (b"", b"x" * 500, whole[:20]):
         with pytest.raises(form.RecordingError):
-            form.read_recording(bad)
+            form.read_recording(invalid)
 
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 70000), st.binary(max_size=12)), max_size=8), st.integers(0, 80000))
-def test_no_bytes_make_the_reader_fail(changes: list[tuple[int, bytes]], end: int) -> None:
+def test_reader_accepts_any_bytes_or_raises_recording_error(
+    changes: list[tuple[int, bytes]], end: int
+) -> None:
     rows = [
         form.ROW_ENCODER.encode(
             form.RecordedRequest(1.0, "a", "b", b"c", 1, 1, 1, 1, 0, False, "served", 1.0)
@@ -150,8 +152,8 @@
     data = bytearray(form.FILE_HEADER.pack(form.FILE_MAGIC, form.SLOT_BYTES, 2, 0, 1, 0.0, b"run"))
     for number in range(2):
         data += form.pack_block(number, rows, 1.0).ljust(form.SLOT_BYTES, b"\0")
-    for at, piece in changes:
-        data[at : at + len(piece)] = piece
+    for position, replacement in changes:
+        data[position : position + len(replacement)] = replacement
     try:
         found = form.read_recording(bytes(data[:end]))
         assert len(found.rows) <= 100
@@ -159,7 +161,7 @@
         pass
 
 
-def test_a_disk_that_fails_ends_the_recording_and_nothing_else(tmp_path: Path) -> None:
+def test_io_error_ends_the_recording_and_further_calls_do_nothing(tmp_path: Path) -> None:
     async def go() -> None:
         recorder = Recorder(tmp_path / "r", SIZE, b"salt", SETTINGS, 0.0)
         os.close(recorder.file)
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -1,4 +1,4 @@
-"""The wording of the statistics that operators fetch."""
+"""The format of the statistics that operators fetch."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from mapleshunt.lifecycle.statistics import render
 
 
-def test_every_class_has_all_its_counters() -> None:
+def test_each_class_has_all_counters_including_those_at_zero() -> None:
     counts = Counter({("completed", "a"): 3, ("upstream_requests", "b"): 1})
     lines = render(["a", "b"], counts, {"pending": 2}).splitlines()
     assert lines == [
