--- a/mapleshunt/settings/operators.py
+++ b/mapleshunt/settings/operators.py
@@ -50,7 +50,7 @@
 
     def __post_init__(self) -> None:
         if self.size not in (3, 5):
-            raise ValueError("size must be 3 or 5")
+            raise ValueError(f"size must be 3 or 5, got {self.size}")
         names = [peer.name for peer in self.peer]
         if len(set(names)) != len(names):
             raise ValueError("a peer is named twice")
