--- a/mapleshunt/server/bootstrap.py
+++ b/mapleshunt/server/bootstrap.py
@@ -20,8 +20,8 @@
     """Run the gateway until a signal ends it, and return its exit status."""
     log.configure()
     early_reloads: list[int] = []
-    # SIGHUP would terminate the process until the event loop handles it; `run` in the deploy file makes the
-    # process ignore it until here.
+    # Until the event loop handles SIGHUP, its default action would end the process. Before this line the
+    # process ignores it, as set by `run` in the deploy file.
     signal.signal(signal.SIGHUP, lambda number, _frame: early_reloads.append(number))
     try:
         config = load_config()
--- a/mapleshunt/server/client_admission.py
+++ b/mapleshunt/server/client_admission.py
@@ -115,7 +115,7 @@
             await acceptor.accept_backlog(self.has_capacity)
 
     def close_listeners(self) -> None:
-        """Stop accepting and close the sockets. The kernel resets connections that are still queued."""
+        """Stop accepting and close the sockets. Connections queued on an unshared socket are reset."""
         self.stop_accepting()
         for listener in self.listeners:
             listener.close()
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -121,7 +121,7 @@
         self.endpoint_watch.follow(self.reloader.config)
         await asyncio.sleep(LISTEN_DELAY_S)
         if self.takeover is not None:
-            await self.takeover.receive()
+            await self.takeover.receive_warm_state()
             self.gossip.retry_open(self.reloader.config)
         self.start_serving()
         await self.stop_requested.wait()
@@ -167,7 +167,7 @@
         assert self.takeover is not None
         self.takeover.tick(self.lifecycle.is_serving())
         self.gossip.retry_open(self.reloader.config)
-        processes = 1 + self.takeover.has_sibling
+        processes = 1 + self.takeover.has_other_process
         if processes != self.clients.budget.processes:
             self.clients.budget.divide(processes)
 
@@ -211,8 +211,8 @@
 
     def _load(self) -> float:
         """Return the fraction of this gateway's concurrency limit that attempts in flight use."""
-        figures = self.driver.gateway.figures(self.driver.now())
-        return figures["tries_out"] / max(1.0, figures["bound"] * figures["servers_ready"])
+        stats = self.driver.gateway.stats(self.driver.now())
+        return stats["tries_out"] / max(1.0, stats["bound"] * stats["servers_ready"])
 
     def _handle_signals(self, early_reloads: Sequence[int]) -> None:
         loop = asyncio.get_running_loop()
@@ -272,7 +272,7 @@
         # A connection in the kernel's backlog may carry a request. Closing the listener would reset it, or
         # leave it to a process that starts late. The tick has closed idle connections, so there is capacity.
         # If another process accepts from the same socket, it takes the connections that are queued.
-        if self.takeover is None or not self.takeover.has_sibling:
+        if self.takeover is None or not self.takeover.has_other_process:
             await self.clients.accept_backlog()
         self.clients.close_listeners()
         self.controller.update_timer()
--- a/mapleshunt/server/monitoring.py
+++ b/mapleshunt/server/monitoring.py
@@ -21,7 +21,7 @@
         upstreams: EndpointGroup,
         driver: PolicyDriver,
     ) -> None:
-        """Store the sources of the figures. Timers and signals call the methods."""
+        """Store the sources of the counters and gauges; timers and signals call the methods."""
         self._counters = counters
         self._connections = connections
         self._upstreams = upstreams
@@ -33,7 +33,7 @@
             open=len(self._driver.open_requests),
             client_connections_now=len(self._connections.connections),
             server_connections_now=len(self._upstreams.connections),
-            **self._driver.gateway.figures(self._driver.now()),
+            **self._driver.gateway.stats(self._driver.now()),
         )
 
     def report_loop_delay(self, seconds: float) -> None:
