--- a/mapleshunt/lifecycle/lifecycle.py
+++ b/mapleshunt/lifecycle/lifecycle.py
@@ -11,11 +11,11 @@
 import math
 from collections.abc import Mapping
 
-# For how long new clients are accepted and idle connections kept after a load balancer can first read "not
+# Time for which new clients are accepted and idle connections kept after a load balancer can first read "not
 # ready". It polls ten times a second and stops sending 0.2 s after such an answer; at a planned restart it
-# goes on for 0.4 s at most.
+# sends for 0.4 s at most.
 DRAIN_GRACE_S = 0.5
-# After which a connection with a pending response is not read further, so that it can be closed once the
+# Time after which a connection with a pending response is not read further, so that it can be closed once the
 # requests read so far have their responses. The operators require that no connection with a request in the
 # last 2 s is left after 4 s.
 READ_GRACE_S = 1.5
@@ -23,7 +23,7 @@
 # maximum count as the maximum.
 KILL_DELAY_S = 0.7
 KILL_MAX_DEADLINE_S = 3.0
-# How long before that time the last response has to be sent.
+# Margin before that time by which the last response must be sent.
 LAST_RESPONSE_MARGIN_S = 0.2
 
 
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self.state = State.STARTING
         self.drain_requesters: set[DrainRequester] = set()
-        self._emptying_since = -math.inf  # when draining, or stopping without a drain, began
+        self._drain_started_at = -math.inf  # when draining, or stopping without a drain, began
         self._has_successor = False  # another process serves clients at the same address
         self._stop_requested_at = math.inf
 
@@ -80,7 +80,7 @@
         self.drain_requesters.add(requester)
         if not self._enter(State.DRAINING):
             return False
-        self._emptying_since = now
+        self._drain_started_at = now
         return True
 
     def resume(self, requester: DrainRequester) -> bool:
@@ -96,7 +96,7 @@
         if not self._enter(State.STOPPING):
             return False
         if not was_draining:  # the grace periods of a drain have begun already
-            self._emptying_since = now
+            self._drain_started_at = now
         self._has_successor = has_successor
         self._stop_requested_at = now
         return True
@@ -108,7 +108,7 @@
         return self.state is State.SERVING
 
     def is_ready(self) -> bool:
-        """Return whether a load balancer's PING gets PONG. With a successor, the process answers for both."""
+        """Return whether a load balancer's PING gets PONG; when stopping, also on behalf of a successor."""
         return self.is_serving() or (self.state is State.STOPPING and self._has_successor)
 
     def accepts_connections(self, now: float) -> bool:
@@ -117,18 +117,18 @@
         A draining gateway accepts them too, so that a load balancer can read "not ready".
         """
         if self.state is State.STOPPING:
-            return not self._has_successor and now - self._emptying_since < DRAIN_GRACE_S
+            return not self._has_successor and now - self._drain_started_at < DRAIN_GRACE_S
         return self.state is not State.STARTING
 
     def closes_idle_connections(self, now: float) -> bool:
         """Return whether a client connection is closed as soon as no response is pending on it."""
         if self.state is State.STOPPING and self._has_successor:
             return True
-        return self._is_emptying() and now - self._emptying_since >= DRAIN_GRACE_S
+        return self._is_draining_or_stopping() and now - self._drain_started_at >= DRAIN_GRACE_S
 
     def reads_while_responding(self, now: float) -> bool:
         """Return whether a connection is read while a response is pending on it."""
-        return not self._is_emptying() or now - self._emptying_since < READ_GRACE_S
+        return not self._is_draining_or_stopping() or now - self._drain_started_at < READ_GRACE_S
 
     def last_response_at(self, longest_deadline_s: float) -> float:
         """Return the time by which requests that arrive while stopping must have their last response.
@@ -138,5 +138,5 @@
         longest = min(longest_deadline_s, KILL_MAX_DEADLINE_S)
         return self._stop_requested_at + longest + KILL_DELAY_S - LAST_RESPONSE_MARGIN_S
 
-    def _is_emptying(self) -> bool:
+    def _is_draining_or_stopping(self) -> bool:
         return self.state in (State.DRAINING, State.STOPPING)
--- a/mapleshunt/recording/file_format.py
+++ b/mapleshunt/recording/file_format.py
@@ -34,7 +34,7 @@
 
 
 class RecordingError(ValueError):
-    """A file that is no valid recording; the message is for operators."""
+    """A file that is not a valid recording; the message is for operators."""
 
 
 class RecordedAttempt(msgspec.Struct, array_like=True, frozen=True):
--- a/mapleshunt/recording/writer.py
+++ b/mapleshunt/recording/writer.py
@@ -53,7 +53,7 @@
         self._hashes: dict[str, bytes] = {}
         self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)  # -1 once closed
         self._number = self._continue_or_begin(settings, now)  # of the current block
-        self._flushing = PeriodicTask(self.flush, FLUSH_INTERVAL_S)
+        self._flush_task = PeriodicTask(self.flush, FLUSH_INTERVAL_S)
 
     def _continue_or_begin(self, settings: Settings, now: float) -> int:
         """Continue a recording of the same shape, or begin a new one; return the next block's number."""
@@ -77,7 +77,7 @@
 
     def start(self) -> None:
         """Start to write the current block periodically, on the running event loop."""
-        self._flushing.start()
+        self._flush_task.start()
 
     def hash_customer(self, name: str) -> bytes:
         """Return the customer's salted hash, cached."""
@@ -94,7 +94,7 @@
             return
         row = ROW_ENCODER.encode(self._to_row(context))
         if self._row_bytes + len(row) > MAX_BLOCK_ROW_BYTES:
-            self.flush(done=True)
+            self.flush(end_block=True)
         if not self._rows:
             self._first_arrival = context.received_at
         self._rows.append(row)
@@ -127,21 +127,21 @@
             ),
         )
 
-    def flush(self, done: bool = False) -> None:
-        """Write the current block; with `done`, begin the next one after it."""
+    def flush(self, end_block: bool = False) -> None:
+        """Write the current block; with `end_block`, begin the next one after it."""
         if self.file < 0 or not self._rows:
             return
         try:
-            self._write_blocks(done)
+            self._write_blocks(end_block)
         except OSError as error:
             log.log_event("record_failed", path=self.path, why=error)
             self.close(write=False)
             return
-        if done:
+        if end_block:
             self._rows = []
         self._row_bytes = sum(map(len, self._rows))
 
-    def _write_blocks(self, done: bool) -> None:
+    def _write_blocks(self, end_block: bool) -> None:
         """Write the rows as one block, or as several if one does not fit into a slot.
 
         Raises:
@@ -158,15 +158,15 @@
                 parts += [rows[half:], rows[:half]]
                 continue
             os.pwrite(self.file, block, FILE_HEADER.size + self._number % self._slots * SLOT_BYTES)
-            if parts or done:
+            if parts or end_block:
                 self._number += 1
             self._rows = rows
 
     def close(self, write: bool = True) -> None:
         """End the recording, writing the current block if `write`. Repeated calls have no effect."""
         if write:
-            self.flush(done=True)
-        self._flushing.stop()
+            self.flush(end_block=True)
+        self._flush_task.stop()
         if self.file >= 0:
             os.close(self.file)
         self.file = -1
--- a/mapleshunt/server/gateway_server.py
+++ b/mapleshunt/server/gateway_server.py
@@ -42,16 +42,16 @@
     from ..net.hot_restart.takeover import Takeover
 
 PROCESS_STARTED_AT = time.monotonic()  # s: when this module was imported
-# For which the event loop runs, with everything ready, before the gateway listens. Requests that arrive while
-# startup keeps the processor busy stay unread in the kernel's queue, and their remaining time would only be
-# counted from when they are read.
+# Time for which the event loop runs, with everything ready, before the gateway listens. Requests that arrive
+# while startup keeps the processor busy stay unread in the kernel's queue, and their remaining time would be
+# counted only from when they are read.
 LISTEN_DELAY_S = 0.002
 SHUTDOWN_MARGIN_S = 0.5  # after the longest deadline, for writing pending responses
 SHUTDOWN_POLL_INTERVAL_S = 0.01
 UPSTREAM_SWEEP_INTERVAL_S = 1.0
 CLIENT_SWEEP_INTERVAL_S = 0.1
 COUNTERS_LOG_INTERVAL_S = 10.0  # a process that is killed logs no counters at its end
-# Bounds the responses that a client does not read to the process's memory divided by this.
+# The unwritten responses of one client are limited to the process's memory divided by this.
 UNWRITTEN_MEMORY_DIVISOR = 64
 
 
--- a/mapleshunt/settings/schema.py
+++ b/mapleshunt/settings/schema.py
@@ -32,7 +32,7 @@
 
 
 def _item_type(kind: Any) -> Any:
-    """Return the type of a tuple's items, or None if the field is no tuple."""
+    """Return the type of a tuple's items, or None if the field is not a tuple."""
     base_type = _base_type(kind)
     if typing.get_origin(base_type) is tuple:
         return typing.get_args(base_type)[0]
