--- a/mapleshunt/maintenance/agent.py
+++ b/mapleshunt/maintenance/agent.py
@@ -1,8 +1,8 @@
-"""The machine's side of its grant: when it drains, is safe to work on, and serves again.
+"""The machine's side of a grant: when it drains, is safe to work on, and serves again.
 
-It acts only on a grant that it can show to be valid by its own clock: counted from before it asked, for what
-the log says is left, less the drift of clocks. A machine that slept past the end first undoes what it began
-under the grant, whatever the log says by then.
+It acts only on a grant that is valid by its own clock: counted from before its request, for the time that the
+log says is left, less the drift of clocks. A machine that was suspended past that end first undoes what it
+began under the grant, whatever the log says by then.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from .commands import Progress
 from .records import GRANT_STATES, JobState, MachineJob
 
-MAX_CLOCK_DRIFT = 0.01  # part of a grant by which two clocks may differ
-WITH_REPLICAS = "copies"  # of a hand-over: replicas move too, not just leadership
+MAX_CLOCK_DRIFT = 0.01  # part of a grant's time by which two clocks may differ
+WITH_REPLICAS = "copies"  # state of a hand-over action: migrate replicas as well as leadership
 
 
 @dataclass(slots=True, frozen=True)
 class RemainingWork:
-    """What a gateway has to be rid of before it is safe."""
+    """Requests, clients and roles that a gateway must have none of to be safe."""
 
     open_requests: int
     clients: int
@@ -28,26 +28,26 @@
     drained: bool  # it accepts no clients
 
     def describe(self, move_replicas: bool) -> str:
-        """What is left, by name and number; empty if nothing is."""
-        left = {"requests": self.open_requests, "clients": self.clients, "groups led": self.groups_led}
+        """Return the names and numbers of what remains; empty if nothing does."""
+        counts = {"requests": self.open_requests, "clients": self.clients, "groups led": self.groups_led}
         if move_replicas:
-            left["copies"] = self.replicas
-        return ", ".join(f"{name} {number}" for name, number in left.items() if number)
+            counts["copies"] = self.replicas
+        return ", ".join(f"{name} {count}" for name, count in counts.items() if count)
 
 
 class AgentActionKind(StrEnum):
-    """What the host of an agent is to do."""
+    """Kinds of actions that an agent's host carries out."""
 
     DRAIN = "drain"
     RESUME = "resume"
     HAND_OVER = "hand_over"  # leadership and, if the action's state is `WITH_REPLICAS`, replicas
-    TAKE_BACK = "take_back"  # replicas
-    REPORT = "tell"  # the action's state, to the log
+    TAKE_BACK = "take_back"  # the migrated replicas
+    REPORT = "tell"  # propose the action's state to the log
 
 
 @dataclass(slots=True, frozen=True)
 class AgentAction:
-    """An action of an agent, for its host to carry out."""
+    """An action that an agent's host carries out."""
 
     kind: AgentActionKind
     state: str = ""
@@ -61,11 +61,11 @@
     def __init__(self) -> None:
         self.fencing_token = 0
         self.deadline = float("-inf")  # s, by its own clock
-        self.drained = False  # by its grant; operators may have drained it besides
+        self.drained = False  # by its grant; operators may drain the gateway independently
         self.replicas_moved = False
 
     def update_grant(self, requested_at: float, stamp: float, job: MachineJob | None) -> None:
-        """What the log says at its time `stamp`, ms; it was asked at `requested_at`, s by the own clock."""
+        """Set the grant from `job`, requested at `requested_at`, own s, and read at the log's `stamp`, ms."""
         if job is not None and job.state in GRANT_STATES:
             self.fencing_token = job.fencing_token
             self.deadline = requested_at + (job.expires_at - stamp) / 1000 * (1 - MAX_CLOCK_DRIFT)
@@ -73,23 +73,23 @@
     def step(
         self, now: float, job: MachineJob | None, move_replicas: bool, remaining: RemainingWork
     ) -> list[AgentAction]:
-        """What to do at `now` (s of the own clock), given the latest that is known of the job."""
+        """Return the actions at `now` (s of the own clock) for the job as it was last read."""
         if job is None:
             return self._undo()
         if job.state in GRANT_STATES and job.fencing_token == self.fencing_token:
             if now >= self.deadline:
                 report = _report(job, Progress.UNDONE, "too late by its own clock")
                 return [*self._undo(), report]
-            return self._empty(job, move_replicas, remaining)
+            return self._drain(job, move_replicas, remaining)
         if job.state == JobState.RECALLED:
-            # Reported once it accepts clients again, after it has undone what this process began.
+            # Reported only when the gateway accepts clients again and this process has undone its changes.
             report = _report(job, Progress.UNDONE, "called back")
             return self._undo() or ([report] if not remaining.drained else [])
         if job.state in (JobState.OUT, JobState.OVERDUE):
-            return []  # the operator who works on it ends this
+            return []  # ended by the operator who works on the machine
         return self._undo()
 
-    def _empty(self, job: MachineJob, move_replicas: bool, remaining: RemainingWork) -> list[AgentAction]:
+    def _drain(self, job: MachineJob, move_replicas: bool, remaining: RemainingWork) -> list[AgentAction]:
         hand_over = AgentAction(AgentActionKind.HAND_OVER, WITH_REPLICAS if move_replicas else "")
         if not self.drained:
             self.drained = True
@@ -98,10 +98,10 @@
             return [*actions, _report(job, Progress.DRAINING)] if job.state == JobState.GRANTED else actions
         if job.state == JobState.GRANTED:
             return [_report(job, Progress.DRAINING)]
-        left = remaining.describe(move_replicas)
-        if job.state == JobState.DRAINING and not left and remaining.drained:
+        unfinished = remaining.describe(move_replicas)
+        if job.state == JobState.DRAINING and not unfinished and remaining.drained:
             return [_report(job, Progress.SAFE)]
-        return [AgentAction(hand_over.kind, hand_over.state, left)] if remaining.groups_led else []
+        return [AgentAction(hand_over.kind, hand_over.state, unfinished)] if remaining.groups_led else []
 
     def _undo(self) -> list[AgentAction]:
         if not self.drained:
--- a/mapleshunt/maintenance/budget.py
+++ b/mapleshunt/maintenance/budget.py
@@ -6,20 +6,20 @@
 
 
 class Budget(msgspec.Struct, array_like=True, frozen=True):
-    """Limits on machines that are out, planned and unplanned together. Times in s."""
+    """Limits on machines that are out, planned or not. Durations in s."""
 
     max_out: int = 1
     max_out_per_zone: int = 1
-    max_load: float = 0.8  # of those left, 1 being all they can do
-    load_slack: float = 0.1  # below `max_load` by so much before grants go on again
-    pause_s: float = 10.0  # after a machine is back, before the next goes
-    drain_s: float = 60.0  # that a machine has to become safe: how long a grant holds
-    max_failures: int = 2  # machines that failed, after which nobody goes until an operator resumes
-    closed_windows: tuple[tuple[float, float], ...] = ()  # from and to, Unix time
+    max_load: float = 0.8  # mean load of the remaining machines, as a fraction of their capacity
+    load_slack: float = 0.1  # below `max_load` that the load must fall before grants continue
+    pause_s: float = 10.0  # between a machine's return and the next grant
+    drain_s: float = 60.0  # that a machine has to become safe; the duration of a grant
+    max_failures: int = 2  # failed machines that stop all grants until an operator resumes
+    closed_windows: tuple[tuple[float, float], ...] = ()  # start and end, Unix time
 
 
 def budget_error(budget: Budget) -> str:
-    """Why a budget makes no sense or lets nobody go, by the keys of the settings; empty if it is valid."""
+    """Return why a budget is contradictory or allows no grant, by the settings' keys; empty if valid."""
     return _range_error(budget) or _contradiction(budget)
 
 
--- a/mapleshunt/maintenance/commands.py
+++ b/mapleshunt/maintenance/commands.py
@@ -1,4 +1,4 @@
-"""Commands of maintenance, as they go through the log."""
+"""Commands of maintenance, as they are stored in the log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestMaintenance(msgspec.Struct, array_like=True, tag=30, frozen=True):
-    """Ask that machines be taken out; the same `request_id` again changes nothing."""
+    """Request that machines be taken out; a known `request_id` changes nothing."""
 
     request_id: str
     machines: tuple[str, ...]
@@ -20,18 +20,18 @@
     earliest_time: float = 0.0  # Unix time
     urgency: int = 0  # 0 to 9
     move_replicas: bool = False  # replicas are moved to other machines first
-    target_version: str = ""  # that a machine must have when it is back
+    target_version: str = ""  # that a machine must have after its return; empty for any
 
 
 class WithdrawRequest(msgspec.Struct, array_like=True, tag=31, frozen=True):
-    """Take a request back: what is queued does not go, what drains is recalled."""
+    """Withdraw a request: queued machines are not taken out, those that drain are recalled."""
 
     request_id: str
     author: str
 
 
 class SetHold(msgspec.Struct, array_like=True, tag=32, frozen=True):
-    """Stop all grants from now on, or resume them."""
+    """Hold all grants, or resume them."""
 
     held: bool
     author: str
@@ -39,7 +39,7 @@
 
 
 class ForceGrant(msgspec.Struct, array_like=True, tag=33, frozen=True):
-    """Grant that machine whatever the budget says; each group still keeps a majority."""
+    """Grant a machine regardless of the budget; each group still keeps a majority."""
 
     machine: str
     author: str
@@ -65,14 +65,14 @@
 
 
 class GroupView(msgspec.Struct, array_like=True, frozen=True):
-    """Gateways that vote in a group, and those of them whose replicas are reachable and up to date."""
+    """The gateways that vote in a group, and those whose replicas are reachable and up to date."""
 
     voters: tuple[str, ...]
     up_to_date: tuple[str, ...]
 
 
 class FleetView(msgspec.Struct, array_like=True, tag=35, frozen=True):
-    """What the coordinator sees now: grants and returns follow from this entry and the state before it."""
+    """The coordinator's view of the fleet; applying it makes grants and finishes returns."""
 
     wall_time: float  # Unix time
     machines: tuple[MachineView, ...]
@@ -80,18 +80,21 @@
 
 
 class Progress(StrEnum):
-    """What may be reported of a machine that has a grant. The values are stored and sent."""
+    """Progress of a machine that has a grant. The values are stored and sent."""
 
     DRAINING = "draining"
     SAFE = "safe"
     OUT = "out"
     RETURNING = "returning"
-    UNDONE = "undone"  # it serves again as before the grant
+    UNDONE = "undone"  # the machine serves again as before the grant
     FAILED = "failed"
 
 
 class ReportProgress(msgspec.Struct, array_like=True, tag=36, frozen=True):
-    """A machine, or the operator who works on it, reports its progress under its grant's fencing token."""
+    """Report the progress of a machine under its grant's fencing token.
+
+    Sent by the machine or by the operator who works on it.
+    """
 
     machine: str
     fencing_token: int
--- a/mapleshunt/maintenance/fleet_view.py
+++ b/mapleshunt/maintenance/fleet_view.py
@@ -9,9 +9,9 @@
 from .jobs import MaintenanceJobs
 from .records import GRANT_STATES, JobState
 
-MAX_REPLICA_LAG_ENTRIES = 1000  # by which a replica may be behind and still count as up to date
+MAX_REPLICA_LAG_ENTRIES = 1000  # by which an up-to-date replica may be behind its leader's commit
 
-# The status of a gateway as the host of its replicas sends it: plain JSON values by key.
+# The status that a gateway's `ReplicationHost` sends: JSON values by key.
 GatewayStatus = Mapping[str, Any]
 
 
@@ -22,9 +22,10 @@
     statuses: Mapping[str, GatewayStatus | None],
     jobs: MaintenanceJobs,
 ) -> FleetView:
-    """The fleet at `wall_time` (Unix time, s), from the zone and the latest status of each gateway.
+    """Return the fleet at `wall_time` (Unix time, s), from the zone and latest status of each gateway.
 
-    A machine is available if its gateway answers and accepts clients, or if a grant is why it does not.
+    A machine is available if its gateway answers and either accepts clients or has a grant, also a recalled
+    one.
     """
     answering = {name: status for name, status in statuses.items() if status is not None}
     leaders = _leaders(answering)
@@ -40,14 +41,14 @@
     views = [
         _group_view(leaders[number], commits[number])
         if number in leaders
-        else GroupView(tuple(sorted(zones)), ())  # nobody knows its voters: no machine may go
+        else GroupView(tuple(sorted(zones)), ())  # unknown voters: no machine may be taken out
         for number in range(groups)
     ]
     return FleetView(wall_time, tuple(machines), tuple(views))
 
 
 def _leaders(statuses: Mapping[str, GatewayStatus]) -> dict[int, Mapping[str, Any]]:
-    """By group, the status of its leader; of two the one with the higher term, of equals the later."""
+    """Return the leader's status of each group: the highest term, and the last one of equal terms."""
     leaders: dict[int, Mapping[str, Any]] = {}
     for status in statuses.values():
         for group in status["groups"]:
@@ -58,7 +59,7 @@
 
 
 def _commits(statuses: Mapping[str, GatewayStatus]) -> dict[int, dict[str, int]]:
-    """By group and replica, the last entry that it knows to be committed."""
+    """Return the commit index of each replica, by group and replica id."""
     commits: dict[int, dict[str, int]] = {}
     for name, status in statuses.items():
         for group in status["groups"]:
--- a/mapleshunt/maintenance/grant_limits.py
+++ b/mapleshunt/maintenance/grant_limits.py
@@ -1,4 +1,4 @@
-"""Limits on a grant that follow from the fleet alone: majorities, and how many machines may be out."""
+"""Limits on grants that follow from the fleet: groups' majorities, and the number of machines out."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from .budget import Budget
 from .commands import FleetView, MachineView
 
-MAX_NAMED_MACHINES = 5  # in the reason why nobody may go
+MAX_NAMED_MACHINES = 5  # in a reason
 
 
-def why_no_majority(machine: str, fleet: FleetView, out: set[str]) -> str:
-    """Which group would lose its majority of up-to-date replicas without the machine; empty if none would."""
+def majority_loss_reason(machine: str, fleet: FleetView, out: set[str]) -> str:
+    """Return which group would lose its up-to-date majority without the machine; empty if none would."""
     for number, group in enumerate(fleet.groups):
-        left = [name for name in group.up_to_date if name not in out and name != machine]
-        if machine in group.voters and 2 * len(left) <= len(group.voters):
+        remaining = [name for name in group.up_to_date if name not in out and name != machine]
+        if machine in group.voters and 2 * len(remaining) <= len(group.voters):
             return f"group {number} would have no majority without {machine}"
     return ""
 
 
-def why_too_many(budget: Budget, machine: str, views: Mapping[str, MachineView], out: set[str]) -> str:
-    """Why the budget lets no other machine out, beside those of `out`; empty if it does."""
+def max_out_reason(budget: Budget, machine: str, views: Mapping[str, MachineView], out: set[str]) -> str:
+    """Return which limit of the budget the machines in `out` use up; empty if the machine may be added."""
     if len(out | {machine}) > budget.max_out:
         names = ", ".join(sorted(out)[:MAX_NAMED_MACHINES])
         return f"{len(out)} of {budget.max_out} are out: {names}"
--- a/mapleshunt/maintenance/jobs.py
+++ b/mapleshunt/maintenance/jobs.py
@@ -1,17 +1,18 @@
-"""The state machine of maintenance: who goes out when. Every gateway applies the same log and so agrees.
+"""The replicated state machine of maintenance: which machine is taken out when.
 
-Grants are made where an entry is applied, from the state and from what the coordinator saw, which is in the
-entry too: the next coordinator goes on from there, and nobody acts on a view of its own. A grant has a
-fencing token that only grows, and an end in the log's time; progress that is reported under an older token
-is rejected.
+Grants are made when a log entry is applied, from the state and the coordinator's fleet view in the entry, so
+that all gateways agree and a new coordinator continues from there. A grant has a fencing token that only
+grows, and an end in the log's time; progress reported under another token is rejected.
 
-The order: the most urgent first, a step of urgency being worth `URGENCY_STEP_MS` of waiting, so that nobody
-waits for ever; then the zone with the fewest machines out or done, the fewest groups led, the name.
+Queued machines are ordered by urgency, where a step of urgency is worth `URGENCY_STEP_MS` of waiting so that
+no machine waits for ever; then by the fewest machines of the zone that are out or done, by the fewest groups
+led, and by name.
 
-Machines count as out from their grant until they are back and checked, also those whose grant expired (until
-they have proved to be back), and so do all that are unavailable without a grant. A grant is made only if with
-it at most `max_out`, and `max_out_per_zone` of a zone, are out, each group keeps a majority of replicas that
-are up to date, those left are not overloaded, and no pause, closed window, hold or failure forbids it.
+A machine counts as out from its grant until it is back and checked, also after the grant expired (until it
+reports that it has undone its changes); so does every machine that is unavailable without a grant. A grant is
+made only if with it at most `max_out` machines, and `max_out_per_zone` of a zone, are out, each group keeps a
+majority of up-to-date replicas, the remaining machines are not overloaded, and no pause, closed window, hold
+or failure forbids it.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     SetHold,
     WithdrawRequest,
 )
-from .grant_limits import why_no_majority, why_too_many
+from .grant_limits import majority_loss_reason, max_out_reason
 from .records import (
     FINAL_STATES,
     FORCED,
@@ -47,15 +48,15 @@
     MaintenanceSnapshot,
 )
 
-URGENCY_STEP_MS = 600_000.0  # of waiting that a step of urgency is worth
+URGENCY_STEP_MS = 600_000.0  # of waiting, equivalent to one step of urgency
 MAX_URGENCY = 9
 MAX_REQUESTS = 256
 MAX_OPEN_JOBS = 1024
-MAX_HISTORY_ENTRIES = 64  # of a job; the oldest are dropped
+MAX_HISTORY_ENTRIES = 64  # of a job; older ones are dropped
 MAX_TEXT_CHARS = 500  # of a reason
-NEVER_RETURNED = -1e18  # ms, as it is stored
+NEVER_RETURNED = -1e18  # ms, the stored form of "no return yet"
 
-# What may be reported in a state.
+# Progress that may be reported in each state.
 ALLOWED_PROGRESS: dict[str, tuple[Progress, ...]] = {
     JobState.GRANTED: (Progress.DRAINING, Progress.UNDONE, Progress.FAILED),
     JobState.DRAINING: (Progress.SAFE, Progress.UNDONE, Progress.FAILED),
@@ -68,7 +69,7 @@
 
 
 class MaintenanceError(Exception):
-    """The operation changes nothing; its text is the reason, which is stored and sent."""
+    """An operation that is denied and changes nothing; the text is stored and sent."""
 
 
 class MaintenanceJobs:
@@ -80,16 +81,16 @@
         self.last_fencing_token = 0
         self.failures = 0  # since an operator resumed
         self.last_return_at = float("-inf")  # ms of the log's time
-        self.overloaded = False  # with one more out: grants wait for some slack
+        self.overloaded = False  # the last check found too much load: grants wait for the slack
         self.requests: dict[str, MaintenanceRequest] = {}
         self.jobs: dict[tuple[str, str], MachineJob] = {}  # by request and machine
-        self.blocked_reason = ""  # why no queued machine may go, as of the last fleet view
+        self.blocked_reason = ""  # why no queued machine got a grant at the last fleet view
         self.budget_was_set = False
 
     # Snapshots
 
     def snapshot(self) -> MaintenanceSnapshot:
-        """The stored form of the state."""
+        """Return the stored form of the state."""
         return MaintenanceSnapshot(
             self.budget,
             self.hold_reason,
@@ -104,7 +105,7 @@
         )
 
     def restore(self, snapshot: MaintenanceSnapshot) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.budget = snapshot.budget
         self.hold_reason = snapshot.hold_reason
         self.last_fencing_token = snapshot.last_fencing_token
@@ -119,10 +120,10 @@
     # Commands
 
     def apply(self, now: float, operation: Operation) -> float:
-        """Apply a command at the log's time `now`, ms; returns the last fencing token.
+        """Apply a command at the log's time `now`, ms, and return the last fencing token.
 
         Raises:
-            MaintenanceError: the command changes nothing.
+            MaintenanceError: the command is denied and changes nothing.
         """
         match operation:
             case RequestMaintenance():
@@ -142,13 +143,13 @@
         return float(self.last_fencing_token)
 
     def open_jobs(self) -> list[MachineJob]:
-        """Jobs that are not over, in the order of their requests."""
+        """Return the jobs that are not in a final state, in the order of their requests."""
         return [job for job in self.jobs.values() if job.state not in FINAL_STATES]
 
     def job_of(self, machine: str) -> MachineJob | None:
-        """The open job of a machine: the one that counts as out, if any, else the first that is queued."""
-        mine = [job for job in self.open_jobs() if job.machine == machine]
-        return next((job for job in mine if job.state in OUT_STATES), mine[0] if mine else None)
+        """Return a machine's open job: the one that counts as out, else the first queued, else None."""
+        jobs = [job for job in self.open_jobs() if job.machine == machine]
+        return next((job for job in jobs if job.state in OUT_STATES), jobs[0] if jobs else None)
 
     def _request_maintenance(self, now: float, details: RequestMaintenance) -> None:
         if details.request_id in self.requests:
@@ -174,7 +175,7 @@
             raise MaintenanceError("too much is asked for already")
 
     def _make_room(self) -> bool:
-        """Whether a request may be added; finished ones are dropped, the oldest first."""
+        """Drop the oldest finished requests as needed; return whether a request may be added."""
         open_requests = {job.request_id for job in self.open_jobs()}
         for request_id in [known for known in self.requests if known not in open_requests]:
             if len(self.requests) < MAX_REQUESTS:
@@ -187,7 +188,7 @@
     def _enter(
         self, now: float, job: MachineJob, state: str, reason: str = "", author: str = "", **changes: object
     ) -> None:
-        """Let a job enter a state; `changes` are other fields of it, by name."""
+        """Change a job's state and add it to the history; `changes` are other fields, by name."""
         entry = HistoryEntry(now, state, reason[:MAX_TEXT_CHARS], author)
         history = (*job.history, entry)[-MAX_HISTORY_ENTRIES:]
         changed = msgspec.structs.replace(job, state=state, state_since=now, history=history, **changes)
@@ -202,7 +203,7 @@
             elif job.state in GRANT_STATES:
                 withdrawn = JobState.WITHDRAWN
                 self._enter(now, job, JobState.RECALLED, withdrawn, author, outcome=withdrawn)
-            # A machine that is out comes back as any other.
+            # A machine that is out returns in the usual way.
 
     def _set_hold(self, hold: SetHold) -> None:
         if hold.held:
@@ -235,7 +236,7 @@
         if job is None or job.fencing_token != report.fencing_token:
             raise MaintenanceError("fence")
         if job.state == report.state:
-            return  # reported again
+            return  # a repeated report
         if report.state not in ALLOWED_PROGRESS.get(job.state, ()):
             raise MaintenanceError(f"{report.machine} is {job.state}")
         if job.state in GRANT_STATES and report.state != Progress.UNDONE and now > job.expires_at:
@@ -247,14 +248,14 @@
                 self.failures += 1
                 self._enter(now, job, JobState.RECALLED, report.reason, outcome=JobState.FAILED)
             case Progress.SAFE:
-                # It waits for the operator who works on it, as long as a drain may take.
+                # The operator has as long to start the work as a drain may take.
                 expires_at = now + 1000 * self.budget.drain_s
                 self._enter(now, job, JobState.SAFE, report.reason, expires_at=expires_at)
             case progress:
                 self._enter(now, job, progress.value, report.reason)
 
     def _undo(self, now: float, job: MachineJob, reason: str) -> None:
-        """The machine serves again as before its grant."""
+        """End the job if it was withdrawn or failed, else queue it again; the machine serves as before."""
         if job.outcome in (JobState.WITHDRAWN, JobState.FAILED):
             self._enter(now, job, job.outcome, reason, fencing_token=0, expires_at=0.0)
         else:
@@ -271,16 +272,16 @@
         if queued:
             self.blocked_reason = ""
         while queued:
-            job = self._in_order(now, queued, views)[0]
+            job = self._ordered(now, queued, views)[0]
             queued.remove(job)
             view = views.get(job.machine)
             if view is not None and not view.available:
-                continue  # it is out without a grant, and could not drain; others go meanwhile
-            self.blocked_reason = self._why_not(now, job, fleet, views, self._machines_out(views))
+                continue  # unavailable without a grant: it cannot drain, and does not block others
+            self.blocked_reason = self._denial_reason(now, job, fleet, views, self._machines_out(views))
             if not self.blocked_reason:
                 self._grant(now, job)
             elif job.outcome != FORCED:
-                break  # nobody overtakes the first in order
+                break  # no later machine overtakes the first in order
 
     def _grant(self, now: float, job: MachineJob) -> None:
         self.last_fencing_token += 1
@@ -295,7 +296,7 @@
         )
 
     def _expire_grants(self, now: float) -> None:
-        """Recall machines whose grant ended; they count as out until they have undone what they began."""
+        """Recall machines whose grant expired, and mark those that are out for too long as overdue."""
         for job in self.open_jobs():
             if job.state in GRANT_STATES and now > job.expires_at:
                 self._enter(now, job, JobState.RECALLED, "the grant ran out")
@@ -308,22 +309,22 @@
             view = views.get(job.machine)
             if job.state != JobState.RETURNING or view is None or not view.available:
                 continue
-            wanted = self.requests[job.request_id].details.target_version
-            if wanted and view.version != wanted:
+            target_version = self.requests[job.request_id].details.target_version
+            if target_version and view.version != target_version:
                 self.failures += 1
-                reason = f"it is back with version {view.version or 'unknown'}, not {wanted}"
+                reason = f"it is back with version {view.version or 'unknown'}, not {target_version}"
                 self._enter(now, job, JobState.FAILED, reason, fencing_token=0)
             else:
                 self._enter(now, job, JobState.DONE, fencing_token=0)
             self.last_return_at = now
 
     def _machines_out(self, views: Mapping[str, MachineView]) -> set[str]:
-        """All that count as out: planned, or unavailable without a grant."""
+        """Return all machines that count as out: with a grant, or unavailable."""
         planned = {job.machine for job in self.open_jobs() if job.state in OUT_STATES}
         return planned | {name for name, view in views.items() if not view.available}
 
     def _recall_above_budget(self, now: float, out: Iterable[str]) -> None:
-        """Recall machines that still drain where unplanned losses use the budget, the last granted first."""
+        """Recall machines that still drain if more are out than allowed, the last granted first."""
         excess = len(set(out)) - self.budget.max_out
         draining = [job for job in self.open_jobs() if job.state in (JobState.GRANTED, JobState.DRAINING)]
         recallable = [job for job in draining if not self._is_forced(job)]
@@ -334,24 +335,24 @@
     def _is_forced(job: MachineJob) -> bool:
         return any(entry.reason.startswith(FORCED) for entry in job.history)
 
-    def _in_order(
+    def _ordered(
         self, now: float, queued: list[MachineJob], views: Mapping[str, MachineView]
     ) -> list[MachineJob]:
         zones = {name: view.zone for name, view in views.items()}
-        went = [job for job in self.jobs.values() if job.state in OUT_STATES or job.state == JobState.DONE]
-        went_by_zone = Counter(zones.get(job.machine, "") for job in went)
+        started = [job for job in self.jobs.values() if job.state in OUT_STATES or job.state == JobState.DONE]
+        started_by_zone = Counter(zones.get(job.machine, "") for job in started)
 
         def key(job: MachineJob) -> tuple[bool, float, int, int, str]:
             request = self.requests[job.request_id]
             rank = request.details.urgency * URGENCY_STEP_MS + now - request.submitted_at
             view = views.get(job.machine)
             groups_led = view.groups_led if view is not None else 0
-            in_zone = went_by_zone[zones.get(job.machine, "")]
+            in_zone = started_by_zone[zones.get(job.machine, "")]
             return job.outcome != FORCED, -rank, in_zone, groups_led, job.machine
 
         return sorted(queued, key=key)
 
-    def _why_not(
+    def _denial_reason(
         self,
         now: float,
         job: MachineJob,
@@ -359,19 +360,19 @@
         views: Mapping[str, MachineView],
         out: set[str],
     ) -> str:
-        """Why a machine may not go now; empty if it may."""
+        """Return why a machine gets no grant now; empty if it gets one."""
         if job.machine not in views:
             return f"{job.machine} is no machine of this fleet"
-        lost_majority = why_no_majority(job.machine, fleet, out)
-        if lost_majority or job.outcome == FORCED:
-            return lost_majority
+        majority_loss = majority_loss_reason(job.machine, fleet, out)
+        if majority_loss or job.outcome == FORCED:
+            return majority_loss
         return (
-            self._why_stopped(now, job, fleet.wall_time)
-            or why_too_many(self.budget, job.machine, views, out)
-            or self._why_overloaded(job.machine, views, out)
+            self._stopped_reason(now, job, fleet.wall_time)
+            or max_out_reason(self.budget, job.machine, views, out)
+            or self._overload_reason(job.machine, views, out)
         )
 
-    def _why_stopped(self, now: float, job: MachineJob, wall_time: float) -> str:
+    def _stopped_reason(self, now: float, job: MachineJob, wall_time: float) -> str:
         if self.hold_reason:
             return f"held: {self.hold_reason}"
         if self.failures >= self.budget.max_failures:
@@ -384,10 +385,10 @@
             return "a pause after the last return"
         return ""
 
-    def _why_overloaded(self, machine: str, views: Mapping[str, MachineView], out: set[str]) -> str:
-        left = [name for name in views if name not in out and name != machine]
+    def _overload_reason(self, machine: str, views: Mapping[str, MachineView], out: set[str]) -> str:
+        remaining = [name for name in views if name not in out and name != machine]
         total_load = sum(view.load for name, view in views.items() if name not in out)
-        load = total_load / len(left) if left else float("inf")
+        load = total_load / len(remaining) if remaining else float("inf")
         limit = self.budget.max_load - (self.budget.load_slack if self.overloaded else 0.0)
         self.overloaded = load > limit
         if self.overloaded:
--- a/mapleshunt/maintenance/records.py
+++ b/mapleshunt/maintenance/records.py
@@ -1,4 +1,4 @@
-"""What the replicated state holds of maintenance: requests, and one job for each of their machines."""
+"""Records of maintenance in the replicated state: requests, and a job for each of their machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class JobState(StrEnum):
-    """States of a machine within a request, each entered by an entry of the log. The values are stored."""
+    """States of a job; each change is made by a log entry. The values are stored."""
 
     QUEUED = "queued"
     GRANTED = "granted"
@@ -31,11 +31,11 @@
 OUT_STATES = (*GRANT_STATES, JobState.OUT, JobState.RETURNING, JobState.RECALLED, JobState.OVERDUE)
 FINAL_STATES = (JobState.DONE, JobState.WITHDRAWN, JobState.FAILED)
 
-FORCED = "forced"  # an outcome that is stored, and the begin of the reason in the job's history
+FORCED = "forced"  # a stored outcome, and the start of the reason in the job's history
 
 
 class HistoryEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A change of a job's state."""
+    """A change of a job's state or of its outcome."""
 
     at: float  # ms of the log's time
     state: str
@@ -44,7 +44,7 @@
 
 
 class MachineJob(msgspec.Struct, array_like=True, frozen=True):
-    """A machine within a request. Times are ms of the log's time."""
+    """The maintenance of one machine of a request. Times in ms of the log's time."""
 
     machine: str
     request_id: str
@@ -52,12 +52,12 @@
     fencing_token: int = 0
     state_since: float = 0.0
     expires_at: float = 0.0  # when the grant ends
-    outcome: str = ""  # once it is undone: withdrawn or failed, else it is queued again; or `FORCED`
+    outcome: str = ""  # state after the undo: withdrawn or failed; if empty it is queued again; or `FORCED`
     history: tuple[HistoryEntry, ...] = ()
 
 
 class MaintenanceRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A request that was accepted."""
+    """An accepted request."""
 
     details: RequestMaintenance
     submitted_at: float  # ms of the log's time
--- a/mapleshunt/maintenance/summary.py
+++ b/mapleshunt/maintenance/summary.py
@@ -1,4 +1,4 @@
-"""A summary of the state of maintenance, within the size of one reply."""
+"""A summary of the maintenance state, limited to the size of a response."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from .records import FINAL_STATES, MaintenanceSnapshot
 
-MIN_HISTORY_ENTRIES = 4  # of each job, kept even where the open requests alone are too large
+MIN_HISTORY_ENTRIES = 4  # of each job, included even if the open requests alone exceed the limit
 
 
 def summarize(snapshot: MaintenanceSnapshot, max_bytes: int) -> MaintenanceSnapshot:
-    """All open requests, and the latest of the others, in at most `max_bytes` as far as that is possible.
+    """Return all open and the latest finished requests, in at most `max_bytes` if possible.
 
-    Finished requests are left out first, the oldest first; then the older history of each job.
+    The oldest finished requests are left out first, then the older history of each job.
     """
     while _size(snapshot) > max_bytes:
         finished = _finished_requests(snapshot)
@@ -27,14 +27,16 @@
 
 
 def _finished_requests(snapshot: MaintenanceSnapshot) -> list[str]:
-    """Requests without an open job, the oldest first."""
+    """Return the ids of requests without an open job, the oldest first."""
     open_requests = {job.request_id for job in snapshot.jobs if job.state not in FINAL_STATES}
     request_ids = [request.details.request_id for request in snapshot.requests]
     return [request_id for request_id in request_ids if request_id not in open_requests]
 
 
 def _without(snapshot: MaintenanceSnapshot, request_ids: set[str]) -> MaintenanceSnapshot:
-    requests = tuple(one for one in snapshot.requests if one.details.request_id not in request_ids)
+    requests = tuple(
+        request for request in snapshot.requests if request.details.request_id not in request_ids
+    )
     jobs = tuple(job for job in snapshot.jobs if job.request_id not in request_ids)
     return msgspec.structs.replace(snapshot, requests=requests, jobs=jobs)
 
--- a/mapleshunt/net/maintenance/__init__.py
+++ b/mapleshunt/net/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Maintenance: this gateway's part as a machine and, where it leads group 0, as the coordinator."""
+"""Maintenance in a gateway: as a machine and, if it leads group 0, as the coordinator."""
--- a/mapleshunt/net/maintenance/controls.py
+++ b/mapleshunt/net/maintenance/controls.py
@@ -1,4 +1,4 @@
-"""What maintenance reads of its gateway, and what it lets it do."""
+"""The interface through which maintenance reads and controls its gateway."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Occupancy:
-    """What a gateway has to be rid of before its machine is safe to work on."""
+    """Requests and connections that must end before a gateway's machine is safe to work on."""
 
     open_requests: int
     client_connections: int
-    is_drained: bool  # clients are sent to other gateways
+    is_drained: bool  # the gateway accepts no clients
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayControls:
-    """The functions of a gateway that maintenance calls."""
+    """Functions of a gateway that maintenance calls."""
 
     drain: Callable[[], None]
     resume: Callable[[], None]
--- a/mapleshunt/net/maintenance/coordinator.py
+++ b/mapleshunt/net/maintenance/coordinator.py
@@ -1,4 +1,4 @@
-"""This gateway as the coordinator of maintenance, while it leads group 0."""
+"""The coordinator of maintenance: the gateway that leads group 0."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 from ..replication.host import ReplicationHost
 from .proposal_session import ProposalSessions
 
-VIEW_INTERVAL_S = 0.5  # between two entries of the fleet view
-STATUS_MAX_AGE_S = 1.5  # for which the status of a gateway counts
+VIEW_INTERVAL_S = 0.5  # between two fleet views in the log
+STATUS_MAX_AGE_S = 1.5  # beyond which a gateway's status is not used
 
 
 class Coordinator:
-    """Proposes the operators' budget and what is seen of the fleet; the log decides."""
+    """Proposes the operators' budget and fleet views to the log, which decides on grants."""
 
     def __init__(
         self, replication: ReplicationHost, sessions: ProposalSessions, section: MaintenanceSection
     ) -> None:
-        """Wire it; `tick` is called periodically while this gateway leads group 0."""
+        """Initialize; `tick` is called periodically while this gateway leads group 0."""
         self._replication = replication
         self._requests = replication.requests
         self._sessions = sessions
         self._section = section
         self._viewed_at = float("-inf")  # s
         self._leading_since = float("inf")  # s
-        self._logged_reason = ""  # why jobs wait, as it was logged last
-        # Status by gateway with the time at which it came. Any: a status as msgspec decodes it.
+        self._logged_reason = ""  # the last logged reason why jobs wait
+        # Status of each gateway with its time of receipt. Any: a status as msgspec decodes it.
         self._statuses: dict[str, tuple[float, dict[str, Any]]] = {}
 
     def reload(self, section: MaintenanceSection) -> None:
-        """Use another section; a budget that differs becomes an agreed record."""
+        """Use another section, and propose its budget if that differs."""
         if section.budget() != self._section.budget():
             self._propose_budget(section)
         self._section = section
@@ -56,11 +56,11 @@
         )
 
     def stop(self) -> None:
-        """This gateway does not lead group 0."""
+        """Record that this gateway does not lead group 0."""
         self._leading_since = float("inf")
 
     def tick(self, now: float, jobs: MaintenanceJobs) -> None:
-        """Propose what is missing in the log or has changed."""
+        """Propose the budget if the log has none, and a fleet view while jobs are open."""
         has_own_budget = jobs.budget == self._section.budget()
         if not has_own_budget and not jobs.budget_was_set and not self._sessions.at(0).is_busy():
             self._propose_budget(self._section)
@@ -75,7 +75,7 @@
         statuses = {name: status for name, status in statuses.items() if name in peers}
         self._leading_since = min(self._leading_since, now)
         if now - self._leading_since < STATUS_MAX_AGE_S and len(statuses) < len(peers):
-            return  # it has just begun to lead: a gateway without a response yet is not lost
+            return  # a new leader: a gateway that has not responded yet is not lost
         statuses[self._replication.gateway] = self._replication.status()
         view = fleet_view.build_fleet_view(
             time.time(), self._replication.zones, self._replication.section.groups, statuses, jobs
--- a/mapleshunt/net/maintenance/host.py
+++ b/mapleshunt/net/maintenance/host.py
@@ -1,4 +1,4 @@
-"""Maintenance on this gateway: wires its parts and drives them periodically."""
+"""Maintenance in a gateway: creates the machine and the coordinator, and calls them periodically."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MaintenanceHost:
-    """Takes part in maintenance from `start` to `close`."""
+    """Runs this gateway's side of maintenance from `start` to `close`."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         controls: GatewayControls,
         counters: Counters,
     ) -> None:
-        """Wire it, and add to the status of replication what maintenance needs to know."""
+        """Create the parts, and add the entries for the coordinator to the replication status."""
         self._replication = replication
         self._section = section
         self._controls = controls
@@ -37,22 +37,22 @@
         replication.status_source = self._status
 
     def start(self) -> None:
-        """Take part periodically from now on."""
+        """Start the periodic calls."""
         self._ticks.start()
 
     def close(self) -> None:
-        """Take part no more."""
+        """Stop the periodic calls."""
         self._ticks.stop()
 
     def reload(self, section: MaintenanceSection) -> None:
-        """Use the section of the operators' file as it is now."""
+        """Use another section of the operators' file."""
         self._coordinator.reload(section)
         self._section = section
 
     def _status(self) -> dict[str, Any]:  # Any: whatever msgspec encodes
-        """Return what the coordinator needs to know, with the names that operators read."""
-        takes_clients = not self._controls.occupancy().is_drained
-        return {"takes": takes_clients, "load": self._controls.load(), "version": self._section.version}
+        """Return the status entries for the coordinator, under the keys that operators read."""
+        accepts_clients = not self._controls.occupancy().is_drained
+        return {"takes": accepts_clients, "load": self._controls.load(), "version": self._section.version}
 
     def _tick(self) -> None:
         try:
--- a/mapleshunt/net/maintenance/machine.py
+++ b/mapleshunt/net/maintenance/machine.py
@@ -1,4 +1,4 @@
-"""This gateway as a machine: it reads its job in the log, and carries out what its agent decides."""
+"""The machine of this gateway: polls its maintenance job, and carries out the actions of its agent."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 POLL_INTERVAL_S = 0.2  # between two reads of the job
 IDLE_POLL_INTERVAL_S = 1.0  # the same while no maintenance is requested
 REFUSED_POLL_DELAY_S = 0.1  # after a read that was refused
-# The mark of replicas that were migrated for maintenance, beside those that operators evacuated.
+# Value of an evacuation record that maintenance set; records set by operators have another.
 EVACUATED_FOR_MAINTENANCE = "work"
 
-# The log's time stamp, the job, whether it is long, and whether any maintenance is requested.
+# The log's timestamp, the job, whether its replicas are migrated, and whether any job is open.
 JOB_DECODER: msgspec.msgpack.Decoder[tuple[float, MachineJob | None, bool, bool]] = msgspec.msgpack.Decoder(
     tuple[float, MachineJob | None, bool, bool]
 )
@@ -35,7 +35,7 @@
     def __init__(
         self, replication: ReplicationHost, sessions: ProposalSessions, controls: GatewayControls
     ) -> None:
-        """Wire it; `tick` is called periodically."""
+        """Initialize; `tick` is called periodically."""
         self._replication = replication
         self._requests = replication.requests
         self._gateway = replication.gateway
@@ -43,15 +43,15 @@
         self._controls = controls
         self._agent = MaintenanceAgent()
         self._job: MachineJob | None = None
-        self._has_read = False  # whether there is a job is known
-        self._is_long = False  # the job needs the replicas migrated
-        self._has_requests = False  # any maintenance is requested
+        self._has_read = False  # `_job` is the result of a read
+        self._move_replicas = False  # the job needs the replicas migrated
+        self._has_open_jobs = False  # any machine has an open job
         self._polled_at = float("-inf")  # s
         self._request = 0  # the number of the last read
 
     def tick(self, now: float) -> None:
-        """Read the job if it is time to, and do what it asks for."""
-        interval = POLL_INTERVAL_S if self._has_requests else IDLE_POLL_INTERVAL_S
+        """Poll the job if it is due, and carry out the agent's actions."""
+        interval = POLL_INTERVAL_S if self._has_open_jobs else IDLE_POLL_INTERVAL_S
         if now - self._polled_at >= interval:
             self._poll(now)
         if self._has_read:
@@ -74,7 +74,7 @@
             retry_at = self._requests.now() - IDLE_POLL_INTERVAL_S + REFUSED_POLL_DELAY_S
             self._polled_at = min(self._polled_at, retry_at)
             return
-        stamp, job, self._is_long, self._has_requests = JOB_DECODER.decode(response.data)
+        stamp, job, self._move_replicas, self._has_open_jobs = JOB_DECODER.decode(response.data)
         if job is not None and (self._job is None or self._job.state != job.state):
             log.log_event(
                 "maintenance_place", request=job.request_id, state=job.state, fence=job.fencing_token
@@ -83,10 +83,10 @@
         self._agent.update_grant(polled_at, stamp, job)
 
     def _follow_agent(self, now: float) -> None:
-        for action in self._agent.step(now, self._job, self._is_long, self._remaining_work()):
+        for action in self._agent.step(now, self._job, self._move_replicas, self._remaining_work()):
             self._carry_out(action)
-        if self._job is not None and self._job.state == "returning" and self._is_long:
-            self._take_replicas_back()
+        if self._job is not None and self._job.state == "returning" and self._move_replicas:
+            self._return_replicas()
 
     def _remaining_work(self) -> RemainingWork:
         occupancy = self._controls.occupancy()
@@ -111,7 +111,7 @@
             case "hand_over":
                 self._hand_over(with_replicas=action.state == "copies")
             case "take_back":
-                self._take_replicas_back()
+                self._return_replicas()
             case "tell" if not self._sessions.at(0).is_busy():
                 progress = maintenance_commands.ReportProgress(
                     self._gateway, action.fencing_token, action.state, action.reason
@@ -123,18 +123,18 @@
             if host.is_leader():
                 host.step(m.TransferLeadership())
         if with_replicas:
-            self._mark_evacuated(EVACUATED_FOR_MAINTENANCE, "")
+            self._set_evacuated(EVACUATED_FOR_MAINTENANCE, "")
 
-    def _take_replicas_back(self) -> None:
-        self._mark_evacuated("", EVACUATED_FOR_MAINTENANCE)
+    def _return_replicas(self) -> None:
+        self._set_evacuated("", EVACUATED_FOR_MAINTENANCE)
 
-    def _mark_evacuated(self, value: str, expected: str) -> None:
-        """Set this gateway's mark in all groups, where it is still the expected one."""
+    def _set_evacuated(self, value: str, expected: str) -> None:
+        """Set this gateway's evacuation record in all groups in which it has the expected value."""
         for group in range(self._replication.section.groups):
             if not self._sessions.at(group).is_busy():
-                self._mark_group(group, value, expected)
+                self._set_evacuated_in_group(group, value, expected)
 
-    def _mark_group(self, group: int, value: str, expected: str) -> None:
+    def _set_evacuated_in_group(self, group: int, value: str, expected: str) -> None:
         key = f"{EVACUATED_PREFIX}{self._gateway}"
 
         def record_received(response: wire.ClientResponse) -> None:
@@ -143,7 +143,7 @@
             record: Record | None = msgspec.msgpack.decode(response.data, type=Record | None)
             if (record.value if record is not None else "") == expected:
                 version = record.version if record is not None else 0
-                mark = commands.SetRecord(key, value, version)
-                self._sessions.at(group).propose(mark, lambda _: None)
+                set_record = commands.SetRecord(key, value, version)
+                self._sessions.at(group).propose(set_record, lambda _: None)
 
         self._requests.send(group, b"", self._requests.leader_of(group), record_received, f"record {key}")
--- a/mapleshunt/net/maintenance/proposal_session.py
+++ b/mapleshunt/net/maintenance/proposal_session.py
@@ -1,4 +1,4 @@
-"""A session at one group, by which maintenance has its operations carried out in their order."""
+"""A session at one group, through which the operations of maintenance are applied in order."""
 
 from __future__ import annotations
 
@@ -13,51 +13,51 @@
 from ..replication.requests import LocalRequests
 
 RETRY_INTERVAL_S = 0.5  # after which an operation is sent again
-REFUSED_RETRY_DELAY_S = 0.1  # after which one that was refused is sent again
-MAX_WAITING = 4  # operations, beyond which the session counts as busy
+REFUSED_RETRY_DELAY_S = 0.1  # after which a refused operation is sent again
+MAX_WAITING = 4  # waiting operations; with more the session counts as busy
 
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """An operation to be carried out; `on_result` gets its result."""
+    """An operation to be applied; `on_result` gets its result."""
 
     operation: commands.Operation
     on_result: Callable[[Result], None]
 
 
 class ProposalSession:
-    """One operation at a time, each sent until it is answered.
+    """A session that sends one operation at a time until it has a result.
 
-    A group may forget a session that is silent for long: another is opened, and the operation sent again. All
-    operations may be carried out twice: they are fenced, bound to a version, or set what is set already.
+    A group may drop a session that was idle for long; then a new one is opened and the operation sent again.
+    Operations may thus be applied twice: all are fenced, bound to a version, or idempotent.
     """
 
     def __init__(self, requests: LocalRequests, group: int) -> None:
-        """Take a new name; the session is opened with the first operation."""
+        """Initialize; the session is opened before the first operation."""
         self._requests = requests
         self._group = group
         self._last_number = 0
-        self._request = 0  # the number of the last one at `LocalRequests`
+        self._request = 0  # the number of the last request at `LocalRequests`
         self._next_send_at = 0.0  # s
         self._in_flight = b""  # the command that has no response yet; empty if there is none
         self._waiting: deque[Proposal] = deque()  # the first is in flight, once the session is open
-        self._take_name()
+        self._renew_name()
 
-    def _take_name(self) -> None:
+    def _renew_name(self) -> None:
         self._name = self._requests.session_name(f"work{self._group}-")
         self._is_open = False
 
     def is_busy(self) -> bool:
-        """Tell whether an operation is in flight, or many wait."""
+        """Return whether an operation is in flight or more than `MAX_WAITING` wait."""
         return bool(self._in_flight) or len(self._waiting) > MAX_WAITING
 
     def propose(self, operation: commands.Operation, on_result: Callable[[Result], None]) -> None:
-        """Have an operation carried out, after those that wait."""
+        """Queue an operation, to be applied after those that wait."""
         self._waiting.append(Proposal(operation, on_result))
         self.tick(self._requests.now())
 
     def tick(self, now: float) -> None:
-        """Send what is next, or again what has no response. Called periodically."""
+        """Send the next operation, or resend one without a response. Called periodically."""
         if not self._in_flight and self._waiting:
             operation = self._waiting[0].operation if self._is_open else commands.OpenSession()
             self._last_number += 1
@@ -91,16 +91,16 @@
             self._is_open = isinstance(result, Applied)
             self._next_send_at = now if self._is_open else now + OPEN_RETRY_DELAY_S
         elif isinstance(result, Denied) and result.reason == "session":
-            self._take_name()
+            self._renew_name()
         else:
             self._waiting.popleft().on_result(result)
 
 
 class ProposalSessions:
-    """The sessions of maintenance, one a group, made when they are first used."""
+    """The sessions of maintenance, one per group, created at first use."""
 
     def __init__(self, requests: LocalRequests) -> None:
-        """Begin without a session."""
+        """Initialize without sessions."""
         self._requests = requests
         self._by_group: dict[int, ProposalSession] = {}
 
--- a/mapleshunt/net/replication/__init__.py
+++ b/mapleshunt/net/replication/__init__.py
@@ -1,1 +1,1 @@
-"""The host of the replicas: groups, connections between gateways, leases."""
+"""Replication in a gateway: its replicas, the connections between gateways, and quota leases."""
--- a/mapleshunt/net/replication/connection.py
+++ b/mapleshunt/net/replication/connection.py
@@ -1,6 +1,6 @@
-"""One connection between gateways, or from a client of replication: handshake, frames, batches of messages.
+"""A connection between two gateways, or from a client of replication: handshake, frames, message batches.
 
-A connection may lose frames: a full one drops them, a broken one forgets. Replicas repeat what matters.
+Frames may be lost, if the write buffer is full or the connection breaks. Replicas send again what matters.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from ..counters import Counters
 from ..protocol.read_buffer import MessageTooLongError, ReadBuffer
 
-MAX_BATCH_BYTES = 192 * 1024  # of messages in one frame, about
-MESSAGE_OVERHEAD_BYTES = 64  # that a message counts beside its data
+MAX_BATCH_BYTES = 192 * 1024  # approximate size of the messages in one frame
+MESSAGE_OVERHEAD_BYTES = 64  # counted for each message in addition to its data
 HANDSHAKE_TIMEOUT_S = 2.0
 READ_BUFFER_BYTES = wire.MAX_FRAME_BYTES + wire.FRAME_HEADER.size
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionHandlers:
-    """What a connection calls. A `wire.ProtocolError` that a handler raises ends the connection."""
+    """Callbacks of a connection; it ends if one raises `wire.ProtocolError`."""
 
-    handshake: Callable[[], wire.Handshake]  # that this gateway sends, as of now
-    on_handshake: Callable[[PeerConnection], None]  # before anything else of the other end
+    handshake: Callable[[], wire.Handshake]  # returns the current handshake of this gateway
+    on_handshake: Callable[[PeerConnection], None]  # called before the other callbacks
     on_message: Callable[[wire.Handshake, int, Message], None]
     on_request: Callable[[PeerConnection, wire.ClientRequest | wire.AdminRequest], None]
     on_response: Callable[[wire.ClientResponse], None]
 
 
 class PeerConnection:
-    """One connection, to a gateway or from a client."""
+    """A connection to or from a gateway, or from a client."""
 
     def __init__(
         self,
@@ -45,22 +45,22 @@
         counters: Counters,
         dialed_peer: str = "",
     ) -> None:
-        """Wire it. `dialed_peer` is the gateway that was dialed, empty for an accepted connection."""
+        """Initialize; `dialed_peer` is the gateway that was dialed, empty for an accepted connection."""
         self.stream = stream
         self.dialed_peer = dialed_peer
-        self.remote_handshake: wire.Handshake | None = None  # of the other end, once it has come
+        self.remote_handshake: wire.Handshake | None = None  # of the other end, once received
         self._fleet = fleet
         self._handlers = handlers
         self._counters = counters
         self._queue: list[tuple[int, Message]] = []
         self._ended = False
-        self._sent_incarnation = ""  # as which this end introduced itself
+        self._sent_incarnation = ""  # in the handshake that this end sent
         stream.set_nodelay(True)
 
     async def run(self) -> str:
-        """Read until the connection ends, and return why it did. Cancelling it closes the connection."""
+        """Read until the connection ends, and return the reason. Cancellation closes the connection."""
         loop = asyncio.get_running_loop()
-        handshake_timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self._handshake_overdue)
+        handshake_timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self._handshake_timed_out)
         try:
             handshake = self._handlers.handshake()
             self._sent_incarnation = handshake.incarnation
@@ -83,28 +83,28 @@
     async def _read_frames(self) -> str:
         buffer = ReadBuffer(READ_BUFFER_BYTES)
         while True:
-            while found := wire.decode_frame(buffer.data, buffer.start, buffer.end):
-                frame, end = found
+            while decoded := wire.decode_frame(buffer.data, buffer.start, buffer.end):
+                frame, end = decoded
                 buffer.consume(end)
                 self._receive(frame)
                 if self._ended:
                     return "ended"
             await buffer.fill(self.stream)
 
-    def _handshake_overdue(self) -> None:
+    def _handshake_timed_out(self) -> None:
         if self.remote_handshake is None:
             self.stream.close()
 
     def is_stale(self) -> bool:
-        """Tell whether the other end takes this one for an incarnation that it is no more.
+        """Return whether this gateway has changed its incarnation since it sent its handshake.
 
-        Nothing may pass then: what this one sends would count as sent by the lost incarnation.
+        Nothing may pass then: what it sends would count as sent by its earlier incarnation.
         """
         return self._sent_incarnation != self._handlers.handshake().incarnation
 
     def _receive(self, frame: wire.Frame) -> None:
         if self.is_stale():
-            raise wire.ProtocolError("greeted as another incarnation")
+            raise wire.ProtocolError("this gateway's incarnation has changed since its handshake")
         if self.remote_handshake is None:
             self._receive_handshake(frame)
         elif isinstance(frame, wire.MessageBatch) and self.remote_handshake.incarnation:
@@ -115,17 +115,17 @@
         elif isinstance(frame, wire.ClientResponse):
             self._handlers.on_response(frame)
         else:
-            raise wire.ProtocolError("a frame out of place")
+            raise wire.ProtocolError("unexpected kind of frame after the handshake")
 
     def _receive_handshake(self, frame: wire.Frame) -> None:
         if not isinstance(frame, wire.Handshake):
-            raise wire.ProtocolError("no greeting")
+            raise wire.ProtocolError("the first frame must be a handshake")
         wire.check_handshake(frame, self._fleet)
         self.remote_handshake = frame
         self._handlers.on_handshake(self)
 
     def write(self, frame: wire.Frame) -> None:
-        """Send a frame; dropped if the connection has ended or holds too much that is unsent."""
+        """Send a frame; it is dropped if the connection has ended or its write buffer is full."""
         if not self._ended and not self.stream.closed():
             try:
                 self.stream.write(wire.encode_frame(frame))
@@ -133,20 +133,20 @@
                 self._counters.add("copies_dropped")
 
     def queue(self, group: int, message: Message) -> None:
-        """Send the message with the next batch."""
+        """Add a message to the next batch."""
         self._queue.append((group, message))
 
     def has_queued(self) -> bool:
-        """Tell whether messages wait for the next batch."""
+        """Return whether messages wait for the next batch."""
         return bool(self._queue)
 
     def flush(self) -> None:
-        """Send what is queued, in batches."""
-        waiting, self._queue = self._queue, []
-        while waiting:
-            count = _batch_length(waiting)
-            self.write(wire.MessageBatch(tuple(waiting[:count])))
-            waiting = waiting[count:]
+        """Send the queued messages in batches."""
+        unsent, self._queue = self._queue, []
+        while unsent:
+            count = _batch_length(unsent)
+            self.write(wire.MessageBatch(tuple(unsent[:count])))
+            unsent = unsent[count:]
 
     def close(self) -> None:
         """Close the connection; `run` ends."""
@@ -154,7 +154,7 @@
 
 
 def _batch_length(messages: list[tuple[int, Message]]) -> int:
-    """Return how many of the messages go into one batch: one at least."""
+    """Return how many of the messages fit into one batch, at least one."""
     size = count = 0
     while count < len(messages) and (not count or size < MAX_BATCH_BYTES):
         message = messages[count][1]
--- a/mapleshunt/net/replication/connections.py
+++ b/mapleshunt/net/replication/connections.py
@@ -1,4 +1,4 @@
-"""Connections between gateways that hold replicas: one a pair, with the messages of all groups on it."""
+"""Connections between the gateways of a fleet: one per pair, which carries the messages of all groups."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from .connection import ConnectionHandlers, PeerConnection
 
 BACKLOG = 64  # connections that wait in the kernel to be accepted
-MAX_UNSENT_BYTES = 4 << 20  # that a connection holds before it drops frames
-MAX_UNIDENTIFIED = 64  # connections without a handshake, or of clients
-DIAL_TIMEOUT_S = 2.0  # a connection that lasted longer counts as a success
-# The widest pause before a gateway is dialed again; it doubles with each failure.
+MAX_UNSENT_BYTES = 4 << 20  # write buffer of a connection; frames beyond it are dropped
+MAX_UNIDENTIFIED = 64  # connections without a handshake, or from clients
+DIAL_TIMEOUT_S = 2.0  # a connection that lasts longer also resets the backoff
+# Bounds of the upper limit of the random pause before a redial; the limit doubles with each failure.
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_COUNTED_FAILURES = 10
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetAddresses:
-    """Where the gateways of a fleet listen for replication."""
+    """The addresses on which the gateways of a fleet listen for replication."""
 
     fleet: str
     name: str  # of this gateway
@@ -40,22 +40,22 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerHandlers:
-    """What the connections call. A `wire.ProtocolError` that a handler raises ends the connection."""
+    """Callbacks of all connections; a connection ends if one raises `wire.ProtocolError`."""
 
-    handshake: Callable[[], wire.Handshake]  # that this gateway sends, as of now
-    on_peer: Callable[[wire.Handshake], None]  # a gateway has connected; before its messages
+    handshake: Callable[[], wire.Handshake]  # returns the current handshake of this gateway
+    on_peer: Callable[[wire.Handshake], None]  # a gateway has connected; called before its messages
     on_message: Callable[[wire.Handshake, int, Message], None]
     on_request: Callable[[PeerConnection, wire.ClientRequest | wire.AdminRequest], None]
     on_response: Callable[[wire.ClientResponse], None]
 
 
 class PeerConnections:
-    """Accepts, dials and keeps all connections of this gateway."""
+    """Accepts, dials and tracks all replication connections of this gateway."""
 
     def __init__(
         self, addresses: FleetAddresses, handlers: PeerHandlers, counters: Counters, random_: random.Random
     ) -> None:
-        """Bind the address; nothing is accepted or dialed until `open`.
+        """Bind the address; `open` starts to accept and dial.
 
         Raises:
             OSError: the address cannot be bound.
@@ -79,11 +79,11 @@
         self._acceptor = Acceptor(self._listener, self._accept, counters, "copies_")
 
     def open(self) -> None:
-        """Accept connections, and dial the gateways that this one has to dial."""
+        """Start to accept connections, and dial the peers with a later name."""
         self._listener.listen(BACKLOG)
         self._acceptor.start()
         for peer in self._addresses.peers:
-            if self._addresses.name < peer:  # one of the two dials
+            if self._addresses.name < peer:  # of each pair only one dials
                 self._start_task(self._dial(peer))
 
     def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
@@ -94,37 +94,37 @@
     def _accept(self, client: socket.socket) -> None:
         if len(self._unidentified) >= MAX_UNIDENTIFIED:
             next(iter(self._unidentified)).close()
-        connection = self._connection(IOStream(client, max_write_buffer_size=MAX_UNSENT_BYTES))
+        connection = self._new_connection(IOStream(client, max_write_buffer_size=MAX_UNSENT_BYTES))
         self._unidentified[connection] = None
         self._start_task(self._run(connection))
 
-    def _connection(self, stream: IOStream, dialed_peer: str = "") -> PeerConnection:
+    def _new_connection(self, stream: IOStream, dialed_peer: str = "") -> PeerConnection:
         fleet = self._addresses.fleet
         return PeerConnection(stream, fleet, self._connection_handlers, self._counters, dialed_peer)
 
     async def _dial(self, peer: str) -> None:
-        """Dial a gateway again and again, with backoff. Cancelling it ends its connection."""
+        """Keep a gateway connected, redialing with backoff. Cancellation closes the connection."""
         address = self._addresses.peers[peer]
         failures = 0
         while True:
-            begun, stream = asyncio.get_running_loop().time(), None
-            try:  # the socket too: without a descriptor left the next attempt follows all the same
+            started_at, stream = asyncio.get_running_loop().time(), None
+            try:  # includes the socket: when descriptors run out, dialing is retried as well
                 stream = IOStream(
                     socket.socket(address_family(address)), max_write_buffer_size=MAX_UNSENT_BYTES
                 )
                 async with asyncio.timeout(DIAL_TIMEOUT_S):
                     await stream.connect(address)
-                await self._run(self._connection(stream, peer))
+                await self._run(self._new_connection(stream, peer))
             except (OSError, StreamClosedError, TimeoutError):
                 if stream is not None:
                     stream.close()
-            except Exception:  # a defect must not leave this peer without a connection for good
+            except Exception:  # after a defect the peer is dialed again as well
                 self._counters.add("exceptions")
                 log.log_exception("link_exception")
-            lasted = asyncio.get_running_loop().time() - begun
-            failures = 0 if lasted > DIAL_TIMEOUT_S else min(failures + 1, MAX_COUNTED_FAILURES)
-            widest_pause = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**failures)
-            await asyncio.sleep(self._random.uniform(0.0, widest_pause))
+            duration_s = asyncio.get_running_loop().time() - started_at
+            failures = 0 if duration_s > DIAL_TIMEOUT_S else min(failures + 1, MAX_COUNTED_FAILURES)
+            max_pause_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**failures)
+            await asyncio.sleep(self._random.uniform(0.0, max_pause_s))
 
     async def _run(self, connection: PeerConnection) -> None:
         reason = await connection.run()
@@ -137,7 +137,7 @@
             log.log_event("link_ended", peer=peer or "none", reason=reason)
 
     def _identify(self, connection: PeerConnection) -> None:
-        """File a connection under the gateway whose handshake has come."""
+        """Register a connection under the gateway that its handshake names."""
         handshake = connection.remote_handshake
         assert handshake is not None
         if not handshake.incarnation:
@@ -146,10 +146,12 @@
             "",
             handshake.gateway,
         ):
-            raise wire.ProtocolError(f"{handshake.gateway!r} is not expected here")
+            raise wire.ProtocolError(
+                f"{handshake.gateway!r} is not the dialed peer or no peer of this gateway"
+            )
         self._unidentified.pop(connection, None)
-        if (before := self._by_peer.get(handshake.gateway)) is not None:
-            before.close()  # the other end has begun anew
+        if (previous := self._by_peer.get(handshake.gateway)) is not None:
+            previous.close()  # the other end has reconnected
         self._by_peer[handshake.gateway] = connection
         log.log_event(
             "link_up", peer=handshake.gateway, incarnation=handshake.incarnation, boot=handshake.boot
@@ -157,11 +159,11 @@
         self._handlers.on_peer(handshake)
 
     def connected_peers(self) -> list[str]:
-        """Return the gateways that are connected, in the order in which they came."""
+        """Return the connected gateways in the order of connection."""
         return list(self._by_peer)
 
     def get(self, peer: str) -> PeerConnection | None:
-        """Return the connection to a gateway, if it is connected."""
+        """Return the connection to a gateway; None if it is not connected."""
         return self._by_peer.get(peer)
 
     def handshake_of(self, peer: str) -> wire.Handshake | None:
@@ -170,7 +172,7 @@
         return connection.remote_handshake if connection is not None else None
 
     def send(self, peer: str, incarnation: str, group: int, message: Message) -> None:
-        """Send to that incarnation of a gateway at the end of this turn; dropped if it is not connected."""
+        """Send to an incarnation of a gateway in the loop's next turn; drop it if not connected."""
         connection = self._by_peer.get(peer)
         if (
             connection is None
@@ -192,12 +194,12 @@
                 connection.flush()
 
     def disconnect(self) -> None:
-        """Close all connections: they come back with another handshake."""
+        """Close all connections; gateways then reconnect with a new handshake."""
         for connection in [*self._by_peer.values(), *self._unidentified]:
             connection.close()
 
     def close(self) -> None:
-        """Close the listener and all connections, and dial no more."""
+        """Close the listener and all connections, and stop dialing."""
         self._acceptor.stop()
         self._listener.close()
         for task in self._tasks:
--- a/mapleshunt/net/replication/fleet_knowledge.py
+++ b/mapleshunt/net/replication/fleet_knowledge.py
@@ -1,4 +1,4 @@
-"""What this gateway durably knows of its fleet: boots of incarnations, groups that exist, generations."""
+"""Durable knowledge of the fleet: boots of incarnations, existing groups, and groups' generations."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class FleetKnowledge:
-    """Owns what handshakes carry. What changes is written to the store."""
+    """The content of this gateway's handshakes; changes are written to the store."""
 
     def __init__(self, fleet: str, gateway: str, tasks: StoreTasks) -> None:
-        """Begin with what the store holds."""
+        """Load the content of the store."""
         self.gateway = gateway
         self._fleet = fleet
         self._tasks = tasks
         self._store = tasks.store
-        self._known_boots = dict(self._store.known_boots)  # the highest boot of each incarnation that was met
-        self._formed = self._store.formed_groups  # by bit: the groups that exist
-        self._generations = dict(self._store.generations)  # of groups that were recovered by hand
+        self._known_boots = dict(self._store.known_boots)  # the newest boot of each known incarnation
+        self._formed = self._store.formed_groups  # a bit for each existing group
+        self._generations = dict(self._store.generations)  # of manually recovered groups
 
     def replica(self) -> m.Replica:
-        """Return this gateway as an incarnation, which a renewed store changes."""
+        """Return this gateway's replica id, which changes when the store is renewed."""
         return f"{self.gateway}/{self._store.incarnation}"
 
     def handshake(self) -> wire.Handshake:
-        """Return what this gateway introduces itself with, as of now."""
+        """Return the current handshake of this gateway."""
         return wire.Handshake(
             self._fleet,
             wire.MIN_VERSION,
@@ -39,14 +39,14 @@
         )
 
     def merge(self, handshake: wire.Handshake) -> int:
-        """Take over what another gateway knows; return the boot of this store that it has met."""
+        """Merge another gateway's knowledge; return the boot of this store that it knows, 0 for none."""
         received = dict(handshake.known_boots)
         own_boot = received.pop(self._store.incarnation, 0)
         known = boots.remember_boot(
             boots.merge_known_boots(self._known_boots, received), handshake.incarnation, handshake.boot
         )
         changed = known != self._known_boots or handshake.formed_groups | self._formed != self._formed
-        self._known_boots = known  # also if nothing changed: the order of the boots counts
+        self._known_boots = known  # even if equal: the order decides which boot is dropped first
         self._formed |= handshake.formed_groups
         if changed:
             self._save()
@@ -57,19 +57,19 @@
         self._tasks.run(lambda: self._store.save_fleet_knowledge(known, formed))
 
     def generation(self, group: int) -> int:
-        """Return how often the group was recovered by hand, in effect; 0 for never."""
+        """Return the group's generation; 0 if it was never recovered manually."""
         return self._generations.get(group, 0)
 
     def set_generation(self, group: int, generation: int) -> None:
-        """The group was recovered by hand. The caller makes it durable with the group's rows."""
+        """Set the generation of a recovered group; the caller stores it with the group's rows."""
         self._generations[group] = generation
 
     def is_formed(self, group: int) -> bool:
-        """Tell whether the group is known to exist."""
+        """Return whether the group is known to exist."""
         return bool(self._formed >> group & 1)
 
     def mark_formed(self, group: int) -> None:
-        """The group exists."""
+        """Record that the group exists."""
         self._formed |= 1 << group
         self._save()
 
--- a/mapleshunt/net/replication/fleet_presence.py
+++ b/mapleshunt/net/replication/fleet_presence.py
@@ -1,4 +1,4 @@
-"""Which gateways of the fleet are connected, and since when that has been so."""
+"""The connection state of each gateway of the fleet, and how long it has lasted."""
 
 from __future__ import annotations
 
@@ -10,45 +10,47 @@
 
 
 class FleetPresence:
-    """Follows the connections of all gateways of the fleet."""
+    """Tracks which gateways of the fleet are connected."""
 
     def __init__(self, zones: Mapping[str, str], gateway: str, replica: Callable[[], m.Replica]) -> None:
-        """Begin with no gateway connected. `zones` are by gateway, this one among them."""
+        """Initialize without connected gateways; `zones` maps all gateways, this one included."""
         self.zones = dict(zones)
         self.gateway = gateway
         self._replica = replica
         self._peers: PeerConnections
-        self._changed_at = dict.fromkeys(self.zones, 0.0)  # s: when a gateway last came or was lost
+        self._changed_at = dict.fromkeys(self.zones, 0.0)  # s: when it last connected or was lost
         self._connected: set[str] = set()
 
     def attach(self, peers: PeerConnections) -> None:
-        """Follow these connections."""
+        """Use these connections."""
         self._peers = peers
 
     def start(self, now: float) -> None:
-        """Count all times from now on."""
+        """Set the start of all durations to now."""
         self._changed_at = dict.fromkeys(self.zones, now)
 
     def peer_connected(self, peer: str, now: float) -> None:
-        """A gateway has connected, perhaps as another incarnation."""
+        """Record that a gateway has connected, possibly as another incarnation."""
         self._changed_at[peer] = now
 
     def is_connected(self, gateway: str) -> bool:
-        """Tell whether another gateway is connected."""
+        """Return whether another gateway is connected."""
         return self._peers.handshake_of(gateway) is not None
 
     def replica_of(self, gateway: str) -> m.Replica | None:
-        """Return a connected gateway as its incarnation."""
+        """Return the replica id of another gateway; None if it is not connected."""
         handshake = self._peers.handshake_of(gateway)
         return f"{gateway}/{handshake.incarnation}" if handshake is not None else None
 
     def connected_voters(self, members: m.Members) -> int:
-        """Return how many voters are this gateway or connected, as the incarnations that vote."""
-        me = self._replica()
-        return sum(voter == me or self.replica_of(m.gateway_of(voter)) == voter for voter in members.voters)
+        """Count the voters that are this gateway or connected, with the incarnation that votes."""
+        own_replica = self._replica()
+        return sum(
+            voter == own_replica or self.replica_of(m.gateway_of(voter)) == voter for voter in members.voters
+        )
 
     def update(self, now: float) -> dict[str, GatewayPresence]:
-        """Note who came or was lost since the last call, and return all gateways."""
+        """Record the gateways that connected or were lost since the last call; return all."""
         for peer in self.zones:
             if peer != self.gateway and (peer in self._connected) != self.is_connected(peer):
                 self._changed_at[peer] = now
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -1,6 +1,6 @@
-"""One group's replica on this gateway: its state machine, its timer, and the requests that it answers.
+"""The I/O of one group's replica on this gateway: timer, messages, writes, and clients' requests.
 
-Decisions are those of `replication.node` and `replicated_state.state_machine`; here they are carried out.
+`replication.node` and `replicated_state.state_machine` make the decisions; this module carries them out.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 from .local_calls import LocalCalls, ResponseWriter
 from .reads import read_state
 
-# The key of a record of the group, before a gateway's name: "1" where that gateway is to hold no replica.
+# Key prefix, followed by a gateway's name, of a record that is not empty ("1" if an operator set it) while
+# that gateway is to hold no replica of the group.
 EVACUATED_PREFIX = "copies/away/"
 MIN_TIMER_DELAY_S = 0.001
 
 
 @dataclass(slots=True, frozen=True)
 class GroupServices:
-    """What the replicas of all groups on a gateway share."""
+    """Services that the replicas of all groups on a gateway share."""
 
     gateway: str
     raft_config: RaftConfig
     counters: Counters
     local_calls: LocalCalls
     now: Callable[[], float]  # s, the loop's clock
-    replica: Callable[[], m.Replica]  # this gateway as an incarnation, which a renewed store changes
-    boot: Callable[[], int]  # of the store, counted by incarnation
+    replica: Callable[[], m.Replica]  # this gateway's replica id, which a renewed store changes
+    boot: Callable[[], int]  # boot number of the store
     send: Callable[[int, m.Replica, m.Message], None]
     send_chunk: Callable[[int, m.Replica, m.SnapshotChunk], None]
     write: Callable[[int, m.Write], None]
@@ -50,52 +51,54 @@
     """Runs one group's Raft node and state machine."""
 
     def __init__(self, services: GroupServices, group: int, stored: m.PersistentState, seed: int) -> None:
-        """Load the stored state. The replica takes part once `begin` is called."""
+        """Load the stored state; `start` makes the replica take part."""
         self.group = group
         self.state = ReplicatedState()
         self.state.restore(stored.snapshot.data)
         replica, now = services.replica(), services.now()
         self.node = RaftNode(replica, stored, services.raft_config, seed, now)
-        self.begun = False  # it takes part; before that it neither receives nor sends anything
+        self.started = False  # until then the replica neither receives nor sends anything
         self.pending: dict[int, tuple[ResponseWriter, wire.ClientRequest]] = {}  # requests by local number
         self._services = services
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = float("inf")
-        self._evacuated_source: Any = None  # the records that `_evacuated` was read from
+        self._evacuated_source: Any = None  # the records that `_evacuated` was computed from
         self._evacuated: set[str] = set()
 
-    def begin(self) -> None:
-        """Take part in the group from now on."""
-        self.begun = True
+    def start(self) -> None:
+        """Start to take part in the group."""
+        self.started = True
         self.step(m.Tick())
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads its group."""
-        return self.begun and self.node.role is Role.LEADER
+        """Return whether this replica leads its group."""
+        return self.started and self.node.role is Role.LEADER
 
     def evacuated_gateways(self) -> set[str]:
         """Return the gateways that are to hold no replica of this group."""
         records = self.state.records
-        if self._evacuated_source is not records:  # persistent: another object if anything changed
+        if self._evacuated_source is not records:  # a persistent map: every change makes a new object
             self._evacuated_source = records
-            marked = (key for key, one in records.items() if key.startswith(EVACUATED_PREFIX) and one.value)
+            marked = (
+                key for key, record in records.items() if key.startswith(EVACUATED_PREFIX) and record.value
+            )
             self._evacuated = {key.removeprefix(EVACUATED_PREFIX) for key in marked}
         return self._evacuated
 
     def step(self, event: m.Event) -> None:
-        """Let the node handle an event, and carry out its outputs. Ignored before `begin`."""
-        if not self.begun:
+        """Pass an event to the node and carry out its outputs; does nothing unless started."""
+        if not self.started:
             return
         try:
             for output in self.node.step(self._services.now(), event):
                 self._carry_out(output)
-        finally:  # whatever went wrong, its next timeout comes
-            wake = self.node.wake_time()
-            if self._timer is None or wake < self._timer_at - MIN_TIMER_DELAY_S:
-                self._set_timer(wake)
+        finally:  # the next timeout has to come even after an exception
+            wake_at = self.node.wake_time()
+            if self._timer is None or wake_at < self._timer_at - MIN_TIMER_DELAY_S:
+                self._set_timer(wake_at)
 
     def _carry_out(self, output: m.Output) -> None:
-        """Carry out an output. A defect in one must not leave out those behind it."""
+        """Carry out an output; an exception is logged, so that the following outputs are carried out."""
         try:
             self._dispatch(output)
         except Exception:
@@ -110,7 +113,7 @@
 
     def _timer_fired(self) -> None:
         self._timer = None
-        if self.node.wake_time() > self._services.now() + MIN_TIMER_DELAY_S:  # it was put off meanwhile
+        if self.node.wake_time() > self._services.now() + MIN_TIMER_DELAY_S:  # postponed since it was set
             self._set_timer(self.node.wake_time())
         else:
             self.step(m.Tick())
@@ -129,17 +132,19 @@
             case m.RestoreSnapshot(snapshot):
                 self.state.restore(snapshot.data)
                 services.counters.add("copies_installed")
-            case m.RequestResult(number, how, _, hint):
-                self._finish(number, how, hint)
+            case m.RequestResult(number, outcome, _, hint):
+                self._finish(number, outcome, hint)
             case m.CreateSnapshot(index):
                 asyncio.get_running_loop().call_soon(self._encode_snapshot, index, self.state.snapshot())
-            case m.RoleChanged(role, term, leader, why):
-                leads = m.gateway_of(leader) or "none"
-                log.log_event("copies_role", group=self.group, role=role, term=term, leader=leads, why=why)
+            case m.RoleChanged(role, term, leader, reason):
+                gateway = m.gateway_of(leader) or "none"
+                log.log_event(
+                    "copies_role", group=self.group, role=role, term=term, leader=gateway, why=reason
+                )
 
-    def _encode_snapshot(self, index: int, frozen: Any) -> None:
-        if self.begun:
-            self.step(m.SnapshotCreated(index, msgspec.msgpack.encode(frozen)))
+    def _encode_snapshot(self, index: int, snapshot: Any) -> None:
+        if self.started:
+            self.step(m.SnapshotCreated(index, msgspec.msgpack.encode(snapshot)))
 
     def _apply(self, entry: m.Entry, number: int | None) -> None:
         result: Result = Applied()
@@ -158,7 +163,7 @@
     # Requests
 
     def handle(self, source: ResponseWriter, request: wire.ClientRequest) -> None:
-        """Propose the request's command, or confirm its read; the response goes to `source`."""
+        """Propose the request's command or confirm its read; the response goes to `source`."""
         number = self._services.local_calls.next_number()
         self.pending[number] = (source, request)
         if request.command:
@@ -166,34 +171,34 @@
         else:
             self.step(m.ReadRequest(number))
 
-    def _finish(self, number: int, how: str, hint: str) -> None:
-        if how == "read" and number in self.pending:
+    def _finish(self, number: int, outcome: str, hint: str) -> None:
+        if outcome == "read" and number in self.pending:
             self._respond(number, "done", "", self._read(self.pending[number][1].query))
         else:
-            self._respond(number, how, m.gateway_of(hint), b"")
+            self._respond(number, outcome, m.gateway_of(hint), b"")
 
     def _read(self, query: str) -> bytes:
         return read_state(
             self.state, query, self.node.log.last_stamp(), lambda: self.node.stamp(self._services.now())
         )
 
-    def _respond(self, number: int, how: str, hint: str, data: bytes) -> None:
+    def _respond(self, number: int, status: str, hint: str, data: bytes) -> None:
         if (pending := self.pending.pop(number, None)) is None:
             return
         source, request = pending
         if len(data) > wire.MAX_REPLY_DATA_BYTES:
             self._services.counters.add("copies_replies_too_long")
-            how, data = "unknown", b""
-        source.write(wire.ClientResponse(request.number, how, hint, data))
+            status, data = "unknown", b""
+        source.write(wire.ClientResponse(request.number, status, hint, data))
 
     # Operators
 
     def state_token(self) -> str:
-        """Return what the replica holds, as a text that an operator confirms before a recovery."""
+        """Return gateway, last term and last index, as the text that confirms a recovery."""
         return f"{self._services.gateway}.{self.node.log.last_term()}.{self.node.log.last_index()}"
 
-    def status(self, has_quorum: bool) -> dict[str, Any]:  # Any: what the values' encoder takes
-        """Return the status of the replica, with the names that operators read."""
+    def status(self, has_quorum: bool) -> dict[str, Any]:  # Any: encoded as it is
+        """Return the replica's status under the keys that operators read."""
         node, members = self.node, self.node.members()
         return {
             "group": self.group,
@@ -212,9 +217,9 @@
             "state": self.state_token(),
         }
 
-    def end(self) -> None:
-        """Take part no more; the outcome of pending requests is unknown."""
-        self.begun = False
+    def stop(self) -> None:
+        """Stop to take part; pending requests end with the status "unknown"."""
+        self.started = False
         if self._timer is not None:
             self._timer.cancel()
         for number in list(self.pending):
--- a/mapleshunt/net/replication/host.py
+++ b/mapleshunt/net/replication/host.py
@@ -1,4 +1,4 @@
-"""Replication on this gateway: wires the replicas, their store, their connections and their requests."""
+"""Replication in a gateway: connects the replicas, their store, the connections and the requests."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 HEARTBEATS_PER_ELECTION_TIMEOUT = 5
 
-# Status values by the names that operators read. Any: whatever msgspec encodes.
+# Status values by the keys that operators read. Any: whatever msgspec encodes.
 Status = dict[str, Any]
 
 
 class ReplicationHost:
-    """Holds this gateway's replicas, from `start` to `close`."""
+    """Runs this gateway's replicas from `start` to `close`."""
 
     def __init__(
         self,
@@ -50,18 +50,18 @@
         counters: Counters,
         seed: int,
     ) -> None:
-        """Wire it and bind the address; the store is closed if that fails.
+        """Create the parts and bind the address; the store is closed if that fails.
 
         Raises:
-            ReplicationInUseError: another process has the address.
-            ConfigError: the address cannot be bound, or the section does not name this gateway.
-            StoreUnavailableError: another attempt may succeed.
+            ReplicationInUseError: another process uses the address.
+            ConfigError: the address cannot be bound, or the section has no peer named as this gateway.
+            StoreUnavailableError: a transient error; another attempt may succeed.
         """
         self.section = section
         self.gateway = gateway
         self.store = store
         self.zones = {peer.name: peer.zone for peer in section.peer}
-        self.status_source: Callable[[], Status] = dict  # of the gateway, beside that of its replicas
+        self.status_source: Callable[[], Status] = dict  # additional entries of `status`
         self.tasks = StoreTasks(store)
         self._counters = counters
         self._random = random.Random(seed)
@@ -127,11 +127,11 @@
             self.store.close()
             if is_transient(error):
                 raise StoreUnavailableError(f"cannot listen: {error}") from None
-            kind = ReplicationInUseError if error.errno == errno.EADDRINUSE else ConfigError
-            raise kind(f"copies: cannot listen: {error}") from None
+            error_type = ReplicationInUseError if error.errno == errno.EADDRINUSE else ConfigError
+            raise error_type(f"copies: cannot listen: {error}") from None
 
     def start(self) -> None:
-        """Load the replicas and connect to the other gateways. Needs a running event loop."""
+        """Load the replicas and connect to the other gateways, in a running event loop."""
         self.tasks.start(self.groups.writes_completed, self.groups.write_failed)
         now = _now()
         self.presence.start(now)
@@ -147,11 +147,11 @@
         self._membership.start(now)
 
     def close(self) -> None:
-        """End the replicas and their connections, and close the store."""
+        """Stop the replicas, close their connections and close the store."""
         self.tasks.mute()
         self._membership.close()
         self._snapshots.close()
-        self.groups.end()
+        self.groups.stop()
         self.peers.close()
         self.tasks.close()
 
@@ -180,7 +180,7 @@
             raise wire.ProtocolError(f"there is no group {group}")
         current = self.knowledge.generation(group)
         if generation < current:
-            return  # the sender learns of the generation by a handshake, and gives up its replica
+            return  # the sender drops its replica once a handshake tells it the newer generation
         if generation > current:
             self.groups.supersede(group, generation)
         host = self.groups.get(group)
@@ -197,7 +197,7 @@
     # Operators
 
     def status(self) -> Status:
-        """Return the status of this gateway's replication, with the names that operators read."""
+        """Return the status of this gateway's replication under the keys that operators read."""
         writer = self.tasks.writer
         return {
             "gateway": self.gateway,
--- a/mapleshunt/net/replication/lease_session.py
+++ b/mapleshunt/net/replication/lease_session.py
@@ -1,4 +1,4 @@
-"""A session at one group, by which this gateway's lease operations are carried out once."""
+"""A session at one group, through which each of this gateway's lease operations is applied once."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 LEASE_TERM_MS = 2000.0
 TICK_INTERVAL_S = 0.05
-RETRY_INTERVAL_S = 0.25  # after which an operation is sent again, to whoever leads then
-# After which no result of an operation is waited for, in terms of a lease.
+RETRY_INTERVAL_S = 0.25  # after which an operation is sent again, to the leader of that time
+# Timeouts of operations, as multiples of the lease term.
 TIMEOUT_TERMS = {commands.AcquireLease: 0.5, commands.ReturnLease: 1.0, commands.SettleUsage: 30.0}
 DEFAULT_TIMEOUT_TERMS = 1.0
-MAX_PENDING = 32  # operations of a session; more than that are not begun
+MAX_PENDING = 32  # operations of a session; further ones fail at once
 
 
 @dataclass(slots=True)
 class PendingOperation:
-    """An operation without a result yet. Without a proposal it opens the session."""
+    """An operation without a result yet; one without a proposal opens the session."""
 
     command: bytes
     proposal: ProposeOperation | None
@@ -37,19 +37,19 @@
 
 @dataclass(slots=True, frozen=True)
 class SessionHandlers:
-    """What a session calls."""
+    """Callbacks of a session."""
 
-    on_result: Callable[[ProposeOperation, Result | None], None]  # None: it is not known whether it was done
-    on_forgotten: Callable[[LeaseSession], None]  # the group knows the session no more
+    on_result: Callable[[ProposeOperation, Result | None], None]  # None: unknown whether it was applied
+    on_session_dropped: Callable[[LeaseSession], None]  # the group has dropped the session
 
 
 class LeaseSession:
-    """This gateway's operations at one group, each by a number of its own."""
+    """A session at one group, with the operations that are pending in it."""
 
     def __init__(
         self, requests: LocalRequests, group: int, handlers: SessionHandlers, counters: Counters
     ) -> None:
-        """Open the session at the group; proposals wait until it is open."""
+        """Start to open the session; proposals wait until it is open."""
         self.group = group
         self._requests = requests
         self._handlers = handlers
@@ -62,7 +62,7 @@
         self._begin(commands.OpenSession(), None, math.inf)
 
     def propose(self, proposal: ProposeOperation) -> None:
-        """Have an operation carried out once; its result goes to `on_result`."""
+        """Send an operation until it has a result, which goes to `on_result`."""
         if len(self._pending) >= MAX_PENDING:
             self._counters.add("leases_crowded")
             self._handlers.on_result(proposal, None)
@@ -105,13 +105,13 @@
         if pending.proposal is None:
             self._open_responded(number, result, now)
         elif isinstance(result, Denied) and result.reason == "session":
-            self._handlers.on_forgotten(self)
+            self._handlers.on_session_dropped(self)
         else:
             del self._pending[number]
             self._handlers.on_result(pending.proposal, result)
 
     def _open_responded(self, number: int, result: Result, now: float) -> None:
-        """The group has the session, or has no room for it now and is asked again later."""
+        """Mark the session as open; if the group is out of sessions, schedule another attempt."""
         if isinstance(result, Applied):
             self._is_open = True
             del self._pending[number]
@@ -120,10 +120,10 @@
             self._pending[number].next_send_at = now + OPEN_RETRY_DELAY_S
 
     def tick(self, now: float) -> None:
-        """Send again what has no response, and give up what is overdue. Called periodically."""
+        """Resend operations without a response and time out overdue ones. Called periodically."""
         for number, pending in list(self._pending.items()):
             if number not in self._pending:
-                continue  # it ended meanwhile, with its session
+                continue  # a handler has abandoned the session
             if now >= pending.deadline and pending.proposal is not None:
                 del self._pending[number]
                 self._requests.abandon(pending.request)
@@ -133,11 +133,11 @@
                 self._send(number)
 
     def abandon(self) -> list[ProposeOperation]:
-        """Wait for no response any more, and return the proposals without a result."""
+        """Stop waiting for responses, and return the proposals without a result."""
         abandoned, self._pending = self._pending, {}
         for pending in abandoned.values():
             self._requests.abandon(pending.request)
-        return [one.proposal for one in abandoned.values() if one.proposal is not None]
+        return [operation.proposal for operation in abandoned.values() if operation.proposal is not None]
 
 
 def _now() -> float:
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -1,4 +1,4 @@
-"""Quota leases for this gateway's decisions, drawn from the replicated state."""
+"""Quota leases for this gateway's policy, acquired from the replicated state."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from .requests import LocalRequests
 
 MAX_LEASE_MS = 10_000.0
-MAX_REQUEST_DELAY_MS = 100.0  # for which a request waits for a lease that is being acquired
-MAX_CUSTOMERS = 100_000  # that are leased for
+MAX_REQUEST_DELAY_MS = 100.0  # that a request waits for a lease that is being acquired
+MAX_CUSTOMERS = 100_000  # with leases at a time
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,12 +34,12 @@
 
 
 class LeaseClient:
-    """Acquires, renews and returns leases, and delays requests that wait for one."""
+    """Acquires, renews and returns leases, and delays requests that need one."""
 
     def __init__(
         self, requests: LocalRequests, groups: int, driver: PolicyDriver, counters: Counters
     ) -> None:
-        """Wire it; `groups` is how many groups share the customers."""
+        """Initialize; customers are distributed over `groups` groups."""
         self.holder = LeaseHolder(
             LEASE_TERM_MS,
             MAX_LEASE_MS,
@@ -52,22 +52,22 @@
         self._groups = groups
         self._driver = driver
         self._counters = counters
-        self._delayed: dict[str, list[DelayedRequest]] = {}  # by customer, in their order
-        self._plans: dict[str, str] = {}  # of customers that are leased for
+        self._delayed: dict[str, list[DelayedRequest]] = {}  # by customer, in order of arrival
+        self._plans: dict[str, str] = {}  # of the customers with leases
         self._sessions: dict[int, LeaseSession] = {}  # by group
-        self._is_answered = True  # some group answers
+        self._is_available = True  # the operation that ended last had a result
         self._ticks = PeriodicTask(self._tick, TICK_INTERVAL_S, counters.add)
         driver.delay_admission = self.delay_admission
 
     def start(self) -> None:
-        """Renew and return leases periodically."""
+        """Start to renew and return leases periodically."""
         self._ticks.start()
 
     def close(self) -> None:
-        """Renew no lease any more."""
+        """Stop renewing leases."""
         self._ticks.stop()
 
-    # What the decisions hold
+    # The policy's leases
 
     def _customer(self, customer: str) -> Customer | None:
         return self._driver.gateway.customers.by_tag.get(tag_of(customer))
@@ -77,7 +77,7 @@
         return known.leases.units_left(lease) if known is not None else 0.0
 
     def _take_lease(self, customer: str, lease: int) -> float:
-        """Remove a lease from the decisions, and return the units that were left."""
+        """Remove a lease from the policy, and return the units that it had left."""
         known = self._customer(customer)
         return known.leases.end(lease) if known is not None else 0.0
 
@@ -92,9 +92,9 @@
     # Requests
 
     def delay_admission(self, request: RequestReceived) -> bool:
-        """Acquire what a request needs; True if it waits until the driver's `resume`.
+        """Acquire the units that a request needs; return whether it waits for the driver's `resume`.
 
-        It waits only while the groups answer and a response is on the way.
+        It waits only while operations get results and the result that it needs is pending.
         """
         plan = self._driver.settings.plans[request.plan]
         if not plan.rate or (len(self._plans) >= MAX_CUSTOMERS and request.customer not in self._plans):
@@ -106,19 +106,19 @@
                 now, request.customer, plan.rate, plan.burst, request.gateway_set_size, request.units
             )
         )
-        if not self._is_answered or request.remaining_time <= 2 * MAX_REQUEST_DELAY_MS:
+        if not self._is_available or request.remaining_time <= 2 * MAX_REQUEST_DELAY_MS:
             return False
         delayed = self._delayed.get(request.customer)
         if delayed is None and not self.holder.is_waiting(now, request.customer, request.units):
             return False
-        one = DelayedRequest(now + MAX_REQUEST_DELAY_MS, request.request_id, request.units)
-        self._delayed.setdefault(request.customer, []).append(one)
+        delayed_request = DelayedRequest(now + MAX_REQUEST_DELAY_MS, request.request_id, request.units)
+        self._delayed.setdefault(request.customer, []).append(delayed_request)
         return True
 
     def _resume(self, customer: str) -> None:
-        """Resume the requests that waited for this customer's lease.
+        """Resume the requests that wait for this customer's lease.
 
-        Those that the lease does not cover wait on, if it is worth acquiring more for them.
+        Those that the lease does not cover keep waiting if more units are being acquired.
         """
         now = self._driver.now()
         delayed = self._delayed.pop(customer, [])
@@ -135,16 +135,16 @@
     # Operations
 
     def _result_received(self, proposal: ProposeOperation, result: Result | None) -> None:
-        self._note_answered(result is not None)
+        self._set_available(result is not None)
         self._counters.add("leases_denied", int(isinstance(result, Denied)))
         self._carry_out(self.holder.apply_result(self._driver.now(), proposal, result))
         if isinstance(proposal.operation, commands.AcquireLease):
             self._resume(proposal.customer)
 
-    def _note_answered(self, is_answered: bool) -> None:
-        if is_answered != self._is_answered:
-            self._is_answered = is_answered
-            log.log_event("leases_sound" if is_answered else "leases_alone", customers=len(self._plans))
+    def _set_available(self, is_available: bool) -> None:
+        if is_available != self._is_available:
+            self._is_available = is_available
+            log.log_event("leases_sound" if is_available else "leases_alone", customers=len(self._plans))
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
@@ -153,7 +153,7 @@
             else:
                 group = group_of_customer(action.customer, self._groups)
                 if group not in self._sessions:
-                    handlers = SessionHandlers(self._result_received, self._session_forgotten)
+                    handlers = SessionHandlers(self._result_received, self._session_dropped)
                     self._sessions[group] = LeaseSession(self._requests, group, handlers, self._counters)
                 self._sessions[group].propose(action)
 
@@ -166,11 +166,11 @@
             QuotaLeaseGranted(update.customer, plan, update.lease_id, update.units, update.usable_until)
         )
 
-    def _session_forgotten(self, session: LeaseSession) -> None:
-        """Give up a session that its group knows no more.
+    def _session_dropped(self, session: LeaseSession) -> None:
+        """Replace a session that its group has dropped.
 
-        Of what is pending in it nobody can tell whether it was done. The next operation opens another
-        session, by another name.
+        It is unknown whether its pending operations were applied. The next operation opens a session of
+        another name.
         """
         self._counters.add("leases_sessions_forgotten")
         if self._sessions.get(session.group) is session:
@@ -188,9 +188,9 @@
     def _renew_and_resume(self) -> None:
         self._carry_out(self.holder.tick(self._driver.now()))
         now = self._driver.now()
-        for customer in [one for one, delayed in self._delayed.items() if delayed[0].deadline <= now]:
+        for customer in [name for name, delayed in self._delayed.items() if delayed[0].deadline <= now]:
             self._resume(customer)
-        for customer in [one for one in self._plans if one not in self.holder.customers]:
+        for customer in [name for name in self._plans if name not in self.holder.customers]:
             del self._plans[customer]
         loop_now = asyncio.get_running_loop().time()
         for session in list(self._sessions.values()):
--- a/mapleshunt/net/replication/snapshot_sender.py
+++ b/mapleshunt/net/replication/snapshot_sender.py
@@ -1,4 +1,4 @@
-"""Sends the chunks of snapshots no faster than the operators' file allows."""
+"""Rate limit for snapshot chunks, from the operators' file."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from ...replication import messages as m
 from ...replication.snapshot_pacer import SnapshotPacer
 
-BURST_S = 0.25  # of the rate: how much may go at once after a pause
-TIMER_MARGIN_S = 0.001  # so that the pacer has something to take when the timer fires
+BURST_S = 0.25  # seconds of the rate that may be sent at once after a pause
+TIMER_MARGIN_S = 0.001  # so that the pacer has tokens when the timer fires
 
 
 class SnapshotSender:
-    """Paces chunks; a later chunk takes the place of one to the same replica that has not gone."""
+    """Paces chunks; a new chunk replaces one of the same group and replica that is not sent yet."""
 
     def __init__(self, bytes_per_s: float, send: Callable[[int, m.Replica, m.Message], None]) -> None:
-        """`send` gets the group, the receiver and the chunk."""
+        """Initialize; `send` gets the group, the receiver and the chunk."""
         self._rate = bytes_per_s
         self._send = send
         self._pacer: SnapshotPacer[tuple[int, m.Replica], m.SnapshotChunk]
@@ -24,7 +24,7 @@
         self._closed = False
 
     def start(self, now: float) -> None:
-        """Count from now on."""
+        """Start the pacer."""
         self._pacer = SnapshotPacer(self._rate, self._rate * BURST_S, now)
 
     def send(self, group: int, to: m.Replica, chunk: m.SnapshotChunk) -> None:
@@ -45,5 +45,5 @@
         self._send_ready()
 
     def close(self) -> None:
-        """Set no further timer."""
+        """Stop setting timers."""
         self._closed = True
--- a/mapleshunt/net/replication/store_access.py
+++ b/mapleshunt/net/replication/store_access.py
@@ -1,4 +1,4 @@
-"""How the store of this gateway's replicas is opened, and what may stand in the way."""
+"""Opening of the replicas' store, and the replication addresses of the section."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class ReplicationInUseError(ConfigError):
-    """Another process has the store or the address of this gateway's replicas."""
+    """Another process uses the store or the address of this gateway's replicas."""
 
 
 def open_store(section: ReplicationSection, name: str) -> DurableStore:
     """Open and check the store of the gateway `name`. Blocks.
 
     Raises:
-        ReplicationInUseError: another process has the store.
-        ConfigError: the store is of another fleet, gateway or form.
-        StoreUnavailableError: another attempt may succeed.
+        ReplicationInUseError: another process uses the store.
+        ConfigError: the store is of another fleet or gateway, of a newer format, or cannot be used.
+        StoreUnavailableError: a transient error; another attempt may succeed.
     """
     folder = Path(section.folder.replace("{name}", name))
     try:
@@ -32,12 +32,12 @@
 
 
 def peer_addresses(section: ReplicationSection, name: str) -> dict[str, Address]:
-    """Return the replication addresses of all gateways, of `name` among them.
+    """Return the replication addresses of all gateways, including `name`.
 
     Raises:
-        ConfigError: an address is malformed, or there is none for `name`.
+        ConfigError: an address is malformed, or `name` has none.
     """
     addresses = {peer.name: parse_address(peer.address, f"peer {peer.name}") for peer in section.peer}
     if name not in addresses:
-        raise ConfigError(f"copies: no peer is named {name!r}, as this gateway is")
+        raise ConfigError(f"copies: expected a peer with this gateway's name, {name!r}")
     return addresses
--- a/mapleshunt/net/replication/store_tasks.py
+++ b/mapleshunt/net/replication/store_tasks.py
@@ -1,4 +1,4 @@
-"""Work on the store, done by its writer's thread, with the results handed back to the event loop."""
+"""Store operations in the writer's thread, with results passed back to the event loop."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class StoreTasks:
-    """Hands writes and other tasks to the writer's thread, in their order."""
+    """Passes writes and other tasks to the writer's thread, in order."""
 
     def __init__(self, store: DurableStore) -> None:
-        """Wire it; the thread begins with `start`."""
+        """Initialize; `start` starts the thread."""
         self.store = store
         self.writer: StoreWriter
         self._muted = False
@@ -26,17 +26,17 @@
     def start(
         self, on_written: Callable[[list[tuple[int, int]]], None], on_failed: Callable[[str], None]
     ) -> None:
-        """Begin the writer's thread.
+        """Start the writer's thread.
 
         Args:
-            on_written: gets the group and number of writes that are durable, in the event loop.
-            on_failed: gets why a commit failed, in the event loop; the commit is repeated.
+            on_written: called in the event loop with the (group, number) of durable writes.
+            on_failed: called in the event loop with the reason why a commit failed; it is repeated.
         """
         self._loop = asyncio.get_running_loop()
         self.writer = StoreWriter(
             self.store,
-            lambda done: self._call_in_loop(on_written, done),
-            lambda why: self._call_in_loop(on_failed, why),
+            lambda completed: self._call_in_loop(on_written, completed),
+            lambda reason: self._call_in_loop(on_failed, reason),
         )
 
     def _call_in_loop(self, callback: Callable[[Result], None], result: Result) -> None:
@@ -44,11 +44,11 @@
             self._loop.call_soon_threadsafe(callback, result)
 
     def write(self, group: int, write: m.Write) -> None:
-        """Make a write of a group's node durable."""
+        """Queue a write of a group's node, to be made durable."""
         self.writer.write(group, write)
 
     def run(self, task: Callable[[], Result], *callbacks: Callable[[Result], None]) -> None:
-        """Run a task between two commits; the callbacks get its result in the event loop."""
+        """Queue a task to run between two commits; the callbacks get its result in the event loop."""
 
         def run_task() -> None:
             result = task()
@@ -58,10 +58,10 @@
         self.writer.run_task(run_task)
 
     def mute(self) -> None:
-        """Hand back no more results."""
+        """Stop passing results back."""
         self._muted = True
 
     def close(self) -> None:
-        """Finish the writes that wait, if the disk allows it, and close the store."""
+        """Finish the queued writes, if the disk allows it, and close the store."""
         self.writer.close()
         self.store.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -344,4 +344,4 @@
         theirs.close()
         return reason
 
-    assert asyncio.run(run()) == "greeted as another incarnation"
+    assert asyncio.run(run()) == "this gateway's incarnation has changed since its handshake"
--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -139,7 +139,7 @@
 
 async def lead(host: GroupHost, follower: str) -> None:
     """Let the replica lead its group, with the votes and the word of one follower."""
-    host.begun, host.node.election.deadline = True, 0.0
+    host.started, host.node.election.deadline = True, 0.0
     host.step(m.Tick())
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term + 1, True, True)))
     await until(lambda: host.node.outbox.durable_write == host.node.outbox.last_write)
@@ -204,7 +204,7 @@
 
         monkeypatch.setattr(host.node, "step", defective)
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
-        host.begin()
+        host.start()
         await until(lambda: len(met) >= 5)
         copies.close()
 
