--- a/mapleshunt/replication/__init__.py
+++ b/mapleshunt/replication/__init__.py
@@ -1,4 +1,4 @@
 """Replication of quotas and records over several gateways: Raft without I/O.
 
-Nothing here is loaded unless the operators' file has a section `(copies ...)`.
+No module of it is loaded unless the operators' file has a section `(copies ...)`.
 """
--- a/mapleshunt/replication/applier.py
+++ b/mapleshunt/replication/applier.py
@@ -1,4 +1,4 @@
-"""Committed entries on their way to the state machine, the proposals they answer, and own snapshots."""
+"""Application of committed entries, results of the proposals, and requests for snapshots."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class Applier:
-    """Owns the proposals that are not yet committed, and whether a snapshot is being made."""
+    """Emits committed entries. Owns the uncommitted proposals, and whether a snapshot is requested."""
 
     def __init__(self, log: RaftLog, outbox: Outbox, config: RaftConfig) -> None:
         self._log = log
         self._outbox = outbox
         self._config = config
-        self._proposals: dict[int, tuple[int, int]] = {}  # by index: term and request
+        self._proposals: dict[int, tuple[int, int]] = {}  # by index: term and request id
         self._snapshot_requested = False
 
     def is_full(self) -> bool:
-        """Whether no further proposal may wait."""
+        """Return whether the limit of uncommitted proposals is reached."""
         return len(self._proposals) >= self._config.max_pending_requests
 
     def add_proposal(self, entry: Entry, request_id: int) -> None:
-        """Answer that request once the entry is committed."""
+        """Record a proposal, so that its request is answered once the entry is committed."""
         self._proposals[entry.index] = (entry.term, request_id)
 
     def fail_proposals(self, leader_hint: Replica) -> None:
-        """Leadership is lost: whether the open proposals come to be applied is unknown."""
+        """Answer all proposals with `UNKNOWN`: without leadership they may be committed, or not."""
         for index in sorted(self._proposals):
             request_id = self._proposals[index][1]
             self._outbox.emit(RequestResult(request_id, RequestOutcome.UNKNOWN, leader_hint=leader_hint))
         self._proposals = {}
 
     def commit_to(self, index: int) -> None:
-        """Hand out the entries up to `index`, and ask for a snapshot if enough of them were."""
+        """Emit the entries up to `index` to be applied, and request a snapshot after enough of them."""
         entries = self._log.slice(self._log.commit_index + 1, index + 1)
         self._log.commit_index = index
         for entry in entries:
@@ -46,10 +46,10 @@
             self._outbox.emit(CreateSnapshot(index))
 
     def on_snapshot_created(self, index: int, data: bytes) -> Snapshot | None:
-        """Compact the log by a snapshot of the state machine; None if it came too late."""
+        """Compact the log with a snapshot of the state machine; return None if it is outdated."""
         self._snapshot_requested = False
         return self._log.compact(index, data, self._config.retained_entries)
 
     def on_snapshot_installed(self) -> None:
-        """A leader's snapshot was taken: ask for an own one again when it is time."""
+        """Allow the next snapshot request, since a leader's snapshot replaced the log."""
         self._snapshot_requested = False
--- a/mapleshunt/replication/boots.py
+++ b/mapleshunt/replication/boots.py
@@ -1,27 +1,27 @@
-"""Boot numbers of stores, by which a disk that was put back from an older copy is recognised. Pure.
+"""Boot numbers of stores, which reveal a disk that was restored from an older copy. Pure.
 
 Each opening of a store makes its next boot number: a count in the upper bits, and 32 random bits. Gateways
-tell each other the highest boot number that they met of each incarnation.
+exchange the highest boot number that they have seen of each incarnation.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-MAX_KNOWN_INCARNATIONS = 1024  # that a gateway remembers, and that a handshake may hold
+MAX_KNOWN_INCARNATIONS = 1024  # in a gateway's memory, and in a handshake
 RANDOM_BITS = 32  # the lower part of a boot number
 
 
 def newer_boot(boot: int, known: int) -> int:
-    """The boot number with the higher count.
+    """Return the boot number with the higher count.
 
-    Of two with the same count the known one stays: the other is of a disk that was put back.
+    Of two with the same count the known one stays: the other is of a restored disk.
     """
     return boot if boot >> RANDOM_BITS > known >> RANDOM_BITS else known
 
 
 def merge_known_boots(known: Mapping[str, int], received: Mapping[str, int]) -> dict[str, int]:
-    """The newest boot of each incarnation, with those of another gateway as far as there is room."""
+    """Return the newest boot of each incarnation, adding another gateway's up to the limit."""
     merged = dict(known)
     for incarnation, boot in received.items():
         if incarnation in merged:
@@ -32,17 +32,17 @@
 
 
 def remember_boot(known: Mapping[str, int], incarnation: str, boot: int) -> dict[str, int]:
-    """The same with one that this gateway met itself, as the last.
+    """Return the known boots with one that this gateway has seen itself, as the last.
 
-    It takes the place of the one that was met longest ago, where there is no room: incarnations that are
-    gone for good would fill it up.
+    At the limit it replaces the one that was seen longest ago: otherwise incarnations that are gone for
+    good would fill the limit.
     """
-    rest = {name: newest for name, newest in known.items() if name != incarnation}
-    while len(rest) >= MAX_KNOWN_INCARNATIONS:
-        del rest[next(iter(rest))]
-    return {**rest, incarnation: newer_boot(boot, known.get(incarnation, boot))}
+    others = {name: newest for name, newest in known.items() if name != incarnation}
+    while len(others) >= MAX_KNOWN_INCARNATIONS:
+        del others[next(iter(others))]
+    return {**others, incarnation: newer_boot(boot, known.get(incarnation, boot))}
 
 
 def is_store_outdated(boot: int, known: int) -> bool:
-    """Whether others know of a boot of this store's incarnation that the store, in `boot`, does not."""
+    """Return whether others know a boot of this store's incarnation that the store, in `boot`, lacks."""
     return known != boot and known >> RANDOM_BITS >= boot >> RANDOM_BITS
--- a/mapleshunt/replication/config.py
+++ b/mapleshunt/replication/config.py
@@ -9,7 +9,7 @@
 class RaftConfig:
     """Timeouts and limits of a replica, the same for all replicas of a group.
 
-    The proportions follow the thesis, 9.3: a broadcast takes far less than an election timeout, and
+    The proportions follow Ongaro's thesis, 9.3: a broadcast takes far less than an election timeout, and
     timeouts are drawn from [election_timeout_s, 2 * election_timeout_s).
     """
 
@@ -18,6 +18,6 @@
     max_batch_bytes: int = 64 * 1024  # of entries in one message
     max_inflight_messages: int = 8  # with entries, to one follower
     snapshot_chunk_bytes: int = 64 * 1024
-    retained_entries: int = 256  # behind a snapshot, for followers that lag a little
+    retained_entries: int = 256  # that a snapshot covers, for followers that lag slightly
     compaction_threshold: int = 2048  # applied entries after which a snapshot is requested
-    max_pending_requests: int = 1024  # proposals not yet committed, or reads, beyond which more are rejected
+    max_pending_requests: int = 1024  # uncommitted proposals, or reads; more are rejected
--- a/mapleshunt/replication/election.py
+++ b/mapleshunt/replication/election.py
@@ -1,4 +1,4 @@
-"""Terms, votes and roles: pre-vote (thesis, 9.6), elections (3.4) and who is followed."""
+"""Terms, votes and roles: pre-vote (thesis, 9.6), elections (3.4) and the current leader."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .raft_log import RaftLog
 from .roles import Role, RoleChangeReason, check_transition
 
-NEVER = -1e9  # s, before all times of any clock that never goes back
+NEVER = -1e9  # s, before any time of a monotonic clock
 
 
 class Election:
@@ -32,7 +32,7 @@
         self.role = Role.FOLLOWER
         self.leader: Replica = ""
         self.leader_contact_at = NEVER
-        self.deadline = NEVER  # when the election timeout runs out; the node sets it as it begins
+        self.deadline = NEVER  # of the election timeout; the node sets it at its start
         self.on_elected: Callable[[float], None] = lambda _now: None
         self.on_step_down: Callable[[], None] = lambda: None
         self._log = log
@@ -40,18 +40,18 @@
         self._config = config
         self._rng = rng
         self._votes: set[Replica] = set()
-        self._self_vote_write = 0  # the write that makes the own vote durable
+        self._self_vote_write = 0  # number of the write that makes its own vote durable
 
     def reset_timeout(self, now: float) -> None:
-        """Draw the next election timeout."""
+        """Restart the election timeout with a new random duration."""
         self.deadline = now + self._config.election_timeout_s * (1 + self._rng.random())
 
     def write_state(self) -> None:
-        """Make the term and the vote durable."""
+        """Request a durable write of the term and the vote."""
         self._outbox.write(self._log.last_index(), self.term, self.voted_for)
 
     def follow(self, term: int, leader: Replica, reason: RoleChangeReason) -> None:
-        """Become a follower in that term, of that leader if it is known."""
+        """Become a follower in `term`, of `leader` if it is known."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
@@ -60,13 +60,13 @@
         self._votes = set()
 
     def accept_leader(self, now: float, sender: Replica, term: int) -> bool:
-        """Follow the sender of a leader's message; False if its term is over."""
+        """Follow the sender of a leader's message; return False if its term is outdated."""
         if term < self.term:
             return False
         if term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
             newer = term > self.term
             self.follow(
-                term, sender, RoleChangeReason.HIGHER_TERM if newer else RoleChangeReason.LEADER_HEARD
+                term, sender, RoleChangeReason.HIGHER_TERM if newer else RoleChangeReason.LEADER_CONTACT
             )
         self.leader_contact_at = now
         self.reset_timeout(now)
@@ -84,7 +84,7 @@
     # Candidates
 
     def request_pre_votes(self, now: float) -> None:
-        """Ask whether a majority would vote for this replica, in the term after its own."""
+        """Ask whether a majority would vote for this replica in the next term."""
         self.reset_timeout(now)
         if self.me not in self._log.members.voters:
             return
@@ -95,7 +95,7 @@
         self._count_vote(now, self.me)
 
     def campaign(self, now: float, leadership_transfer: bool = False) -> None:
-        """Ask for votes in the next term."""
+        """Become a candidate, and ask for votes in the next term."""
         self.reset_timeout(now)
         if self.me not in self._log.members.voters:
             return
@@ -117,7 +117,7 @@
                 self._outbox.send_when_durable(replica, request)
 
     def on_write_completed(self, now: float) -> None:
-        """Count the own vote once it is durable."""
+        """Count this replica's own vote once it is durable."""
         durable = self._self_vote_write and self._self_vote_write <= self._outbox.durable_write
         if self.role is Role.CANDIDATE and durable:
             self._self_vote_write = 0
@@ -129,7 +129,7 @@
             if self.role is Role.PRE_CANDIDATE and response.term == self.term + 1:
                 self._count_vote(now, sender)
         elif response.term > self.term:
-            # Else a replica of a longer log and a lower term would ask in vain for ever.
+            # Otherwise a replica with a longer log and a lower term would never get a vote.
             self.follow(response.term, "", RoleChangeReason.HIGHER_TERM)
         elif self.role is Role.CANDIDATE and response.granted and response.term == self.term:
             self._count_vote(now, sender)
@@ -138,7 +138,7 @@
         members = self._log.members
         if replica in members.voters:
             self._votes.add(replica)
-        # Its own vote too: a replica whose term is not on disk could lead the same term after a restart.
+        # Its own vote is required: a replica whose term is not on disk could lead it again after a restart.
         if len(self._votes) < members.majority() or self.me not in self._votes:
             return
         if self.role is Role.PRE_CANDIDATE:
@@ -147,15 +147,15 @@
             self._become(Role.LEADER, self.me, RoleChangeReason.ELECTED)
             self.on_elected(now)
 
-    # Voters
+    # Votes for others
 
     def on_vote_request(self, now: float, sender: Replica, request: VoteRequest) -> None:
-        """Grant or deny a vote; a replica that hears a leader helps nobody to another term (thesis, 6.4)."""
-        hears_leader = now - self.leader_contact_at < self._config.election_timeout_s
-        if not request.leadership_transfer and (hears_leader or self.role is Role.LEADER):
+        """Grant or deny a vote; ignore the request while a leader is in contact (thesis, 4.2.3)."""
+        has_leader_contact = now - self.leader_contact_at < self._config.election_timeout_s
+        if not request.leadership_transfer and (has_leader_contact or self.role is Role.LEADER):
             return
-        mine = (self._log.last_term(), self._log.last_index())
-        up_to_date = (request.last_term, request.last_index) >= mine
+        own_position = (self._log.last_term(), self._log.last_index())
+        up_to_date = (request.last_term, request.last_index) >= own_position
         if request.pre_vote:
             granted = up_to_date and request.term > self.term
             term = request.term if granted else self.term
@@ -163,8 +163,8 @@
             return
         if request.term > self.term:
             self.follow(request.term, "", RoleChangeReason.HIGHER_TERM)
-        free = self.voted_for in ("", sender) and self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
-        granted = request.term == self.term and up_to_date and free
+        can_vote = self.voted_for in ("", sender) and self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
+        granted = request.term == self.term and up_to_date and can_vote
         if granted and self.voted_for != sender:
             self.voted_for = sender
             self.write_state()
--- a/mapleshunt/replication/follower.py
+++ b/mapleshunt/replication/follower.py
@@ -1,4 +1,4 @@
-"""A follower's part: entries and snapshots that come from the leader (thesis, 3.5 and 5)."""
+"""The follower's handling of the leader's entries and snapshots (thesis, 3.5 and 5)."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot of which some chunks have come."""
+    """A snapshot that is being received in chunks."""
 
     index: int
     term: int
@@ -30,12 +30,12 @@
     data: bytearray = field(default_factory=bytearray)
 
     def is_of(self, sender: Replica, chunk: SnapshotChunk) -> bool:
-        """Whether the chunk is a part of this snapshot."""
+        """Return whether the chunk belongs to this snapshot."""
         return (self.index, self.term, self.sender) == (chunk.index, chunk.snapshot_term, sender)
 
 
 class Follower:
-    """Takes a leader's entries and snapshots into the log. Owns the snapshot that is coming in."""
+    """Stores a leader's entries and snapshots in the log. Owns the snapshot that is being received."""
 
     def __init__(self, election: Election, log: RaftLog, outbox: Outbox, applier: Applier) -> None:
         self.election = election
@@ -45,13 +45,13 @@
         self._incoming: IncomingSnapshot | None = None
 
     def on_append_entries(self, now: float, sender: Replica, message: AppendEntries) -> None:
-        """Take the entries if the log agrees with the leader's before them; answer how far it agrees."""
+        """Store the entries if the log matches the leader's before them; respond how far it matches."""
         if not self.election.accept_leader(now, sender, message.term):
             self._respond(sender, False, self.log.last_index(), 0)
             return
         previous, entries = message.previous_index, message.entries
         commit = self.log.commit_index
-        if previous < commit:  # what is committed is the same everywhere
+        if previous < commit:  # committed entries are the same on all replicas
             entries = tuple(entry for entry in entries if entry.index > commit)
             last = message.entries[-1].index if message.entries else previous
             previous = max(previous, min(commit, last))
@@ -65,7 +65,7 @@
         self._respond(sender, True, agreed, message.round)
 
     def _agreement_hint(self, message: AppendEntries) -> int:
-        """Where the leader is to look for agreement next."""
+        """Return the index at which the leader is to look for agreement next."""
         log = self.log
         hint = min(message.previous_index - 1, log.last_index())
         while hint > log.commit_index and (log.term_at(hint) or 0) > message.previous_term:
@@ -73,7 +73,7 @@
         return max(hint, log.commit_index)
 
     def _store(self, entries: tuple[Entry, ...]) -> None:
-        """Put the entries that the log lacks into it, in place of any that contradict them."""
+        """Store the entries that the log lacks, in place of any that conflict with them."""
         new = tuple(entry for entry in entries if self.log.term_at(entry.index) != entry.term)
         if not new:
             return
@@ -83,7 +83,7 @@
         self._write(new)
 
     def on_snapshot_chunk(self, now: float, sender: Replica, chunk: SnapshotChunk) -> None:
-        """Take a part of the leader's snapshot, and install the snapshot with its last part."""
+        """Store a chunk of the leader's snapshot, and install the snapshot with its last chunk."""
         if not self.election.accept_leader(now, sender, chunk.term):
             self._respond(sender, False, self.log.last_index(), 0)
             return
--- a/mapleshunt/replication/generations.py
+++ b/mapleshunt/replication/generations.py
@@ -1,4 +1,4 @@
-"""Generations of groups: a group that was recovered by hand goes on in a later one. Pure."""
+"""Generations of groups: a group that an operator recovered continues in a later one. Pure."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 def channel_of(group: int, generation: int) -> int:
-    """The number that a group's messages carry; those of an earlier generation carry another."""
+    """Return the channel number of a group's messages, which differs between generations."""
     return group + MAX_GROUPS * generation
 
 
 def group_and_generation(channel: int) -> tuple[int, int]:
-    """The group and the generation of a message's channel."""
+    """Return the group and the generation of a message's channel."""
     return channel % MAX_GROUPS, channel // MAX_GROUPS
 
 
 def next_generation(generation: int, random_bits: int) -> int:
-    """The generation after a recovery: a count, and 16 random bits.
+    """Return the generation after a recovery: the next count, and 16 random bits.
 
-    Of a group that was recovered twice apart, one generation is the later for all.
+    If a group is recovered twice independently, the random bits decide for all which generation is later.
     """
     return ((generation >> RANDOM_BITS) + 1) << RANDOM_BITS | random_bits & 0xFFFF
--- a/mapleshunt/replication/leader.py
+++ b/mapleshunt/replication/leader.py
@@ -1,4 +1,4 @@
-"""A leader's part: proposals, commits, changes of members, and handing over (thesis, 3.5, 3.6, 3.10, 4)."""
+"""The leader: proposals, commits, membership changes and leadership transfer (thesis, 3.5, 3.6, 3.10, 4)."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Leader:
-    """What a replica holds and does while it leads, in one term."""
+    """A replica's leadership in one term."""
 
     progress_type: type[ReplicationProgress] = ReplicationProgress
     read_queue_type: type[ReadQueue] = ReadQueue
@@ -39,7 +39,7 @@
         round_: int,
         now: float,
     ) -> None:
-        """Take over, with `round_` as the number of the first round of heartbeats."""
+        """Become leader, with `round_` as the number of the first round of heartbeats."""
         self.election = election
         self.me = election.me
         self.log = log
@@ -52,17 +52,17 @@
         self._transfer_deadline = 0.0
         self.progress = self.progress_type(self.me, election.term, round_, log, outbox, config, now)
         self.reads = self.read_queue_type(self.progress, log, outbox, config)
-        # An entry of the own term: once it is committed, so is all before it.
+        # Once this entry of its own term is committed, so are all entries before it.
         self._append(now, Entry(log.last_index() + 1, election.term, self.stamp(now)))
 
     def is_leading(self) -> bool:
-        """Whether this is still the leader: a commit may have removed it."""
+        """Return whether this replica still leads: a commit may have removed it."""
         return self.election.role is Role.LEADER
 
     def stamp(self, now: float) -> float:
-        """The log's time, ms: that of the entry it began with, and what passed here since.
+        """Return the log's time, ms: that of the last entry before this term, plus the time elapsed since.
 
-        A clock that is ahead or was set cannot hurry it, and while nobody leads it does not advance:
+        A clock that is ahead or was set does not advance it, and it stands still while there is no leader:
         nothing expires too early.
         """
         return max(self.log.last_stamp(), self._base_stamp + 1000 * (now - self._base_now))
@@ -79,7 +79,7 @@
     # Requests
 
     def propose(self, now: float, request: Propose) -> None:
-        """Append an entry, unless leadership is being handed over or too many wait."""
+        """Append an entry; reject it during a leadership transfer or if too many proposals are pending."""
         if self._transfer_to or self.applier.is_full():
             self.outbox.reject(request.request_id)
             return
@@ -94,7 +94,7 @@
         self._append(now, entry)
 
     def change_members(self, now: float, change: ChangeMembership) -> None:
-        """Begin a change: each once the one before is committed, and none before an entry of this term is."""
+        """Append a membership change; reject it if it is invalid, or `must_wait_for_change`."""
         members = self.log.members
         caught_up = self.progress.is_caught_up(change.replica)
         allowed = not self._transfer_to and not self.must_wait_for_change()
@@ -104,19 +104,19 @@
         changed = changed_members(members, change)
         active = sum(self.progress.is_active(now, replica) for replica in changed.voters)
         if active < changed.majority():
-            self.outbox.reject(change.request_id)  # it could not commit what follows, nor be taken back
+            self.outbox.reject(change.request_id)  # it could neither commit more nor be reverted
             return
         entry = Entry(self.log.last_index() + 1, self.election.term, self.stamp(now), members=changed)
         self._append_request(now, change.request_id, entry)
 
     def must_wait_for_change(self) -> bool:
-        """Whether a change is not committed yet, or no entry of this term is."""
+        """Return whether a change is uncommitted, or no entry of this term is committed."""
         return self.log.has_uncommitted_change() or not self.log.is_commit_of_term(self.election.term)
 
     # Commits
 
     def advance_commit(self, now: float) -> None:
-        """Commit what a majority has durable, if the last of it is of this term (thesis, 3.6.2)."""
+        """Commit what is durable on a majority, if the last entry is of this term (thesis, 3.6.2)."""
         index = self.progress.quorum_index()
         if index <= self.log.commit_index or not self.is_committable(index):
             return
@@ -127,13 +127,13 @@
         self.reads.on_commit(now)
 
     def is_committable(self, index: int) -> bool:
-        """Whether a majority's durability alone commits the entry: only if it is of this term."""
+        """Return whether the entry is of this term: only then does durability on a majority commit it."""
         return self.log.term_at(index) == self.election.term
 
-    # Answers of followers
+    # Responses of followers
 
     def on_append_response(self, now: float, sender: Replica, response: AppendEntriesResponse) -> None:
-        """A follower took entries, or disagreed."""
+        """Update a follower's progress, and send it what it lacks."""
         follower = self.progress.record_contact(now, sender, response.round)
         if follower is None:
             return
@@ -148,18 +148,18 @@
             self._finish_transfer()
 
     def on_chunk_ack(self, now: float, sender: Replica, ack: SnapshotChunkAck) -> None:
-        """A follower took a chunk of a snapshot."""
+        """Record that a follower stored a snapshot chunk, and send it the next one."""
         if self.progress.record_contact(now, sender, ack.round) is not None:
             self.reads.confirm(now)
             self.progress.on_chunk_ack(now, sender, ack)
 
-    # Handing over
+    # Leadership transfer
 
     def transfer(self, now: float, to: Replica) -> None:
-        """Hand leadership to a voter, or to the one that is furthest; requests are rejected meanwhile."""
+        """Transfer leadership to a voter, by default the most up-to-date; reject proposals meanwhile."""
         followers = self.progress.followers
-        voters = [one for one in self.log.members.voters if one != self.me and one in followers]
-        target = to or max(voters, key=lambda one: followers[one].match_index, default="")
+        voters = [voter for voter in self.log.members.voters if voter != self.me and voter in followers]
+        target = to or max(voters, key=lambda voter: followers[voter].match_index, default="")
         if target in voters and not self._transfer_to:
             self._transfer_to = target
             self._transfer_deadline = now + self.config.election_timeout_s
@@ -169,22 +169,22 @@
     def _finish_transfer(self) -> None:
         follower = self.progress.followers.get(self._transfer_to)
         if follower is not None and follower.match_index == self.log.last_index():
-            # It rests on no write: a leader whose disk is full hands over just because none completes.
+            # Waits for no write: a leader whose disk is full has to hand over although no write completes.
             self.outbox.emit(Send(self._transfer_to, TimeoutNow(self.election.term)))
 
     # Time
 
     def wake_time(self) -> float:
-        """When the leader has to be ticked next, s."""
+        """Return when the leader needs its next tick, s."""
         return min(self.progress.next_heartbeat, self.progress.quorum_deadline())
 
     def tick(self, now: float) -> None:
-        """Step down without a quorum; else send heartbeats in time."""
+        """Step down without a quorum; else send a heartbeat that is due."""
         if now >= self.progress.quorum_deadline():
             self.election.follow(self.election.term, "", RoleChangeReason.QUORUM_LOST)
             self.election.reset_timeout(now)
             return
         if self._transfer_to and now >= self._transfer_deadline:
-            self._transfer_to = ""  # the target did not take over: go on
+            self._transfer_to = ""  # the target did not take over in time
         if now >= self.progress.next_heartbeat:
             self.progress.heartbeat(now)
--- a/mapleshunt/replication/membership.py
+++ b/mapleshunt/replication/membership.py
@@ -1,10 +1,9 @@
 """Which replicas a group should have, and the leader's next step towards them. Pure.
 
 One change is made at a time, and a successor joins before a replica is removed. A replica is moved when its
-disk was lost (its gateway is present as another incarnation), when its gateway has been absent for long or is
-to be evacuated, or when a gateway that ranks earlier for the group (`placement.rank_gateways`) has been
-present for long. The last waits until nothing else is wrong: lost replicas are replaced before any moves
-home.
+disk was lost (its gateway is present as another incarnation), when its gateway has been absent for too long
+or is to be evacuated, or when a gateway that ranks higher for the group (`placement.rank_gateways`) has been
+present for long enough. A move by rank waits until no replica is lost: lost replicas are replaced first.
 """
 
 from __future__ import annotations
@@ -18,24 +17,24 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayPresence:
-    """A gateway as the leader sees it: the replica it would hold, None while it is absent."""
+    """A gateway as the leader sees it: the replica that it would host, None while it is absent."""
 
     zone: str
     replica: Replica | None
-    unchanged_s: float  # since it came, or was lost
+    unchanged_s: float  # time since it connected or was lost
 
 
 @dataclass(slots=True, frozen=True)
 class ReplacementDelays:
-    """How long to wait before replicas are moved."""
+    """Delays before replicas are moved."""
 
     replace_s: float  # a gateway that is absent for longer is replaced
-    settle_s: float  # a gateway that is present for longer may take its place by rank
+    settle_s: float  # a gateway that is present for longer may hold a group by rank
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipStep:
-    """What the leader is to do next about one replica."""
+    """The leader's next action on one replica."""
 
     action: MembershipAction
     replica: Replica
@@ -45,13 +44,13 @@
     group: int, size: int, me: Replica, members: Members, fleet: Mapping[str, GatewayPresence],
     evacuated: Collection[str], delays: ReplacementDelays, may_add: bool,
 ) -> MembershipStep | None:  # fmt: skip
-    """What the leader `me` does next, if anything; `may_add`: another replica may be sent a snapshot."""
+    """Return the next step of the leader `me`, if any; `may_add`: another replica may be sent a snapshot."""
     wanted = _wanted_voters(group, size, members, fleet, evacuated, delays)
     if wanted is None:
         return None
     extra = [replica for replica in members.all() if replica not in wanted]
     removable = [replica for replica in extra if replica != me]
-    if removable and len(members.voters) > size:  # each voter more needs one more to agree
+    if removable and len(members.voters) > size:  # extra voters enlarge the quorum
         return MembershipStep(MembershipAction.REMOVE, removable[0])
     for replica in wanted:
         if replica not in members.all():
@@ -66,7 +65,7 @@
 def _hand_over(
     members: Members, fleet: Mapping[str, GatewayPresence], wanted: Sequence[Replica]
 ) -> MembershipStep | None:
-    """Only the leader itself is to be removed, which it cannot do: another voter has to lead."""
+    """Return the transfer of leadership to another voter: a leader cannot remove itself."""
     for replica in wanted:
         if replica in members.voters and _is_present(replica, fleet):
             return MembershipStep(MembershipAction.TRANSFER_LEADERSHIP, replica)
@@ -82,7 +81,7 @@
     group: int, size: int, members: Members, fleet: Mapping[str, GatewayPresence],
     evacuated: Collection[str], delays: ReplacementDelays,
 ) -> Sequence[Replica] | None:  # fmt: skip
-    """The voters there should be; None: wait."""
+    """Return the voters that the group should have; None: wait."""
     present = {
         name: presence.replica
         for name, presence in fleet.items()
@@ -92,19 +91,19 @@
     learners = [replica for replica in members.learners if present.get(gateway_of(replica)) == replica]
     if not leaving and len(staying) >= size:
         return _wanted_by_rank(group, size, staying, learners, present, fleet, delays)
-    # Learners that are present go before gateways that would begin anew.
+    # Present learners take precedence over gateways that hold nothing of the group.
     occupied = {gateway_of(replica) for replica in members.all()}
     ranked = rank_gateways(group, {name: fleet[name].zone for name in present})
     successors += [*learners, *(present[name] for name in ranked if name not in occupied)]
     wanted = list(dict.fromkeys([*staying, *successors]))[: max(size, len(staying))]
-    return wanted + leaving[: max(0, size - len(wanted))]  # better those than too few
+    return wanted + leaving[: max(0, size - len(wanted))]  # better than too few voters
 
 
 def _sort_voters(
     members: Members, fleet: Mapping[str, GatewayPresence], evacuated: Collection[str],
     delays: ReplacementDelays,
 ) -> tuple[list[Replica], list[Replica], list[Replica]]:  # fmt: skip
-    """Voters that stay, voters that leave, and new incarnations in the place of lost ones."""
+    """Return voters that stay, voters that leave, and the new incarnations that replace lost ones."""
     staying: list[Replica] = []
     leaving: list[Replica] = []
     successors: list[Replica] = []
@@ -126,12 +125,12 @@
     group: int, size: int, staying: Sequence[Replica], learners: Sequence[Replica],
     present: Mapping[str, Replica], fleet: Mapping[str, GatewayPresence], delays: ReplacementDelays,
 ) -> Sequence[Replica] | None:  # fmt: skip
-    """No replica is lost: the first by rank of those that hold the group or were present for long."""
+    """Return the voters by rank, as no replica is lost; a gateway new to the group needs `settle_s`."""
     candidates = {
         gateway_of(replica): replica for replica in staying if present.get(gateway_of(replica)) == replica
     }
     if len(candidates) < size:
-        return None  # an absent one may be back at any moment
+        return None  # an absent gateway may return at any moment
     candidates |= {gateway_of(replica): replica for replica in learners}
     candidates |= {
         name: replica for name, replica in present.items() if fleet[name].unchanged_s > delays.settle_s
--- a/mapleshunt/replication/membership_change.py
+++ b/mapleshunt/replication/membership_change.py
@@ -1,4 +1,4 @@
-"""Changes of a group's members by one replica at a time (thesis, 4.1, and its correction of 2015)."""
+"""Membership changes by one replica at a time (thesis, 4.1, and its correction of 2015)."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def changed_members(members: Members, change: ChangeMembership) -> Members:
-    """The members after a change."""
-    voters = [one for one in members.voters if one != change.replica]
-    learners = [one for one in members.learners if one != change.replica]
+    """Return the members after a change."""
+    voters = [voter for voter in members.voters if voter != change.replica]
+    learners = [learner for learner in members.learners if learner != change.replica]
     match change.action:
         case MembershipAction.PROMOTE:
             voters.append(change.replica)
@@ -20,14 +20,14 @@
 
 
 def is_possible(members: Members, change: ChangeMembership, leader: str, caught_up: bool) -> bool:
-    """Whether a change makes sense for these members; `caught_up` is whether the replica's log is."""
+    """Return whether a change is valid for these members; `caught_up`: whether the replica's log is."""
     match change.action:
         case MembershipAction.ADD_LEARNER:
             return change.replica not in members.all()
         case MembershipAction.PROMOTE:
             return change.replica in members.learners and caught_up
         case MembershipAction.REMOVE:
-            # A leader that removed itself would hold an entry that nobody else may have, and not campaign.
+            # A leader that removed itself could be the only replica with that entry, and would not campaign.
             return change.replica in members.all() and change.replica != leader
         case MembershipAction.TRANSFER_LEADERSHIP:
             return False
--- a/mapleshunt/replication/messages.py
+++ b/mapleshunt/replication/messages.py
@@ -1,9 +1,9 @@
 """Records that replicas of a group store and send, and the events and outputs of a replica's step.
 
-What is stored or sent holds positions and tags only (`array_like`, `tag`): names may change, tags, the order
+What is stored or sent holds positions and tags only (`array_like`, `tag`): names may change; tags, the order
 of fields and their defaults may not. A replica is named by its gateway and its incarnation,
-`NAME/INCARNATION`. The incarnation is made with the store: a gateway that lost its disk comes back as another
-replica, and no promise of the lost one counts for it.
+`NAME/INCARNATION`. The incarnation is created with the store: a gateway that lost its disk returns as another
+replica, which is not bound by the votes and acknowledgements of the lost one.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def gateway_of(replica: Replica) -> str:
-    """The name of a replica's gateway."""
+    """Return the name of a replica's gateway."""
     return replica.rpartition("/")[0]
 
 
@@ -29,22 +29,22 @@
     learners: tuple[Replica, ...] = ()
 
     def all(self) -> tuple[Replica, ...]:
-        """Voters and learners."""
+        """Return voters and learners."""
         return self.voters + self.learners
 
     def majority(self) -> int:
-        """How many voters a quorum needs."""
+        """Return how many voters form a quorum."""
         return len(self.voters) // 2 + 1
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """An entry of the log. `stamp` is the log's own time in ms: it never goes back, and never runs ahead."""
+    """An entry of the log. `stamp` is the log's time in ms, which never goes back and never runs ahead."""
 
     index: int
     term: int
     stamp: float
     data: bytes = b""
-    members: Members | None = None  # of a change of membership
+    members: Members | None = None  # of a membership change
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
@@ -58,7 +58,7 @@
 
 
 class PersistentState(msgspec.Struct, frozen=True):
-    """What a replica's disk holds."""
+    """The durable state of a replica."""
 
     snapshot: Snapshot
     term: int = 0
@@ -70,13 +70,13 @@
 
 
 class VoteRequest(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A candidate's request for a vote; with `pre_vote`, whether it would get one in that term."""
+    """A candidate's request for a vote; with `pre_vote`, it asks whether it would get one in that term."""
 
     term: int
     last_index: int
     last_term: int
     pre_vote: bool
-    leadership_transfer: bool  # the leader asked it to campaign: replicas that hear the leader vote too
+    leadership_transfer: bool  # the leader asked for it: replicas in contact with the leader vote too
 
 
 class VoteResponse(msgspec.Struct, array_like=True, tag=2, frozen=True):
@@ -90,7 +90,7 @@
 class AppendEntries(msgspec.Struct, array_like=True, tag=3, frozen=True):
     """Entries after the one at `previous_index`; none in a heartbeat.
 
-    A majority's answers confirm `round`.
+    A majority's responses confirm `round`.
     """
 
     term: int
@@ -102,7 +102,7 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """How far the durable log agrees with the leader's; without `success`, where to look for agreement."""
+    """How far the durable log matches the leader's; without `success`, where to look for agreement."""
 
     term: int
     success: bool
@@ -125,7 +125,7 @@
 
 
 class SnapshotChunkAck(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """A chunk of the snapshot of `index` came; the next one is to begin at `next_offset`."""
+    """The receipt of a chunk of the snapshot at `index`; the next one is to begin at `next_offset`."""
 
     term: int
     index: int
@@ -134,7 +134,7 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """The leader hands over: campaign at once."""
+    """The leader transfers leadership: campaign at once."""
 
     term: int
 
@@ -149,29 +149,29 @@
 
 
 class MembershipAction(enum.StrEnum):
-    """What is done about a replica's membership. The values stand in log lines."""
+    """A change of a replica's membership. The values appear in log lines."""
 
     ADD_LEARNER = "learner"
     PROMOTE = "voter"
     REMOVE = "out"
-    TRANSFER_LEADERSHIP = "transfer"  # changes no members, but comes before the leader's removal
+    TRANSFER_LEADERSHIP = "transfer"  # changes no members, but precedes the leader's removal
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """A message of another replica."""
+    """A message from another replica."""
 
     sender: Replica
     message: Message
 
 
 class WriteCompleted(msgspec.Struct, frozen=True):
-    """The write of that number, and all before it, are durable."""
+    """The write `number`, and all writes before it, are durable."""
 
     number: int
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time has passed."""
+    """A timer event, which carries no data."""
 
 
 class Propose(msgspec.Struct, frozen=True):
@@ -188,7 +188,7 @@
 
 
 class ChangeMembership(msgspec.Struct, frozen=True):
-    """A request for one member more or less, or for a learner to become a voter."""
+    """A request to add or remove a member, or to promote a learner to a voter."""
 
     request_id: int
     action: MembershipAction
@@ -196,7 +196,7 @@
 
 
 class TransferLeadership(msgspec.Struct, frozen=True):
-    """Hand leadership to that replica, or to the one that is furthest."""
+    """A request to transfer leadership to a voter, by default the most up-to-date."""
 
     to: Replica = ""
 
@@ -220,13 +220,13 @@
 class RequestOutcome(enum.StrEnum):
     """How a request ended at the replica. `REJECTED` and `UNKNOWN` are sent to clients by their values."""
 
-    READ_READY = "read"  # answer once all up to the result's index is applied
+    READ_READY = "read"  # answer once the entries up to the result's index are applied
     REJECTED = "refused"  # nothing was or will be done
-    UNKNOWN = "unknown"  # it may come to be applied, or not
+    UNKNOWN = "unknown"  # it may still be applied, or not
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send a message; it may be lost."""
+    """Send a message, which may be lost."""
 
     to: Replica
     message: Message
@@ -235,7 +235,7 @@
 class Write(msgspec.Struct, frozen=True):
     """Make durable, in the order of numbers.
 
-    Entries replace what the log holds from the first's index on; a snapshot replaces all up to its index, and
+    Entries replace the log from the first one's index on; a snapshot replaces the entries up to its index, or
     the whole log if `reset`.
     """
 
@@ -251,17 +251,17 @@
     """Apply a committed entry, each once and in order."""
 
     entry: Entry
-    request_id: int | None = None  # of the proposal that was made here
+    request_id: int | None = None  # of the proposal, if it was made here
 
 
 class RestoreSnapshot(msgspec.Struct, frozen=True):
-    """Take this state in place of all that was applied."""
+    """Replace the applied state by that of a snapshot."""
 
     snapshot: Snapshot
 
 
 class RequestResult(msgspec.Struct, frozen=True):
-    """Answer a request that led to no entry; `leader_hint` is the leader, if known."""
+    """Answer a request other than by `Apply`; `leader_hint` is the leader, if known."""
 
     request_id: int
     outcome: RequestOutcome
@@ -270,7 +270,7 @@
 
 
 class CreateSnapshot(msgspec.Struct, frozen=True):
-    """Hand in the state as of the entry at `index`, the last that was handed out to be applied."""
+    """Create a snapshot of the state as of the entry at `index`, the last that was emitted."""
 
     index: int
 
--- a/mapleshunt/replication/node.py
+++ b/mapleshunt/replication/node.py
@@ -1,10 +1,10 @@
 """One replica of one group: Raft as a step function, without I/O, clock or randomness of its own.
 
-After Ongaro's thesis "Consensus: Bridging Theory and Practice" (2014): pre-vote and check of quorum (9.6,
-6.2), leadership transfer (3.10), changes by one member at a time with a committed entry of the own term first
-(4.1 and the correction of 2015), learners, snapshots in chunks (5), reads by a confirmed round (6.4).
+After Ongaro's thesis "Consensus: Bridging Theory and Practice" (2014): pre-vote and quorum check (9.6, 6.2),
+leadership transfer (3.10), membership changes by one replica at a time after a committed entry of the term
+(4.1 and the correction of 2015), learners, snapshots in chunks (5), reads after a confirmed round (6.4).
 
-`RaftNode.step` hands each event to the part that it concerns: `election` (terms, votes, roles), `follower`,
+`RaftNode.step` passes each event to the part that handles it: `election` (terms, votes, roles), `follower`,
 `leader` (with `progress` and `reads`), `applier` (commits) and `raft_log`. Outputs are collected in `outbox`.
 """
 
@@ -46,7 +46,7 @@
 
 
 class RaftNode:
-    """A replica. Only `step` changes it; the types of its parts can be replaced by a subclass."""
+    """A replica. Only `step` changes it; a subclass can replace the types of its parts."""
 
     outbox_type: type[Outbox] = Outbox
     election_type: type[Election] = Election
@@ -56,7 +56,7 @@
     def __init__(
         self, me: Replica, stored: PersistentState, config: RaftConfig, seed: int, now: float
     ) -> None:
-        """Start with what the disk holds; `seed` is that of the election timeouts."""
+        """Start from the stored state; `seed` is that of the election timeouts."""
         self.me = me
         self.config = config
         self.log = RaftLog(stored)
@@ -64,63 +64,63 @@
         self.applier = Applier(self.log, self.outbox, config)
         rng = random.Random(seed)
         self.election = self.election_type(me, stored, self.log, self.outbox, config, rng)
-        self.election.on_elected = self._take_over
-        self.election.on_step_down = self._step_down
+        self.election.on_elected = self._on_elected
+        self.election.on_step_down = self._on_step_down
         self.follower = self.follower_type(self.election, self.log, self.outbox, self.applier)
         self.leadership: Leader | None = None
-        self._last_round = 0  # of heartbeats, of all terms that this replica led
+        self._last_round = 0  # of heartbeats, over all terms that this replica led
         self.election.reset_timeout(now)
 
-    # What others may know of it
+    # State
 
     @property
     def role(self) -> Role:
-        """Its role in its term."""
+        """The replica's role in its term."""
         return self.election.role
 
     @property
     def term(self) -> int:
-        """The highest term that it knows of."""
+        """The highest term that the replica knows."""
         return self.election.term
 
     @property
     def leader(self) -> Replica:
-        """The leader of its term; empty if it knows none."""
+        """The leader of the term; empty if unknown."""
         return self.election.leader
 
     @property
     def commit_index(self) -> int:
-        """The last index that it knows to be committed."""
+        """The last index that is known to be committed."""
         return self.log.commit_index
 
     @property
     def round(self) -> int:
-        """The number of the last round of heartbeats that it began."""
+        """The number of the last round of heartbeats that this replica began."""
         return self.leadership.progress.round if self.leadership is not None else self._last_round
 
     def members(self) -> Members:
-        """The members as of the log's end."""
+        """Return the members as of the log's end."""
         return self.log.members
 
     def stamp(self, now: float) -> float:
-        """The log's time now, ms, as far as this replica can tell; exact at the leader."""
+        """Return the log's time, ms, as far as this replica knows; exact at the leader."""
         return self.leadership.stamp(now) if self.leadership is not None else self.log.last_stamp()
 
     def wake_time(self) -> float:
-        """When the next `Tick` is needed, s."""
+        """Return when the next `Tick` is needed, s."""
         return self.leadership.wake_time() if self.leadership is not None else self.election.deadline
 
     # Events
 
     def step(self, now: float, event: Event) -> list[Output]:
-        """Take an event and return what to do about it.
+        """Process an event and return the outputs.
 
         Args:
-            now: The time in s, of a clock that never goes back.
+            now: The time in s, of a monotonic clock.
             event: What happened.
 
         Returns:
-            What the host has to do, in this order. Writes are made durable in their order, each answered by
+            What the host has to do, in this order. Writes are made durable in order, each followed by a
             `WriteCompleted`.
         """
         self.outbox.begin_step()
@@ -171,7 +171,7 @@
             case AppendEntries():
                 self.follower.on_append_entries(now, sender, message)
             case AppendEntriesResponse() | SnapshotChunkAck():
-                self._on_follower_answer(now, sender, message)
+                self._on_follower_response(now, sender, message)
             case VoteRequest():
                 self.election.on_vote_request(now, sender, message)
             case VoteResponse():
@@ -182,7 +182,7 @@
                 if term == self.term and self.role is Role.FOLLOWER and sender == self.leader:
                     self.election.campaign(now, leadership_transfer=True)
 
-    def _on_follower_answer(
+    def _on_follower_response(
         self, now: float, sender: Replica, message: AppendEntriesResponse | SnapshotChunkAck
     ) -> None:
         term = self.election.term
@@ -203,13 +203,13 @@
 
     # Leadership
 
-    def _take_over(self, now: float) -> None:
+    def _on_elected(self, now: float) -> None:
         self._last_round += 1
         self.leadership = self.leader_type(
             self.election, self.log, self.outbox, self.applier, self.config, self._last_round, now
         )
 
-    def _step_down(self) -> None:
+    def _on_step_down(self) -> None:
         assert self.leadership is not None
         self.applier.fail_proposals(self.leader)
         self.leadership.reads.reject_all(self.leader)
--- a/mapleshunt/replication/progress.py
+++ b/mapleshunt/replication/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of the other replicas, and what it sends to each (thesis, 3.5; etcd's `Progress`)."""
+"""The leader's view of its followers, and what it sends to each (thesis, 3.5; etcd's `Progress`)."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 from .raft_log import RaftLog
 
 T = TypeVar("T", int, float)
-ENTRY_OVERHEAD_BYTES = 64  # of an entry in a message, beside its data, about
-FOREVER = 1e18  # s, when a leader last heard itself
-RESEND_HEARTBEATS = 2  # without progress, after which what was sent counts as lost
+ENTRY_OVERHEAD_BYTES = 64  # approximate size of an entry in a message, without its data
+OWN_CONTACT_AT = 1e18  # s, a leader's last contact with itself
+RESEND_HEARTBEATS = 2  # without progress, after which sent messages count as lost
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What a leader knows of another replica."""
+    """The state of replication to another replica."""
 
-    next_index: int = 1  # of the entry to be sent next
-    match_index: int = 0  # its durable log agrees up to here
-    is_probing: bool = True  # one message at a time until it agrees
-    inflight: deque[int] = field(default_factory=deque)  # last indexes of messages not answered
-    heard_at: float = 0.0  # when it last answered, s
+    next_index: int = 1  # of the next entry to send
+    match_index: int = 0  # its durable log matches the leader's up to here
+    is_probing: bool = True  # one message at a time until the logs agree
+    inflight: deque[int] = field(default_factory=deque)  # last indexes of unanswered messages
+    last_contact_at: float = 0.0  # when it last responded, s
     confirmed_round: int = 0  # the last round it confirmed
-    progressed_at: float = 0.0  # when `match_index` last grew or something was sent anew, s
+    progressed_at: float = 0.0  # when replication to it last advanced or was restarted, s
     snapshot: Snapshot | None = None  # being sent to it
     snapshot_offset: int = 0  # where its next chunk begins, bytes
 
@@ -67,35 +67,35 @@
         self.track_members(now)
 
     def track_members(self, now: float) -> None:
-        """Keep a record of every other member, and of none besides."""
+        """Track the progress of exactly the other members."""
         members = self.log.members.all()
-        for replica in [one for one in self.followers if one not in members]:
+        for replica in [follower for follower in self.followers if follower not in members]:
             del self.followers[replica]
         for replica in members:
             if replica != self.me and replica not in self.followers:
                 self.followers[replica] = FollowerProgress(
-                    next_index=self.log.last_index() + 1, heard_at=now, progressed_at=now
+                    next_index=self.log.last_index() + 1, last_contact_at=now, progressed_at=now
                 )
 
     # Quorums
 
     def quorum_value(self, value_of: Callable[[Replica], T]) -> T:
-        """The highest value that a majority of the voters has reached."""
+        """Return the highest value that a majority of the voters has reached."""
         members = self.log.members
         return sorted([value_of(voter) for voter in members.voters], reverse=True)[members.majority() - 1]
 
     def quorum_index(self) -> int:
-        """The index up to which a majority's durable logs agree."""
+        """Return the index up to which a majority's durable logs match."""
         return self.quorum_value(self.match_index_of)
 
     def match_index_of(self, replica: Replica) -> int:
-        """The index up to which a replica's durable log agrees."""
+        """Return the index up to which a replica's durable log matches."""
         if replica == self.me:
             return self.outbox.durable_index
         return self.followers[replica].match_index if replica in self.followers else 0
 
     def quorum_round(self) -> int:
-        """The last round that a majority has confirmed."""
+        """Return the last round that a majority has confirmed."""
 
         def round_of(replica: Replica) -> int:
             if replica == self.me:
@@ -105,23 +105,23 @@
         return self.quorum_value(round_of)
 
     def quorum_deadline(self) -> float:
-        """When a leader that hears no more has to step down, s."""
+        """Return when the leader must step down unless more responses arrive, s."""
 
-        def heard_at(replica: Replica) -> float:
+        def last_contact_at(replica: Replica) -> float:
             if replica == self.me:
-                return FOREVER
-            return self.followers[replica].heard_at if replica in self.followers else 0.0
+                return OWN_CONTACT_AT
+            return self.followers[replica].last_contact_at if replica in self.followers else 0.0
 
-        return self.quorum_value(heard_at) + self.config.election_timeout_s
+        return self.quorum_value(last_contact_at) + self.config.election_timeout_s
 
     def is_active(self, now: float, replica: Replica) -> bool:
-        """Whether the replica answered within an election timeout."""
+        """Return whether the replica responded within the last election timeout."""
         follower = self.followers.get(replica)
-        recent = follower is not None and now - follower.heard_at < self.config.election_timeout_s
+        recent = follower is not None and now - follower.last_contact_at < self.config.election_timeout_s
         return replica == self.me or recent
 
     def is_caught_up(self, replica: Replica) -> bool:
-        """Whether the replica lags so little that it may vote."""
+        """Return whether the replica lags by so little that it may become a voter."""
         follower = self.followers.get(replica)
         if follower is None or follower.snapshot is not None:
             return False
@@ -130,8 +130,8 @@
     # Sending
 
     def heartbeat(self, now: float) -> None:
-        """Send a heartbeat to all, and anew what was lost on the way."""
-        # On a grid that all groups of a gateway share: their heartbeats go out, and are answered, together.
+        """Send a heartbeat to all followers, and resend messages that count as lost."""
+        # Aligned for all groups of a gateway, so that their heartbeats and the responses are sent together.
         interval = self.config.heartbeat_interval_s
         self.next_heartbeat = (now // interval + 1) * interval
         for replica, follower in self.followers.items():
@@ -151,12 +151,12 @@
             follower.next_index = follower.match_index + 1
 
     def send_entries(self, now: float, replica: Replica, heartbeat: bool = False) -> None:
-        """Send what the replica lacks, as far as its window allows; with `heartbeat`, at least that."""
+        """Send the entries that its window allows; with `heartbeat`, an empty message if there are none."""
         follower = self.followers[replica]
         window = 1 if follower.is_probing else self.config.max_inflight_messages
         sent = False
         while not follower.snapshot and len(follower.inflight) < window:
-            if self.log.term_at(follower.next_index - 1) is None:  # the log does not reach back so far
+            if self.log.term_at(follower.next_index - 1) is None:  # compacted: it needs the snapshot
                 self._begin_snapshot(now, replica)
                 return
             if follower.next_index > self.log.last_index():
@@ -181,7 +181,7 @@
         follower.next_index = entries[-1].index + 1
 
     def _send_heartbeat(self, now: float, replica: Replica, follower: FollowerProgress) -> None:
-        # While a snapshot is on its way, too: its chunks may be held back.
+        # Also during a snapshot transfer, as its chunks may be delayed by pacing.
         agreed_or_probed = follower.match_index or follower.next_index - 1
         previous = self.log.snapshot.index if follower.snapshot else agreed_or_probed
         if self.log.term_at(previous) is None:
@@ -217,18 +217,18 @@
     def _send(self, replica: Replica, message: Message) -> None:
         self.outbox.emit(Send(replica, message))
 
-    # Answers
+    # Responses
 
     def record_contact(self, now: float, sender: Replica, round_: int) -> FollowerProgress | None:
-        """Note that a member answered, and the round it confirmed; None if it is no member."""
+        """Record a member's response and the round it confirmed; return None if it is no member."""
         follower = self.followers.get(sender)
         if follower is not None:
-            follower.heard_at = now
+            follower.last_contact_at = now
             follower.confirmed_round = max(follower.confirmed_round, round_)
         return follower
 
     def accept(self, now: float, follower: FollowerProgress, response: AppendEntriesResponse) -> None:
-        """The follower's durable log agrees up to the response's index."""
+        """Advance a follower, whose durable log matches up to the response's index."""
         if response.index > follower.match_index:
             follower.match_index = response.index
             follower.progressed_at = now
@@ -240,7 +240,7 @@
         follower.next_index = max(follower.next_index, follower.match_index + 1)
 
     def probe(self, follower: FollowerProgress, response: AppendEntriesResponse) -> None:
-        """The follower's log disagrees: look for agreement where its response points."""
+        """Look for agreement where the response points, since the follower's log disagrees."""
         if response.index + 1 < follower.next_index and not follower.snapshot:
             follower.is_probing = True
             follower.next_index = max(response.index, follower.match_index) + 1
@@ -251,7 +251,7 @@
         follower = self.followers[sender]
         if not follower.snapshot or follower.snapshot.index != ack.index:
             return
-        # An equal offset was answered before: what was sent since is on its way.
+        # The same offset again needs no reply: the chunk at that offset is already on its way.
         if ack.next_offset != follower.snapshot_offset:
             follower.progressed_at = now
             follower.snapshot_offset = min(ack.next_offset, len(follower.snapshot.data))
--- a/mapleshunt/replication/raft_log.py
+++ b/mapleshunt/replication/raft_log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: a snapshot, the entries behind it, and how far they are committed."""
+"""The replicated log in memory: a snapshot, the entries after it, and the commit index."""
 
 from __future__ import annotations
 
@@ -11,56 +11,56 @@
     def __init__(self, stored: PersistentState) -> None:
         self.snapshot = stored.snapshot
         self.entries = list(stored.entries)
-        self.commit_index = stored.snapshot.index  # what is committed is handed out to be applied at once
-        self.members = self._find_members()  # holds from when it is in the log, committed or not
+        self.commit_index = stored.snapshot.index  # committed entries are emitted to be applied at once
+        self.members = self._find_members()  # in effect once in the log, committed or not
 
     def last_index(self) -> int:
-        """The index of the last entry, or of the snapshot."""
+        """Return the index of the last entry, or of the snapshot."""
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     def last_term(self) -> int:
-        """The term of the last entry, or of the snapshot."""
+        """Return the term of the last entry, or of the snapshot."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def last_stamp(self) -> float:
-        """The log's time at the last entry, ms."""
+        """Return the log's time at the last entry, ms."""
         return self.entries[-1].stamp if self.entries else self.snapshot.stamp
 
     def first_index(self) -> int:
-        """The first index that the log still holds, or would hold next."""
+        """Return the index of the first entry that the log holds, or of the next if it is empty."""
         return self.entries[0].index if self.entries else self.snapshot.index + 1
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it is compacted away, or not there yet."""
+        """Return the term at an index; None if the entry is compacted or not in the log yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.first_index()
         return self.entries[position].term if 0 <= position < len(self.entries) else None
 
     def slice(self, start: int, end: int | None = None) -> list[Entry]:
-        """The entries from index `start` up to, not including, index `end`."""
+        """Return the entries from index `start` up to, but not including, index `end`."""
         position = start - self.first_index()
         return self.entries[max(0, position) : None if end is None else end - self.first_index()]
 
     def has_uncommitted_change(self) -> bool:
-        """Whether a change of membership is in the log and not yet committed."""
+        """Return whether the log holds an uncommitted membership change."""
         return any(entry.members is not None for entry in self.slice(self.commit_index + 1))
 
     def is_commit_of_term(self, term: int) -> bool:
-        """Whether the last committed entry is of that term: only then does its leader know all commits."""
+        """Return whether the last committed entry is of the term: only then its leader knows all commits."""
         return self.term_at(self.commit_index) == term
 
     def append(self, entry: Entry) -> None:
-        """Add an entry at the end."""
+        """Append an entry."""
         self.entries.append(entry)
         if entry.members is not None:
             self.members = entry.members
 
     def replace_from(self, first: int, entries: tuple[Entry, ...]) -> int:
-        """Put `entries` in the place of all from index `first` on.
+        """Replace all entries from index `first` on by `entries`.
 
         Returns:
-            The last index of what was kept.
+            The index of the last entry that was kept.
         """
         position = first - self.first_index()
         members_change = any(entry.members is not None for entry in (*self.entries[position:], *entries))
@@ -72,10 +72,10 @@
         return kept
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Take a leader's snapshot.
+        """Replace the log up to a leader's snapshot.
 
         Returns:
-            Whether the entries behind it agree with it, and were kept.
+            Whether the entries after it agree with it, and were kept.
         """
         agrees = self.term_at(snapshot.index) == snapshot.term
         self.entries = self.slice(snapshot.index + 1) if agrees else []
@@ -85,10 +85,10 @@
         return agrees
 
     def compact(self, index: int, data: bytes, retained: int) -> Snapshot | None:
-        """Replace the entries up to `index` by a snapshot of the state, but for the last `retained`.
+        """Replace the entries up to `index` by a snapshot of the state, except the last `retained`.
 
         Returns:
-            The snapshot; None if one that reaches as far was installed meanwhile.
+            The snapshot; None if a snapshot that covers as much was installed meanwhile.
         """
         term = self.term_at(index)
         if term is None or not self.snapshot.index < index <= self.commit_index:
@@ -102,7 +102,7 @@
         return self.snapshot
 
     def _find_members(self) -> Members:
-        """Read the latest membership off the log: too slow for each step, so the result is kept."""
+        """Return the latest membership in the log; too slow for each step, so the result is cached."""
         for entry in reversed(self.entries):
             if entry.members is not None and entry.index > self.snapshot.index:
                 return entry.members
--- a/mapleshunt/replication/reads.py
+++ b/mapleshunt/replication/reads.py
@@ -21,7 +21,7 @@
 
 
 class ReadQueue:
-    """A leader's reads that are not answered yet. All that come during a round share the one after it."""
+    """A leader's unanswered reads. All reads that arrive during a round share the next one."""
 
     def __init__(
         self, progress: ReplicationProgress, log: RaftLog, outbox: Outbox, config: RaftConfig
@@ -31,11 +31,11 @@
         self._outbox = outbox
         self._config = config
         self._confirming: list[PendingRead] = []
-        self._before_first_commit: list[int] = []  # wait for a committed entry of this term
-        self._queued: list[int] = []  # wait for the next round
+        self._before_first_commit: list[int] = []  # waiting for a committed entry of this term
+        self._queued: list[int] = []  # waiting for the next round
 
     def add(self, now: float, request_id: int) -> None:
-        """Answer a read once it is known that nobody else leads; reject it if too many wait."""
+        """Queue a read until it is confirmed that no other replica leads; reject it if too many wait."""
         waiting = len(self._confirming) + len(self._before_first_commit) + len(self._queued)
         if waiting >= self._config.max_pending_requests:
             self._outbox.reject(request_id)
@@ -46,7 +46,7 @@
             self.begin_round(now)
 
     def begin_round(self, now: float) -> None:
-        """Send heartbeats that confirm the queued reads, unless a round is out."""
+        """Send heartbeats that confirm the queued reads, unless a round is in progress."""
         if self._confirming or not self._queued:
             return
         self._progress.round += 1
@@ -57,14 +57,14 @@
         self.confirm(now)
 
     def on_commit(self, now: float) -> None:
-        """Go on with the reads that waited for a first committed entry of the term."""
+        """Queue the reads that waited for the first committed entry of the term."""
         if self._before_first_commit and self._log.is_commit_of_term(self._progress.term):
             waiting, self._before_first_commit = self._before_first_commit, []
             for request_id in waiting:
                 self.add(now, request_id)
 
     def confirm(self, now: float) -> None:
-        """Answer the reads whose round a majority has confirmed: nobody else led then."""
+        """Answer the reads whose round a majority has confirmed: no other replica led then."""
         if not self._confirming:
             return
         confirmed = self._progress.quorum_round()
@@ -73,7 +73,7 @@
         self.begin_round(now)
 
     def answer_all(self) -> None:
-        """Answer the reads of the current round, which are confirmed."""
+        """Answer the reads of the current round."""
         while self._confirming:
             self._answer(self._confirming.pop(0))
 
@@ -81,7 +81,7 @@
         self._outbox.emit(RequestResult(read.request_id, RequestOutcome.READ_READY, read.index))
 
     def reject_all(self, leader_hint: str) -> None:
-        """Leadership is lost."""
+        """Reject all reads, since leadership is lost."""
         confirming = (read.request_id for read in self._confirming)
         for request_id in [*confirming, *self._before_first_commit, *self._queued]:
             self._outbox.reject(request_id, leader_hint)
--- a/mapleshunt/replication/roles.py
+++ b/mapleshunt/replication/roles.py
@@ -6,7 +6,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a replica does in its term. The values stand in log lines and in the operators' status."""
+    """What a replica does in its term. The values appear in log lines and in the operators' status."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "precandidate"
@@ -15,18 +15,18 @@
 
 
 class RoleChangeReason(enum.StrEnum):
-    """Why a replica changed its role or its leader. The values stand in log lines as `why`."""
+    """Why a replica changed its role or its leader. The values appear in log lines as `why`."""
 
     ELECTION_TIMEOUT = "timeout"
     LEADERSHIP_TRANSFER = "told"
     ELECTED = "elected"
     HIGHER_TERM = "term"
-    LEADER_HEARD = "heard"
+    LEADER_CONTACT = "heard"
     QUORUM_LOST = "no quorum"
     REMOVED = "removed"
 
 
-# A follower that follows another leader and a pre-candidate that asks again stay what they are.
+# A follower that changes its leader and a pre-candidate that repeats its pre-vote keep their role.
 LEGAL_TRANSITIONS: dict[Role, frozenset[Role]] = {
     Role.FOLLOWER: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE}),
     Role.PRE_CANDIDATE: frozenset({Role.PRE_CANDIDATE, Role.CANDIDATE, Role.FOLLOWER}),
@@ -36,7 +36,7 @@
 
 
 class IllegalTransitionError(Exception):
-    """A replica was to take a role that does not follow from the one that it has: a defect."""
+    """A change of role that `LEGAL_TRANSITIONS` does not allow: a defect."""
 
 
 def check_transition(old: Role, new: Role) -> None:
--- a/mapleshunt/replication/snapshot_pacer.py
+++ b/mapleshunt/replication/snapshot_pacer.py
@@ -1,7 +1,7 @@
-"""Pacing of snapshot chunks, so that replicas that are made anew leave bandwidth for answers. Pure.
+"""Pacing of snapshot chunks, so that transfers to new replicas leave bandwidth for responses. Pure.
 
-A token bucket over all that a gateway sends. For each replica at most one chunk waits, the latest: its
-sender makes it again from the same offset, so what waits is bounded by groups and members.
+One token bucket limits all chunks of a gateway. For each replica at most one chunk waits, the latest: its
+sender creates it again from the same offset, so the waiting chunks are bounded by groups and members.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
         """Start with a full bucket.
 
         Args:
-            rate: Bytes a second.
-            burst: Bytes that may go at once after a pause.
-            now: The time in s, of a clock that never goes back.
+            rate: Bytes per second.
+            burst: Bytes that may be sent at once after a pause.
+            now: The time in s, of a monotonic clock.
         """
         self._rate = rate
         self._burst = burst
@@ -30,25 +30,25 @@
         self._waiting: dict[Key, tuple[int, Chunk]] = {}
 
     def offer(self, key: Key, size: int, chunk: Chunk) -> None:
-        """Let a chunk of `size` bytes wait, in the place of an earlier one of that key."""
+        """Queue a chunk of `size` bytes, in place of an earlier one with that key."""
         self._waiting[key] = (size, chunk)
 
     def discard(self, key: Key) -> None:
-        """Forget the chunk of that key, if one waits."""
+        """Remove the chunk with that key, if one waits."""
         self._waiting.pop(key, None)
 
     def take_ready(self, now: float) -> list[tuple[Key, Chunk]]:
-        """Return the chunks that may go now, the one that waits longest first."""
+        """Return the chunks that may be sent now, the longest waiting first."""
         self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate)
         self._refilled_at = now
         ready = []
         while self._waiting and self._tokens > 0:
             key = next(iter(self._waiting))
             size, chunk = self._waiting.pop(key)
-            self._tokens -= size  # below 0 by a chunk: a large one is paid for afterwards
+            self._tokens -= size  # may go below 0 by a chunk, which is paid for afterwards
             ready.append((key, chunk))
         return ready
 
     def delay_s(self) -> float | None:
-        """How long until a chunk may go, s; None if none waits."""
+        """Return the time until a chunk may be sent, s; None if none waits."""
         return max(0.0, -self._tokens / self._rate) if self._waiting else None
--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -132,7 +132,7 @@
     rounds = 18_000
     for number in range(rounds):
         node.step(0.2 * number, m.MessageReceived("b/1", m.AppendEntries(1, 1, 1, (), 0, number)))
-    assert len(node.outbox.held) < 10
+    assert len(node.outbox.deferred) < 10
     completed = m.WriteCompleted(node.outbox.last_write)
     outputs = complete_writes(node, 4000.0, node.step(4000.0, completed))
     sent = [one.message for one in outputs if isinstance(one, m.Send)]
@@ -149,4 +149,4 @@
         ]
         for ask in asked:  # the others hear no leader either
             node.step(2.0 * number, m.MessageReceived("b/1", m.VoteResponse(ask.term, True, ask.pre_vote)))
-    assert len(node.outbox.held) < 10
+    assert len(node.outbox.deferred) < 10
