--- a/mapleshunt/replicated_state/__init__.py
+++ b/mapleshunt/replicated_state/__init__.py
@@ -1,4 +1,4 @@
-"""What gateways hold for customers and guarantee to each other, as one replicated state machine.
+"""The replicated state machine: what gateways store for customers and guarantee to each other.
 
 No module of it does I/O or reads a clock.
 """
--- a/mapleshunt/replicated_state/commands.py
+++ b/mapleshunt/replicated_state/commands.py
@@ -1,7 +1,7 @@
-"""Commands: operations on the replicated state, as they go through the log.
+"""Commands: operations on the replicated state, as the log carries them.
 
 Each operation is applied once, however often it is sent: a session (a gateway's incarnation) numbers its
-operations, and tells with each below which number it has received all results.
+operations, and sends with each the number below which it has received all results.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class OpenSession(msgspec.Struct, array_like=True, tag=0, frozen=True):
-    """Begin the session; if it is open already, it stays as it is."""
+    """Open the session; if it is open already, only the time of its last activity changes."""
 
 
 class AcquireLease(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """Lease units of a customer's token bucket: what there is up to `units`, and at least `min_units`.
+    """Lease units of a customer's token bucket: as many as it has up to `units`, and at least `min_units`.
 
-    Before that the leases in `returned` end, each with the units that were used of it, as by `ReturnLease`.
+    First the leases in `returned` end, each with the units that were used of it, as by `ReturnLease`.
     """
 
     customer: str
-    rate: float  # of the bucket, units a second
+    rate: float  # of the bucket, units per second
     burst: float  # the most that the bucket holds, leases included
     units: float
     min_units: float
@@ -33,9 +33,9 @@
 
 
 class ReturnLease(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """End a lease: what was not used goes back to the bucket, unless the lease has expired.
+    """End a lease: unused units go back to the bucket, unless the lease has expired.
 
-    More than its units were used where true costs were above the estimate: that comes off the bucket.
+    More than its units are used where actual costs exceed the estimate: the excess comes off the bucket.
     """
 
     customer: str
@@ -44,21 +44,21 @@
 
 
 class SettleUsage(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """Take units off for costs above the estimate; a bucket may go below 0 by its burst at most."""
+    """Take units off for costs above the estimate; the level may fall to minus the burst at most."""
 
     customer: str
     units: float
 
 
 class CountUsage(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """Add usage that is owed to billing to what is counted for that customer."""
+    """Add usage that is to be billed to the customer's counted usage."""
 
     customer: str
     units: float
 
 
 class ReserveUnits(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """Set units of a bucket aside under a name, until they are released or the term ends."""
+    """Reserve units of a bucket under a name, until they are released or the term ends."""
 
     customer: str
     name: str
--- a/mapleshunt/replicated_state/state_machine.py
+++ b/mapleshunt/replicated_state/state_machine.py
@@ -2,10 +2,10 @@
 
 `ReplicatedState.apply` is a function of the state and the log alone, so every replica reaches the same state.
 Time is the log's stamp in ms, which never goes back. The maps are persistent (hash array mapped tries): a
-snapshot is a handful of references, taken between two entries and encoded elsewhere while the log goes on.
+snapshot is a few references, taken between two entries and encoded elsewhere while the log is applied.
 
-A bucket holds at most its burst, leased and reserved units included: level + outstanding <= burst at every
-moment. So over any span a customer's use is at most burst + rate x span, if no expired lease is spent.
+A bucket holds at most its burst, leased and reserved units included: level + outstanding <= burst at all
+times. So over any span a customer's use is at most burst + rate x span, if no expired lease is spent.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from .results import Applied, DenialReason, Denied, LeaseGranted, Result
 
 MAX_BUCKETS = 200_000
-EVICTED_BUCKETS = MAX_BUCKETS // 16  # at a time, so that not each new customer pays for the search
+EVICTED_BUCKETS = MAX_BUCKETS // 16  # at once, so that not every new customer causes a search
 MAX_LEASES_PER_CUSTOMER = 256
 MAX_RECORDS = 10_000
 MAX_TEXT_CHARS = 4096  # of a name, and of a record's key and value
 MAX_SESSIONS = 4096
-MAX_UNACKNOWLEDGED = 64  # operations of a session whose results are remembered
-SESSION_TIMEOUT_MS = 600_000.0  # of the log's time, after which a silent session may be forgotten
+MAX_UNACKNOWLEDGED = 64  # operations of a session whose results are retained
+SESSION_TIMEOUT_MS = 600_000.0  # of the log's time, after which an inactive session may be removed
 SNAPSHOT_VERSION = 1
 
 
@@ -42,7 +42,7 @@
 
 
 class TokenBucket(msgspec.Struct, array_like=True, frozen=True):
-    """A customer's quota as of `updated_at`, ms of the log's time. The rate is in units a ms."""
+    """A customer's quota as of `updated_at`, ms of the log's time. The rate is in units per ms."""
 
     rate_per_ms: float
     burst: float
@@ -63,7 +63,7 @@
 
 
 class Session(msgspec.Struct, array_like=True, frozen=True):
-    """What is remembered of a client, so that an operation which is sent again is not applied again."""
+    """The results kept for a client, so that an operation that is sent again is not applied again."""
 
     acknowledged_below: int
     last_active: float  # ms of the log's time
@@ -82,7 +82,7 @@
 
 
 class ReplicatedState:
-    """The state machine that each replica applies the log to."""
+    """The state machine to which each replica applies the log."""
 
     def __init__(self) -> None:
         self.buckets: Map[str, TokenBucket] = Map()
@@ -94,7 +94,7 @@
     # Snapshots
 
     def snapshot(self) -> StateSnapshot:
-        """A view that later entries do not change; it may be encoded at any time."""
+        """Return a view that later entries do not change; it may be encoded at any time."""
         return StateSnapshot(
             SNAPSHOT_VERSION,
             self.last_lease_id,
@@ -105,7 +105,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of an encoded snapshot; no bytes stand for the empty state.
+        """Replace the state by that of an encoded snapshot; empty data is the empty state.
 
         Raises:
             ValueError: it is incomplete or of another version.
@@ -113,7 +113,7 @@
         empty = StateSnapshot(SNAPSHOT_VERSION, 0, [], [], [])
         snapshot = msgspec.msgpack.decode(data, type=StateSnapshot) if data else empty
         if snapshot.version != SNAPSHOT_VERSION:
-            raise ValueError(f"a snapshot of version {snapshot.version}")
+            raise ValueError(f"a snapshot of version {snapshot.version}, expected {SNAPSHOT_VERSION}")
         self.buckets = Map(snapshot.buckets)
         self.records = Map(snapshot.records)
         self.sessions = Map(snapshot.sessions)
@@ -127,7 +127,7 @@
     def apply(self, stamp: float, data: bytes) -> Result:
         """Apply an encoded command at the log's time `stamp`, ms.
 
-        It raises nothing: a command that cannot be read is denied, by each replica alike.
+        It raises nothing: all replicas deny a command that cannot be decoded.
         """
         try:
             command = commands.decode_command(data)
@@ -142,7 +142,7 @@
     def _apply_once(self, stamp: float, command: commands.Command) -> Result:
         """Apply the operation, or return the result that it had when it was applied before."""
         session = self.sessions.get(command.session)
-        if session is None:  # it may have been applied before the session was forgotten
+        if session is None:  # it may have been applied before the session was removed
             return Denied(DenialReason.SESSION)
         if command.sequence_number < session.acknowledged_below:
             return Denied(DenialReason.ORDER)
@@ -152,10 +152,16 @@
         if len(results) >= MAX_UNACKNOWLEDGED:
             return Denied(DenialReason.FULL)
         result = self._execute(stamp, command.session, command.operation)
-        low = max(session.acknowledged_below, min(command.acknowledged_below, command.sequence_number))
-        remembered = [(number, earlier) for number, earlier in session.results if number >= low]
-        remembered.append((command.sequence_number, result))
-        self.sessions = self.sessions.set(command.session, Session(low, stamp, tuple(remembered)))
+        acknowledged_below = max(
+            session.acknowledged_below, min(command.acknowledged_below, command.sequence_number)
+        )
+        retained_results = [
+            (number, earlier) for number, earlier in session.results if number >= acknowledged_below
+        ]
+        retained_results.append((command.sequence_number, result))
+        self.sessions = self.sessions.set(
+            command.session, Session(acknowledged_below, stamp, tuple(retained_results))
+        )
         return result
 
     def _open_session(self, stamp: float, name: str) -> Result:
@@ -206,7 +212,7 @@
     # Token buckets
 
     def bucket_at(self, stamp: float, customer: str) -> TokenBucket | None:
-        """The bucket as of the log's time `stamp`, ms: refilled, and without what has expired."""
+        """Return the bucket as of the log's time `stamp`, ms: refilled, without expired allocations."""
         bucket = self.buckets.get(customer)
         if bucket is None:
             return None
@@ -221,7 +227,7 @@
             updated_at=max(bucket.updated_at, stamp),
         )
 
-    def _store(self, customer: str, bucket: TokenBucket) -> None:
+    def _set_bucket(self, customer: str, bucket: TokenBucket) -> None:
         self.buckets = self.buckets.set(customer, bucket)
 
     def _acquire_lease(self, stamp: float, session: str, request: commands.AcquireLease) -> Result:
@@ -234,24 +240,24 @@
             return Denied(DenialReason.FULL)
         units = min(request.units, bucket.level)
         if units < request.min_units or len(bucket.leases) >= MAX_LEASES_PER_CUSTOMER:
-            self._store(request.customer, bucket)
+            self._set_bucket(request.customer, bucket)
             return Denied(DenialReason.STORE, bucket.level)
         self.last_lease_id += 1
         lease = (self.last_lease_id, Allocation(units, stamp + request.term_ms, session))
         leased = _changed(bucket, level=bucket.level - units, leases=(*bucket.leases, lease))
-        self._store(request.customer, leased)
+        self._set_bucket(request.customer, leased)
         return LeaseGranted(self.last_lease_id, units)
 
     def _bucket_of_plan(self, stamp: float, request: commands.AcquireLease) -> TokenBucket | None:
-        """The customer's bucket with the rate and burst of the request; `None` if there are too many."""
+        """Return the customer's bucket with the request's rate and burst; None if there are too many."""
         bucket = self.bucket_at(stamp, request.customer)
         rate_per_ms = request.rate / 1000
         if bucket is None:
-            if not self._make_room(stamp):
+            if not self._evict_if_full(stamp):
                 return None
             return TokenBucket(rate_per_ms, request.burst, request.burst, stamp)
         if (bucket.rate_per_ms, bucket.burst) != (rate_per_ms, request.burst):
-            # A change of plan gains no level, or one back and forth would fill the bucket.
+            # A change of plan adds no units: otherwise changes back and forth would fill the bucket.
             level = min(bucket.level, request.burst - _outstanding(bucket.leases, bucket.reservations))
             return _changed(bucket, rate_per_ms=rate_per_ms, burst=request.burst, level=level)
         return bucket
@@ -263,7 +269,7 @@
             return Denied(DenialReason.LEASE)
         leases = tuple(pair for pair in bucket.leases if pair[0] != request.lease_id)
         level = max(-bucket.burst, bucket.level + lease.units - max(0.0, request.used_units))
-        self._store(request.customer, _changed(bucket, leases=leases, level=level))
+        self._set_bucket(request.customer, _changed(bucket, leases=leases, level=level))
         return Applied(level)
 
     def _settle_usage(self, stamp: float, customer: str, units: float) -> Result:
@@ -272,7 +278,7 @@
             return Denied(DenialReason.STORE)
         available = bucket.burst - _outstanding(bucket.leases, bucket.reservations)
         level = max(-bucket.burst, min(available, bucket.level - units))
-        self._store(customer, _changed(bucket, level=level))
+        self._set_bucket(customer, _changed(bucket, level=level))
         return Applied(level)
 
     def _count_usage(self, stamp: float, customer: str, units: float) -> Result:
@@ -280,10 +286,10 @@
         if units < 0:
             return Denied(DenialReason.ORDER)
         if bucket is None:
-            if not self._make_room(stamp) or len(customer) > MAX_TEXT_CHARS:
+            if not self._evict_if_full(stamp) or len(customer) > MAX_TEXT_CHARS:
                 return Denied(DenialReason.FULL)
             bucket = TokenBucket(0.0, 0.0, 0.0, stamp)
-        self._store(customer, _changed(bucket, counted_usage=bucket.counted_usage + units))
+        self._set_bucket(customer, _changed(bucket, counted_usage=bucket.counted_usage + units))
         return Applied(bucket.counted_usage + units)
 
     def _reserve_units(self, stamp: float, session: str, request: commands.ReserveUnits) -> Result:
@@ -297,7 +303,7 @@
         reservation = (request.name, Allocation(request.units, stamp + request.term_ms, session))
         level = bucket.level - request.units
         reservations = (*bucket.reservations, reservation)
-        self._store(request.customer, _changed(bucket, level=level, reservations=reservations))
+        self._set_bucket(request.customer, _changed(bucket, level=level, reservations=reservations))
         return Applied(level)
 
     def _release_reservation(self, stamp: float, customer: str, name: str) -> Result:
@@ -307,11 +313,11 @@
             return Denied(DenialReason.NAME)
         reservations = tuple(pair for pair in bucket.reservations if pair[0] != name)
         level = bucket.level + reservation.units
-        self._store(customer, _changed(bucket, reservations=reservations, level=level))
+        self._set_bucket(customer, _changed(bucket, reservations=reservations, level=level))
         return Applied(level)
 
-    def _make_room(self, stamp: float) -> bool:
-        """Whether a bucket may be added; full buckets that owe nothing are evicted, the oldest first."""
+    def _evict_if_full(self, stamp: float) -> bool:
+        """Return whether there is room for a bucket; evict unused full ones if needed, the oldest first."""
         if len(self.buckets) < MAX_BUCKETS:
             return True
         evictable = []
@@ -358,7 +364,7 @@
 def _outstanding(
     leases: tuple[tuple[int, Allocation], ...], reservations: tuple[tuple[str, Allocation], ...]
 ) -> float:
-    """Units that are leased or reserved."""
+    """Return the units that are leased or reserved."""
     leased = sum(lease.units for _, lease in leases)
     return leased + sum(reservation.units for _, reservation in reservations)
 
--- a/mapleshunt/storage/__init__.py
+++ b/mapleshunt/storage/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway's durable store for its replicas: an embedded database, checked as it is read, and its writer."""
+"""A gateway's durable store for its replicas: an embedded database with checksums, and its writer."""
--- a/mapleshunt/storage/durable_store.py
+++ b/mapleshunt/storage/durable_store.py
@@ -1,12 +1,12 @@
-"""One SQLite database for all groups of a gateway: what its replicas have to find again after a restart.
+"""One SQLite database with the durable state of a gateway's replicas, of all groups.
 
-A commit is one `fsync` of SQLite's write-ahead log. Every row carries a checksum of its own. A store that
-does not add up as a whole is not repaired by guess: the database is set aside, and the gateway comes back as
-another incarnation, with nothing.
+A commit is one `fsync` of SQLite's write-ahead log. Every row has its own checksum. A store that is not
+consistent as a whole is not repaired: the database is set aside, and the gateway returns as another
+incarnation, with an empty store.
 
 Each opening makes a new boot number durable before the gateway sends anything (see `replication.boots`). A
-disk that was put back from an older copy counts from less, or to a number that was there with another random
-part, and is known by it.
+disk that was restored from an older copy is detected by it: its boot number has a lower count than the known
+one, or the same count with other random bits.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 from .read_errors import ReadErrorVFS
 from .statements import run, transaction
 
-FORMAT = 1  # of the tables; a store of a higher one is refused
-FILE_NAME = "copies.db"  # stored: stays, whatever the code calls replicas
-BUSY_TIMEOUT_MS = 200  # that another process is given to close the store
-MAX_DAMAGED_STORES = 1000  # set aside in one folder, beyond which the next one goes over the last
+FORMAT = 1  # of the tables; a store with a higher one is rejected
+FILE_NAME = "copies.db"  # stored: must not change, although the code says replicas
+BUSY_TIMEOUT_MS = 200  # for another process to close the store
+MAX_DAMAGED_STORES = 1000  # in one folder; the next one overwrites the last
 META_SCHEMA = "create table meta (key text primary key, value blob, sum integer) without rowid;"
 SCHEMA = f"\n{META_SCHEMA}{group_rows.SCHEMA}"
 
@@ -47,29 +47,29 @@
 
 
 def _next_boot(boot: int) -> int:
-    """A boot number with the next count in the upper bits, and random bits in the lower ones."""
+    """Return a boot number with the next count in the upper bits, and random bits in the lower ones."""
     return ((boot >> RANDOM_BITS) + 1) << RANDOM_BITS | secrets.randbits(RANDOM_BITS)
 
 
 class DurableStore:
-    """An open and checked store. Its methods block; in a gateway the writer's thread calls them.
+    """An open and checked store. Its methods block; in a gateway, the writer's thread calls them.
 
     Attributes:
-        incarnation: Of this gateway, made with the store.
+        incarnation: Of this gateway, created with the store.
         boot: The number of this opening.
-        known_boots: The newest boot met of each incarnation.
-        formed_groups: Groups that have been formed in the fleet, by bit.
-        generations: The latest, of groups that were recovered by hand.
-        groups: What the store held of each group when it was opened, and of those created since.
-        set_aside: Where a damaged store went and why, in words; empty if there was none.
+        known_boots: The newest boot seen of each incarnation.
+        formed_groups: Bit mask of the groups that have been formed in the fleet.
+        generations: The latest, of groups that an operator recovered.
+        groups: The state of each group as of the opening of the store, or of its creation since.
+        set_aside: Where a damaged store was moved, and the reason; empty if there was none.
     """
 
     def __init__(self, folder: Path, fleet: str, name: str, vfs: str | None = None) -> None:
         """Open, check and load the store of the gateway `name`.
 
         Raises:
-            StoreUnusableError: It is another fleet's, another gateway's, of a newer format or in use, or
-                the folder cannot be written to.
+            StoreUnusableError: It belongs to another fleet or gateway, has a newer format or is in use,
+                or the folder cannot be written to.
             StoreUnavailableError: Another attempt may succeed.
         """
         self.folder = folder
@@ -91,13 +91,13 @@
             raise
 
     def _close_after_failure(self) -> None:
-        with contextlib.suppress(AttributeError, apsw.Error):  # no attribute: it was never opened
+        with contextlib.suppress(AttributeError, apsw.Error):  # no attribute: not opened yet
             self.db.close(force=True)
 
     # Opening
 
     def _open_or_set_aside(self, fleet: str, name: str) -> None:
-        """Open the store and load it; a damaged one is set aside, and an empty one opened in its place."""
+        """Open and load the store; set a damaged one aside and open an empty one in its place."""
         try:
             self._open_and_load(fleet, name)
         except DAMAGE_ERRORS:
@@ -117,10 +117,10 @@
         self.groups = group_rows.load_groups(self.db)
 
     def _find_damage(self, fleet: str, name: str) -> str | None:
-        """What is wrong with the store's content; None if it is whole.
+        """Return what is damaged in the store's content; None if nothing is.
 
         Raises:
-            StoreUnavailableError: A read failed: what cannot be read is not damaged.
+            StoreUnavailableError: A read failed, which does not mean damage.
         """
         reads = ReadErrorVFS(self.vfs or "")
         try:
@@ -147,7 +147,7 @@
                 self._create_tables(fleet, name)
         if int(self._get("format")) > FORMAT:
             raise StoreUnusableError(
-                f"{self.path} is of a newer format: run the newer version, or empty the folder"
+                f"{self.path} is of a newer format than {FORMAT}: run the newer version, or empty the folder"
             )
         for key, expected in ("fleet", fleet), ("name", name):
             if (stored := self._get(key).decode("utf-8", "replace")) != expected:
@@ -200,9 +200,9 @@
     # The gateway
 
     def renew(self) -> None:
-        """Begin a new incarnation with nothing: others know more of this one than its disk does.
+        """Begin a new, empty incarnation: others know a later state of this one than its disk holds.
 
-        Raises `apsw.Error`; it may be tried again.
+        Raises `apsw.Error`; it may be retried.
         """
         with transaction(self.db):
             group_rows.delete_all_groups(self.db)
@@ -213,7 +213,7 @@
             self._put("boot", str(self.boot).encode())
 
     def save_fleet_knowledge(self, known_boots: dict[str, int], formed_groups: int) -> None:
-        """Keep the newest boots that were met, and which groups have been formed. Raises `apsw.Error`."""
+        """Store the newest known boots, and which groups have been formed. Raises `apsw.Error`."""
         self.known_boots = known_boots
         self.formed_groups = formed_groups
         with transaction(self.db):
@@ -223,7 +223,7 @@
     # Groups
 
     def create(self, group: int, snapshot: m.Snapshot) -> m.PersistentState:
-        """Begin a group of which this gateway holds no replica yet. Raises `apsw.Error`."""
+        """Create the replica of a group that this gateway does not hold yet. Raises `apsw.Error`."""
         stored = m.PersistentState(snapshot, snapshot.term)
         with transaction(self.db):
             group_rows.save_snapshot(self.db, group, snapshot)
@@ -232,9 +232,9 @@
         return stored
 
     def delete_group(self, group: int, generation: int) -> None:
-        """Delete a group: it went on elsewhere, in that generation, without this replica.
+        """Delete a group, which continues elsewhere in that generation without this replica.
 
-        Raises `apsw.Error`; it may be tried again.
+        Raises `apsw.Error`; it may be retried.
         """
         with transaction(self.db):
             group_rows.delete_group(self.db, group)
@@ -242,9 +242,9 @@
         self.groups.pop(group, None)
 
     def recover(self, group: int, generation: int, me: m.Replica) -> m.PersistentState:
-        """Go on with what this replica holds, committed or not, as the only voter.
+        """Continue a group from this replica's log, committed or not, with it as the only voter.
 
-        Raises `apsw.Error`, and `StoreDamagedError` if the group's rows do not add up.
+        Raises `apsw.Error`, and `StoreDamagedError` if the group's rows are damaged.
         """
         stored = group_rows.load_group(self.db, group)
         last = stored.entries[-1] if stored.entries else stored.snapshot
@@ -258,19 +258,21 @@
         self.generations = {**self.generations, group: generation}
         self._put("generations", msgspec.msgpack.encode(self.generations))
 
-    def commit(self, writes: Sequence[tuple[int, m.Write]], also: Callable[[], None] | None = None) -> None:
-        """Make the writes, and what `also` writes, durable in one commit, all or none.
+    def commit(
+        self, writes: Sequence[tuple[int, m.Write]], write_more: Callable[[], None] | None = None
+    ) -> None:
+        """Make the writes, and what `write_more` writes, durable in one commit, all or none.
 
-        Raises `apsw.Error`; it may be tried again.
+        Raises `apsw.Error`; it may be retried.
         """
         with transaction(self.db):
-            if also is not None:
-                also()
+            if write_more is not None:
+                write_more()
             for group, write in writes:
                 group_rows.save_write(self.db, group, write)
 
     def close(self) -> None:
         """Close the database. Raises `apsw.Error`."""
-        with contextlib.suppress(apsw.Error):  # what stays in the write-ahead log the next open reads
+        with contextlib.suppress(apsw.Error):  # the next opening reads what stays in the write-ahead log
             run(self.db, "pragma wal_checkpoint(truncate)")
         self.db.close()
--- a/mapleshunt/storage/errors.py
+++ b/mapleshunt/storage/errors.py
@@ -1,4 +1,4 @@
-"""What goes wrong with a store, and whether another attempt may succeed."""
+"""Errors of a store, and whether another attempt may succeed."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store cannot be opened now, and may be later: the disk is full, or a call failed."""
+    """The store cannot be opened now, but may be later: the disk is full, or a system call failed."""
 
 
 class StoreDamagedError(StoreError):
-    """The store's content does not add up."""
+    """The store's content is damaged."""
 
 
-# What opening and checking a store raises if its content is damaged, or if a read of it failed.
+# Raised by opening and checking a store whose content is damaged, or of which a read failed.
 DAMAGE_ERRORS = (StoreDamagedError, ValueError, TypeError, apsw.CorruptError, apsw.NotADBError)
-# Errors that may pass by themselves. All others are the fault of the configuration.
-# A corrupt database is among them: behind the check of the whole content it is a read that failed.
+# Errors that may pass by themselves. All others are configuration errors.
+# A corrupt database is among them: after the check of the whole content, it means a read that failed.
 TRANSIENT_SQLITE_ERRORS = (apsw.FullError, apsw.IOError, apsw.NoMemError, apsw.CorruptError)
 
 
 def may_succeed_later(error: Exception) -> bool:
-    """Whether it is an error of the disk that may be gone at the next attempt."""
+    """Return whether it is a disk error that may not occur at the next attempt."""
     if isinstance(error, OSError):
         return is_transient(error)
     return isinstance(error, (*TRANSIENT_SQLITE_ERRORS, MemoryError))
--- a/mapleshunt/storage/group_rows.py
+++ b/mapleshunt/storage/group_rows.py
@@ -16,7 +16,7 @@
 create table snapshot (grp integer primary key, data blob, sum integer);
 """
 TABLES = ("vote", "log", "snapshot")
-LAST_INDEX = 1 << 62  # behind every entry
+LAST_INDEX = 1 << 62  # after every entry
 
 _ENTRY: msgspec.msgpack.Decoder[m.Entry] = msgspec.msgpack.Decoder(m.Entry)
 _SNAPSHOT: msgspec.msgpack.Decoder[m.Snapshot] = msgspec.msgpack.Decoder(m.Snapshot)
@@ -27,7 +27,7 @@
     groups = [row[0] for row in db.execute("select grp from snapshot order by grp")]
     orphans = "select 1 from log where grp not in (select grp from snapshot) limit 1"
     if list(db.execute(orphans)):
-        raise StoreDamagedError("entries of a group without a snapshot")
+        raise StoreDamagedError("the log has entries of a group without a snapshot")
     return {group: load_group(db, group) for group in groups}
 
 
@@ -54,7 +54,7 @@
         previous = entries[-1].index if entries else min(snapshot.index, index - 1)
         is_next = entry.index == index and index == previous + 1
         if not is_next or entry.term < (entries or [entry])[-1].term:
-            raise StoreDamagedError(f"group {group}'s log has a gap or a turn at {index}")
+            raise StoreDamagedError(f"group {group}'s log has a gap, or a lower term, at index {index}")
         entries.append(entry)
     return tuple(entries)
 
@@ -73,7 +73,7 @@
 
 
 def save_write(db: apsw.Connection, group: int, write: m.Write) -> None:
-    """Save a write of the group's replica, within a transaction of the caller's."""
+    """Save a write of the group's replica, within the caller's transaction."""
     if write.snapshot is not None:
         save_snapshot(db, group, write.snapshot)
         last = LAST_INDEX if write.reset else write.snapshot.index
--- a/mapleshunt/storage/statements.py
+++ b/mapleshunt/storage/statements.py
@@ -1,7 +1,7 @@
 """Statements and transactions that do not hold Python's global lock while the disk syncs.
 
 The library releases the lock while it steps through a statement. It holds it in its own transactions, at the
-end of a statement that was not stepped to its end, and while it closes: syncs there would stop the whole
+end of a statement that was not stepped to its end, and while it closes: a sync there would block the whole
 process for as long as the disk takes.
 """
 
@@ -27,7 +27,7 @@
         yield
         run(db, "commit")
     except BaseException:
-        if db.in_transaction:  # some errors have ended it
+        if db.in_transaction:  # some errors end it
             with contextlib.suppress(apsw.Error):
                 run(db, "rollback")
         raise
--- a/mapleshunt/storage/writer.py
+++ b/mapleshunt/storage/writer.py
@@ -1,4 +1,4 @@
-"""Group commit off the event loop's thread: a slow `fsync` delays only those who wait for what it writes."""
+"""Group commit outside the event loop's thread: a slow `fsync` delays only what depends on its writes."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from .durable_store import DurableStore
 
 MAX_WRITES_PER_COMMIT = 512
-RETRY_DELAY_S = 0.5  # after a commit that failed: the disk may have room again
-CLOSE_TIMEOUT_S = 10.0  # that a write may take while the gateway ends
+RETRY_DELAY_S = 0.5  # after a failed attempt: the disk may have room again
+CLOSE_TIMEOUT_S = 10.0  # for the queued writes when the gateway ends
 
 OnDurable = Callable[[list[tuple[int, int]]], None]
 OnFailure = Callable[[str], None]
@@ -28,7 +28,7 @@
         commits: Commits that succeeded.
         writes: Writes in them.
         failures: Attempts that failed.
-        slowest_commit_s: The longest that a commit took, s.
+        slowest_commit_s: The longest duration of a commit, s.
     """
 
     def __init__(self, store: DurableStore, on_durable: OnDurable, on_failure: OnFailure) -> None:
@@ -37,8 +37,8 @@
         Args:
             store: The open store, which only this thread uses from now on.
             on_durable: Called by the thread with the (group, number) of writes that are durable.
-            on_failure: Called by the thread with the reason why an attempt failed. It is repeated until it
-                succeeds, or until `close`.
+            on_failure: Called by the thread with the reason why an attempt failed. The attempt is repeated
+                until it succeeds, or until `close`.
         """
         self._store = store
         self._on_durable = on_durable
@@ -57,11 +57,11 @@
         self._queue.put((group, write))
 
     def run_task(self, task: Task) -> None:
-        """Queue something else for this thread, between two commits. It is repeated if the disk fails."""
+        """Queue a task for this thread, between two commits. It is repeated if the disk fails."""
         self._queue.put(task)
 
     def close(self) -> None:
-        """Finish what is queued, if the disk lets it, and end the thread; blocks for that long."""
+        """Finish what is queued, if the disk works, and end the thread; blocks up to `CLOSE_TIMEOUT_S`."""
         self._closing.set()
         self._queue.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
@@ -73,13 +73,13 @@
                 return
             if item is None:
                 return
-            if callable(item) and not self._repeat(item, may_be_abandoned=True):
+            if callable(item) and not self._run_until_done(item, may_be_abandoned=True):
                 return
 
     def _next_batch(self) -> tuple[list[tuple[int, m.Write]], tuple[int, m.Write] | Task | None]:
-        """Wait for writes; returns those that are committed together, and the last item that was taken.
+        """Wait for writes; return those that are committed together, and the last item from the queue.
 
-        The last item is one of the writes, a task to run behind them, or None at the end.
+        The last item is one of the writes, a task to run after them, or None at the end.
         """
         item = self._queue.get()
         batch: list[tuple[int, m.Write]] = []
@@ -90,13 +90,13 @@
             item = self._queue.get()
         return batch, item
 
-    def _repeat(self, task: Task, may_be_abandoned: bool = False) -> bool:
-        """Do the task until it succeeds: what it stands for was promised.
+    def _run_until_done(self, task: Task, may_be_abandoned: bool = False) -> bool:
+        """Repeat a task until it succeeds: nothing that was queued may be lost.
 
         Args:
-            task: What to do.
-            may_be_abandoned: A task that fails for another reason than the disk would fail again. It is left
-                undone, for it must not keep all that waits behind it from being done.
+            task: The task.
+            may_be_abandoned: Abandon a task that fails for another reason than the disk: it would fail again,
+                and must not block what is queued behind it.
 
         Returns:
             False if `close` ended the attempts.
@@ -106,7 +106,7 @@
                 task()
             except (apsw.Error, OSError, MemoryError) as error:
                 self._record_failure(str(error))
-            except Exception as error:  # any defect of a task: it must not end the thread
+            except Exception as error:  # any defect of a task must not end the thread
                 self._record_failure(f"{type(error).__name__}: {error}")
                 if may_be_abandoned:
                     return True
@@ -121,11 +121,11 @@
 
     def _commit(self, batch: list[tuple[int, m.Write]]) -> bool:
         def commit() -> None:
-            begun = time.monotonic()
+            started_at = time.monotonic()
             self._store.commit(batch)
-            self.slowest_commit_s = max(self.slowest_commit_s, time.monotonic() - begun)
+            self.slowest_commit_s = max(self.slowest_commit_s, time.monotonic() - started_at)
 
-        if not self._repeat(commit):
+        if not self._run_until_done(commit):
             return False
         self.commits += 1
         self.writes += len(batch)
