--- a/mapleshunt/replication/outbox.py
+++ b/mapleshunt/replication/outbox.py
@@ -99,7 +99,7 @@
             self.outputs.append(Send(to, message))
 
     def truncate_log(self, log_end: int) -> None:
-        """Count the entries behind `log_end`, which are replaced, as not durable, on disk or in a write."""
+        """Count no entry after `log_end` as durable, now or by a pending write: those are replaced."""
         self.limit_durable_index(log_end)
         self._log_ends = deque((number, min(end, log_end)) for number, end in self._log_ends)
 
--- a/mapleshunt/replication/placement.py
+++ b/mapleshunt/replication/placement.py
@@ -30,9 +30,7 @@
     for name in sorted(gateways, key=weight, reverse=True):
         ranks.append((zone_counts[gateways[name]], name))
         zone_counts[gateways[name]] += 1
-    return tuple(
-        name for _, name in sorted(ranks, key=lambda rank: rank[0])
-    )  # stable: keeps the weights' order
+    return tuple(name for _, name in sorted(ranks, key=lambda rank: rank[0]))  # stable: keeps weight order
 
 
 def place_replicas(group: int, gateways: Mapping[str, str], size: int) -> Sequence[str]:
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""A disk whose calls fail for a while: nothing that a store holds is given up, and nothing is left undone."""
+"""A disk whose calls fail for a while: a store loses none of its content, and no task is abandoned."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from .test_durable_store import FIRST, filled_store
 
 OPENS = 60
-OPEN_AGAIN_AND_AGAIN = f"""
+OPEN_REPEATEDLY = f"""
 import json, sys
 from pathlib import Path
 from mapleshunt.storage.durable_store import DurableStore
@@ -53,9 +53,9 @@
 """
 
 
-SYNC_S = 1.0  # that each sync takes longer
+SYNC_DELAY_S = 1.0  # of each sync
 MAX_STALL_S = 0.5
-WRITE_WHILE_LOOKING = """
+WRITE_AND_MEASURE_STALLS = """
 import sys, threading, time
 from pathlib import Path
 from mapleshunt.replication import messages as m
@@ -79,7 +79,7 @@
 
 
 def script(code: str, store: Path, control: SyscallFaultControl) -> subprocess.CompletedProcess[str]:
-    """Run that code with the store's folder as its argument, its system calls failing as the control says."""
+    """Run code with the store's folder as its argument, and system call faults as the control sets them."""
     command = [sys.executable, "-c", code, str(store)]
     return subprocess.run(command, env=control.environment(), capture_output=True, text=True)
 
@@ -90,19 +90,19 @@
 
 
 def test_reads_that_fail_for_a_while_do_not_set_a_whole_store_aside(tmp_path: Path, library: Path) -> None:
-    # SQLite tells an EIO of a read as a corrupt database. The store was taken for damaged and set aside: the
-    # copy came back as another incarnation, without the votes and entries that it had promised to keep.
+    # SQLite reports an EIO of a read as a corrupt database. The store was set aside as damaged, and the
+    # replica returned as another incarnation, without the votes and entries that it had acknowledged.
     disk = filled_store(tmp_path / "store")
     incarnation = disk.incarnation
     disk.close()
     control = SyscallFaultControl(library, tmp_path / "control", 5, tmp_path / "store")
     control.set(SyscallFaultRates(disk_read=0.1))
-    done = script(OPEN_AGAIN_AND_AGAIN, tmp_path / "store", control)
+    done = script(OPEN_REPEATEDLY, tmp_path / "store", control)
     assert not done.returncode, done.stderr
     opened, failed = json.loads(done.stdout)
     assert control.counts()["disk_read"] > OPENS / 4
     assert not list((tmp_path / "store").glob("damaged-*"))
-    assert all(one == [incarnation, 5, ""] for one in opened), opened
+    assert all(store == [incarnation, 5, ""] for store in opened), opened
     assert opened and set(failed) <= {"StoreUnavailableError"}, failed
 
 
@@ -115,37 +115,37 @@
     def commit(self, writes: object) -> None:
         self.do("commit")
 
-    def do(self, what: str) -> None:
+    def do(self, name: str) -> None:
         if self.failures:
             self.failures -= 1
             raise apsw.FullError("database or disk is full")
-        self.done.append(what)
+        self.done.append(name)
 
 
-def test_a_slow_disk_stops_no_other_thread(tmp_path: Path, library: Path) -> None:
-    """SQLite's syncs were made under Python's global lock: each held up the loop and all that it serves."""
+def test_slow_disk_blocks_no_other_thread(tmp_path: Path, library: Path) -> None:
+    """SQLite's syncs were made under Python's global lock: each blocked the event loop and all requests."""
     store = tmp_path / "store"
     store.mkdir()
     filled_store(store).close()
     control = SyscallFaultControl(library, tmp_path / "control", 5, store)
-    control.set(SyscallFaultRates(disk_slow=SYNC_S))
-    done = script(WRITE_WHILE_LOOKING, store, control)
+    control.set(SyscallFaultRates(disk_slow=SYNC_DELAY_S))
+    done = script(WRITE_AND_MEASURE_STALLS, store, control)
     worst, took = map(float, done.stdout.split())
-    assert took > 3 * SYNC_S and worst < MAX_STALL_S, (worst, took)
+    assert took > 3 * SYNC_DELAY_S and worst < MAX_STALL_S, (worst, took)
 
 
 @pytest.fixture
-def short_pauses(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def short_retry_delay(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     monkeypatch.setattr("mapleshunt.storage.writer.RETRY_DELAY_S", 0.001)
     yield
 
 
-def test_every_task_of_the_writer_is_repeated_until_the_disk_has_done_it(short_pauses: None) -> None:
-    # Only commits were repeated. A group that could not be created, an incarnation that could not be renewed
-    # and a generation that could not be written were given up: the copy stood still until its next start.
+def test_every_task_of_the_writer_is_repeated_until_the_disk_completes_it(short_retry_delay: None) -> None:
+    # Only commits were repeated. After a failed creation of a group, renewal of an incarnation or write of a
+    # generation the replica did nothing until its next start.
     disk, finished = FailingDisk(2), threading.Event()
-    told: list[str] = []
-    writer = StoreWriter(disk, lambda done: None, told.append)  # type: ignore[arg-type]
+    reasons: list[str] = []
+    writer = StoreWriter(disk, lambda done: None, reasons.append)  # type: ignore[arg-type]
 
     def create() -> None:
         disk.do("create")
@@ -161,11 +161,11 @@
     assert finished.wait(20), disk.done
     writer.close()
     assert disk.done == ["create", "commit", "renew"]
-    assert len(told) == 3
+    assert len(reasons) == 3
 
 
-def test_a_task_that_meets_damage_keeps_nothing_behind_it_from_being_written(tmp_path: Path) -> None:
-    """Recovery by hand of a group whose rows are damaged ended the writer, and with it all groups."""
+def test_task_that_finds_damage_does_not_block_the_writes_behind_it(tmp_path: Path) -> None:
+    """An operator's recovery of a group whose rows are damaged ended the writer, and with it all groups."""
     disk = filled_store(tmp_path)
     done: list[tuple[int, int]] = []
     failed: list[str] = []
@@ -185,7 +185,7 @@
     disk.close()
 
 
-def test_a_disk_that_is_full_at_a_start_is_no_bad_configuration(tmp_path: Path, library: Path) -> None:
+def test_full_disk_at_a_start_is_not_reported_as_bad_configuration(tmp_path: Path, library: Path) -> None:
     control = SyscallFaultControl(library, tmp_path / "control", 6, tmp_path)
     control.set(SyscallFaultRates(disk=1.0))
     done = script(OPEN_ONCE, tmp_path / "store", control)
@@ -198,11 +198,11 @@
 @contextlib.contextmanager
 def process(folder: Path, **env: str) -> Iterator[subprocess.Popen[bytes]]:
     """A gateway with the example's configuration, its log in the folder."""
-    clean = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
-    chosen = {"PROXY_CONFIG": str(EXAMPLE), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
+    defaults = {"PROXY_CONFIG": str(EXAMPLE), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
     with (folder / "log").open("wb") as log:
         started = subprocess.Popen(
-            [sys.executable, "-m", "mapleshunt"], cwd=ROOT, env={**clean, **chosen, **env}, stderr=log
+            [sys.executable, "-m", "mapleshunt"], cwd=ROOT, env={**inherited, **defaults, **env}, stderr=log
         )
     try:
         yield started
@@ -211,8 +211,8 @@
         started.wait()
 
 
-def logged(folder: Path, started: subprocess.Popen[bytes], text: str) -> None:
-    """Wait until the process has logged that."""
+def wait_for_log(folder: Path, started: subprocess.Popen[bytes], text: str) -> None:
+    """Wait until the process has logged `text`."""
     end = time.monotonic() + 60
     while text not in (folder / "log").read_text():
         assert started.poll() is None, (folder / "log").read_text()
@@ -220,16 +220,16 @@
         time.sleep(0.01)
 
 
-def test_sockets_that_fail_for_a_moment_do_not_end_a_start(tmp_path: Path, library: Path) -> None:
+def test_sockets_that_fail_for_a_while_do_not_end_a_start(tmp_path: Path, library: Path) -> None:
     control = SyscallFaultControl(library, tmp_path / "control", 7)
     control.set(SyscallFaultRates(socket=1.0))
     with process(tmp_path, **control.environment()) as started:
-        logged(tmp_path, started, "event=start_retried")
+        wait_for_log(tmp_path, started, "event=start_retried")
         control.set(SyscallFaultRates())
-        logged(tmp_path, started, "event=started")
+        wait_for_log(tmp_path, started, "event=started")
 
 
-def test_a_gateway_serves_without_its_store_until_the_disk_has_room(tmp_path: Path, library: Path) -> None:
+def test_gateway_serves_without_its_store_until_the_disk_has_room(tmp_path: Path, library: Path) -> None:
     store, port = tmp_path / "store", free_port()
     operators = tmp_path / "operators.sexp"
     operators.write_text(
@@ -243,34 +243,34 @@
     control.set(SyscallFaultRates(disk=1.0))
     env = {"PROXY_OPERATORS": str(operators), **control.environment()}
     with process(tmp_path, **env) as started:
-        logged(tmp_path, started, "event=started")
-        logged(tmp_path, started, "event=copies_store_unavailable")
+        wait_for_log(tmp_path, started, "event=started")
+        wait_for_log(tmp_path, started, "event=copies_store_unavailable")
         control.set(SyscallFaultRates())
-        logged(tmp_path, started, "event=copies_started")
+        wait_for_log(tmp_path, started, "event=copies_started")
 
 
-@pytest.mark.parametrize("what", ["operators", "recording"])
-def test_a_start_with_an_operators_file_outlasts_a_lack_of_descriptors_and_of_room(
-    what: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("failing_file", ["operators", "recording"])
+def test_start_with_an_operators_file_outlasts_missing_descriptors_and_a_full_disk(
+    failing_file: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Neither a file that cannot be read for a moment nor a recording without room is bad configuration."""
+    """Neither a file that cannot be read for a while nor a recording on a full disk is bad configuration."""
     operators = tmp_path / "operators.sexp"
     operators.write_text(f'(record (file "{tmp_path / "record"}") (size-mb 1))\n')
     monkeypatch.setenv("PROXY_OPERATORS", str(operators))
     failed: list[int] = []
-    read, opened = Path.read_text, os.open
+    original_read_text, original_open = Path.read_text, os.open
 
     def read_text(path: Path, *args: Any, **kwargs: Any) -> str:
-        if what == "operators" and path == operators and len(failed) < 2:
+        if failing_file == "operators" and path == operators and len(failed) < 2:
             failed.append(errno.EMFILE)
             raise OSError(errno.EMFILE, "Too many open files")
-        return read(path, *args, **kwargs)
+        return original_read_text(path, *args, **kwargs)
 
     def open_file(path: Any, *args: Any, **kwargs: Any) -> int:
-        if what == "recording" and str(path).endswith("record"):
+        if failing_file == "recording" and str(path).endswith("record"):
             failed.append(errno.ENOSPC)
             raise OSError(errno.ENOSPC, "No space left on device")
-        return opened(path, *args, **kwargs)
+        return original_open(path, *args, **kwargs)
 
     monkeypatch.setattr(Path, "read_text", read_text)
     monkeypatch.setattr(os, "open", open_file)
@@ -281,7 +281,7 @@
         )
         await server.prepare()
         assert server.extensions is not None
-        assert (server.extensions.recorder is None) == (what == "recording")
+        assert (server.extensions.recorder is None) == (failing_file == "recording")
         server.extensions.close()
         for listener in server.clients.listeners:
             listener.close()
--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -1,4 +1,4 @@
-"""A replica as a step function: elections, commits, the log's time, and disks that complete no write."""
+"""The step function of a replica: elections, commits, the log's time, and disks that complete no write."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from mapleshunt.simulation.replication_planted_faults import NODES
 
 
-def commits_of_an_older_term(make: type[RaftNode]) -> list[bytes]:
-    """The thesis' figure 3.7 (in the paper, 8): what the first replica applies once its entry of term 2 is
-    on three of five. One that leads term 3 elsewhere could still replace it.
+def commits_of_an_older_term(node_type: type[RaftNode]) -> list[bytes]:
+    """Return what the first replica applies once its entry of term 2 is on three of five replicas.
+
+    As in figure 3.7 of the thesis (figure 8 of the paper), a leader of term 3 could still replace the entry.
     """
     names = tuple(f"{name}/1" for name in "abcde")
     first = m.Snapshot(0, 0, 0.0, m.Members(names), b"")
     mine = m.Entry(1, 2, 0.0, b"of term 2")
-    leader = make("a/1", m.PersistentState(first, 3, "", (mine,)), RaftConfig(max_batch_bytes=1), 1, 0.0)
+    leader = node_type("a/1", m.PersistentState(first, 3, "", (mine,)), RaftConfig(max_batch_bytes=1), 1, 0.0)
     done = complete_writes(leader, 5.0, leader.step(5.0, m.Tick()))
     for name in names[1:3]:
         done += complete_writes(
@@ -29,9 +30,9 @@
             leader, 5.0, leader.step(5.0, m.MessageReceived(name, m.VoteResponse(4, True, False)))
         )
     assert leader.role is Role.LEADER and leader.term == 4
-    for name in names[1:3]:  # they have the older entry, and not yet that of this term
+    for name in names[1:3]:  # they have the older entry, but not yet that of this term
         done += leader.step(5.1, m.MessageReceived(name, m.AppendEntriesResponse(4, True, 1, 1)))
-    return [one.entry.data for one in done if isinstance(one, m.Apply)]
+    return [output.entry.data for output in done if isinstance(output, m.Apply)]
 
 
 def test_entry_of_an_older_term_is_not_committed_by_count() -> None:
@@ -45,9 +46,9 @@
 
 
 def complete_writes(node: RaftNode, now: float, outputs: list[m.Output]) -> list[m.Output]:
-    """Carry out the writes, and what they lead to."""
+    """Complete the writes, also those that follow from them, and return all outputs."""
     done = list(outputs)
-    while writes := [one for one in outputs if isinstance(one, m.Write)]:
+    while writes := [output for output in outputs if isinstance(output, m.Write)]:
         outputs = node.step(now, m.WriteCompleted(writes[-1].number))
         done += outputs
     return done
@@ -57,10 +58,10 @@
     node = single_replica()
     complete_writes(node, 5.0, node.step(5.0, m.Tick()))
     assert node.role is Role.LEADER
-    asked = node.step(5.1, m.Propose(7, b"x"))
-    assert not [one for one in asked if isinstance(one, m.Apply)]  # not before it is durable
-    applied = [one for one in complete_writes(node, 5.2, asked) if isinstance(one, m.Apply)]
-    assert [(one.entry.data, one.request_id) for one in applied] == [(b"x", 7)]
+    outputs = node.step(5.1, m.Propose(7, b"x"))
+    assert not [output for output in outputs if isinstance(output, m.Apply)]  # not before it is durable
+    applied = [output for output in complete_writes(node, 5.2, outputs) if isinstance(output, m.Apply)]
+    assert [(apply.entry.data, apply.request_id) for apply in applied] == [(b"x", 7)]
     assert m.RequestResult(8, m.RequestOutcome.READ_READY, node.commit_index) in node.step(
         5.3, m.ReadRequest(8)
     )
@@ -74,20 +75,20 @@
         complete_writes(node, now, node.step(now, m.Propose(1, b"x")))
         stamps.append(node.log.last_stamp())
     assert stamps == pytest.approx([1000.0, 1500.0, 4000.0])
-    again = RaftNode(
+    restarted = RaftNode(
         "a/1",
         m.PersistentState(node.log.snapshot, node.term, node.election.voted_for, tuple(node.log.entries)),
         RaftConfig(),
         1,
         500.0,
     )
-    complete_writes(again, 505.0, again.step(505.0, m.Tick()))
-    complete_writes(again, 505.5, again.step(505.5, m.Propose(1, b"x")))
-    assert again.log.last_stamp() == pytest.approx(4500.0)  # while nobody led, it stood
+    complete_writes(restarted, 505.0, restarted.step(505.0, m.Tick()))
+    complete_writes(restarted, 505.5, restarted.step(505.5, m.Propose(1, b"x")))
+    assert restarted.log.last_stamp() == pytest.approx(4500.0)  # it stood still without a leader
 
 
-def test_leader_hands_over_while_its_disk_completes_no_write() -> None:
-    """The word to campaign waited for its writes, which never came to an end: nobody else led for 20 s."""
+def test_leader_transfers_leadership_while_its_disk_completes_no_write() -> None:
+    """`TimeoutNow` waited for writes that never completed, so no other replica led for 20 s."""
     names = ("a/1", "b/1", "c/1")
     node = RaftNode(
         "a/1", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), RaftConfig(), 1, 0.0
@@ -102,17 +103,17 @@
 
 
 def test_candidate_does_not_lead_before_its_own_vote_is_durable() -> None:
-    """Of five, three others voted: it led, and after a kill late votes could make it lead that term anew,
-    with another entry in the same place.
+    """Three of the four others vote. If it led before its own vote was durable, late votes could elect it for
+    that term again after a kill, with another entry at the same index.
     """
     names = tuple(f"{name}/1" for name in "abcde")
     node = RaftNode(
         "a/1", m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(names), b"")), RaftConfig(), 1, 0.0
     )
     node.step(5.0, m.Tick())
-    for pre in True, False:
+    for pre_vote in True, False:
         for name in names[1:4]:
-            node.step(5.0, m.MessageReceived(name, m.VoteResponse(1, True, pre)))
+            node.step(5.0, m.MessageReceived(name, m.VoteResponse(1, True, pre_vote)))
     assert (node.role, node.term) == (Role.CANDIDATE, 1)
     node.step(5.1, m.WriteCompleted(node.outbox.last_write))
     assert node.role is Role.LEADER
@@ -123,8 +124,8 @@
     assert node.step(100.0, m.Tick()) == [] and node.role == "follower" and node.term == 0
 
 
-def test_responses_held_for_a_stalled_disk_stay_bounded() -> None:
-    """A follower whose writes fail for an hour hears a heartbeat five times a second, in each group."""
+def test_responses_deferred_for_a_stalled_disk_stay_bounded() -> None:
+    """A follower whose writes fail for an hour receives five heartbeats per second in each group."""
     stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
     node = RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
     entry = m.Entry(1, 1, 0.0, b"x")
@@ -135,18 +136,22 @@
     assert len(node.outbox.deferred) < 10
     completed = m.WriteCompleted(node.outbox.last_write)
     outputs = complete_writes(node, 4000.0, node.step(4000.0, completed))
-    sent = [one.message for one in outputs if isinstance(one, m.Send)]
+    sent = [output.message for output in outputs if isinstance(output, m.Send)]
     assert m.AppendEntriesResponse(1, True, 1, rounds - 1) in sent
 
 
-def test_vote_requests_held_for_a_stalled_disk_stay_bounded() -> None:
+def test_vote_requests_deferred_for_a_stalled_disk_stay_bounded() -> None:
     stored = m.PersistentState(m.Snapshot(0, 0, 0.0, m.Members(("a/1", "b/1", "c/1")), b""))
     node = RaftNode("a/1", stored, RaftConfig(), 1, 0.0)
     for number in range(5000):
-        sent = node.step(2.0 * number, m.Tick())
-        asked = [
-            one.message for one in sent if isinstance(one, m.Send) and isinstance(one.message, m.VoteRequest)
+        outputs = node.step(2.0 * number, m.Tick())
+        requests = [
+            output.message
+            for output in outputs
+            if isinstance(output, m.Send) and isinstance(output.message, m.VoteRequest)
         ]
-        for ask in asked:  # the others hear no leader either
-            node.step(2.0 * number, m.MessageReceived("b/1", m.VoteResponse(ask.term, True, ask.pre_vote)))
+        for request in requests:  # the others have no leader either
+            node.step(
+                2.0 * number, m.MessageReceived("b/1", m.VoteResponse(request.term, True, request.pre_vote))
+            )
     assert len(node.outbox.deferred) < 10
--- a/tests/test_replicated_state.py
+++ b/tests/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: operations, sessions, and random plays on replicas with planted faults."""
+"""The replicated state machine: operations, sessions, and random runs of replicas with planted faults."""
 
 from __future__ import annotations
 
@@ -20,6 +20,8 @@
 
 
 class Session:
+    """A session that applies its operations to a state at once."""
+
     def __init__(self, name: str = "a/1") -> None:
         self.state, self.name, self.number, self.now = ReplicatedState(), name, 0, 0.0
         self.last = b""
@@ -35,48 +37,48 @@
 
 
 def test_lease_takes_units_of_the_bucket_until_it_is_returned_or_expires() -> None:
-    one = Session()
-    assert one.lease(30) == LeaseGranted(1, 30.0) and one.lease(30) == LeaseGranted(2, 20.0)
-    assert one.lease(1) == Denied("store", 0.0)
-    assert one.do(w.ReturnLease("c", 1, 10.0)) == Applied(20.0)
-    assert one.do(w.ReturnLease("c", 1, 0.0)) == Denied("lease")  # it was returned already
-    one.now = 1500.0  # the second has run out: its units are spent, and may be earned anew
-    assert one.do(w.ReturnLease("c", 2, 0.0)) == Denied("lease")
-    assert one.lease(99) == LeaseGranted(3, 35.0)
+    session = Session()
+    assert session.lease(30) == LeaseGranted(1, 30.0) and session.lease(30) == LeaseGranted(2, 20.0)
+    assert session.lease(1) == Denied("store", 0.0)
+    assert session.do(w.ReturnLease("c", 1, 10.0)) == Applied(20.0)
+    assert session.do(w.ReturnLease("c", 1, 0.0)) == Denied("lease")  # returned already
+    session.now = 1500.0  # the second has expired: its units count as spent, and the bucket refills
+    assert session.do(w.ReturnLease("c", 2, 0.0)) == Denied("lease")
+    assert session.lease(99) == LeaseGranted(3, 35.0)
 
 
 def test_operation_sent_again_gets_the_same_result_and_changes_nothing() -> None:
-    one = Session()
-    assert one.do(w.CountUsage("c", 5.0)) == Applied(5.0)
-    assert one.state.apply(99.0, one.last) == Applied(5.0)
-    assert one.do(w.CountUsage("c", 5.0)) == Applied(10.0)
+    session = Session()
+    assert session.do(w.CountUsage("c", 5.0)) == Applied(5.0)
+    assert session.state.apply(99.0, session.last) == Applied(5.0)
+    assert session.do(w.CountUsage("c", 5.0)) == Applied(10.0)
     late = w.encode(w.Command("a/1", 2, 1, w.CountUsage("c", 5.0)))
-    assert one.state.apply(100.0, late) == Denied("order")  # its answer was had already
+    assert session.state.apply(100.0, late) == Denied("order")  # its result was acknowledged already
     other = w.encode(w.Command("b/1", 1, 1, w.CountUsage("c", 5.0)))
-    assert one.state.apply(100.0, other) == Denied("session")
+    assert session.state.apply(100.0, other) == Denied("session")
 
 
 def test_operation_is_denied_when_too_many_results_are_unacknowledged() -> None:
-    one = Session()
+    session = Session()
     for number in range(2, MAX_UNACKNOWLEDGED + 40):
         data = w.encode(w.Command("a/1", number, 0, w.CountUsage("c", 1.0)))
-        result = one.state.apply(0.0, data)
-    assert result == Denied("full") and len(one.state.sessions["a/1"].results) == MAX_UNACKNOWLEDGED
+        result = session.state.apply(0.0, data)
+    assert result == Denied("full") and len(session.state.sessions["a/1"].results) == MAX_UNACKNOWLEDGED
 
 
 def test_change_of_plan_back_and_forth_gains_no_units() -> None:
-    one = Session()
-    one.lease(50, 1e9)
+    session = Session()
+    session.lease(50, 1e9)
     for burst in (500.0, 50.0) * 5:
-        assert one.do(w.AcquireLease("c", RATE, burst, 1.0, 1.0, 1e9)) == Denied("store", 0.0)
+        assert session.do(w.AcquireLease("c", RATE, burst, 1.0, 1.0, 1e9)) == Denied("store", 0.0)
 
 
 def test_record_is_set_only_at_its_expected_version() -> None:
-    one = Session()
-    assert one.do(w.SetRecord("k", "x", 0)) == Applied(1) and one.do(w.SetRecord("k", "y", 0)) == Denied(
-        "version", 1
-    )
-    assert one.do(w.SetRecord("k", "y", 1)) == Applied(2) and one.state.records["k"].value == "y"
+    session = Session()
+    assert session.do(w.SetRecord("k", "x", 0)) == Applied(1) and session.do(
+        w.SetRecord("k", "y", 0)
+    ) == Denied("version", 1)
+    assert session.do(w.SetRecord("k", "y", 1)) == Applied(2) and session.state.records["k"].value == "y"
 
 
 @pytest.mark.parametrize(
@@ -86,46 +88,49 @@
     assert Session().state.apply(0.0, data) == Denied("order")
 
 
-@pytest.mark.parametrize("odd", [float("nan"), float("inf"), -1.0])
-def test_command_with_invalid_numbers_changes_nothing(odd: float) -> None:
-    one = Session()
-    assert isinstance(one.do(w.CountUsage("c", odd)), Denied) and isinstance(one.lease(odd), Denied)
-    assert not one.state.buckets
+@pytest.mark.parametrize("number", [float("nan"), float("inf"), -1.0])
+def test_command_with_invalid_numbers_changes_nothing(number: float) -> None:
+    session = Session()
+    assert isinstance(session.do(w.CountUsage("c", number)), Denied) and isinstance(
+        session.lease(number), Denied
+    )
+    assert not session.state.buckets
 
 
 class ReplicatedStateMachine(RuleBasedStateMachine):
-    """Level and what is out never pass the burst; use is within burst and rate; copies agree."""
+    """Level and outstanding units stay within the burst, use within burst and rate; replicas agree."""
 
     @initialize()
     def begin(self) -> None:
-        self.one, self.copy = Session(), ReplicatedState()
-        self.copy.apply(0.0, self.one.last)
+        self.session, self.replica = Session(), ReplicatedState()
+        self.replica.apply(0.0, self.session.last)
         self.spent, self.leases = 0.0, dict[int, tuple[float, float]]()
 
     def do(self, operation: w.Operation) -> Any:
-        result = self.one.do(operation)
-        assert self.copy.apply(self.one.now, self.one.last) == result
-        assert self.one.state.apply(self.one.now, self.one.last) == result  # again: the same, and no change
+        result = self.session.do(operation)
+        assert self.replica.apply(self.session.now, self.session.last) == result
+        # Sent again, it has the same result and changes nothing.
+        assert self.session.state.apply(self.session.now, self.session.last) == result
         return result
 
     @rule(ms=st.sampled_from([0.0, 10.0, 700.0, 5000.0]))
     def wait(self, ms: float) -> None:
-        self.one.now += ms
+        self.session.now += ms
 
     @rule(units=st.floats(0.5, 80), term=st.sampled_from([100.0, 1000.0, 20_000.0]))
     def lease(self, units: float, term: float) -> None:
         result = self.do(w.AcquireLease("c", RATE, BURST, units, 0.5, term))
         if isinstance(result, LeaseGranted):
             assert result.units <= units + 1e-9 and result.lease_id not in self.leases
-            self.leases[result.lease_id] = (result.units, self.one.now + term)
+            self.leases[result.lease_id] = (result.units, self.session.now + term)
 
     @rule(pick=st.integers(0, 9), part=st.floats(0, 1.5))
-    def back(self, pick: int, part: float) -> None:
+    def return_lease(self, pick: int, part: float) -> None:
         if self.leases:
-            number = sorted(self.leases)[pick % len(self.leases)]
-            units, until = self.leases.pop(number)
-            result = self.do(w.ReturnLease("c", number, part * units))
-            assert isinstance(result, Applied) == (until > self.one.now)
+            lease_id = sorted(self.leases)[pick % len(self.leases)]
+            units, expires_at = self.leases.pop(lease_id)
+            result = self.do(w.ReturnLease("c", lease_id, part * units))
+            assert isinstance(result, Applied) == (expires_at > self.session.now)
             self.spent += part * units if isinstance(result, Applied) else units
 
     @rule(units=st.floats(0.1, 30), name=st.sampled_from("xyz"))
@@ -137,21 +142,21 @@
         self.do(w.ReleaseReservation("c", name))
 
     @rule()
-    def copied(self) -> None:
-        """Another copy takes a snapshot in place of the log."""
-        self.copy = ReplicatedState()
-        self.copy.restore(msgspec.msgpack.encode(self.one.state.snapshot()))
+    def restore_replica(self) -> None:
+        """Replace the second replica by one that restores a snapshot in place of the log."""
+        self.replica = ReplicatedState()
+        self.replica.restore(msgspec.msgpack.encode(self.session.state.snapshot()))
 
     @invariant()
-    def holds(self) -> None:
-        store = self.one.state.bucket_at(self.one.now, "c")
-        if store is not None:
-            out = sum(held.units for _, held in (*store.leases, *store.reservations))
-            # Below 0 by what leases were overspent by, which are half of the burst at most here.
-            assert store.level + out <= BURST + 1e-6 and store.level >= -BURST / 2 - 1e-6
-            # What was spent for good came out of the burst, was earned since, or is owed to the store.
-            assert self.spent + store.level + out <= BURST + RATE / 1000 * self.one.now + 1e-6
-            assert self.one.state.snapshot() == self.copy.snapshot()
+    def limits_hold_and_replicas_agree(self) -> None:
+        bucket = self.session.state.bucket_at(self.session.now, "c")
+        if bucket is not None:
+            outstanding = sum(allocation.units for _, allocation in (*bucket.leases, *bucket.reservations))
+            # Below 0 by what leases were overspent by, which is at most half of the burst here.
+            assert bucket.level + outstanding <= BURST + 1e-6 and bucket.level >= -BURST / 2 - 1e-6
+            # Spent units came out of the burst, were refilled since, or are owed to the bucket.
+            assert self.spent + bucket.level + outstanding <= BURST + RATE / 1000 * self.session.now + 1e-6
+            assert self.session.state.snapshot() == self.replica.snapshot()
 
 
 TestReplicatedState = ReplicatedStateMachine.TestCase
@@ -160,8 +165,8 @@
 )
 
 
-def test_random_plays_on_replicas_violate_no_guarantee() -> None:
-    assert not {seed: said for seed in range(24) if (said := play(seed))}
+def test_random_runs_of_replicas_violate_no_guarantee() -> None:
+    assert not {seed: violation for seed in range(24) if (violation := play(seed))}
 
 
 @pytest.mark.parametrize("plant", PLANTS)
@@ -169,27 +174,27 @@
     assert any(play(seed, plant) for seed in range(12))
 
 
-# The checkers themselves
+# The history checker
 
 COUNT = w.CountUsage("c", 5.0)
 LEASE = w.AcquireLease("c", RATE, BURST, 30.0, 1.0, 1000.0)
 
 
-def event(number: int, operation: Any, begun: float, result: Any, ended: float) -> HistoryEvent:
-    return HistoryEvent("s", number, operation, begun, result, ended)
+def event(number: int, operation: Any, started_at: float, result: Any, ended_at: float) -> HistoryEvent:
+    return HistoryEvent("s", number, operation, started_at, result, ended_at)
 
 
-def held(counted: float) -> Any:
-    one = Session()
-    one.do(w.CountUsage("c", counted))
-    return {"store c": one.state.buckets["c"]}
+def final_state(counted: float) -> Any:
+    session = Session()
+    session.do(w.CountUsage("c", counted))
+    return {"store c": session.state.buckets["c"]}
 
 
 @pytest.mark.parametrize(
-    ("events", "final", "said"),
+    ("events", "final", "expected"),
     [
-        ([event(1, COUNT, 0, Applied(5), 1)], held(5), ""),
-        ([event(1, COUNT, 0, Applied(5), 1)], held(10), "use of c: 5 was acknowledged, 10 is held"),
+        ([event(1, COUNT, 0, Applied(5), 1)], final_state(5), ""),
+        ([event(1, COUNT, 0, Applied(5), 1)], final_state(10), "use of c: 5 was acknowledged, 10 is held"),
         ([event(1, COUNT, 0, Applied(5), 1)], {}, "use of c: 5 was acknowledged, 0 is held"),
         ([event(1, COUNT, 0, None, 0)], {}, "s 1 was never answered"),
         ([event(1, LEASE, 0, LeaseGranted(1, 30), 0.1), event(2, LEASE, 0.2, LeaseGranted(2, 30), 0.3)], {},
@@ -202,11 +207,14 @@
         ([event(1, LEASE, 0, LeaseGranted(1, 3), 0.1), event(2, LEASE, 0, LeaseGranted(1, 3), 0.1)], {},
          "was granted to s and s"),
         ([event(1, w.SetRecord("k", "x", 0), 0, Applied(1), 1)], {}, "version 1 was acknowledged"),
-        ([event(1, COUNT, 0, Applied(5), 1), event(2, "store c", 2, None, 3)], held(5), "a read of c says 0"),
-        ([event(1, "store c", 0, held(5)["store c"], 1), event(2, COUNT, 2, Applied(5), 3)], held(5),
-         "a read of c says 5"),
+        ([event(1, COUNT, 0, Applied(5), 1), event(2, "store c", 2, None, 3)], final_state(5),
+         "a read of c says 0"),
+        ([event(1, "store c", 0, final_state(5)["store c"], 1), event(2, COUNT, 2, Applied(5), 3)],
+         final_state(5), "a read of c says 5"),
     ],
 )  # fmt: skip
-def test_history_checker_reports_each_violation(events: list[HistoryEvent], final: Any, said: str) -> None:
+def test_history_checker_reports_each_violation(
+    events: list[HistoryEvent], final: Any, expected: str
+) -> None:
     found = find_violations(events, final, BURST)
-    assert bool(found) == bool(said) and (not said or said in found[0])
+    assert bool(found) == bool(expected) and (not expected or expected in found[0])
