--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -11,7 +11,7 @@
 from mapleshunt.replication import messages as m
 from mapleshunt.replication.roles import Role
 
-from .test_replica_stores import NAMES, copies_in
+from .test_replica_stores import GATEWAY_NAMES, replication_host_in
 
 MESSAGE_DELAY_S = 0.001
 ELECTIONS = 10  # longest election timeouts within which two of three replicas have to elect a leader
@@ -58,8 +58,8 @@
     """Two of three replicas are up. With equal timeouts both campaign at once, and neither gets a vote."""
 
     async def run() -> str:
-        hosts = [copies_in(tmp_path / name, name) for name in NAMES[:2]]
-        group = VirtualGroup(hosts, missing=f"{NAMES[2]}/gone")
+        hosts = [replication_host_in(tmp_path / name, name) for name in GATEWAY_NAMES[:2]]
+        group = VirtualGroup(hosts, missing=f"{GATEWAY_NAMES[2]}/gone")
         leader = group.elect_leader(
             group.start + ELECTIONS * 2 * hosts[0].services.raft_config.election_timeout_s
         )
