--- a/mapleshunt/replicated_state/leases.py
+++ b/mapleshunt/replicated_state/leases.py
@@ -19,12 +19,12 @@
 from .results import DenialReason, Denied, LeaseGranted, Result
 
 MAX_CLOCK_DRIFT = 0.01  # part of a term by which the rates of two clocks may differ
-RETURN_MARGIN_TERMS = 0.25  # shortest terms before its end at which a lease is returned
+RETURN_MARGIN_TERMS = 0.25  # times `term_ms` before its end, when a lease is returned
 SPENT_FRACTION = 0.01  # part of a lease's units below which it counts as used up
-PREFETCH_TERMS = 1.5  # shortest terms of demand to lease: more would idle here while others reject
-PREFETCH_THRESHOLD = 0.25  # part of a lease request, below which another is made
-IDLE_TERMS = 2.0  # longest terms without requests after which a customer is removed
-EMPTY_BACKOFF_TERMS = 0.02  # shortest terms to the next lease request after an unsuccessful one
+PREFETCH_TERMS = 1.5  # times `term_ms` of demand to lease: more would idle here while others reject
+PREFETCH_THRESHOLD = 0.25  # part of the units to lease, below which a request is made
+IDLE_TERMS = 2.0  # times `max_term_ms` without requests, after which a customer is removed
+EMPTY_BACKOFF_TERMS = 0.02  # times `term_ms` until the next lease request after an unsuccessful one
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,7 +41,7 @@
     """Let the decisions use `units` of the customer until `usable_until`.
 
     Lease 0 has no units: while it is in force, only the units of other leases may be used. Each answer renews
-    it, so that the fallback bucket does not apply as long as answers arrive.
+    it, so that the customer's fallback bucket does not apply as long as answers arrive.
     """
 
     customer: str
--- a/mapleshunt/replication/config.py
+++ b/mapleshunt/replication/config.py
@@ -18,6 +18,6 @@
     max_batch_bytes: int = 64 * 1024  # of entries in one message
     max_inflight_messages: int = 8  # with entries, to one follower
     snapshot_chunk_bytes: int = 64 * 1024
-    retained_entries: int = 256  # that a snapshot covers, for followers that lag slightly
+    retained_entries: int = 256  # kept though a snapshot covers them, for followers that lag slightly
     compaction_threshold: int = 2048  # applied entries after which a snapshot is requested
     max_pending_requests: int = 1024  # uncommitted proposals, or reads; more are rejected
--- a/mapleshunt/replication/membership.py
+++ b/mapleshunt/replication/membership.py
@@ -50,7 +50,7 @@
         return None
     extra = [replica for replica in members.all() if replica not in wanted]
     removable = [replica for replica in extra if replica != me]
-    if removable and len(members.voters) > size:  # extra voters enlarge the quorum
+    if removable and len(members.voters) > size:  # extra voters may enlarge the quorum
         return MembershipStep(MembershipAction.REMOVE, removable[0])
     for replica in wanted:
         if replica not in members.all():
@@ -96,7 +96,7 @@
     ranked = rank_gateways(group, {name: fleet[name].zone for name in present})
     successors += [*learners, *(present[name] for name in ranked if name not in occupied)]
     wanted = list(dict.fromkeys([*staying, *successors]))[: max(size, len(staying))]
-    return wanted + leaving[: max(0, size - len(wanted))]  # better than too few voters
+    return wanted + leaving[: max(0, size - len(wanted))]  # these are better than too few
 
 
 def _sort_voters(
