--- a/mapleshunt/replication/wire.py
+++ b/mapleshunt/replication/wire.py
@@ -110,7 +110,7 @@
 def check_handshake(handshake: Handshake, fleet: str) -> None:
     """Raise `ProtocolError` if the sender cannot take part."""
     if handshake.fleet != fleet:
-        raise ProtocolError(f"is of fleet {handshake.fleet[:64]!r}, not of {fleet!r}")
+        raise ProtocolError(f"is of another fleet: {handshake.fleet[:64]!r}, not {fleet!r}")
     if handshake.min_version > MAX_VERSION or handshake.max_version < MIN_VERSION:
         raise ProtocolError(
             f"speaks versions {handshake.min_version} to {handshake.max_version},"
