--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -130,7 +130,7 @@
     whole_files = not any("::" in argument for argument in config.args)
     try:
         known_failures.expect_failures(known_failures.load(), items, whole_files)
-    except known_failures.MalformedList as error:
+    except known_failures.MalformedListError as error:
         raise pytest.UsageError(f"{known_failures.KNOWN_RED.name}: {error}") from None
 
 
