--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -131,7 +131,7 @@
     try:
         known_failures.expect_failures(known_failures.load(), items, whole_files)
     except known_failures.MalformedListError as error:
-        raise pytest.UsageError(f"{known_failures.KNOWN_RED.name}: {error}") from None
+        raise pytest.UsageError(f"{known_failures.KNOWN_FAILURES_PATH.name}: {error}") from None
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
