--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -189,7 +189,9 @@
         checkout = (program or CHECKOUT_ROOT).resolve()
         try:
             kinds = cast("tuple[FaultKind, ...]", only)
-            report = soaks.play(number, place, gateways, backends, rate, seconds, kinds, checkout, replicas)
+            report = soaks.run_soak(
+                number, place, gateways, backends, rate, seconds, kinds, checkout, replicas
+            )
         except (LibraryBuildError, OSError) as error:
             raise Trouble(str(error)) from None
         broken += len(report.violations)
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -1,6 +1,6 @@
-"""Clients of the soak test: most are well-behaved, some leave, write in pieces, rest, flood, or stop halfway.
+"""Clients of the soak test: most behave well; some disconnect early, write in pieces, idle, flood or stall.
 
-A request whose answer does not come is judged here: lost, unless its client left or its gateway was killed.
+A request that gets no answer counts as lost, unless its client disconnected or its gateway was killed.
 """
 
 from __future__ import annotations
@@ -27,163 +27,190 @@
 Habit = Literal["plain", "fresh", "leaves", "pieces", "pipelines"]
 HABITS: tuple[Habit, ...] = ("plain", "fresh", "leaves", "pieces", "pipelines")
 HABIT_WEIGHTS = (60, 20, 10, 5, 5)
-LATEST_MS = 550.0  # after its time, until which an answer only earns nothing
-MAX_IDLE_S = 4.0  # for which a client uses a connection again: past the gateway's own limit, to cross it
+LATE_ANSWER_LIMIT_MS = 550.0  # after a request's timeout an answer counts as late, not as lost, for this long
+# Limit for reuse of a connection, above the gateway's idle timeout so that requests cross its close.
+MAX_IDLE_S = 4.0
 MAX_PIECES = 4
-MAX_PIECE_PAUSE_S = 0.1
-PINGS = 3  # written before a request by one that pipelines
-TO_LEAVING = 0.3  # chance that a request goes to a gateway that was told to end, where a connection is open
-BAD_CLIENT_S = 3.0  # within which a bad client is owed its error or its close
-BAD_CLIENT_SLACK_S = 0.5
+MAX_PIECE_INTERVAL_S = 0.1
+PIPELINED_PINGS = 3  # written before a request by a client that pipelines
+TERMINATING_GATEWAY_CHANCE = 0.3  # of a request to go to a terminating gateway with an open connection
+PARTIAL_COMMAND_TIMEOUT_S = 3.0  # a gateway must answer or close a partial command within this time
+PARTIAL_COMMAND_SLACK_S = 0.5
 PING = resp.encode_command([b"PING"])
 
 
 class SoakClients(SocketClients):
-    """All clients of a soak, each request with a habit drawn by seed."""
+    """All clients of a soak; the habit of each attempt is drawn by seed."""
 
     def __init__(self, fleet: SoakFleet) -> None:
         super().__init__(fleet)
         self.random = random.Random(f"{fleet.scenario_run.seed} clients")
         self.habits: dict[str, int] = dict.fromkeys(HABITS, 0)
         self.left = 0
-        self.resent = 0  # after a close that crossed them, on used and on new connections
+        self.resent = 0  # after a close that crossed them, on reused and on new connections
 
     @property
     def soak(self) -> SoakFleet:
+        """The fleet, whose report collects the violations."""
         return cast("SoakFleet", self.fleet)
 
     def _link(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
-            link = pool.pop(0)
-            if now - link.at < MAX_IDLE_S and not link.stream.closed():
-                return link
-            link.stream.close()
+            connection = pool.pop(0)
+            if now - connection.at < MAX_IDLE_S and not connection.stream.closed():
+                return connection
+            connection.stream.close()
         return ClientConnection(self.fleet, gateway)
 
-    def _leaving(self) -> int | None:
-        """A gateway that was told to end and to which a connection is open."""
-        there = [one for one in self.soak.leaving if self.idle[one]]
-        return self.random.choice(there) if there and self.random.random() < TO_LEAVING else None
-
-    async def _send(self, one: ClientAttempt, name: str) -> tuple[ClientResult, float]:
-        leaving = self._leaving()
-        if leaving is not None:
-            one.gateway = leaving
+    def _draw_terminating_gateway(self) -> int | None:
+        """Return a terminating gateway with an open connection, or None if there is none or by chance."""
+        connected = [gateway for gateway in self.soak.terminating if self.idle[gateway]]
+        return (
+            self.random.choice(connected)
+            if connected and self.random.random() < TERMINATING_GATEWAY_CHANCE
+            else None
+        )
+
+    async def _send(self, attempt: ClientAttempt, name: str) -> tuple[ClientResult, float]:
+        terminating = self._draw_terminating_gateway()
+        if terminating is not None:
+            attempt.gateway = terminating
         habit: Habit = self.random.choices(HABITS, HABIT_WEIGHTS)[0]
         self.habits[habit] += 1
-        for last in (False, True):
-            fresh = habit == "fresh" or last
-            link = ClientConnection(self.fleet, one.gateway) if fresh else self._link(one.gateway)
-            used = link.used
+        for is_resend in (False, True):
+            needs_new = habit == "fresh" or is_resend
+            connection = (
+                ClientConnection(self.fleet, attempt.gateway) if needs_new else self._link(attempt.gateway)
+            )
+            reused = connection.used
             try:
-                if not used:
-                    async with asyncio.timeout(one.timeout_ms / 1000):
-                        await link.connect()
+                if not reused:
+                    async with asyncio.timeout(attempt.timeout_ms / 1000):
+                        await connection.connect()
             except (StreamClosedError, TimeoutError, OSError):
-                link.stream.close()
+                connection.stream.close()
                 return "unreachable", 0.0
-            one.accepted, one.sent_at = True, self.fleet.clock.now()
+            attempt.accepted, attempt.sent_at = True, self.fleet.clock.now()
             try:
-                reply = await self._exchange(link, one, name, habit)
+                reply = await self._send_with_habit(connection, attempt, name, habit)
             except TimeoutError:
-                link.stream.close()
-                self.soak.unanswered(one, f"no answer on a {'used' if used else 'new'} connection")
+                connection.stream.close()
+                self.soak.record_unanswered(
+                    attempt, f"no answer on a {'reused' if reused else 'new'} connection"
+                )
                 return "late", 0.0
             except StreamClosedError:
-                link.stream.close()
-                if not one.attempts and not last and not self.soak.killed_since(one.gateway, one.sent_at):
-                    # The close crossed it: once more on a new connection. Had the gateway read it, its own
-                    # guard would have counted a violation, which fails the soak too.
+                connection.stream.close()
+                if (
+                    not attempt.attempts
+                    and not is_resend
+                    and not self.soak.killed_since(attempt.gateway, attempt.sent_at)
+                ):
+                    # The close crossed the request: resend it on a new connection. Had the gateway read it,
+                    # its own invariant check would have counted a violation, which fails the soak too.
                     self.resent += 1
                     continue
-                if not one.attempts and self.soak.lag() > MAX_LAG_S:
-                    # This process stood still between connecting and writing: the gateway saw a client
-                    # that said nothing, and may have closed on it twice.
+                if not attempt.attempts and self.soak.lag() > MAX_LAG_S:
+                    # This process stalled between connecting and writing: the gateway saw an idle client and
+                    # may have closed its connection twice.
                     self.soak.report.unjudged += 1
                     return "failed", 0.0
-                self.soak.unanswered(one, f"closed on a {'used' if used else 'new'} connection")
+                self.soak.record_unanswered(
+                    attempt, f"closed on a {'reused' if reused else 'new'} connection"
+                )
                 return "failed", 0.0
             except (resp.ProtocolError, MessageTooLongError) as error:
-                link.stream.close()
+                connection.stream.close()
                 self.strange += 1
-                self.soak.break_rule("strange_answer", f"request {one.request_id}: {error}")
+                self.soak.record_violation("strange_answer", f"request {attempt.request_id}: {error}")
                 return "failed", 0.0
-            if reply is None:  # it has left
+            if reply is None:  # the client disconnected
                 return "failed", 0.0
-            link.used, link.at = True, asyncio.get_running_loop().time()
-            self.idle[one.gateway].append(link)
-            told, wait = self._read(one, name, reply)
-            return (told, wait) if one.answered_at - one.sent_at <= one.timeout_ms else ("late", 0.0)
+            connection.used, connection.at = True, asyncio.get_running_loop().time()
+            self.idle[attempt.gateway].append(connection)
+            result, retry_after = self._read(attempt, name, reply)
+            return (
+                (result, retry_after)
+                if attempt.answered_at - attempt.sent_at <= attempt.timeout_ms
+                else ("late", 0.0)
+            )
         return "failed", 0.0
 
-    async def _exchange(
-        self, link: ClientConnection, one: ClientAttempt, name: str, habit: Habit
+    async def _send_with_habit(
+        self, connection: ClientConnection, attempt: ClientAttempt, name: str, habit: Habit
     ) -> resp.Reply | None:
-        """The answer; None if the client left before it came."""
-        command = self.fleet.command(one, name)
+        """Send a command in the way of the habit; return the answer, or None if the client disconnected."""
+        command = self.fleet.command(attempt, name)
         if habit == "pieces":
-            command = await self._write_first_pieces(link, command)
-            one.sent_at = self.fleet.clock.now()  # its time counts from its last byte
+            command = await self._write_first_pieces(connection, command)
+            attempt.sent_at = self.fleet.clock.now()  # the timeout counts from the last byte
         if habit == "leaves":
-            return await self._leave(link, one, command)
-        async with asyncio.timeout((one.timeout_ms + LATEST_MS) / 1000):
+            return await self._disconnect_early(connection, attempt, command)
+        async with asyncio.timeout((attempt.timeout_ms + LATE_ANSWER_LIMIT_MS) / 1000):
             if habit == "pipelines":
-                await link.stream.write(PING * PINGS + command)
-                for _ in range(PINGS):
-                    await self._next(link)
-                return await self._next(link)
-            return await link.ask(command)
-
-    async def _write_first_pieces(self, link: ClientConnection, command: bytes) -> bytes:
-        """Write all but the last piece; what is left."""
+                await connection.stream.write(PING * PIPELINED_PINGS + command)
+                for _ in range(PIPELINED_PINGS):
+                    await self._read_reply(connection)
+                return await self._read_reply(connection)
+            return await connection.ask(command)
+
+    async def _write_first_pieces(self, connection: ClientConnection, command: bytes) -> bytes:
+        """Write all but the last piece, with pauses; return the unwritten bytes."""
         for _ in range(self.random.randint(1, MAX_PIECES - 1)):
             size = self.random.randint(0, len(command) // 2)
-            await link.stream.write(command[:size])
+            await connection.stream.write(command[:size])
             command = command[size:]
-            await asyncio.sleep(self.random.uniform(0.0, MAX_PIECE_PAUSE_S))
+            await asyncio.sleep(self.random.uniform(0.0, MAX_PIECE_INTERVAL_S))
         return command
 
-    async def _leave(self, link: ClientConnection, one: ClientAttempt, command: bytes) -> resp.Reply | None:
+    async def _disconnect_early(
+        self, connection: ClientConnection, attempt: ClientAttempt, command: bytes
+    ) -> resp.Reply | None:
         try:
-            async with asyncio.timeout(self.random.uniform(0.0, one.timeout_ms / 2000)):
-                return await link.ask(command)
+            async with asyncio.timeout(self.random.uniform(0.0, attempt.timeout_ms / 2000)):
+                return await connection.ask(command)
         except TimeoutError:
-            link.stream.close()
-            one.client_left_at = self.fleet.clock.now()
+            connection.stream.close()
+            attempt.client_left_at = self.fleet.clock.now()
             self.left += 1
             return None
 
-    async def _next(self, link: ClientConnection) -> resp.Reply:
-        while not (found := resp.parse_reply(link.buffer.data, link.buffer.start, link.buffer.end)):
-            await link.buffer.fill(link.stream)
-        link.buffer.consume(found[1])
+    async def _read_reply(self, connection: ClientConnection) -> resp.Reply:
+        while not (
+            found := resp.parse_reply(connection.buffer.data, connection.buffer.start, connection.buffer.end)
+        ):
+            await connection.buffer.fill(connection.stream)
+        connection.buffer.consume(found[1])
         return found[0]
 
-    # Clients that ask for nothing to be had
+    # Misbehaving clients
 
-    async def stop_halfway(self, gateway: int, data: bytes) -> None:
-        """Send part of a command and stay: an error or a close is owed within 3 s."""
+    async def send_partial_command(self, gateway: int, data: bytes) -> None:
+        """Send part of a command and wait: the gateway must answer or close within 3 s."""
         loop = asyncio.get_running_loop()
         with contextlib.suppress(OSError, StreamClosedError):
             stream = IOStream(socket.socket())
             await stream.connect((HOST, self.fleet.gateways[gateway].port))
             await stream.write(data)
-            begun = loop.time()
+            started_at = loop.time()
             try:
-                async with asyncio.timeout(2 * BAD_CLIENT_S):
+                async with asyncio.timeout(2 * PARTIAL_COMMAND_TIMEOUT_S):
                     await stream.read_bytes(1)
             except (TimeoutError, StreamClosedError):
                 pass
-            took = loop.time() - begun
+            elapsed_s = loop.time() - started_at
             stream.close()
-            if took > BAD_CLIENT_S + BAD_CLIENT_SLACK_S + self.soak.lag() and not self.soak.killed_since(
-                gateway, self.fleet.clock.now() - 1000 * took
+            if (
+                elapsed_s > PARTIAL_COMMAND_TIMEOUT_S + PARTIAL_COMMAND_SLACK_S + self.soak.lag()
+                and not self.soak.killed_since(gateway, self.fleet.clock.now() - 1000 * elapsed_s)
             ):
-                self.soak.break_rule("bad_client_kept", f"gateway {gateway} took {took:.1f} s for its close")
+                self.soak.record_violation(
+                    "bad_client_kept", f"gateway {gateway} took {elapsed_s:.1f} s to close a partial command"
+                )
 
     async def flood(self, gateway: int, commands: int) -> None:
-        """Send many commands at once, read nothing, and go."""
+        """Send many commands at once, read nothing and disconnect."""
         with contextlib.suppress(OSError, StreamClosedError):
             stream = IOStream(socket.socket())
             await stream.connect((HOST, self.fleet.gateways[gateway].port))
@@ -191,8 +218,8 @@
             await asyncio.sleep(self.random.uniform(0.0, 0.3))
             stream.close()
 
-    async def rest(self, gateway: int, seconds: float) -> None:
-        """Connect and say nothing."""
+    async def stay_idle(self, gateway: int, seconds: float) -> None:
+        """Connect, send nothing and disconnect after some seconds."""
         with contextlib.suppress(OSError, StreamClosedError):
             stream = IOStream(socket.socket())
             await stream.connect((HOST, self.fleet.gateways[gateway].port))
--- a/mapleshunt/testbed/soak/discovery_agent.py
+++ b/mapleshunt/testbed/soak/discovery_agent.py
@@ -1,4 +1,4 @@
-"""Discovery's agent in the soak test: revisions of its own, behind a fault-injecting proxy."""
+"""The discovery agent of the soak test, behind a fault-injecting proxy."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class SoakDiscoveryAgent(DiscoveryAgent):
-    """An agent whose revisions count from a number of its own, behind a proxy.
+    """An agent behind a proxy, whose revisions are counted from `first_revision`.
 
-    What is sent may be lost on its way: the fleet decides when a gateway counts as notified.
+    The proxy may drop what the agent sends, so the fleet decides when a gateway counts as notified.
     """
 
     def __init__(
@@ -31,15 +31,15 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the list as it is now."""
+        """The current revision of the endpoint list."""
         return self._first_revision + super().revision
 
     def response(self, since: int | None) -> dict[str, Any]:
-        """Return the changes since that revision; the whole list if this agent does not know it."""
+        """Return the changes since that revision, or the whole list if this agent does not know it."""
         if since is None or not self._first_revision <= since <= self.revision:
             return super().response(None)
         return super().response(since - self._first_revision)
 
 
 def _ignore(_entry: EndpointEntry) -> None:
-    """Nothing follows from an entry's being sent."""
+    """Do nothing when an entry is sent."""
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -1,8 +1,8 @@
-"""The soak test: a few dozen real gateways on loopback, faults that overlap, judged by the invariants.
+"""The soak test: a few dozen real gateways on loopback under overlapping faults, checked by the invariants.
 
-All that is not a gateway runs in this process: backends, discovery behind fault-injecting proxies, paths
-between gateways, clients. Each gateway has the library of failing system calls in it. At the end all is
-healed, and nothing may be left over: no open request, no attempt that is out, no connection of a client.
+Everything but the gateways runs in this process: backends, discovery behind fault-injecting proxies, gossip
+paths and clients. Each gateway has the library of failing system calls preloaded. At the end all faults are
+healed and nothing may be left open: no request, no attempt in flight, no client connection.
 """
 
 from __future__ import annotations
@@ -31,66 +31,75 @@
 from ..syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 from . import schedule
 from .backends import SoakBackend
-from .clients import LATEST_MS, SoakClients
+from .clients import LATE_ANSWER_LIMIT_MS, SoakClients
 from .discovery_agent import SoakDiscoveryAgent
-from .fault_injection import KILL_TAKES_MS, LATE_START_MS, FaultInjectedFleet
+from .fault_injection import KILL_DURATION_MS, TERMINATION_MARGIN_MS, FaultInjectedFleet
 from .replicas import SoakReplicas
 from .report import SoakReport
 from .schedule import ScheduledFault
 
-SOAK_RULES = RuleLimits(answer_slack_ms=LATEST_MS + 8.0, drain_grace_ms=550.0)
-TOLD_MS = 6000.0  # after discovery has a change and can be reached, at which it counts as told
-MOVED_MS = 4000.0  # after a new configuration, at which what the new agent has counts as told
-CALM_S = 4.0  # of traffic without faults at the end
-SETTLE_S = 4.5  # after the last client has gone, until nothing may be left over
-INHERITED_FIRST, INHERITED_EACH = 1, 3  # gateways whose listening socket this process holds
-SOCKETS = 200  # descriptors that a gateway may hold by its configuration
-FAULTS_END_TIMEOUT_S = 60.0  # within which all faults are over once calls succeed again
-LAG_EVERY_S = 0.01
-LAG_KEPT_S = 0.5
-MIN_CALM_SHARE = 0.5  # of first tries that are served in the calm at the end
-SPARE_AGENT_REVISION = 500  # from which the agents count that a reload moves to
-LEFT_OVER = ("open", "tries_out", "requests_queued", "requests_asking", "client_connections_now")
-FORBIDDEN_LOG = ("Traceback", "Exception in callback", "never retrieved", "event=invariant_violated")
+SOAK_RULES = RuleLimits(answer_slack_ms=LATE_ANSWER_LIMIT_MS + 8.0, drain_grace_ms=550.0)
+NOTIFIED_WITHIN_MS = (
+    6000.0  # a gateway counts as notified this long after discovery was slow or refused calls
+)
+NOTIFIED_AFTER_MOVE_MS = 4000.0  # a gateway counts as notified this long after it moved to another agent
+FAULT_FREE_S = 4.0  # of traffic at the end, in which no fault begins
+SETTLE_S = 4.5  # from the close of the last client connection until nothing may be open
+FIRST_INHERITED, INHERITED_STEP = 1, 3  # range of gateways whose listening socket this process holds
+MAX_SOCKETS = 200  # that a gateway's configuration allows it
+FAULTS_END_TIMEOUT_S = 60.0  # for all faults to end once system calls no longer fail
+LAG_SAMPLE_INTERVAL_S = 0.01
+LAG_WINDOW_S = 0.5
+MIN_SERVED_FRACTION = 0.5  # of the requests of the fault-free time at the end
+SPARE_AGENT_REVISION = 500  # first revision of the agents that a reload moves to
+OPEN_WORK_GAUGES = ("open", "tries_out", "requests_queued", "requests_asking", "client_connections_now")
+FORBIDDEN_LOG_TEXTS = ("Traceback", "Exception in callback", "never retrieved", "event=invariant_violated")
 
 
 class SoakFleet(FaultInjectedFleet):
-    """One soak. Times in ms since it began."""
+    """The fleet of a soak; times are in ms since it started."""
 
     backend_class = SoakBackend
     clients_class = SoakClients
 
     def __init__(
         self,
-        day: ScenarioRun,
+        scenario_run: ScenarioRun,
         folder: Path,
         faults: Sequence[ScheduledFault],
         program: Path,
         replicas: int = 0,
     ) -> None:
-        """The first `replicas` gateways hold replicas."""
+        """Prepare a soak whose first `replicas` gateways hold replicas."""
         self.faults = faults
-        self.chance = random.Random(f"{day.seed} soak")
-        self.leaving, self.deaths, self.absences = {}, {}, {}
-        self.down_since, self.impaired, self.repaired_at, self.moved_at = {}, {}, {}, {}
-        self.rates, self.upgrading, self.drained = {}, set(), set()
-        self.lags: list[tuple[float, float]] = []
-        self.last_beat = time.monotonic()  # of what measures this process's lateness
-        self.report = SoakReport(day.seed, day.scenario.gateways, faults=[str(fault) for fault in faults])
-        self.extra = set()
-        count = day.scenario.gateways
+        self.fault_random = random.Random(f"{scenario_run.seed} soak")
+        self.terminating, self.kill_times, self.accept_gaps = {}, {}, {}
+        (
+            self.discovery_down_since,
+            self.discovery_impairments,
+            self.discovery_repaired_at,
+            self.discovery_moved_at,
+        ) = {}, {}, {}, {}
+        self.fault_rates, self.upgrading, self.drained = {}, set(), set()
+        self.lag_samples: list[tuple[float, float]] = []
+        self.last_lag_sample_at = time.monotonic()  # see `_measure_lag`
+        self.report = SoakReport(
+            scenario_run.seed, scenario_run.scenario.gateways, faults=[str(fault) for fault in faults]
+        )
+        self.background_tasks = set()
+        count = scenario_run.scenario.gateways
         library = build_library(folder)
-        self.controls = [
-            SyscallFaultControl(library, folder / f"faults-{number}", day.seed * 1000 + number)
+        self.fault_controls = [
+            SyscallFaultControl(library, folder / f"faults-{number}", scenario_run.seed * 1000 + number)
             for number in range(count)
         ]
-        super().__init__(day, folder, program, limits={"sockets": SOCKETS})
-        self.replicas = SoakReplicas(folder, replicas, day.seed)
-        self.spare = [self._agent_from(number, SPARE_AGENT_REVISION) for number in range(count)]
-        self.current = list(cast("list[SoakDiscoveryAgent]", self.agents))
-        for gateway in self.gateways[INHERITED_FIRST::INHERITED_EACH]:
+        super().__init__(scenario_run, folder, program, limits={"sockets": MAX_SOCKETS})
+        self.replicas = SoakReplicas(folder, replicas, scenario_run.seed)
+        self.spare_agents = [self._agent_from(number, SPARE_AGENT_REVISION) for number in range(count)]
+        self.current_agents = list(cast("list[SoakDiscoveryAgent]", self.agents))
+        for gateway in self.gateways[FIRST_INHERITED::INHERITED_STEP]:
             gateway.inherit_listener()
-        for gateway, control in zip(self.gateways, self.controls, strict=True):
+        for gateway, control in zip(self.gateways, self.fault_controls, strict=True):
             if gateway.number < replicas:
                 control.folder = self.replicas.store(f"n{gateway.number}")
                 gateway.env.update(self.replicas.environment(f"n{gateway.number}"))
@@ -113,103 +122,118 @@
         for fault in self.faults:
             self.clock.at(1000 * fault.begins_at_s, self.inject, fault)
 
-    # Judging
+    # Checks
 
     def lag(self) -> float:
-        """s by which this process was late of late."""
+        """Return by how many s this process was late at most within the last `LAG_WINDOW_S`."""
         now = time.monotonic()
-        overdue = now - self.last_beat - LAG_EVERY_S
-        return max([overdue, 0.0, *(late for at, late in self.lags if now - at <= LAG_KEPT_S)])
+        overdue = now - self.last_lag_sample_at - LAG_SAMPLE_INTERVAL_S
+        return max([overdue, 0.0, *(lag for at, lag in self.lag_samples if now - at <= LAG_WINDOW_S)])
 
     def sent_at(self, now: float) -> float:
+        """Return the earliest time at which an attempt that is read now may have been sent."""
         return now - 1000 * self.lag()
 
     async def _measure_lag(self) -> None:
         while True:
-            begun = time.monotonic()
-            await asyncio.sleep(LAG_EVERY_S)
-            self.last_beat = now = time.monotonic()
-            late = max(0.0, now - begun - LAG_EVERY_S)
-            self.lags = [one for one in self.lags if now - one[0] <= LAG_KEPT_S] + [(now, late)]
-            self.report.lag_ms = max(self.report.lag_ms, 1000 * late)
+            started_at = time.monotonic()
+            await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
+            self.last_lag_sample_at = now = time.monotonic()
+            lag = max(0.0, now - started_at - LAG_SAMPLE_INTERVAL_S)
+            self.lag_samples = [sample for sample in self.lag_samples if now - sample[0] <= LAG_WINDOW_S] + [
+                (now, lag)
+            ]
+            self.report.lag_ms = max(self.report.lag_ms, 1000 * lag)
 
     def killed_since(self, gateway: int, when: float) -> bool:
-        """Was it killed after then, without having been told to end in good time before?"""
-        for killed, told in self.deaths.get(gateway, []):
-            if killed >= when - KILL_TAKES_MS and (told is None or when > told + LATE_START_MS):
+        """Whether the gateway was killed after that time without a SIGTERM well before."""
+        for sigkill_at, sigterm_at in self.kill_times.get(gateway, []):
+            if sigkill_at >= when - KILL_DURATION_MS and (
+                sigterm_at is None or when > sigterm_at + TERMINATION_MARGIN_MS
+            ):
                 return True
         return False
 
-    def unanswered(self, one: ClientAttempt, what: str) -> None:
-        """A request that was taken has no answer."""
-        if self.killed_since(one.gateway, one.sent_at) or self.absent(one.gateway, one.sent_at):
+    def record_unanswered(self, attempt: ClientAttempt, reason: str) -> None:
+        """Record an accepted request without an answer as lost, unless its gateway was killed or absent."""
+        if self.killed_since(attempt.gateway, attempt.sent_at) or self.was_not_accepting(
+            attempt.gateway, attempt.sent_at
+        ):
             return
-        left = self.leaving.get(one.gateway)
-        since = f", {one.sent_at - left:.0f} ms after SIGTERM" if left is not None else ""
-        tried = " ".join(f"{a.endpoint}:{a.status}" for a in one.attempts) or "none"
-        name = f"{self.request_id_base + one.request_id:016x}"
-        self.break_rule(
+        sigterm_at = self.terminating.get(attempt.gateway)
+        since = f", {attempt.sent_at - sigterm_at:.0f} ms after SIGTERM" if sigterm_at is not None else ""
+        upstream = " ".join(f"{sent.endpoint}:{sent.status}" for sent in attempt.attempts) or "none"
+        wire_id = f"{self.request_id_base + attempt.request_id:016x}"
+        self.record_violation(
             "lost",
-            f"{what}: request {one.request_id} ({name}) sent at {one.sent_at:.0f} to gateway {one.gateway}"
-            f"{since}, patience {one.timeout_ms:.0f}, now {self.clock.now():.0f}, attempts {tried}",
+            f"{reason}: request {attempt.request_id} ({wire_id}) sent at {attempt.sent_at:.0f} ms to gateway "
+            f"{attempt.gateway}{since}, timeout {attempt.timeout_ms:.0f}, now {self.clock.now():.0f}, "
+            f"attempts {upstream}",
         )
 
     # Discovery
 
     def _endpoint_delivered(self, gateway: int, entry: EndpointEntry) -> None:
-        for agent in (cast(SoakDiscoveryAgent, self.agents[gateway]), self.spare[gateway]):
+        for agent in (cast(SoakDiscoveryAgent, self.agents[gateway]), self.spare_agents[gateway]):
             agent.change(entry)
         if entry.state == "ready":
             self.rule_checker.endpoint_notified(
                 gateway, entry, self.now()
-            )  # it may be sent to as soon as anybody can know it
+            )  # attempts may be sent to it as soon as it is in discovery
         else:
-            self._count_as_told(gateway, entry, self.now())
+            self._record_notified(gateway, entry, self.now())
 
-    def _count_as_told(self, gateway: int, entry: EndpointEntry, since: float) -> None:
-        """What the agent has counts at once, whether or not a watch is open or its answer arrives.
+    def _record_notified(self, gateway: int, entry: EndpointEntry, since: float) -> None:
+        """Count a gateway as notified of an entry at once, even if no watch is open or no answer arrives.
 
-        What it gets while it is down counts at its return, what it has while it is slow or refuses calls 6 s
-        after it does so no more, and what a new agent has 4 s after the move.
+        A change during an outage of discovery counts at its end, one while discovery is slow or refuses calls
+        6 s after the end of that, and the entries of another agent count 4 s after the move to it.
         """
         now = self.now()
-        if gateway in self.down_since or gateway in self.impaired:
-            return self.call_at(now + 10.0, self._count_as_told, gateway, entry, since)
-        moved, repaired = self.moved_at.get(gateway, -MOVED_MS), self.repaired_at.get(gateway, -TOLD_MS)
-        due = max(since, moved + MOVED_MS, repaired + TOLD_MS if repaired >= since else since)
+        if gateway in self.discovery_down_since or gateway in self.discovery_impairments:
+            return self.call_at(now + 10.0, self._record_notified, gateway, entry, since)
+        moved, repaired = (
+            self.discovery_moved_at.get(gateway, -NOTIFIED_AFTER_MOVE_MS),
+            self.discovery_repaired_at.get(gateway, -NOTIFIED_WITHIN_MS),
+        )
+        due = max(
+            since,
+            moved + NOTIFIED_AFTER_MOVE_MS,
+            repaired + NOTIFIED_WITHIN_MS if repaired >= since else since,
+        )
         if now < due:
-            return self.call_at(due, self._count_as_told, gateway, entry, since)
-        held = self.endpoint_lists[gateway].get(entry.endpoint)
-        if held is entry or (held is None and entry.state == "gone"):
+            return self.call_at(due, self._record_notified, gateway, entry, since)
+        entry_of_agent = self.endpoint_lists[gateway].get(entry.endpoint)
+        if entry_of_agent is entry or (entry_of_agent is None and entry.state == "gone"):
             self.rule_checker.endpoint_notified(gateway, entry, now)
 
     # Running
 
     async def soak(self) -> SoakReport:
-        """Play it to its end, heal all, and look for what is left over."""
-        for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare]:
+        """Run the soak, heal all faults and check what is left open."""
+        for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare_agents]:
             await agent.proxy.start()
         await self.replicas.start()
-        measuring = asyncio.create_task(self._measure_lag())
+        lag_measurement = asyncio.create_task(self._measure_lag())
         try:
             await self.run()
         except GatewayError as error:
-            self.break_rule("ended", str(error))
+            self.record_violation("ended", str(error))
         finally:
-            measuring.cancel()
-            self.injected = [control.counts() for control in self.controls]
-            for control in self.controls:
+            lag_measurement.cancel()
+            self.injected = [control.counts() for control in self.fault_controls]
+            for control in self.fault_controls:
                 control.close()
-            for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare]:
+            for agent in [*cast("list[SoakDiscoveryAgent]", self.agents), *self.spare_agents]:
                 await agent.proxy.close()
             await self.replicas.close()
-        self._judge()
+        self._complete_report()
         return self.report
 
     async def _stop_gateways(self) -> None:
-        """Let all that is owed end, look for what is left over, and end all."""
-        for number, control in enumerate(self.controls):
-            step = self.rates.get(number, SyscallFaultRates()).clock_step
+        """Wait until faults and work have ended, check what is left open, and stop the gateways."""
+        for number, control in enumerate(self.fault_controls):
+            step = self.fault_rates.get(number, SyscallFaultRates()).clock_step
             control.set(SyscallFaultRates(clock_step=step))
         await self._wait_for_faults_to_end()
         for number in range(len(self.gateways)):
@@ -220,34 +244,46 @@
                 gateway.process.send_signal(signal.SIGUSR1)
         await asyncio.sleep(0.5)
         if self.replicas.names:
-            stories = await self.replicas.violations()
-            for story in [*stories, *await self.replicas.unhealthy_groups(), *self.replicas.damaged_stores()]:
-                self.break_rule("replication", story)
-            logs = {f"n{one.number}": one.log for one in self.gateways}
-            for fence, names in grants_of_two_machines(logs).items():
-                self.break_rule("maintenance", f"{sorted(names)} under grant {fence}")
+            descriptions = await self.replicas.violations()
+            for description in [
+                *descriptions,
+                *await self.replicas.unhealthy_groups(),
+                *self.replicas.damaged_stores(),
+            ]:
+                self.record_violation("replication", description)
+            logs = {f"n{process.number}": process.log for process in self.gateways}
+            for fencing_token, names in grants_of_two_machines(logs).items():
+                self.record_violation(
+                    "maintenance", f"machines {sorted(names)} share the fencing token {fencing_token}"
+                )
             self.report.replica_calls = self.replicas.calls
         for gateway in self.gateways:
-            left = {name: n for name, n in gateway.counters().items() if name in LEFT_OVER and n}
-            if left:
-                self.break_rule("left_over", f"gateway {gateway.number}: {left}")
+            open_work = {
+                name: count
+                for name, count in gateway.counters().items()
+                if name in OPEN_WORK_GAUGES and count
+            }
+            if open_work:
+                self.record_violation("left_over", f"gateway {gateway.number}: {open_work}")
         await super()._stop_gateways()
         for gateway in self.gateways:
             gateway.close_listener()
 
     async def _wait_for_faults_to_end(self) -> None:
-        """Wait until what was begun is over: processes that end or start, machines that are worked on."""
+        """Wait until no process is ending or starting and no maintenance or partial command is open."""
         deadline = time.monotonic() + FAULTS_END_TIMEOUT_S
-        while self.leaving or self.upgrading or any(not task.done() for task in self.extra):
+        while self.terminating or self.upgrading or any(not task.done() for task in self.background_tasks):
             if time.monotonic() > deadline:
-                self.break_rule("not_over", f"after {FAULTS_END_TIMEOUT_S:g} s: {self.extra}")
+                self.record_violation(
+                    "not_over", f"faults still open after {FAULTS_END_TIMEOUT_S:g} s: {self.background_tasks}"
+                )
                 return
             await asyncio.sleep(0.05)
 
-    def _judge(self) -> None:
-        report, tries = self.report, self.rule_checker.client_attempts
-        report.requests = len(tries)
-        report.answers = dict(Counter(str(one.result) for one in tries))
+    def _complete_report(self) -> None:
+        report, attempts = self.report, self.rule_checker.client_attempts
+        report.requests = len(attempts)
+        report.answers = dict(Counter(str(attempt.result) for attempt in attempts))
         report.habits, report.left = self._soak_clients.habits, self._soak_clients.left
         report.resent = self._soak_clients.resent
         report.violations += self.rule_checker.descriptions
@@ -256,55 +292,61 @@
             injected.update(counts)
         report.injected = dict(injected)
         report.memory_mb = sum(gateway.peak_memory_kb for gateway in self.gateways) / 1024
-        calm = [
-            one
-            for one in self.requests
-            if one.request.arrives_at > self.scenario_run.length_ms - 1000 * CALM_S
+        last_requests = [
+            record
+            for record in self.requests
+            if record.request.arrives_at > self.scenario_run.length_ms - 1000 * FAULT_FREE_S
         ]
-        report.calm_share = sum(one.served_at is not None for one in calm) / max(1, len(calm))
-        if report.calm_share < MIN_CALM_SHARE:
-            self.break_rule(
-                "recovery", f"{report.calm_share:.2f} of {len(calm)} served in the calm at the end"
+        report.calm_share = sum(record.served_at is not None for record in last_requests) / max(
+            1, len(last_requests)
+        )
+        if report.calm_share < MIN_SERVED_FRACTION:
+            self.record_violation(
+                "recovery",
+                f"{report.calm_share:.2f} of {len(last_requests)} requests served in "
+                f"the fault-free time at the end, at least {MIN_SERVED_FRACTION} must be",
             )
         if report.starts and report.slow_starts > report.starts / 10:
-            self.break_rule("start", f"{report.slow_starts} of {report.starts} starts took over 10 s")
+            self.record_violation(
+                "start", f"{report.slow_starts} of {report.starts} starts took over 10 s, at most a tenth may"
+            )
         for gateway in self.gateways:
             text = gateway.log.read_text(errors="replace")
-            for word in [word for word in FORBIDDEN_LOG if word in text]:
-                line = next(line for line in text.splitlines() if word in line)
-                self.break_rule("log", f"gateway {gateway.number}: {line[:200]}")
+            for forbidden in [forbidden for forbidden in FORBIDDEN_LOG_TEXTS if forbidden in text]:
+                line = next(line for line in text.splitlines() if forbidden in line)
+                self.record_violation("log", f"gateway {gateway.number}: {line[:200]}")
 
 
-def scenario(gateways: int, backends: int, rate: float, seconds: float) -> Scenario:
-    """A usual day of that size."""
+def soak_scenario(gateways: int, backends: int, rate: float, seconds: float) -> Scenario:
+    """Return the scenario of a soak: usual traffic for a fleet of that size."""
     return Scenario(
         "soak", "real processes, overlapping faults", (0.5, 0.6), gateways=gateways, backends=backends,
         seconds=seconds, rate=rate,
     )  # fmt: skip
 
 
-async def _play(
+async def _run_soak(
     seed: int, folder: Path, gateways: int, backends: int, rate: float, seconds: float,
     only: Sequence[schedule.FaultKind], program: Path, replicas: int,
 ) -> SoakReport:  # fmt: skip
-    begun = time.monotonic()
+    started_at = time.monotonic()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     gc.collect()
-    gc.disable()  # a collection holds up all that this process plays, and what it keeps is needed to the end
+    gc.disable()  # a collection would stall all emulated parts, and their data is needed until the end
     try:
-        day = draw_run(scenario(gateways, backends, rate, seconds), seed)
-        faults = schedule.draw_schedule(seed, seconds - CALM_S, gateways, backends, replicas, only)
-        fleet = SoakFleet(replace(day, rules=SOAK_RULES), folder, faults, program, replicas)
+        scenario_run = draw_run(soak_scenario(gateways, backends, rate, seconds), seed)
+        faults = schedule.draw_schedule(seed, seconds - FAULT_FREE_S, gateways, backends, replicas, only)
+        fleet = SoakFleet(replace(scenario_run, rules=SOAK_RULES), folder, faults, program, replicas)
         report = await fleet.soak()
     finally:
         gc.enable()
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    report.seconds = round(time.monotonic() - begun, 1)
+    report.seconds = round(time.monotonic() - started_at, 1)
     return report
 
 
-def play(
+def run_soak(
     seed: int,
     folder: Path | None = None,
     gateways: int = 24,
@@ -315,14 +357,18 @@
     program: Path = CHECKOUT_ROOT,
     replicas: int = 0,
 ) -> SoakReport:
-    """Soak for so long; logs and configurations stay in `folder`, if one is named. Raises `FileExistsError`
-    if there is something in it: stores of another soak would be taken for this one's.
+    """Run a soak and return its report; logs and configurations stay in `folder` if one is given.
+
+    Raises:
+        FileExistsError: the folder is not empty; stores of another soak would be mistaken for this one's.
     """
     import uvloop
 
-    with tempfile.TemporaryDirectory() as spare:
-        place = folder or Path(spare)
-        place.mkdir(parents=True, exist_ok=True)
-        if any(place.iterdir()):
-            raise FileExistsError(f"{place} is not empty")
-        return uvloop.run(_play(seed, place, gateways, backends, rate, seconds, only, program, replicas))
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        run_folder = folder or Path(temporary_folder)
+        run_folder.mkdir(parents=True, exist_ok=True)
+        if any(run_folder.iterdir()):
+            raise FileExistsError(f"{run_folder} must be empty")
+        return uvloop.run(
+            _run_soak(seed, run_folder, gateways, backends, rate, seconds, only, program, replicas)
+        )
--- a/mapleshunt/testbed/soak/report.py
+++ b/mapleshunt/testbed/soak/report.py
@@ -1,4 +1,4 @@
-"""What a soak came to."""
+"""The report of a soak."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SoakReport(msgspec.Struct):
-    """What a soak came to; the names that are encoded are those of `mapleshunt rig soak --json`."""
+    """The report of a soak; its encoded names are those that `mapleshunt rig soak --json` prints."""
 
     seed: int
     gateways: int
@@ -14,17 +14,17 @@
     faults: list[str] = msgspec.field(default_factory=list, name="troubles")
     violations: list[str] = msgspec.field(default_factory=list, name="broken")
     requests: int = 0
-    answers: dict[str, int] = msgspec.field(default_factory=dict)  # by result
-    habits: dict[str, int] = msgspec.field(default_factory=dict)  # of clients, by habit
-    left: int = 0  # clients that left before their answer
-    resent: int = 0  # requests that crossed a close
-    starts: int = 0
-    slow_starts: int = 0
-    replica_calls: int = 0  # of clients of the replicas
-    rolls: int = 0  # requests to take machines out one after another
-    upgrades: int = 0  # by a second process beside the first
-    unjudged: int = 0  # attempts that came while this process was too late to judge their times
-    calm_share: float = 1.0  # of the requests in the calm at the end, that were served
+    answers: dict[str, int] = msgspec.field(default_factory=dict)  # client attempts, by result
+    habits: dict[str, int] = msgspec.field(default_factory=dict)  # client attempts, by the client's habit
+    left: int = 0  # clients that disconnected before their answer
+    resent: int = 0  # requests that crossed a close of their connection
+    starts: int = 0  # of gateways after they ended
+    slow_starts: int = 0  # that took over 10 s
+    replica_calls: int = 0  # of the replicas' clients
+    rolls: int = 0  # maintenance requests for some machines
+    upgrades: int = 0  # by a second process that takes over from the first
+    unjudged: int = 0  # attempts not judged because this process was late when they arrived
+    calm_share: float = 1.0  # fraction of requests served in the fault-free time at the end
     injected: dict[str, int] = msgspec.field(default_factory=dict)  # failed system calls, by kind
-    lag_ms: float = 0.0  # by which this process was late at worst
-    memory_mb: float = 0.0  # of all gateways, at most
+    lag_ms: float = 0.0  # largest lateness of this process
+    memory_mb: float = 0.0  # sum of the gateways' peaks
--- a/mapleshunt/testbed/soak/schedule.py
+++ b/mapleshunt/testbed/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: drawn by seed, as episodes of two or three that overlap in time."""
+"""The schedule of a soak, drawn from its seed: episodes of two or three faults that overlap in time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     "discovery_resets", "discovery_slow", "discovery_refuses", "peers_cut", "peers_lose", "bad_clients",
     "floods", "resting_clients", "disk_fails", "disk_slow", "links_cut", "links_reset", "roll",
 ]  # fmt: skip
-# Chances relative to each other: what ends or moves processes comes most often.
+# Relative weights: faults that end or replace processes are among the most frequent.
 FAULT_WEIGHTS: dict[FaultKind, int] = {
     "term": 6, "kill": 3, "upgrade": 5, "reload": 3, "reload_twice": 2, "pause": 3, "clock_step": 3,
     "calls_fail": 5, "short_io": 3, "hold": 3, "backend_crash": 3, "backend_hang": 4, "backend_drain": 5,
@@ -32,28 +32,28 @@
     "hold", "bad_clients", "floods", "resting_clients", "peers_cut", "discovery_down", "discovery_resets",
     "discovery_slow", "discovery_refuses", *REPLICATION_KINDS,
 }  # fmt: skip
-EPISODE_S = 2.0  # from one episode to the next, on average
-EPISODE_SPREAD = (0.6, 1.4)  # of that time, by which it differs
-FIRST_EPISODE_S = 1.0  # after the begin of the soak
-OVERLAP_S = 0.6  # within which an episode's faults begin
+EPISODE_INTERVAL_S = 2.0  # mean, from the start of one episode to the next
+EPISODE_INTERVAL_FACTORS = (0.6, 1.4)  # an interval is the mean times a factor between these
+FIRST_EPISODE_S = 1.0  # after the start of the soak
+OVERLAP_WINDOW_S = 0.6  # the faults of an episode begin within this time
 DURATION_RANGE_S = (0.5, 3.0)
-FAULTS_OF_EPISODE = (2, 2, 3)  # one of these is drawn
-GATEWAY_SHARE = 0.25  # of the gateways that a fault hits, on average
-ENDED_GATEWAY_SHARE = 0.15  # the same of faults that end gateways
-BACKEND_SHARE = 0.15
-MAX_SYNC_DELAY_S = 1.0  # that a sync to a slow disk takes longer
+EPISODE_FAULT_COUNTS = (2, 2, 3)  # drawn uniformly
+GATEWAY_FRACTION = 0.25  # of the gateways; the mean that a fault targets
+ENDED_GATEWAY_FRACTION = 0.15  # the same for `kill` and `term`, which end gateways
+BACKEND_FRACTION = 0.15
+MAX_SYNC_DELAY_S = 1.0  # added to a sync of a slow disk, at most
 CLOCK_STEPS_S = (3600.0, -3600.0, 5.0, -5.0)
 
 
 @dataclass(frozen=True)
 class ScheduledFault:
-    """A fault of a schedule; its targets are gateways or backends, by its kind."""
+    """A fault of a schedule; its kind says whether its targets are gateways or backends."""
 
     begins_at_s: float
     kind: FaultKind
     duration_s: float
     targets: tuple[int, ...]
-    magnitude: float = 0.0  # from 0 to 1; of a clock step in s
+    magnitude: float = 0.0  # 0 to 1; the step in s for `clock_step`
 
     def __str__(self) -> str:
         targets = ",".join(map(str, self.targets))
@@ -63,41 +63,43 @@
 def draw_schedule(
     seed: int, seconds: float, gateways: int, backends: int, replicas: int, only: Sequence[FaultKind] = ()
 ) -> list[ScheduledFault]:
-    """Return the faults in the order of their begin; the last episode is over before `seconds`.
+    """Return the faults sorted by start; all begin before `seconds` less an episode interval.
 
-    `only` are the kinds that are drawn; by default all, those of replication if there are `replicas`.
+    `only` are the kinds that are drawn; by default all, those of replication only if there are `replicas`.
     """
     rng = random.Random(f"soak {seed}")
     kinds = list(only or [kind for kind in FAULT_WEIGHTS if replicas or kind not in REPLICATION_KINDS])
     faults: list[ScheduledFault] = []
-    begin = FIRST_EPISODE_S
-    while begin + OVERLAP_S + EPISODE_S < seconds:
+    episode_start_s = FIRST_EPISODE_S
+    while episode_start_s + OVERLAP_WINDOW_S + EPISODE_INTERVAL_S < seconds:
         for kind in _draw_kinds(rng, kinds):
             available_gateways = replicas if kind in REPLICATION_KINDS else gateways
-            faults.append(_draw_fault(rng, kind, begin, available_gateways, backends))
-        begin += rng.uniform(*EPISODE_SPREAD) * EPISODE_S
+            faults.append(_draw_fault(rng, kind, episode_start_s, available_gateways, backends))
+        episode_start_s += rng.uniform(*EPISODE_INTERVAL_FACTORS) * EPISODE_INTERVAL_S
     return sorted(faults, key=lambda fault: fault.begins_at_s)
 
 
 def _draw_kinds(rng: random.Random, kinds: Sequence[FaultKind]) -> list[FaultKind]:
-    """Return two or three different ones."""
-    count, drawn = min(len(kinds), rng.choice(FAULTS_OF_EPISODE)), list[FaultKind]()
+    """Return two or three different kinds, fewer if `kinds` has fewer."""
+    count, drawn = min(len(kinds), rng.choice(EPISODE_FAULT_COUNTS)), list[FaultKind]()
     while len(drawn) < count:
-        kind = rng.choices(kinds, [FAULT_WEIGHTS[one] for one in kinds])[0]
+        kind = rng.choices(kinds, [FAULT_WEIGHTS[candidate] for candidate in kinds])[0]
         if kind not in drawn:
             drawn.append(kind)
     return drawn
 
 
 def _draw_fault(
-    rng: random.Random, kind: FaultKind, begin: float, gateways: int, backends: int
+    rng: random.Random, kind: FaultKind, episode_start_s: float, gateways: int, backends: int
 ) -> ScheduledFault:
-    available, share = (gateways, GATEWAY_SHARE) if kind in GATEWAY_KINDS else (backends, BACKEND_SHARE)
+    available, fraction = (
+        (gateways, GATEWAY_FRACTION) if kind in GATEWAY_KINDS else (backends, BACKEND_FRACTION)
+    )
     if kind in ("kill", "term"):
-        share = ENDED_GATEWAY_SHARE
-    count = max(1, round(available * rng.uniform(0.0, 2 * share)))
+        fraction = ENDED_GATEWAY_FRACTION
+    count = max(1, round(available * rng.uniform(0.0, 2 * fraction)))
     targets = tuple(sorted(rng.sample(range(available), min(count, available))))
-    begins_at, duration = begin + rng.uniform(0.0, OVERLAP_S), rng.uniform(*DURATION_RANGE_S)
+    begins_at, duration = episode_start_s + rng.uniform(0.0, OVERLAP_WINDOW_S), rng.uniform(*DURATION_RANGE_S)
     fault = ScheduledFault(begins_at, kind, duration, targets, rng.random())
     if kind == "clock_step":
         return replace(fault, magnitude=rng.choice(CLOCK_STEPS_S))
@@ -105,7 +107,7 @@
 
 
 def syscall_fault_rates(fault: ScheduledFault, before: SyscallFaultRates) -> SyscallFaultRates:
-    """Return the rates of failing calls while a fault lasts, on top of those before."""
+    """Return the rates of failing system calls during a fault, on top of those `before` it."""
     rates = before
     match fault.kind:
         case "calls_fail":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test itself: its schedule, its library of failing calls, and that it sees a bad program."""
+"""Tests of the soak: its fault schedule, its syscall fault library, and its detection of a broken program."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 from .test_rig import BAD, checkout
 
-# Real gateways, timed: one after another, whatever runs beside them.
+# These tests time real gateways, so they run one after another in one worker.
 pytestmark = pytest.mark.xdist_group("gateways")
 
-CONNECT = """
+CONNECT_SCRIPT = """
 import socket, sys
 failed = 0
 for _ in range(200):
@@ -31,40 +31,40 @@
 """
 
 
-def test_a_seed_draws_the_same_faults_and_those_of_an_episode_overlap() -> None:
+def test_schedule_is_drawn_from_the_seed_and_faults_overlap() -> None:
     drawn = schedule.draw_schedule(7, 30.0, 24, 30, 5)
     assert drawn == schedule.draw_schedule(7, 30.0, 24, 30, 5) != schedule.draw_schedule(8, 30.0, 24, 30, 5)
-    begins = [one.begins_at_s for one in drawn]
-    close = sum(b - a < schedule.OVERLAP_S for a, b in itertools.pairwise(begins))
-    assert close >= len(drawn) // 2 and all(one.begins_at_s < 30.0 and one.targets for one in drawn)
+    begins = [fault.begins_at_s for fault in drawn]
+    close = sum(b - a < schedule.OVERLAP_WINDOW_S for a, b in itertools.pairwise(begins))
+    assert close >= len(drawn) // 2 and all(fault.begins_at_s < 30.0 and fault.targets for fault in drawn)
     only = schedule.draw_schedule(7, 30.0, 24, 30, 0, ("term", "kill"))
-    assert {one.kind for one in only} == {"term", "kill"}
-    assert not {one.kind for one in schedule.draw_schedule(7, 300.0, 24, 30, 0)} & set(
+    assert {fault.kind for fault in only} == {"term", "kill"}
+    assert not {fault.kind for fault in schedule.draw_schedule(7, 300.0, 24, 30, 0)} & set(
         schedule.REPLICATION_KINDS
     )
 
 
-def test_calls_fail_as_often_as_they_are_told_to(tmp_path: Path) -> None:
+def test_calls_fail_at_the_rate_that_is_set(tmp_path: Path) -> None:
     control = SyscallFaultControl(build_library(tmp_path), tmp_path / "control", 3)
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
-        command = [sys.executable, "-c", CONNECT, str(listener.getsockname()[1])]
-        for rate, fewest, most in (0.0, 0, 0), (0.25, 20, 90), (1.0, 200, 200):
+        command = [sys.executable, "-c", CONNECT_SCRIPT, str(listener.getsockname()[1])]
+        for rate, min_failures, max_failures in (0.0, 0, 0), (0.25, 20, 90), (1.0, 200, 200):
             control.set(SyscallFaultRates(connect=rate))
-            done = subprocess.run(command, env=control.environment(), capture_output=True, text=True)
-            assert fewest <= int(done.stdout) <= most, done.stderr
+            completed = subprocess.run(command, env=control.environment(), capture_output=True, text=True)
+            assert min_failures <= int(completed.stdout) <= max_failures, completed.stderr
     assert control.counts()["connect"] > 200
     control.close()
 
 
-def test_a_few_gateways_under_overlapping_faults_keep_the_invariants(tmp_path: Path) -> None:
-    report = soak.play(3, tmp_path, gateways=4, backends=8, rate=40.0, seconds=14.0, replicas=3)
+def test_gateways_keep_the_invariants_under_overlapping_faults(tmp_path: Path) -> None:
+    report = soak.run_soak(3, tmp_path, gateways=4, backends=8, rate=40.0, seconds=14.0, replicas=3)
     assert report.violations == [] and report.faults and report.answers["served"] > 50
 
 
 @pytest.mark.parametrize("rule", ["drain", "lost"])
-def test_the_soak_sees_a_bad_program(tmp_path: Path, rule: str) -> None:
-    report = soak.play(
+def test_soak_detects_a_broken_program(tmp_path: Path, rule: str) -> None:
+    report = soak.run_soak(
         4, tmp_path / "logs", gateways=3, backends=8, rate=60.0, seconds=14.0, only=("backend_drain",),
         program=checkout(tmp_path, *BAD[rule]),
     )  # fmt: skip
-    assert any(rule in story for story in report.violations), report
+    assert any(rule in violation for violation in report.violations), report
