--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -11,7 +11,7 @@
 import tempfile
 from pathlib import Path
 
-from mapleshunt.cli.model import scenario_named
+from mapleshunt.cli.model import load_scenario
 from mapleshunt.simulation.day import draw_run
 from mapleshunt.simulation.score import Score
 from mapleshunt.testbed.fleet import play_day
@@ -34,7 +34,7 @@
     with tempfile.TemporaryDirectory(dir="/var/tmp") as text:
         folder = Path(text)
         env = {"PROXY_OPERATORS": str(operators(folder))} if on else {}
-        scenario = scenario_named("quiet", GATEWAYS, 14, 150.0, 20.0)
+        scenario = load_scenario("quiet", GATEWAYS, 14, 150.0, 20.0)
         _, found = play_day(draw_run(scenario, seed), folder / "logs", env=env)
         return found
 
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -1,6 +1,6 @@
-"""`mapleshunt copies ...` and `mapleshunt holdings ...`: through the port that gateways' copies share.
+"""The commands `mapleshunt copies` and `mapleshunt holdings`, which call the gateways' replication ports.
 
-Exit status: 0, 1 if it cannot be told now (nobody leads, or nobody answers), 2 if what was asked is wrong.
+Exit status: 0; 1 if there is no answer now (no leader, or no gateway answers); 2 if the call is wrong.
 """
 
 from __future__ import annotations
@@ -14,248 +14,271 @@
 
 import click
 
-from .output import Trouble, json_option, print_json, table
+from .output import CommandError, json_option, print_json, table
 
-NOT_NOW = 1
-PATIENCE = 5.0  # s
+EXIT_UNAVAILABLE = 1
+CALL_TIMEOUT_S = 5.0
 
 
-def _section(file: Path | None) -> Any:
+def _load_section(file: Path | None) -> Any:
     from ..settings import operators
     from ..settings.reader import SettingsError
 
     path = file or operators.path_from_environment()
     if path is None:
-        raise Trouble(f"name the operators' file, or set {operators.ENVIRONMENT_VARIABLE}")
+        raise CommandError(
+            f"no operators' file given: pass --settings or set {operators.ENVIRONMENT_VARIABLE}"
+        )
     try:
-        chosen = operators.load(path).copies
+        section = operators.load(path).copies
     except (SettingsError, OSError) as error:
-        raise Trouble(str(error)) from None
-    if chosen is None:
-        raise Trouble(f"{path} has no section (copies ...)")
-    return chosen
+        raise CommandError(str(error)) from None
+    if section is None:
+        raise CommandError(f"{path} has no section (copies ...)")
+    return section
 
 
-def _addresses(section: Any) -> dict[str, tuple[str, int]]:
+def _peer_addresses(section: Any) -> dict[str, tuple[str, int]]:
     from ..net.config import ConfigError, parse_address
 
     try:
-        return {one.name: parse_address(one.address, f"peer {one.name}") for one in section.peer}
+        return {peer.name: parse_address(peer.address, f"peer {peer.name}") for peer in section.peer}
     except ConfigError as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
-def _statuses(section: Any) -> dict[str, Any]:
+def _fetch_statuses(section: Any) -> dict[str, Any]:
     from ..testbed.replica_client import gateway_statuses
 
-    return asyncio.run(gateway_statuses(_addresses(section), section.fleet))
+    return asyncio.run(gateway_statuses(_peer_addresses(section), section.fleet))
 
 
 settings_option = click.option(
     "--settings", "file", type=click.Path(path_type=Path, exists=True, dir_okay=False),
-    help="The operators' file; PROXY_OPERATORS if not given.",
+    help="The operators' file; by default that of PROXY_OPERATORS.",
 )  # fmt: skip
 
 
 @click.group()
 def copies() -> None:
-    """The copies of what gateways promise."""
+    """Inspect and repair the replicas on gateways."""
 
 
 @copies.command()
 @settings_option
 @json_option
 def status(file: Path | None, as_json: bool) -> None:
-    """Each gateway: incarnation, links, commits, and the roles of its copies."""
-    found = _statuses(_section(file))
+    """Show each gateway's incarnation, connections, replicas and slowest commit."""
+    statuses = _fetch_statuses(_load_section(file))
     if as_json:
-        print_json(found)
+        print_json(statuses)
     else:
         rows: list[list[Any]] = []
-        for name, told in found.items():
-            if told is None:
+        for name, gateway in statuses.items():
+            if gateway is None:
                 rows.append([name, "does not answer", "", "", "", "", ""])
                 continue
-            roles = [group["role"] for group in told["groups"]]
+            roles = [group["role"] for group in gateway["groups"]]
             rows.append([
-                name, told["incarnation"], told["boot"], len(told["links"]), len(roles),
-                roles.count("leader"), told["slowest_commit_ms"],
+                name, gateway["incarnation"], gateway["boot"], len(gateway["links"]), len(roles),
+                roles.count("leader"), gateway["slowest_commit_ms"],
             ])  # fmt: skip
-        table(["gateway", "incarnation", "boot", "links", "copies", "leads", "slowest commit, ms"], rows)
-    if all(told is None for told in found.values()):
-        raise SystemExit(NOT_NOW)
+        table(
+            ["gateway", "incarnation", "boot", "connections", "replicas", "led", "slowest commit, ms"], rows
+        )
+    if all(gateway is None for gateway in statuses.values()):
+        raise SystemExit(EXIT_UNAVAILABLE)
 
 
-def _without_leader(best: Any, found: dict[str, Any]) -> str:
-    """What is said of a group that nobody leads, by the copy that is furthest."""
+def _leaderless_state(best: Any, statuses: dict[str, Any]) -> str:
+    """Return the state of a group without a leader, from the status of its most up-to-date replica."""
     if best is None or not best["voters"]:
         return "not formed"
-    left = sum(not _lost(voter, found) for voter in best["voters"])
-    return "lost" if 2 * left <= len(best["voters"]) else "no quorum"
+    remaining = sum(not _is_lost(voter, statuses) for voter in best["voters"])
+    return "lost" if 2 * remaining <= len(best["voters"]) else "no quorum"
+
 
+def _is_lost(replica: str, statuses: dict[str, Any]) -> bool:
+    """Whether the replica's gateway answers as another incarnation.
 
-def _lost(copy: str, found: dict[str, Any]) -> bool:
-    """Does its gateway answer as another incarnation? One that does not answer may be back with its disk."""
-    gateway, _, incarnation = copy.rpartition("/")
-    told = found.get(gateway)
-    return told is not None and told["incarnation"] != incarnation
+    A gateway that does not answer may return with its disk, so its replicas are not lost.
+    """
+    gateway, _, incarnation = replica.rpartition("/")
+    status = statuses.get(gateway)
+    return status is not None and status["incarnation"] != incarnation
 
 
 @copies.command()
 @settings_option
 @json_option
 def groups(file: Path | None, as_json: bool) -> None:
-    """Each group: who leads, decides and listens, and how far it is; exit status 1 if one has no leader."""
+    """Show each group's leader, voters, learners and commit; exit status 1 if one has no leader."""
     from ..testbed.replica_client import leader_status
 
-    section = _section(file)
-    found = _statuses(section)
-    rows, lacking = [], 0
+    section = _load_section(file)
+    statuses = _fetch_statuses(section)
+    rows, leaderless = [], 0
     for number in range(section.groups):
-        told = [one for each in found.values() if each for one in each["groups"] if one["group"] == number]
-        leads = leader_status(found, number)
-        best = leads or max(told, key=lambda one: (one["term"], one["commit"]), default=None)
-        lacking += leads is None
+        replicas = [
+            replica
+            for gateway in statuses.values() if gateway
+            for replica in gateway["groups"] if replica["group"] == number
+        ]  # fmt: skip
+        leader = leader_status(statuses, number)
+        best = leader or max(replicas, key=lambda replica: (replica["term"], replica["commit"]), default=None)
+        leaderless += leader is None
         rows.append({
-            "group": number, "leader": leads["leader"] if leads else "none",
-            "state": "led" if leads else _without_leader(best, found),
+            "group": number, "leader": leader["leader"] if leader else "none",
+            "state": "led" if leader else _leaderless_state(best, statuses),
             "voters": best["voters"] if best else [], "learners": best["learners"] if best else [],
             "commit": best["commit"] if best else 0, "behind": sum(
-                one["commit"] < (best["commit"] if best else 0) for one in told if one["voters"]),
+                replica["commit"] < (best["commit"] if best else 0)
+                for replica in replicas if replica["voters"]),
         })  # fmt: skip
     if as_json:
         print_json(rows)
     else:
-        table(["group", "state", "leader", "voters", "learners", "commit", "behind"], [
-            [one["group"], one["state"], one["leader"], " ".join(one["voters"]) or "none",
-             " ".join(one["learners"]) or "none", one["commit"], one["behind"]] for one in rows
+        table(["group", "state", "leader", "voters", "learners", "commit", "replicas behind"], [
+            [row["group"], row["state"], row["leader"], " ".join(row["voters"]) or "none",
+             " ".join(row["learners"]) or "none", row["commit"], row["behind"]] for row in rows
         ])  # fmt: skip
-    if lacking:
-        raise SystemExit(NOT_NOW)
+    if leaderless:
+        raise SystemExit(EXIT_UNAVAILABLE)
 
 
 @copies.command()
 @click.argument("gateway")
-@click.option("--group", "only", type=int, help="This group alone, not all.")
-@click.option("--back", is_flag=True, help="It may hold copies again.")
+@click.option("--group", "only", type=int, help="Only this group; all by default.")
+@click.option("--back", is_flag=True, help="Let the gateway hold replicas again.")
 @settings_option
 @json_option
 def replace(gateway: str, only: int | None, back: bool, file: Path | None, as_json: bool) -> None:
-    """Let GATEWAY hold no copies: each moves to another gateway once that has caught up.
+    """Move all replicas off GATEWAY, each once its new gateway has caught up.
 
-    It is a record of each group, which holds until it is taken back, whoever leads. Exit status 1 if a group
-    could not be told now (nobody leads it): call again, what was told is not told twice.
+    Each group keeps this as a record, under any leader, until --back clears it. Exit status 1 if the record
+    of a group could not be set now (it has no leader): call again, records that are set stay as they are.
     """
     from ..net.replication.group_host import EVACUATED_PREFIX
 
-    section = _section(file)
-    if gateway not in (addresses := _addresses(section)):
-        raise Trouble(f"no peer is named {gateway!r}; there are {', '.join(sorted(addresses))}")
+    section = _load_section(file)
+    if gateway not in (addresses := _peer_addresses(section)):
+        raise CommandError(f"no peer is named {gateway!r}; the peers are {', '.join(sorted(addresses))}")
     groups = list(range(section.groups)) if only is None else [only]
-    rows = asyncio.run(_mark(section, groups, f"{EVACUATED_PREFIX}{gateway}", "" if back else "1"))
+    rows = asyncio.run(_set_records(section, groups, f"{EVACUATED_PREFIX}{gateway}", "" if back else "1"))
     if as_json:
         print_json(rows)
     else:
-        table(["group", "said"], [[one["group"], one["said"]] for one in rows])
-    if any(one["said"] != "told" for one in rows):
-        raise SystemExit(NOT_NOW)
+        table(["group", "result"], [[row["group"], row["said"]] for row in rows])
+    if any(row["said"] != "told" for row in rows):
+        raise SystemExit(EXIT_UNAVAILABLE)
 
 
 @copies.command()
 @click.argument("group", type=int)
-@click.option("--confirm", help="The word that this command told: go on without what is missing.")
+@click.option("--confirm", help="The value that this command printed; continue without the missing replicas.")
 @settings_option
 @json_option
 def recover(group: int, confirm: str | None, file: Path | None, as_json: bool) -> None:
-    """Go on with what is left of GROUP, whose most copies are lost for good. First tells what goes with them.
+    """Recover GROUP from its most up-to-date replica after a majority is lost for good.
 
-    Exit status 0 once that copy leads again, 1 if it is not to be had now, 2 if there is no need, or the word
-    is not that of the copy that is furthest.
+    Without --confirm, only print what would be lost. Exit status 0 once the replica leads; 1 if it does not
+    now; 2 if no recovery is needed, or --confirm does not match the most up-to-date replica.
     """
     from ..testbed.replica_client import leader_status, query_operator_port
 
-    section = _section(file)
-    found = _statuses(section)
+    section = _load_section(file)
+    statuses = _fetch_statuses(section)
     if not 0 <= group < section.groups:
-        raise Trouble(f"there is no group {group}")
-    if leader_status(found, group) is not None:
-        raise Trouble(f"group {group} has a leader: nothing is to be recovered")
-    held = [(name, one) for name, told in found.items() if told for one in told["groups"]
-            if one["group"] == group and one["last"] and one["voters"]]  # fmt: skip
-    if not held:
-        click.echo(f"mapleshunt: no gateway that answers holds a copy of group {group}", err=True)
-        raise SystemExit(NOT_NOW)
-    name, best = max(held, key=lambda one: (one[1]["last_term"], one[1]["last"]))
+        raise CommandError(f"group must be between 0 and {section.groups - 1}, got {group}")
+    if leader_status(statuses, group) is not None:
+        raise CommandError(f"group {group} has a leader and needs no recovery")
+    replicas = [
+        (name, replica)
+        for name, gateway in statuses.items() if gateway
+        for replica in gateway["groups"]
+        if replica["group"] == group and replica["last"] and replica["voters"]
+    ]  # fmt: skip
+    if not replicas:
+        click.echo(f"mapleshunt: no gateway that answers holds a replica of group {group}", err=True)
+        raise SystemExit(EXIT_UNAVAILABLE)
+    name, best = max(replicas, key=lambda replica: (replica[1]["last_term"], replica[1]["last"]))
     if best["quorum"]:
-        raise Trouble(f"most copies of group {group} are there, or one has just led: wait for a leader")
+        raise CommandError(
+            f"group {group} has a majority of its replicas, or had a leader just now: wait for a leader"
+        )
     if confirm is not None:
         if confirm != best["state"]:
-            raise Trouble(f"the copy that is furthest is {best['state']}, not {confirm}: look again")
+            raise CommandError(
+                f"--confirm must be {best['state']}, the most up-to-date replica, got {confirm}: "
+                "check the plan again"
+            )
         reply = asyncio.run(
-            query_operator_port(_addresses(section)[name], section.fleet, "recover", group, confirm)
+            query_operator_port(_peer_addresses(section)[name], section.fleet, "recover", group, confirm)
         )
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + CALL_TIMEOUT_S
         while reply is not None and reply.status == "done" and time.monotonic() < end:
-            if (leads := leader_status(_statuses(section), group)) is not None:
-                click.echo(f"group {group} goes on at {leads['leader']}; other copies follow")
+            if (leader := leader_status(_fetch_statuses(section), group)) is not None:
+                click.echo(f"group {group} is led by {leader['leader']}; its other replicas follow")
                 return
             time.sleep(0.1)
-        click.echo(f"mapleshunt: {name} does not lead group {group} yet; look at copies groups", err=True)
-        raise SystemExit(NOT_NOW)
+        click.echo(
+            f"mapleshunt: {name} does not lead group {group} yet; see `mapleshunt copies groups`", err=True
+        )
+        raise SystemExit(EXIT_UNAVAILABLE)
     plan = {
         "group": group, "goes_on_with": name, "confirm": best["state"], "last": best["last"],
         "surely_kept": best["commit"], "log_time_ms": round(best["stamp"]),
-        "missing": [one for one in best["voters"] if one not in
-                    {f"{gateway}/{found[gateway]['incarnation']}" for gateway, _ in held}],
-        "lost_for_good": [one for one in best["voters"] if _lost(one, found)],
-        "others": {gateway: one["last"] for gateway, one in held if gateway != name},
+        "missing": [voter for voter in best["voters"] if voter not in
+                    {f"{gateway}/{statuses[gateway]['incarnation']}" for gateway, _ in replicas}],
+        "lost_for_good": [voter for voter in best["voters"] if _is_lost(voter, statuses)],
+        "others": {gateway: replica["last"] for gateway, replica in replicas if gateway != name},
     }  # fmt: skip
     if as_json:
         print_json(plan)
         return
-    table(["group", "goes on with", "up to entry", "surely kept", "missing voters", "lost for good"], [[
+    table(["group", "recover from", "last entry", "committed entry", "missing voters", "lost for good"], [[
         group, name, best["last"], best["commit"], " ".join(plan["missing"]) or "none",
         " ".join(plan["lost_for_good"]) or "none",
     ]])  # fmt: skip
     click.echo(
-        f"What the missing acknowledged after entry {best['last']} will be lost: leases may be granted\n"
-        "again while their holders still spend them, use counted since is not billed, records are as\n"
-        "before. A missing machine that comes back is emptied of this group. If one can be had back, get\n"
-        "it back instead.\n"
-        f"To go on: mapleshunt copies recover {group} --confirm {best['state']}"
+        f"What the missing replicas acknowledged after entry {best['last']} will be lost: leases may be\n"
+        "granted again while gateways still use them, usage counted since is not billed, and records\n"
+        "return to earlier values. The replica of a missing machine that returns is cleared. If a missing\n"
+        "machine can be restored, restore it instead.\n"
+        f"To continue: mapleshunt copies recover {group} --confirm {best['state']}"
     )
 
 
-async def _mark(section: Any, groups: list[int], key: str, value: str) -> list[dict[str, Any]]:
-    """Set a record of each group, unless it is so already."""
-    from ..replicated_state import commands as words
+async def _set_records(section: Any, groups: list[int], key: str, value: str) -> list[dict[str, Any]]:
+    """Set a record of each group, unless it has that value."""
+    from ..replicated_state import commands as state_commands
     from ..replicated_state.results import Applied
     from ..testbed.replica_client import ReplicaClient
 
-    async def one(group: int) -> dict[str, Any]:
-        caller = ReplicaClient(
-            f"cli-{os.getpid()}-{random.getrandbits(32):x}", _addresses(section), section.fleet, group, [],
-            time.monotonic, random.Random(),
+    async def set_record(group: int) -> dict[str, Any]:
+        client = ReplicaClient(
+            f"cli-{os.getpid()}-{random.getrandbits(32):x}", _peer_addresses(section), section.fleet,
+            group, [], time.monotonic, random.Random(),
         )  # fmt: skip
         try:
-            async with asyncio.timeout(PATIENCE):
-                known: Any = await caller.read("record", key)
-                if value == (known.value if known is not None else ""):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
+                record: Any = await client.read("record", key)
+                if value == (record.value if record is not None else ""):
                     return {"group": group, "said": "told"}
-                await caller.do(words.OpenSession())
-                put = words.SetRecord(key, value, known.version if known is not None else 0)
-                done = await caller.do(put)
-                return {"group": group, "said": "told" if isinstance(done, Applied) else "told otherwise"}
+                await client.do(state_commands.OpenSession())
+                command = state_commands.SetRecord(key, value, record.version if record is not None else 0)
+                result = await client.do(command)
+                return {"group": group, "said": "told" if isinstance(result, Applied) else "told otherwise"}
         except TimeoutError:
             return {"group": group, "said": "nobody leads"}
         finally:
-            caller.close()
+            client.close()
 
-    return list(await asyncio.gather(*(one(group) for group in groups)))
+    return list(await asyncio.gather(*(set_record(group) for group in groups)))
 
 
 def _bucket_json(bucket: Any) -> dict[str, Any]:
-    """By the keys that the command has always had."""
+    """Return a bucket under the keys of the command's JSON output."""
     return {
         "rate": bucket.rate_per_ms,
         "burst": bucket.burst,
@@ -269,7 +292,7 @@
 
 @click.group()
 def holdings() -> None:
-    """What gateways hold for customers."""
+    """Inspect the buckets that gateways keep for customers."""
 
 
 @holdings.command()
@@ -277,35 +300,36 @@
 @settings_option
 @json_option
 def show(customer: str, file: Path | None, as_json: bool) -> None:
-    """A customer's store as its group's leader holds it now: level, leases, reservations, counted use."""
+    """Show a customer's token bucket at the leader of its group."""
     from ..replication.placement import group_of_customer
     from ..testbed.replica_client import ReplicaClient
 
-    section = _section(file)
+    section = _load_section(file)
 
     async def read() -> Any:
-        caller = ReplicaClient(
-            f"cli-{os.getpid()}", _addresses(section), section.fleet,
+        client = ReplicaClient(
+            f"cli-{os.getpid()}", _peer_addresses(section), section.fleet,
             group_of_customer(customer, section.groups), [], time.monotonic, random.Random(),
         )  # fmt: skip
         try:
-            return await asyncio.wait_for(caller.read("store", customer), PATIENCE)
+            return await asyncio.wait_for(client.read("store", customer), CALL_TIMEOUT_S)
         finally:
-            caller.close()
+            client.close()
 
     try:
-        found = asyncio.run(read())
+        bucket = asyncio.run(read())
     except TimeoutError:
-        click.echo("mapleshunt: nobody who leads that customer's group answers", err=True)
-        raise SystemExit(NOT_NOW) from None
+        click.echo("mapleshunt: no leader of the customer's group answered", err=True)
+        raise SystemExit(EXIT_UNAVAILABLE) from None
     if as_json:
-        print_json(_bucket_json(found) if found is not None else None)
-    elif found is None:
+        print_json(_bucket_json(bucket) if bucket is not None else None)
+    elif bucket is None:
         click.echo(f"nothing is held for {customer}")
     else:
         table(["figure", "value"], [
-            ["level, units", found.level], ["burst, units", found.burst],
-            ["rate, units/s", found.rate_per_ms * 1000],
-            ["leases", len(found.leases)], ["units leased", sum(one.units for _, one in found.leases)],
-            ["reservations", len(found.reservations)], ["counted use, units", found.counted_usage],
+            ["level, units", bucket.level], ["burst, units", bucket.burst],
+            ["rate, units/s", bucket.rate_per_ms * 1000],
+            ["leases", len(bucket.leases)],
+            ["units leased", sum(lease.units for _, lease in bucket.leases)],
+            ["reservations", len(bucket.reservations)], ["counted usage, units", bucket.counted_usage],
         ])  # fmt: skip
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -1,7 +1,7 @@
-"""`mapleshunt maintenance ...`: take machines out for work, through the port that gateways' copies share.
+"""The command `mapleshunt maintenance`: take machines out for work, through the gateways' replication ports.
 
-Exit status: 0, 1 if it cannot be done or told now, 2 if what was asked is wrong. What is called again because
-nobody answered is applied once: a request by its id, the rest because it changes nothing the second time.
+Exit status: 0; 1 if it cannot be done or answered now; 2 if the call is wrong. A command that is repeated
+because no answer came is applied once: a request by its id, the others because a repetition changes nothing.
 """
 
 from __future__ import annotations
@@ -18,69 +18,84 @@
 
 from ..maintenance.budget import Budget
 from ..maintenance.commands import RequestMaintenance
-from .copies import NOT_NOW, PATIENCE, _addresses, _section, _statuses, settings_option
-from .output import Trouble, json_option, print_json, table
+from .copies import (
+    CALL_TIMEOUT_S,
+    EXIT_UNAVAILABLE,
+    _fetch_statuses,
+    _load_section,
+    _peer_addresses,
+    settings_option,
+)
+from .output import CommandError, json_option, print_json, table
 
 author_option = click.option(
-    "--author", default=lambda: os.environ.get("USER", "operator"), help="Who asks; $USER if not given."
+    "--author",
+    default=lambda: os.environ.get("USER", "operator"),
+    help="Author of the change; by default $USER.",
 )
 
 
 @click.group()
 def maintenance() -> None:
-    """Machines taken out for work, one after another."""
+    """Take machines out for work, one after another."""
 
 
-def _with(section: Any, do: Callable[[Any], Any]) -> Any:
-    """Call group 0 until it is answered."""
+def _call_group_zero(section: Any, call: Callable[[Any], Any]) -> Any:
+    """Return the result of a call to the leader of group 0; exit with status 1 if none answers."""
     from ..testbed.replica_client import ReplicaClient
 
     async def run() -> Any:
-        caller = ReplicaClient(
-            f"cli-{os.getpid()}-{random.getrandbits(32):x}", _addresses(section), section.fleet, 0, [],
+        client = ReplicaClient(
+            f"cli-{os.getpid()}-{random.getrandbits(32):x}", _peer_addresses(section), section.fleet, 0, [],
             time.monotonic, random.Random(),
         )  # fmt: skip
         try:
-            return await asyncio.wait_for(do(caller), PATIENCE)
+            return await asyncio.wait_for(call(client), CALL_TIMEOUT_S)
         finally:
-            caller.close()
+            client.close()
 
     try:
         return asyncio.run(run())
     except TimeoutError:
-        click.echo("mapleshunt: nobody who leads group 0 answers", err=True)
-        raise SystemExit(NOT_NOW) from None
+        click.echo(f"mapleshunt: no leader of group 0 answered within {CALL_TIMEOUT_S:g} s", err=True)
+        raise SystemExit(EXIT_UNAVAILABLE) from None
 
 
-def _works(section: Any) -> tuple[float, Any]:
-    """The log's time, ms, and what is settled."""
+def _read_jobs(section: Any) -> tuple[float, Any]:
+    """Return the log's time in ms and the committed maintenance jobs."""
     from ..maintenance.jobs import MaintenanceJobs
     from ..maintenance.records import MaintenanceSnapshot
 
-    stamp, frozen = _with(section, lambda caller: caller.read("works", "", tuple[float, MaintenanceSnapshot]))
-    works = MaintenanceJobs()
-    works.restore(frozen)
-    return stamp, works
+    log_time_ms, snapshot = _call_group_zero(
+        section, lambda client: client.read("works", "", tuple[float, MaintenanceSnapshot])
+    )
+    jobs = MaintenanceJobs()
+    jobs.restore(snapshot)
+    return log_time_ms, jobs
+
 
+def _execute(section: Any, operation: Any) -> None:
+    """Execute an operation.
 
-def _do(section: Any, operation: Any) -> None:
-    """Raises `Trouble` with why it was refused."""
-    from ..replicated_state import commands as words
+    Raises:
+        CommandError: the operation is denied; the message is the reason.
+    """
+    from ..replicated_state import commands as state_commands
     from ..replicated_state.results import Denied
 
-    async def once(caller: Any) -> Any:
-        await caller.do(words.OpenSession())
-        return await caller.do(operation)
+    async def execute(client: Any) -> Any:
+        await client.do(state_commands.OpenSession())
+        return await client.do(operation)
 
-    result = _with(section, once)
+    result = _call_group_zero(section, execute)
     if isinstance(result, Denied):
-        raise Trouble(result.reason)
+        raise CommandError(result.reason)
 
 
-def _known(section: Any, machines: tuple[str, ...]) -> None:
-    names = [one.name for one in section.peer]
-    if odd := [one for one in machines if one not in names]:
-        raise Trouble(f"no machine is named {odd[0]!r}; there are {', '.join(sorted(names))}")
+def _check_machine_names(section: Any, machines: tuple[str, ...]) -> None:
+    names = [peer.name for peer in section.peer]
+    if unknown := [machine for machine in machines if machine not in names]:
+        raise CommandError(f"no machine is named {unknown[0]!r}; the machines are {', '.join(sorted(names))}")
 
 
 @maintenance.command()
@@ -88,26 +103,33 @@
 @click.option("--all", "every", is_flag=True, help="All gateways of the fleet.")
 @click.option("--reason", required=True)
 @author_option
-@click.option("--expected", default=600.0, show_default=True, help="Seconds that a machine is out.")
-@click.option("--earliest", default=0.0, help="Unix time before which nobody goes.")
-@click.option("--urgency", default=0, type=click.IntRange(0, 9), help="A step is worth ten minutes.")
-@click.option("--long", "long_work", is_flag=True, help="Move its copies off first.")
-@click.option("--version", default="", help="Machines have to be back with this version.")
-@click.option("--id", "name", help="Of the request: the same again is taken once.")
+@click.option(
+    "--expected", default=600.0, show_default=True, help="Seconds that each machine is expected to be out."
+)
+@click.option("--earliest", default=0.0, help="Unix time before which no machine is taken out.")
+@click.option(
+    "--urgency",
+    default=0,
+    type=click.IntRange(0, 9),
+    help="0 to 9; each step counts as ten minutes of waiting.",
+)
+@click.option("--long", "long_work", is_flag=True, help="Move the replicas off each machine first.")
+@click.option("--version", default="", help="Version that returning machines must run.")
+@click.option("--id", "name", help="Id of the request; a repeated id is accepted once.")
 @settings_option
 @json_option
 def request(
     machines: tuple[str, ...], every: bool, reason: str, author: str, expected: float, earliest: float,
     urgency: int, long_work: bool, version: str, name: str | None, file: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
-    """Ask for work on MACHINES; prints the request's id."""
-    section = _section(file)
+    """Request maintenance of MACHINES and print the request's id."""
+    section = _load_section(file)
     if every == bool(machines):
-        raise Trouble("name machines, or --all")
-    chosen = tuple(sorted(one.name for one in section.peer)) if every else machines
-    _known(section, chosen)
+        raise CommandError("name machines or pass --all, not both")
+    chosen = tuple(sorted(peer.name for peer in section.peer)) if every else machines
+    _check_machine_names(section, chosen)
     name = name or f"{author}-{random.getrandbits(40):010x}"
-    _do(
+    _execute(
         section,
         RequestMaintenance(name, chosen, reason, author, expected, earliest, urgency, long_work, version),
     )
@@ -117,20 +139,20 @@
         click.echo(name)
 
 
-def _rows(works: Any, stamp: float, only: str = "") -> list[dict[str, Any]]:
+def _job_rows(jobs: Any, log_time_ms: float, only: str = "") -> list[dict[str, Any]]:
     return [
-        {"request": one.request_id, "machine": one.machine, "state": one.state, "fence": one.fencing_token,
-         "for_s": round((stamp - one.state_since) / 1000, 1),
-         "left_s": round((one.expires_at - stamp) / 1000, 1) if one.expires_at and one.state in
+        {"request": job.request_id, "machine": job.machine, "state": job.state, "fence": job.fencing_token,
+         "for_s": round((log_time_ms - job.state_since) / 1000, 1),
+         "left_s": round((job.expires_at - log_time_ms) / 1000, 1) if job.expires_at and job.state in
          ("granted", "draining", "safe") else None}
-        for one in works.jobs.values() if not only or one.request_id == only
+        for job in jobs.jobs.values() if not only or job.request_id == only
     ]  # fmt: skip
 
 
-def _table(rows: list[dict[str, Any]]) -> None:
-    table(["request", "machine", "state", "for, s", "grant left, s"], [
-        [one["request"], one["machine"], one["state"], one["for_s"],
-         "" if one["left_s"] is None else one["left_s"]] for one in rows
+def _print_jobs(rows: list[dict[str, Any]]) -> None:
+    table(["request", "machine", "state", "s in state", "s left of grant"], [
+        [row["request"], row["machine"], row["state"], row["for_s"],
+         "" if row["left_s"] is None else row["left_s"]] for row in rows
     ])  # fmt: skip
 
 
@@ -138,16 +160,16 @@
 @settings_option
 @json_option
 def list_(file: Path | None, as_json: bool) -> None:
-    """All requests that are known, and where each machine is."""
-    stamp, works = _works(_section(file))
+    """List all known requests and the state of each machine."""
+    log_time_ms, jobs = _read_jobs(_load_section(file))
     if as_json:
-        print_json(_rows(works, stamp))
+        print_json(_job_rows(jobs, log_time_ms))
     else:
-        _table(_rows(works, stamp))
+        _print_jobs(_job_rows(jobs, log_time_ms))
 
 
 def _request_json(request: RequestMaintenance) -> dict[str, Any]:
-    """By the keys that `show` has always had."""
+    """Return a request under the keys of the JSON output of `show`."""
     return {
         "id": request.request_id,
         "machines": request.machines,
@@ -162,7 +184,7 @@
 
 
 def _budget_json(budget: Budget) -> dict[str, Any]:
-    """By the keys that `status` has always had."""
+    """Return a budget under the keys of the JSON output of `status`."""
     return {
         "most": budget.max_out,
         "zone": budget.max_out_per_zone,
@@ -180,46 +202,46 @@
 @settings_option
 @json_option
 def show(name: str, file: Path | None, as_json: bool) -> None:
-    """A request's whole story: who, when, why, each record."""
-    stamp, works = _works(_section(file))
-    if name not in works.requests:
-        raise Trouble(f"there is no request {name}")
-    asked = works.requests[name]
-    stories = [
-        {"machine": one.machine, "ago_s": round((stamp - step.at) / 1000, 1), "state": step.state,
+    """Show a request and the history of its machines."""
+    log_time_ms, jobs = _read_jobs(_load_section(file))
+    if name not in jobs.requests:
+        raise CommandError(f"no request has the id {name!r}")
+    submitted = jobs.requests[name]
+    history = [
+        {"machine": job.machine, "ago_s": round((log_time_ms - step.at) / 1000, 1), "state": step.state,
          "why": step.reason, "who": step.author}
-        for one in works.jobs.values() if one.request_id == name for step in one.history
+        for job in jobs.jobs.values() if job.request_id == name for step in job.history
     ]  # fmt: skip
     if as_json:
-        print_json({"request": _request_json(asked.details), "story": stories})
+        print_json({"request": _request_json(submitted.details), "story": history})
         return
-    age_s = round((stamp - asked.submitted_at) / 1000)
-    click.echo(f"{name}: {asked.details.reason} ({asked.details.author}), {age_s} s ago")
-    table(["machine", "s ago", "state", "why", "who"], [list(one.values()) for one in stories])
+    age_s = round((log_time_ms - submitted.submitted_at) / 1000)
+    click.echo(f"{name}: {submitted.details.reason} ({submitted.details.author}), {age_s} s ago")
+    table(["machine", "s ago", "state", "reason", "author"], [list(step.values()) for step in history])
 
 
 @maintenance.command()
-@click.option("--watch", is_flag=True, help="Again each second, until nothing is open.")
+@click.option("--watch", is_flag=True, help="Repeat each second until no job is open.")
 @settings_option
 @json_option
 def status(watch: bool, file: Path | None, as_json: bool) -> None:
-    """What is at work, what waits, and why."""
-    section = _section(file)
+    """Show the open jobs, and why the waiting ones wait."""
+    section = _load_section(file)
     while True:
-        stamp, works = _works(section)
-        rows = [one for one in _rows(works, stamp) if one["state"] not in ("done", "withdrawn", "failed")]
-        over = len(works.jobs) - len(rows)
-        told = {
-            "open": rows, "over": over, "waits_for": works.blocked_reason, "held": works.hold_reason,
-            "failures": works.failures, "budget": _budget_json(works.budget),
+        log_time_ms, jobs = _read_jobs(section)
+        rows = [
+            row for row in _job_rows(jobs, log_time_ms) if row["state"] not in ("done", "withdrawn", "failed")
+        ]
+        ended = len(jobs.jobs) - len(rows)
+        report = {
+            "open": rows, "over": ended, "waits_for": jobs.blocked_reason, "held": jobs.hold_reason,
+            "failures": jobs.failures, "budget": _budget_json(jobs.budget),
         }  # fmt: skip
         if as_json:
-            print_json(told)
+            print_json(report)
         else:
-            _table(rows)
-            click.echo(
-                f"{over} over, {len(rows)} open; {works.blocked_reason or 'nobody waits for anything'}"
-            )
+            _print_jobs(rows)
+            click.echo(f"{ended} ended, {len(rows)} open; {jobs.blocked_reason or 'no machine waits'}")
         if not watch or not rows:
             return
         time.sleep(1.0)
@@ -229,70 +251,77 @@
 @settings_option
 @json_option
 def plan(file: Path | None, as_json: bool) -> None:
-    """In what order machines would go if nothing else happened, in batches, and what would block them."""
-    section = _section(file)
-    stamp, works = _works(section)
-    batches, took = _simulated(section, works, stamp, _statuses(section))
-    left = [one.machine for one in works.open_jobs() if one.state == "queued"]
-    went = [one for batch in batches for one in batch]
-    stuck = [one for one in left if one not in went]
-    spread = _spread(works)
-    told = {
-        "batches": batches, "expected_s": round(took), "spread_s": [round(took * one) for one in spread],
-        "blocked": stuck, "why": works.blocked_reason if stuck else "",
+    """Simulate the open requests: batches of machines in order, and what would block the others."""
+    section = _load_section(file)
+    log_time_ms, jobs = _read_jobs(section)
+    batches, duration_s = _simulate_batches(section, jobs, log_time_ms, _fetch_statuses(section))
+    queued = [job.machine for job in jobs.open_jobs() if job.state == "queued"]
+    planned = [machine for batch in batches for machine in batch]
+    blocked = [machine for machine in queued if machine not in planned]
+    spread = _duration_spread(jobs)
+    report = {
+        "batches": batches, "expected_s": round(duration_s),
+        "spread_s": [round(duration_s * factor) for factor in spread],
+        "blocked": blocked, "why": jobs.blocked_reason if blocked else "",
     }  # fmt: skip
     if as_json:
-        print_json(told)
+        print_json(report)
     else:
-        table(["batch", "machines"], [[n, " ".join(one)] for n, one in enumerate(batches, 1)])
-        low, high = (round(took * one) for one in spread)
-        click.echo(f"about {round(took)} s, {low} to {high} s by those done so far")
-        if stuck:
-            click.echo(f"would not go: {' '.join(stuck)}: {works.blocked_reason}")
-
-
-def _spread(works: Any) -> tuple[float, float]:
-    """Least and most of the times that machines were out, as parts of what was expected."""
-    parts = []
-    for one in works.jobs.values():
-        at = {step.state: step.at for step in one.history}
-        if one.state == "done" and "out" in at:
-            parts.append((at["done"] - at["out"]) / 1000 / works.requests[one.request_id].details.expected_s)
-    return (min(parts), max(parts)) if parts else (1.0, 1.0)
-
-
-def _simulated(section: Any, works: Any, stamp: float, told: dict[str, Any]) -> tuple[list[list[str]], float]:
-    """Batches, and s until all are done; `works` keeps what blocks the rest."""
-    from ..maintenance import commands as w
-    from ..maintenance import fleet_view as sight
-
-    zones = {one.name: one.zone for one in section.peer}
-    # Who is drained now takes clients again once it is back.
-    told = {name: {**one, "takes": True} for name, one in told.items() if one is not None}
-    now, wall, batches = stamp, time.time(), list[list[str]]()
-    ways = {"granted": ("draining", "safe", "out"), "draining": ("safe", "out"), "safe": ("out",),
+        table(["batch", "machines"], [[number, " ".join(batch)] for number, batch in enumerate(batches, 1)])
+        low, high = (round(duration_s * factor) for factor in spread)
+        click.echo(f"about {round(duration_s)} s, {low} to {high} s at the pace of finished machines")
+        if blocked:
+            click.echo(f"blocked: {' '.join(blocked)}: {jobs.blocked_reason}")
+
+
+def _duration_spread(jobs: Any) -> tuple[float, float]:
+    """Return the least and the greatest ratio of the time a machine was out to the expected time."""
+    ratios = []
+    for job in jobs.jobs.values():
+        entered_at = {step.state: step.at for step in job.history}
+        if job.state == "done" and "out" in entered_at:
+            ratios.append(
+                (entered_at["done"] - entered_at["out"])
+                / 1000
+                / jobs.requests[job.request_id].details.expected_s
+            )
+    return (min(ratios), max(ratios)) if ratios else (1.0, 1.0)
+
+
+def _simulate_batches(
+    section: Any, jobs: Any, log_time_ms: float, statuses: dict[str, Any]
+) -> tuple[list[list[str]], float]:
+    """Return the batches and the s until all are done; `jobs` is changed and holds what blocks the others."""
+    from ..maintenance import commands as maintenance_commands
+    from ..maintenance import fleet_view
+
+    zones = {peer.name: peer.zone for peer in section.peer}
+    # A machine that is drained now takes clients again once it is back.
+    statuses = {name: {**status, "takes": True} for name, status in statuses.items() if status is not None}
+    now, wall, batches = log_time_ms, time.time(), list[list[str]]()
+    next_states = {"granted": ("draining", "safe", "out"), "draining": ("safe", "out"), "safe": ("out",),
             "recalled": ("undone",)}  # fmt: skip
-    idle, took = 0, 0.0
-    while works.open_jobs() and idle < 100:
-        works.apply(now, sight.build_fleet_view(wall, zones, section.groups, told, works))
+    idle_rounds, duration_s = 0, 0.0
+    while jobs.open_jobs() and idle_rounds < 100:
+        jobs.apply(now, fleet_view.build_fleet_view(wall, zones, section.groups, statuses, jobs))
         batch = []
-        for one in works.open_jobs():
-            for what in ways.get(one.state, ()):
-                works.apply(now, w.ReportProgress(one.machine, one.fencing_token, what))
-            if "out" in ways.get(one.state, ()):
-                batch.append(one.machine)
+        for job in jobs.open_jobs():
+            for state in next_states.get(job.state, ()):
+                jobs.apply(now, maintenance_commands.ReportProgress(job.machine, job.fencing_token, state))
+            if "out" in next_states.get(job.state, ()):
+                batch.append(job.machine)
         batches += [batch] if batch else []
-        out = [one for one in works.open_jobs() if one.state in ("out", "overdue")]
-        lasts = max(
-            (works.requests[one.request_id].details.expected_s for one in out),
-            default=works.budget.pause_s + 1,
+        out = [job for job in jobs.open_jobs() if job.state in ("out", "overdue")]
+        step_s = max(
+            (jobs.requests[job.request_id].details.expected_s for job in out),
+            default=jobs.budget.pause_s + 1,
         )
-        now, wall = now + 1000 * lasts, wall + lasts
-        for one in out:
-            works.apply(now, w.ReportProgress(one.machine, one.fencing_token, "returning"))
-        idle = 0 if out else idle + 1
-        took = (now - stamp) / 1000 if out else took
-    return batches, took
+        now, wall = now + 1000 * step_s, wall + step_s
+        for job in out:
+            jobs.apply(now, maintenance_commands.ReportProgress(job.machine, job.fencing_token, "returning"))
+        idle_rounds = 0 if out else idle_rounds + 1
+        duration_s = (now - log_time_ms) / 1000 if out else duration_s
+    return batches, duration_s
 
 
 @maintenance.command()
@@ -300,10 +329,10 @@
 @author_option
 @settings_option
 def withdraw(name: str, author: str, file: Path | None) -> None:
-    """Take a request back: who waits does not go, who drains works again, who is out comes back."""
+    """Withdraw a request: queued machines stay, draining ones serve again, those out are to return."""
     from ..maintenance.commands import WithdrawRequest
 
-    _do(_section(file), WithdrawRequest(name, author))
+    _execute(_load_section(file), WithdrawRequest(name, author))
 
 
 @maintenance.command()
@@ -311,20 +340,20 @@
 @author_option
 @settings_option
 def hold(reason: str, author: str, file: Path | None) -> None:
-    """No grants from now on."""
+    """Grant no maintenance until `resume`."""
     from ..maintenance.commands import SetHold
 
-    _do(_section(file), SetHold(True, author, reason))
+    _execute(_load_section(file), SetHold(True, author, reason))
 
 
 @maintenance.command()
 @author_option
 @settings_option
 def resume(author: str, file: Path | None) -> None:
-    """Go on after a hold, or after machines failed."""
+    """Grant maintenance again after a hold or after failures of machines."""
     from ..maintenance.commands import SetHold
 
-    _do(_section(file), SetHold(False, author))
+    _execute(_load_section(file), SetHold(False, author))
 
 
 @maintenance.command()
@@ -333,58 +362,60 @@
 @author_option
 @settings_option
 def force(machine: str, reason: str, author: str, file: Path | None) -> None:
-    """Let MACHINE go now, whatever the budget says; never below a majority of a group."""
+    """Grant MACHINE now, regardless of the budget, but never below a majority of a group."""
     from ..maintenance.commands import ForceGrant
 
-    section = _section(file)
-    _known(section, (machine,))
-    _do(section, ForceGrant(machine, author, reason))
+    section = _load_section(file)
+    _check_machine_names(section, (machine,))
+    _execute(section, ForceGrant(machine, author, reason))
 
 
 @maintenance.command(name="await-safe")
 @click.argument("machine")
-@click.option("--patience", default=3600.0, show_default=True, help="Seconds.")
+@click.option("--patience", default=3600.0, show_default=True, help="Seconds to wait at most.")
 @settings_option
 def await_safe(machine: str, patience: float, file: Path | None) -> None:
-    """Wait until MACHINE may be worked on (exit status 0), or will not be (1). From then on it is out."""
-    from ..maintenance import commands as w
-    from ..replicated_state import commands as h
+    """Wait until MACHINE is safe to work on and mark it out (exit status 0), or will not be safe (1)."""
+    from ..maintenance import commands as maintenance_commands
+    from ..replicated_state import commands as state_commands
     from ..replicated_state.results import Applied
 
-    section = _section(file)
-    _known(section, (machine,))
+    section = _load_section(file)
+    _check_machine_names(section, (machine,))
     end = time.monotonic() + patience
     while time.monotonic() < end:
-        _, works = _works(section)
-        place = works.job_of(machine)
-        if place is None:
+        _, jobs = _read_jobs(section)
+        job = jobs.job_of(machine)
+        if job is None:
             break
-        if place.state == "out":
+        if job.state == "out":
             return
-        if place.state == "safe":
-            told = w.ReportProgress(machine, place.fencing_token, "out")
+        if job.state == "safe":
+            report = maintenance_commands.ReportProgress(machine, job.fencing_token, "out")
 
-            async def once(caller: Any, told: w.ReportProgress = told) -> Any:
-                await caller.do(h.OpenSession())
-                return await caller.do(told)
+            async def execute(client: Any, report: maintenance_commands.ReportProgress = report) -> Any:
+                await client.do(state_commands.OpenSession())
+                return await client.do(report)
 
-            if isinstance(_with(section, once), Applied):
+            if isinstance(_call_group_zero(section, execute), Applied):
                 return
         time.sleep(0.3)
-    click.echo(f"mapleshunt: {machine} is not to be worked on", err=True)
-    raise SystemExit(NOT_NOW)
+    click.echo(f"mapleshunt: {machine} is not safe to work on", err=True)
+    raise SystemExit(EXIT_UNAVAILABLE)
 
 
 @maintenance.command(name="return")
 @click.argument("machine")
 @settings_option
 def return_(machine: str, file: Path | None) -> None:
-    """MACHINE is back: it is checked, and then done."""
+    """Report that MACHINE is back; its job is done once it has passed the checks."""
     from ..maintenance.commands import ReportProgress
 
-    section = _section(file)
-    _known(section, (machine,))
-    place = _works(section)[1].job_of(machine)
-    if place is None or place.state not in ("out", "overdue", "returning"):
-        raise Trouble(f"{machine} is not out, but {place.state if place is not None else 'not asked for'}")
-    _do(section, ReportProgress(machine, place.fencing_token, "returning"))
+    section = _load_section(file)
+    _check_machine_names(section, (machine,))
+    job = _read_jobs(section)[1].job_of(machine)
+    if job is None or job.state not in ("out", "overdue", "returning"):
+        raise CommandError(
+            f"{machine} is not out, but {job.state if job is not None else 'in no open request'}"
+        )
+    _execute(section, ReportProgress(machine, job.fencing_token, "returning"))
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -1,4 +1,4 @@
-"""`mapleshunt model ...`: the fleet in virtual time."""
+"""The command `mapleshunt model`: the fleet simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -8,34 +8,36 @@
 
 import click
 
-from .output import Trouble, json_option, print_json, progress, service_rows, table
+from .output import CommandError, json_option, print_json, progress, service_rows, table
 
 
 @click.group()
 def model() -> None:
-    """Try a setting or a version on a model of the fleet."""
+    """Test settings or versions on a model of the fleet."""
 
 
-def sizes(command: Any) -> Any:
-    for name, kind, text in (
-        ("--seconds", float, "Length of the day."),
-        ("--rate", float, "Requests a second inside the quotas; else by the scenario's load."),
-        ("--servers", click.IntRange(1), "Till servers."),
+def size_options(command: Any) -> Any:
+    """Add the options that resize a scenario."""
+    for name, option_type, text in (
+        ("--seconds", float, "Length of the chosen_scenario."),
+        ("--rate", float, "Requests per second within the quotas; by default from the scenario's load."),
+        ("--servers", click.IntRange(1), "Backends."),
         ("--gateways", click.IntRange(1), "Gateways."),
     ):
-        command = click.option(name, type=kind, help=text)(command)
+        command = click.option(name, type=option_type, help=text)(command)
     return command
 
 
-def pools(command: Any) -> Any:
+def pool_options(command: Any) -> Any:
+    """Add the options of parallel execution."""
     command = click.option(
         "--backend", default=None, help="joblib's backend (loky, multiprocessing, threading)."
     )(command)
-    return click.option("--jobs", default=-1, show_default=True, help="Processes; -1: one a core.")(command)
+    return click.option("--jobs", default=-1, show_default=True, help="Number of processes; -1: one per core.")(command)
 
 
 @contextmanager
-def _pool(backend: str | None) -> Any:
+def _joblib_backend(backend: str | None) -> Any:
     from joblib import parallel_config
 
     if backend is None:
@@ -45,38 +47,43 @@
         with parallel_config(backend=backend):
             yield
     except ValueError as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
-def scenario_named(
+def load_scenario(
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
-    from ..simulation.day import resized
+    """Return a built-in or fitted scenario, resized.
+
+    Raises:
+        CommandError: the name or a size is invalid, or the fit cannot be read.
+    """
+    from ..simulation.chosen_scenario import resized
     from ..simulation.scenarios import get_scenario
 
     try:
         if ":" in name:
-            return _recorded(name, gateways, servers, rate, seconds)
+            return _load_fitted_scenario(name, gateways, servers, rate, seconds)
         return resized(get_scenario(name), gateways, servers, rate, seconds)
     except (ValueError, OSError) as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
-def _recorded(
+def _load_fitted_scenario(
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
-    """`fit:FILE[,KIND][,xSCALE][,rates]`: days of a fitted fleet, with a scenario's troubles, scaled."""
-    from ..simulation.day import resized
+    """Return the scenario `fit:FILE[,KIND][,xSCALE][,rates]`: a fitted fleet, scaled, with faults of a scenario."""
+    from ..simulation.chosen_scenario import resized
     from ..simulation.fitted_fleet import decode_fit
     from ..simulation.replay import scenario_from
     from ..simulation.scenarios import get_scenario
 
-    kind, _, rest = name.partition(":")
+    kind, _, arguments = name.partition(":")
     if kind != "fit":
-        raise ValueError(f"{name!r} is neither a scenario nor fit:FILE[,KIND][,xSCALE][,rates]")
+        raise ValueError(f"a scenario must be built in or fit:FILE[,KIND][,xSCALE][,rates], got {name!r}")
     if gateways is not None or rate is not None:
-        raise ValueError("a fitted fleet has its gateways and rates; scale it with xSCALE")
-    file, *parts = rest.split(",")
+        raise ValueError("--gateways and --rate do not apply to a fitted fleet; scale it with xSCALE")
+    file, *parts = arguments.split(",")
     found = decode_fit(Path(file).read_bytes())
     scale, by, base = 1.0, "customers", get_scenario("quiet")
     for part in parts:
@@ -93,34 +100,37 @@
     return scenario_from(found, resized(base, seconds=seconds), scale, by)
 
 
-def _variant(text: str) -> Any:
+def _parse_variant(text: str) -> Any:
     from ..simulation.variants import parse
 
     try:
         return parse(text)
     except ValueError as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
 @model.command("scenarios")
 @json_option
 def list_scenarios(as_json: bool) -> None:
-    """The built-in scenarios."""
+    """List the built-in scenarios."""
     from ..simulation.scenarios import SCENARIOS
 
     if as_json:
-        print_json({name: one.description for name, one in SCENARIOS.items()})
+        print_json({name: scenario.description for name, scenario in SCENARIOS.items()})
     else:
-        table(["scenario", "what it is"], [[name, one.description] for name, one in SCENARIOS.items()])
+        table(
+            ["scenario", "description"],
+            [[name, scenario.description] for name, scenario in SCENARIOS.items()],
+        )
 
 
 @model.command()
 @click.argument("scenario")
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Draws the day.")
+@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Draws the chosen_scenario.")
 @click.option(
     "--variant", default="here", show_default=True, help="here, path:DIR, policy:NAME or set:KEY=VALUE,..."
 )
-@sizes
+@size_options
 @json_option
 def run(
     scenario: str,
@@ -132,14 +142,14 @@
     seconds: float | None,
     as_json: bool,
 ) -> None:
-    """Play one day of a scenario."""
+    """Simulate one run of a scenario."""
     from ..simulation.experiments import play
 
-    chosen, day = _variant(variant), scenario_named(scenario, gateways, servers, rate, seconds)
+    chosen, chosen_scenario = _parse_variant(variant), load_scenario(scenario, gateways, servers, rate, seconds)
     try:
-        found = play(day, seed, chosen)
+        found = play(chosen_scenario, seed, chosen)
     except Exception as error:
-        raise Trouble(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
+        raise CommandError(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
     if as_json:
         print_json(found.as_dict())
         return
@@ -161,8 +171,8 @@
 @click.option("--seeds", default=10, show_default=True, type=click.IntRange(1), help="Days that both play.")
 @click.option("--first-seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="A picture of the differences.")
-@sizes
-@pools
+@size_options
+@pool_options
 @json_option
 def compare(
     scenario: str,
@@ -182,10 +192,10 @@
     """Two variants over the same days: the difference with its interval."""
     from ..simulation.experiments import compare as compare_variants
 
-    one, other = _variant(a), _variant(b)
-    day = scenario_named(scenario, gateways, servers, rate, seconds)
-    with progress(2 * seeds, scenario) as step, _pool(backend):
-        found = compare_variants(day, one, other, range(first_seed, first_seed + seeds), jobs, step)
+    one, other = _parse_variant(a), _parse_variant(b)
+    chosen_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
+    with progress(2 * seeds, scenario) as step, _joblib_backend(backend):
+        found = compare_variants(chosen_scenario, one, other, range(first_seed, first_seed + seeds), jobs, step)
     if plot is not None and found.difference:
         from ..simulation import plots
 
@@ -204,7 +214,7 @@
         for name, errors in found.errors.items():
             click.echo(f"{name} failed on {len(errors)} of {seeds} days: {errors[0]}")
     if not found.difference:
-        raise Trouble("no day was played by both variants")
+        raise CommandError("no chosen_scenario was played by both variants")
 
 
 @model.command()
@@ -213,8 +223,8 @@
 @click.option("--seeds", default=6, show_default=True, type=click.IntRange(1))
 @click.option("--figure", default="service", show_default=True, help="What the plot shows.")
 @click.option("--plot", type=click.Path(dir_okay=False, path_type=Path))
-@sizes
-@pools
+@size_options
+@pool_options
 @json_option
 def sweep(
     scenario: str,
@@ -236,7 +246,7 @@
     from ..simulation.variants import pair
 
     if len(over) > 2:
-        raise Trouble("a sweep goes over one or two settings")
+        raise CommandError("a sweep goes over one or two settings")
     values: dict[str, list[Any]] = {}
     for one in over:
         key, _, rest = one.partition("=")
@@ -244,19 +254,19 @@
             pairs = [pair(f"{key}={value}") for value in rest.split(",")]
             values[pairs[0][0]] = [value for _, value in pairs]
         except ValueError as error:
-            raise Trouble(str(error)) from None
-    day = scenario_named(scenario, gateways, servers, rate, seconds)
+            raise CommandError(str(error)) from None
+    chosen_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
     total = seeds
     for held in values.values():
         total *= len(held)
-    with progress(total, scenario) as step, _pool(backend):
-        points = sweep_settings(day, values, range(1, seeds + 1), jobs, step)
+    with progress(total, scenario) as step, _joblib_backend(backend):
+        points = sweep_settings(chosen_scenario, values, range(1, seeds + 1), jobs, step)
     if (
         points
         and any(p.figures for p in points)
         and figure not in next(p.figures for p in points if p.figures)
     ):
-        raise Trouble(f"{figure!r} is no figure")
+        raise CommandError(f"{figure!r} is no figure")
     if plot is not None:
         from ..simulation import plots
 
@@ -298,7 +308,7 @@
 @click.option("--draws", default=160, show_default=True, type=click.IntRange(8))
 @click.option("--keep", default=24, show_default=True, type=click.IntRange(2))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
-@pools
+@pool_options
 @json_option
 def fit_world(
     files: tuple[Path, ...],
@@ -345,12 +355,12 @@
         traffic = recorded_traffic.together(list(files))
         for line in traffic.trouble:
             click.echo(f"not read: {line}", err=True)
-        with progress(draws, "fit") as step, _pool(backend):
+        with progress(draws, "fit") as step, _joblib_backend(backend):
             search = Search(draws, min(keep, draws), seed, jobs)
             found = fit_fleet(traffic, plans, worths, servers, known, search, step)
         out.write_bytes(encode_fit(found))
     except (OSError, ValueError, KeyError, TypeError) as error:
-        raise Trouble(
+        raise CommandError(
             f"{type(error).__name__}: {error}" if isinstance(error, KeyError) else str(error)
         ) from None
     compared = {
@@ -394,7 +404,7 @@
     "--foretold", default=39, show_default=True, type=click.IntRange(19), help="Days of the model for each."
 )
 @click.option("--at-once", default=4, show_default=True, type=click.IntRange(1), help="Rigs side by side.")
-@pools
+@pool_options
 @json_option
 def check_model(
     days: int,
@@ -415,7 +425,7 @@
     from ..simulation.validation import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
     from ..testbed.recording import play_and_record
 
-    with tempfile.TemporaryDirectory() as place, _pool(backend):
+    with tempfile.TemporaryDirectory() as place, _joblib_backend(backend):
         found = validate_model(
             play_and_record,
             Path(place),
@@ -458,7 +468,7 @@
         )
     else:
         table(
-            ["day", "seed", "figure", "low", "foretold", "high", "real", "inside"],
+            ["chosen_scenario", "seed", "figure", "low", "foretold", "high", "real", "inside"],
             [
                 [x.kind, x.seed, x.figure, x.low, x.mean, x.high, x.real, "yes" if x.inside else "NO"]
                 for x in found.lines
--- a/mapleshunt/cli/record.py
+++ b/mapleshunt/cli/record.py
@@ -1,4 +1,4 @@
-"""`mapleshunt record ...` and `mapleshunt settings ...`: recordings and the operators' file."""
+"""The commands `mapleshunt record` and `mapleshunt settings`: recordings and the operators' file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import click
 
-from .output import Trouble, json_option, print_json, table
+from .output import CommandError, json_option, print_json, table
 
 if TYPE_CHECKING:  # zstandard is loaded only by commands that read recordings
     from ..recording.file_format import RecordedRequest, Recording
@@ -18,14 +18,14 @@
 
 @click.group()
 def record() -> None:
-    """Recordings of traffic that gateways met."""
+    """Inspect recordings of gateways' traffic."""
 
 
 def recordings(files: tuple[Path, ...]) -> list[Recording]:
     """Read recordings.
 
     Raises:
-        Trouble: a file cannot be read, or is no recording.
+        CommandError: a file cannot be read, or is not a recording.
     """
     from ..recording import file_format
 
@@ -34,16 +34,16 @@
         try:
             found.append(file_format.read_recording(file.read_bytes()))
         except (OSError, file_format.RecordingError) as error:
-            raise Trouble(f"{file}: {error}") from None
+            raise CommandError(f"{file}: {error}") from None
     return found
 
 
 @record.command()
 @click.argument("files", nargs=-1, required=True, type=FILE)
-@click.option("--rows", default=0, type=click.IntRange(0), help="Print so many of the newest rows too.")
+@click.option("--rows", default=0, type=click.IntRange(0), help="Number of newest rows to print too.")
 @json_option
 def show(files: tuple[Path, ...], rows: int, as_json: bool) -> None:
-    """What recordings hold, and what of them cannot be read."""
+    """Summarize recordings and list what cannot be read."""
     summaries = [
         _summary(file, recording, rows) for file, recording in zip(files, recordings(files), strict=True)
     ]
@@ -55,7 +55,7 @@
 
 
 def _summary(file: Path, recording: Recording, newest: int) -> dict[str, Any]:
-    """By the keys of the command's JSON; `newest` rows are listed."""
+    """Return a recording's summary under the keys of the command's JSON, with the `newest` rows."""
     requests = recording.rows
     span_ms = requests[-1].arrived_at - requests[0].arrived_at if requests else 0.0
     return {
@@ -75,7 +75,7 @@
 
 
 def _row(request: RecordedRequest) -> list[Any]:
-    """A request as one JSON array; its attempts stand last."""
+    """Return a request as a JSON array, its attempts last."""
     attempts = [
         [attempt.endpoint, attempt.status, attempt.sent_after_ms, attempt.duration_ms]
         for attempt in request.attempts
@@ -113,42 +113,42 @@
 
 @click.group()
 def settings() -> None:
-    """The operators' settings."""
+    """Inspect the operators' settings."""
 
 
 @settings.command("check")
 @click.argument("file", type=FILE)
 @json_option
 def check_file(file: Path, as_json: bool) -> None:
-    """Read a file of settings and say what is wrong with it."""
+    """Check a settings file and report the first error."""
     from ..settings import operators
 
     try:
         operators.load(file)
     except (ValueError, OSError) as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
     if as_json:
         print_json({"file": str(file), "good": True})
     else:
-        click.echo(f"{file}: good")
+        click.echo(f"{file}: valid")
 
 
 @settings.command("show")
 @click.argument("file", type=FILE, required=False)
 @json_option
 def show_settings(file: Path | None, as_json: bool) -> None:
-    """What holds, and where each value comes from."""
+    """Show the effective settings and the origin of each value."""
     from ..settings import operators
     from ..settings.show import effective_settings
 
     path = file or operators.path_from_environment()
     if path is None:
-        raise Trouble("name a file, or set PROXY_OPERATORS")
+        raise CommandError("no settings file given: name one or set PROXY_OPERATORS")
     try:
         found = effective_settings(path)
     except ValueError as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
     if as_json:
-        print_json([{"setting": name, "value": value, "from": place} for name, value, place in found])
+        print_json([{"setting": name, "value": value, "from": origin} for name, value, origin in found])
     else:
         table(["setting", "value", "from"], found)
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -7,8 +7,8 @@
 
 import click
 
-from .model import scenario_named, sizes
-from .output import Trouble, json_option, print_json, service_rows, table
+from .model import load_scenario, size_options
+from .output import CommandError, json_option, print_json, service_rows, table
 
 if TYPE_CHECKING:
     from ..testbed.soak.schedule import FaultKind
@@ -39,7 +39,7 @@
     try:
         return fleet.play_day(draw_run(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
     except (GatewayError, OSError) as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
 @rig.command()
@@ -53,7 +53,7 @@
     type=click.Path(exists=True, file_okay=False, path_type=Path),
     help="Another checkout whose gateways run.",
 )
-@sizes
+@size_options
 @json_option
 def run(
     scenario: str,
@@ -67,7 +67,7 @@
     as_json: bool,
 ) -> None:
     """Play one day of a scenario in real time."""
-    day = scenario_named(scenario, gateways, servers, rate, seconds)
+    day = load_scenario(scenario, gateways, servers, rate, seconds)
     fleet, found = _play(day, seed, logs, program)
     unanswered = fleet.timed_out[:5]
     found.stories += [f"a client of request {one.request_id} heard nothing in time" for one in unanswered]
@@ -116,9 +116,9 @@
     chosen = schedule.read_text().split() if schedule is not None else []
     kinds = [kind.value for kind in ReplicaFaultKind]
     if odd := [one for one in chosen if one not in kinds]:
-        raise Trouble(f"no fault is named {odd[0]!r}; there are {', '.join(kinds)}")
+        raise CommandError(f"no fault is named {odd[0]!r}; there are {', '.join(kinds)}")
     if gateways < size:
-        raise Trouble(f"{size} copies need {size} gateways at least")
+        raise CommandError(f"{size} copies need {size} gateways at least")
     with tempfile.TemporaryDirectory() as spare:
         fleet = ReplicatedFleet(folder or Path(spare), replicas_only_config(), gateways, seed, size)
         report = asyncio.run(FaultScheduleRun(fleet).run(count, schedule=chosen))
@@ -178,11 +178,11 @@
     from ..testbed.soak.schedule import FAULT_WEIGHTS, REPLICATION_KINDS
 
     if odd := [one for one in only if one not in FAULT_WEIGHTS]:
-        raise Trouble(f"no trouble is named {odd[0]!r}; there are {', '.join(FAULT_WEIGHTS)}")
+        raise CommandError(f"no trouble is named {odd[0]!r}; there are {', '.join(FAULT_WEIGHTS)}")
     if 0 < replicas < 3 or replicas > gateways:
-        raise Trouble("replicas are on three gateways at least, and on no more than there are")
+        raise CommandError("replicas are on three gateways at least, and on no more than there are")
     if not replicas and set(only) & set(REPLICATION_KINDS):
-        raise Trouble(f"without replicas there is no {', no '.join(REPLICATION_KINDS)}")
+        raise CommandError(f"without replicas there is no {', no '.join(REPLICATION_KINDS)}")
     broken = 0
     for number in range(seed, seed + seeds):
         place = folder / str(number) if folder is not None else None
@@ -193,7 +193,7 @@
                 number, place, gateways, backends, rate, seconds, kinds, checkout, replicas
             )
         except (LibraryBuildError, OSError) as error:
-            raise Trouble(str(error)) from None
+            raise CommandError(str(error)) from None
         broken += len(report.violations)
         if as_json:
             print_json(report)
@@ -232,7 +232,7 @@
     """Gateways, till servers and clients on loopback for a few seconds, and what became of each request."""
     from ..testbed import summary
 
-    day = scenario_named("busy", gateways, servers, None, seconds)
+    day = load_scenario("busy", gateways, servers, None, seconds)
     fleet, found = _play(day, seed, None, None)
     counts = summary.reasons(fleet)
     good = summary.exactly_once(fleet)
