--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -19,7 +19,7 @@
 def size_options(command: Any) -> Any:
     """Add the options that resize a scenario."""
     for name, option_type, text in (
-        ("--seconds", float, "Length of the chosen_scenario."),
+        ("--seconds", float, "Length of the run."),
         ("--rate", float, "Requests per second within the quotas; by default from the scenario's load."),
         ("--servers", click.IntRange(1), "Backends."),
         ("--gateways", click.IntRange(1), "Gateways."),
@@ -33,7 +33,9 @@
     command = click.option(
         "--backend", default=None, help="joblib's backend (loky, multiprocessing, threading)."
     )(command)
-    return click.option("--jobs", default=-1, show_default=True, help="Number of processes; -1: one per core.")(command)
+    return click.option(
+        "--jobs", default=-1, show_default=True, help="Number of processes; -1: one per core."
+    )(command)
 
 
 @contextmanager
@@ -58,7 +60,7 @@
     Raises:
         CommandError: the name or a size is invalid, or the fit cannot be read.
     """
-    from ..simulation.chosen_scenario import resized
+    from ..simulation.day import resized
     from ..simulation.scenarios import get_scenario
 
     try:
@@ -73,7 +75,7 @@
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
     """Return the scenario `fit:FILE[,KIND][,xSCALE][,rates]`: a fitted fleet, scaled, with faults of a scenario."""
-    from ..simulation.chosen_scenario import resized
+    from ..simulation.day import resized
     from ..simulation.fitted_fleet import decode_fit
     from ..simulation.replay import scenario_from
     from ..simulation.scenarios import get_scenario
@@ -126,7 +128,7 @@
 
 @model.command()
 @click.argument("scenario")
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Draws the chosen_scenario.")
+@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Seed of the run.")
 @click.option(
     "--variant", default="here", show_default=True, help="here, path:DIR, policy:NAME or set:KEY=VALUE,..."
 )
@@ -145,9 +147,12 @@
     """Simulate one run of a scenario."""
     from ..simulation.experiments import play
 
-    chosen, chosen_scenario = _parse_variant(variant), load_scenario(scenario, gateways, servers, rate, seconds)
+    chosen, sized_scenario = (
+        _parse_variant(variant),
+        load_scenario(scenario, gateways, servers, rate, seconds),
+    )
     try:
-        found = play(chosen_scenario, seed, chosen)
+        found = play(sized_scenario, seed, chosen)
     except Exception as error:
         raise CommandError(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
     if as_json:
@@ -193,9 +198,11 @@
     from ..simulation.experiments import compare as compare_variants
 
     one, other = _parse_variant(a), _parse_variant(b)
-    chosen_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
+    sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
     with progress(2 * seeds, scenario) as step, _joblib_backend(backend):
-        found = compare_variants(chosen_scenario, one, other, range(first_seed, first_seed + seeds), jobs, step)
+        found = compare_variants(
+            sized_scenario, one, other, range(first_seed, first_seed + seeds), jobs, step
+        )
     if plot is not None and found.difference:
         from ..simulation import plots
 
@@ -214,7 +221,7 @@
         for name, errors in found.errors.items():
             click.echo(f"{name} failed on {len(errors)} of {seeds} days: {errors[0]}")
     if not found.difference:
-        raise CommandError("no chosen_scenario was played by both variants")
+        raise CommandError("no run was completed by both variants")
 
 
 @model.command()
@@ -255,12 +262,12 @@
             values[pairs[0][0]] = [value for _, value in pairs]
         except ValueError as error:
             raise CommandError(str(error)) from None
-    chosen_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
+    sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
     total = seeds
     for held in values.values():
         total *= len(held)
     with progress(total, scenario) as step, _joblib_backend(backend):
-        points = sweep_settings(chosen_scenario, values, range(1, seeds + 1), jobs, step)
+        points = sweep_settings(sized_scenario, values, range(1, seeds + 1), jobs, step)
     if (
         points
         and any(p.figures for p in points)
@@ -468,7 +475,7 @@
         )
     else:
         table(
-            ["chosen_scenario", "seed", "figure", "low", "foretold", "high", "real", "inside"],
+            ["scenario", "seed", "figure", "low", "foretold", "high", "real", "inside"],
             [
                 [x.kind, x.seed, x.figure, x.low, x.mean, x.high, x.real, "yes" if x.inside else "NO"]
                 for x in found.lines
