--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -133,11 +133,11 @@
     as_json: bool,
 ) -> None:
     """Play one day of a scenario."""
-    from ..simulation.experiments import play
+    from ..simulation.experiments import run_scenario
 
     chosen, day = _variant(variant), scenario_named(scenario, gateways, servers, rate, seconds)
     try:
-        found = play(day, seed, chosen)
+        found = run_scenario(day, seed, chosen)
     except Exception as error:
         raise Trouble(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
     if as_json:
@@ -233,7 +233,7 @@
     """A figure over the values of one or two settings."""
     from ..simulation.experiments import intervals_as_dict
     from ..simulation.experiments import sweep as sweep_settings
-    from ..simulation.variants import pair
+    from ..simulation.variants import parse_pair
 
     if len(over) > 2:
         raise Trouble("a sweep goes over one or two settings")
@@ -241,7 +241,7 @@
     for one in over:
         key, _, rest = one.partition("=")
         try:
-            pairs = [pair(f"{key}={value}") for value in rest.split(",")]
+            pairs = [parse_pair(f"{key}={value}") for value in rest.split(",")]
             values[pairs[0][0]] = [value for _, value in pairs]
         except ValueError as error:
             raise Trouble(str(error)) from None
@@ -263,12 +263,12 @@
         plots.sweep(points, figure, f"{scenario}, {seeds} days a point", plot)
     if as_json:
         print_json(
-            [{"at": p.at, "errors": p.errors, "figures": intervals_as_dict(p.figures)} for p in points]
+            [{"at": p.settings, "errors": p.errors, "figures": intervals_as_dict(p.figures)} for p in points]
         )
         return
     rows = [
         [
-            *(p.at[key] for key in values),
+            *(p.settings[key] for key in values),
             p.figures[figure].mean,
             p.figures[figure].low,
             p.figures[figure].high,
@@ -321,7 +321,7 @@
     from ..simulation import recorded_traffic
     from ..simulation.fit import Search, fit_fleet
     from ..simulation.fitted_fleet import FittedPlan, encode_fit
-    from ..simulation.variants import pair
+    from ..simulation.variants import parse_pair
 
     try:
         wire = json.loads(told.read_text())
@@ -338,12 +338,12 @@
             )
             for p in packages
         ]
-        known = {key: float(value) for key, value in (pair(f"world.{one}") for one in know)}
+        known = {key: float(value) for key, value in (parse_pair(f"world.{one}") for one in know)}
         known = {key[6:]: value for key, value in known.items()}
         check_overrides(known)
         worths = {name: float(value) for name, _, value in (one.partition("=") for one in worth)}
-        traffic = recorded_traffic.together(list(files))
-        for line in traffic.trouble:
+        traffic = recorded_traffic.read_recordings(list(files))
+        for line in traffic.problems:
             click.echo(f"not read: {line}", err=True)
         with progress(draws, "fit") as step, _pool(backend):
             search = Search(draws, min(keep, draws), seed, jobs)
@@ -431,15 +431,15 @@
             jobs,
             lambda line: click.echo(line, err=True),
         )
-    within = {figure: found.within(figure) for figure in found.figures()}
+    within = {figure: found.days_within(figure) for figure in found.figures()}
     count = len(found.days())
     if as_json:
         print_json(
             {
                 "days": count,
                 "within": within,
-                "widest_service": found.widest(),
-                "good": found.good(),
+                "widest_service": found.widest_interval(),
+                "good": found.passed(),
                 "errors": found.errors,
                 "lines": [
                     {
@@ -466,8 +466,10 @@
         )
         for figure, number in within.items():
             click.echo(f"{figure}: inside its {PREDICTION_LEVEL:.0%} bars on {number} of {count} days")
-        click.echo(f"widest bar on service {found.widest():.3f} (at most {MAX_SERVICE_INTERVAL} wanted)")
+        click.echo(
+            f"widest bar on service {found.widest_interval():.3f} (at most {MAX_SERVICE_INTERVAL} wanted)"
+        )
         for error in found.errors:
             click.echo(f"not played: {error}")
-    if not found.good() or found.errors:
+    if not found.passed() or found.errors:
         raise SystemExit(1)
--- a/mapleshunt/simulation/experiments.py
+++ b/mapleshunt/simulation/experiments.py
@@ -36,7 +36,7 @@
 ProgressCallback = Callable[[int], None]  # told how many replicas have ended
 
 
-def play(scenario: Scenario, seed: int, variant: Variant | None = None, salt: int = 0) -> Score:
+def run_scenario(scenario: Scenario, seed: int, variant: Variant | None = None, salt: int = 0) -> Score:
     """One day, played and judged. Raises what the variant's code raises."""
     begun = time.perf_counter()
     chosen = variant or Variant("here", "here")
@@ -60,7 +60,7 @@
 
 def _replica(scenario: Scenario, seed: int, variant: Variant, salt: int) -> SeedResult:
     try:
-        return SeedResult(seed, play(scenario, seed, variant, salt))
+        return SeedResult(seed, run_scenario(scenario, seed, variant, salt))
     except Exception as error:  # a variant's code may raise anything: it is reported, the others go on
         last = traceback.extract_tb(error.__traceback__)[-1]
         return SeedResult(seed, error=f"{type(error).__name__}: {error} ({last.name}, line {last.lineno})")
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True)
 class SweepPoint:
-    at: dict[str, Any]
+    settings: dict[str, Any]
     figures: dict[str, Interval]
     errors: list[str]
 
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -115,7 +115,7 @@
         draws=(),
         recorded=summarize_recording(traffic),
         played={},
-        problems=tuple(traffic.trouble),
+        problems=tuple(traffic.problems),
     )
 
 
--- a/mapleshunt/simulation/maintenance_plays.py
+++ b/mapleshunt/simulation/maintenance_plays.py
@@ -46,7 +46,7 @@
         works: type[MaintenanceJobs] = MaintenanceJobs,
         holder: type[MaintenanceAgent] = MaintenanceAgent,
     ) -> None:
-        self.works, self.twin, self.make = works(), works(), holder  # the twin: another gateway's copy
+        self.maintenance, self.twin, self.make = works(), works(), holder  # the twin: another gateway's copy
         self.now = 0.0  # s, the log's and, here, everybody's
         self.machines = {name: Machine(holder=holder()) for name in NAMES}
         self.hidden = ""  # a machine that the coordinator does not see
@@ -56,13 +56,13 @@
 
     def apply(self, operation: w.Operation) -> bool:
         done = []
-        for number, one in enumerate((self.works, self.twin)):
+        for number, one in enumerate((self.maintenance, self.twin)):
             try:
                 self.on_copy(number, one, operation)
                 done.append(True)
             except MaintenanceError:
                 done.append(False)
-        if done[0] != done[1] or self.works.snapshot() != self.twin.snapshot():
+        if done[0] != done[1] or self.maintenance.snapshot() != self.twin.snapshot():
             raise InvariantViolationError("two gateways came to different states from the same log")
         return done[0]
 
@@ -86,7 +86,7 @@
                     yield "hide", name
             elif not one.worked_on:
                 yield "start", name
-            place = self.works.job_of(name)
+            place = self.maintenance.job_of(name)
             if place is not None and place.state == "safe" and one.up:
                 yield "work", name
             if one.worked_on:
@@ -109,7 +109,7 @@
             case "pass":
                 self.now += PASS
             case "look":
-                one.view = self.works.job_of(name)
+                one.view = self.maintenance.job_of(name)
                 one.holder.update_grant(self.now, 1000 * self.now, one.view)
                 self.act(name, one)
             case "wake":
@@ -124,13 +124,13 @@
             case "show":
                 self.hidden = ""
             case "work":
-                place = self.works.job_of(name)
+                place = self.maintenance.job_of(name)
                 if place is not None and self.apply(w.ReportProgress(name, place.fencing_token, "out")):
                     self.went[place.request_id, name] = self.went.get((place.request_id, name), 0) + 1
                     one.up, one.worked_on, one.drained = False, True, False
                     one.holder, one.view = self.make(), None
             case "finish":
-                place = self.works.job_of(name)
+                place = self.maintenance.job_of(name)
                 one.up, one.worked_on = True, False
                 if place is not None:
                     self.apply(w.ReportProgress(name, place.fencing_token, "returning"))
@@ -142,9 +142,9 @@
             for name, one in self.machines.items()
         )
         sound = tuple(one.name for one in sights if one.available)
-        before = {key for key, one in self.works.jobs.items() if one.state == "granted"}
+        before = {key for key, one in self.maintenance.jobs.items() if one.state == "granted"}
         self.apply(w.FleetView(self.now, sights, (w.GroupView(NAMES, sound),)))
-        for key, place in self.works.jobs.items():
+        for key, place in self.maintenance.jobs.items():
             if place.state == "granted" and key not in before:
                 lost = [one.name for one in sights if not one.available and one.name != place.machine]
                 if len(lost) + 1 > BUDGET.max_out:
@@ -167,7 +167,7 @@
     # What must hold
 
     def granted(self, name: str) -> None:
-        place = self.works.job_of(name)
+        place = self.maintenance.job_of(name)
         if place is None or place.state not in ("granted", "draining", "safe", "recalled"):
             raise InvariantViolationError(f"{name} drains without a grant: {place and place.state}")
         if 1000 * self.now > place.expires_at:
@@ -178,31 +178,34 @@
         if len(planned) > BUDGET.max_out:
             raise InvariantViolationError(f"{' and '.join(planned)} are out by plan, {BUDGET.max_out} may be")
         for key, count in self.went.items():
-            if count > 1 or self.works.jobs[key].state in ("queued", "granted", "draining", "safe"):
+            if count > 1 or self.maintenance.jobs[key].state in ("queued", "granted", "draining", "safe"):
                 raise InvariantViolationError(f"{key[1]} was out for {key[0]}, and is to go again")
-        for place in self.works.jobs.values():
+        for place in self.maintenance.jobs.values():
             if place.state == "done" and self.machines[place.machine].worked_on:
                 raise InvariantViolationError(f"{place.machine} is done while it is worked on")
             if place.state == "done" and not any(step.state == "out" for step in place.history):
                 raise InvariantViolationError(f"{place.machine} is done and never was out")
         wanted = sum(len(one.machines) for one in REQUESTS[: self.asked])
-        if len(self.works.requests) != self.asked or len(self.works.jobs) != wanted:
+        if len(self.maintenance.requests) != self.asked or len(self.maintenance.jobs) != wanted:
             raise InvariantViolationError("a request was taken twice, or lost")
 
     def key(self) -> bytes:
         """States alike in all that decides what comes; stories and times before now do not."""
         places = tuple(
             (one.request_id, one.machine, one.state, one.fencing_token > 0, one.outcome,
-             one.expires_at > 0 and one.expires_at - 1000 * self.now) for one in self.works.jobs.values()
+             one.expires_at > 0 and one.expires_at - 1000 * self.now)
+            for one in self.maintenance.jobs.values()
         )  # fmt: skip
         machines = tuple(
             (one.up, one.worked_on, one.drained, one.holder.fencing_token > 0, one.holder.drained,
              one.holder.deadline > self.now and one.holder.deadline - self.now,
              one.view and (one.view.state, one.view.fencing_token ==
-                           getattr(self.works.job_of(name), "fencing_token", -1)))
+                           getattr(self.maintenance.job_of(name), "fencing_token", -1)))
             for name, one in self.machines.items()
         )  # fmt: skip
-        return repr((places, machines, self.hidden, self.asked, self.went, self.works.failures)).encode()
+        return repr(
+            (places, machines, self.hidden, self.asked, self.went, self.maintenance.failures)
+        ).encode()
 
 
 def explore(
@@ -248,7 +251,7 @@
                     world.move(*move)
             if world.asked < len(REQUESTS):
                 world.move("ask")
-        if left := world.works.open_jobs():
+        if left := world.maintenance.open_jobs():
             raise InvariantViolationError(
                 f"not done when all was calm: {[(one.machine, one.state) for one in left]}"
             )
@@ -319,7 +322,7 @@
         return super().apply(now + OrderByOwnClock.count, operation)
 
 
-PLANTS: dict[str, tuple[type[MaintenanceJobs], type[MaintenanceAgent]]] = {
+PLANTED_FAULTS: dict[str, tuple[type[MaintenanceJobs], type[MaintenanceAgent]]] = {
     "ExpiredGrantUsed": (MaintenanceJobs, ExpiredGrantUsed), "GrantsItself": (MaintenanceJobs, GrantsItself),
     "ForgetsUnplanned": (ForgetsUnplanned, MaintenanceAgent), "AskedTwice": (AskedTwice, MaintenanceAgent),
     "ReturnTakenForGranted": (ReturnTakenForGranted, MaintenanceAgent),
--- a/mapleshunt/simulation/plots.py
+++ b/mapleshunt/simulation/plots.py
@@ -26,14 +26,14 @@
 def sweep(points: Sequence[SweepPoint], figure: str, title: str, file: Path) -> None:
     """A line with error bars for one setting, a map of means for two."""
     plt = _pyplot()
-    keys = list(points[0].at)
+    keys = list(points[0].settings)
     fig, axes = plt.subplots(figsize=(7, 4.2), constrained_layout=True)
     good = [one for one in points if figure in one.figures]
     if len(keys) == 1:
         means = [one.figures[figure] for one in good]
         bars = [_finite(m.low, m.high, m.mean) for m in means]
         axes.errorbar(
-            [one.at[keys[0]] for one in good],
+            [one.settings[keys[0]] for one in good],
             [m.mean for m in means],
             yerr=list(zip(*bars, strict=True)) or None,
             marker="o",
@@ -41,11 +41,15 @@
         )
         axes.set_ylabel(figure)
     else:
-        xs, ys = (sorted({one.at[key] for one in good}) for key in keys)
+        xs, ys = (sorted({one.settings[key] for one in good}) for key in keys)
         grid = [
             [
                 next(
-                    (o.figures[figure].mean for o in good if o.at[keys[0]] == x and o.at[keys[1]] == y),
+                    (
+                        o.figures[figure].mean
+                        for o in good
+                        if o.settings[keys[0]] == x and o.settings[keys[1]] == y
+                    ),
                     float("nan"),
                 )
                 for x in xs
--- a/mapleshunt/simulation/recorded_traffic.py
+++ b/mapleshunt/simulation/recorded_traffic.py
@@ -37,7 +37,7 @@
     length: float  # ms
     gateways: int
     recorded: tuple[int, ...]  # the gateways whose recordings are here
-    trouble: list[str]
+    problems: list[str]
 
     @property
     def coverage(self) -> float:
@@ -47,7 +47,7 @@
         return [row for row in self.rows if not row.is_retry]
 
 
-def together(files: Sequence[Path]) -> Traffic:
+def read_recordings(files: Sequence[Path]) -> Traffic:
     """Read the recordings of one fleet. Raises `BadTraffic`, `RecordingError`, OSError."""
     held: dict[int, list[RecordedRequest]] = {}
     trouble, sizes = list[str](), set[int]()
--- a/mapleshunt/simulation/replication_planted_faults.py
+++ b/mapleshunt/simulation/replication_planted_faults.py
@@ -11,7 +11,7 @@
 from ..replication.progress import ReplicationProgress
 from ..replication.reads import ReadQueue
 from ..replication.roles import Role
-from .replication_plays import ReplicaGroupPlay, VirtualDisk, VirtualReplica, run_play
+from .replication_plays import ReplicaGroupSimulation, VirtualDisk, VirtualReplica, run_simulation
 
 
 class HastyOutbox(Outbox):
@@ -142,7 +142,7 @@
     follower_type = CredulousFollower
 
 
-class OldIncarnation(ReplicaGroupPlay):
+class OldIncarnation(ReplicaGroupSimulation):
     """A gateway whose disk was lost comes back as the copy it was."""
 
     def wipe(self, one: VirtualReplica) -> None:
@@ -153,17 +153,21 @@
         self.start(one.copy)
 
 
-NODES: dict[str, type[RaftNode]] = {
+FAULTY_NODES: dict[str, type[RaftNode]] = {
     one.__name__: one
     for one in (
         VoteBeforeDurable, AppendedBeforeDurable, OlderTermByCount, TwoChangesAtOnce, ReadsUnconfirmed,
         OwnEntriesUnwritten, VotesTwice, ShorterLogsWin, CommitsUnseen,
     )
 }  # fmt: skip
-GROUPS: dict[str, type[ReplicaGroupPlay]] = {"OldIncarnation": OldIncarnation}
-PLANTS = (*NODES, *GROUPS)
+FAULTY_GROUPS: dict[str, type[ReplicaGroupSimulation]] = {"OldIncarnation": OldIncarnation}
+PLANTED_FAULTS = (*FAULTY_NODES, *FAULTY_GROUPS)
 
 
-def play(seed: int, plant: str = "") -> str:
+def run_seed(seed: int, planted_fault: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    return run_play(GROUPS.get(plant, ReplicaGroupPlay), seed, NODES.get(plant, RaftNode))
+    return run_simulation(
+        FAULTY_GROUPS.get(planted_fault, ReplicaGroupSimulation),
+        seed,
+        FAULTY_NODES.get(planted_fault, RaftNode),
+    )
--- a/mapleshunt/simulation/replication_plays.py
+++ b/mapleshunt/simulation/replication_plays.py
@@ -78,7 +78,7 @@
 NodeFactory = Callable[[m.Replica, m.PersistentState, RaftConfig, int, float], RaftNode]
 
 
-class ReplicaGroupPlay:
+class ReplicaGroupSimulation:
     """A play. `make` builds each copy, so that a planted fault can take its place."""
 
     def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = RaftNode) -> None:
@@ -97,7 +97,7 @@
         self.calls: dict[int, dict[str, Any]] = {}
         self.next_call = 0
         self.acknowledged = 0  # highest index that a client was told of
-        self.told = self.elections = self.installs = self.reads = 0
+        self.acknowledged_calls = self.elections = self.restored_snapshots = self.completed_reads = 0
         self.lossy = self.random.choice([0.0, 0.02, 0.1])
         self.incarnations = 1
         self.mood = self.random.choice(list(FAULT_MIXES))
@@ -174,7 +174,7 @@
             case m.Apply(entry, call):
                 self.applied(one, entry, call)
             case m.RestoreSnapshot(snapshot):
-                self.installs += 1
+                self.restored_snapshots += 1
                 one.state, one.last = self.thaw(snapshot.data), snapshot.index
             case m.RequestResult():
                 self.answered(one, output)
@@ -225,7 +225,7 @@
             if mine["data"] is not None and mine["data"] != entry.data:
                 raise InvariantViolationError(f"call {call} was answered with another's entry")
             self.acknowledged = max(self.acknowledged, entry.index)
-            self.told += 1
+            self.acknowledged_calls += 1
 
     # The state that entries make: here the list of them; a play of something else has another.
 
@@ -244,7 +244,7 @@
         if call is None or answer.outcome is not m.RequestOutcome.READ_READY:
             return
         assert one.node is not None
-        self.reads += 1
+        self.completed_reads += 1
         if answer.index < call["known"]:
             raise InvariantViolationError(
                 f"a stale read at {one.copy}: {answer.index}, though {call['known']} was told"
@@ -373,7 +373,7 @@
             for each in known if each is not None and each.voters
         )  # fmt: skip
 
-    def play(self, seconds: float = 40.0, moves: int = 40) -> None:
+    def run(self, seconds: float = 40.0, moves: int = 40) -> None:
         """Faults for so long, then quiet; at the end the group has to answer again."""
         for name in list(self.machines):
             self.start(name)
@@ -382,9 +382,9 @@
             self.at(self.random.uniform(1.0, seconds), lambda what=what: self.move(what))  # type: ignore[misc]
         for _ in range(int(seconds * 8)):
             self.at(self.random.uniform(0.5, seconds + 8.0), self.call)
-        self.run(seconds)
+        self.run_until(seconds)
         self.calm()
-        self.run(seconds + 10.0)
+        self.run_until(seconds + 10.0)
         self.matching()
         if self.whole():
             self.answers(seconds + 10.0)
@@ -398,25 +398,25 @@
             one.disk.delay = 0.005
 
     def answers(self, since: float) -> None:
-        told, end = self.told, since + 20.0
-        while self.told == told and self.now < end:
+        told, end = self.acknowledged_calls, since + 20.0
+        while self.acknowledged_calls == told and self.now < end:
             self.at(self.now + 0.2, self.call)
-            self.run(self.now + 0.3)
-        if self.told == told:
+            self.run_until(self.now + 0.3)
+        if self.acknowledged_calls == told:
             roles = {one.copy: one.node and (one.node.role, one.node.term) for one in self.machines.values()}
             raise InvariantViolationError(f"the group does not answer again: {roles}")
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
             self.now, _, what = heapq.heappop(self.events)
             what()
         self.now = until
 
 
-def run_play(kind: type[ReplicaGroupPlay], seed: int, make: NodeFactory) -> str:
+def run_simulation(kind: type[ReplicaGroupSimulation], seed: int, make: NodeFactory) -> str:
     """What broke in the play of that seed, three copies or five, or nothing."""
     try:
-        kind(seed, copies=3 + 2 * (seed % 2), make=make).play()
+        kind(seed, copies=3 + 2 * (seed % 2), make=make).run()
     except InvariantViolationError as broken:
         return str(broken)
     return ""
--- a/mapleshunt/simulation/state_machine_plays.py
+++ b/mapleshunt/simulation/state_machine_plays.py
@@ -21,9 +21,9 @@
 from .replication_plays import (
     InvariantViolationError,
     NodeFactory,
-    ReplicaGroupPlay,
+    ReplicaGroupSimulation,
     VirtualReplica,
-    run_play,
+    run_simulation,
 )
 
 SESSIONS = 3
@@ -32,7 +32,7 @@
 AGAIN = 0.6  # s after which a call is made anew through another copy
 
 
-class StateMachinePlay(ReplicaGroupPlay):
+class StateMachineSimulation(ReplicaGroupSimulation):
     holdings: type[ReplicatedState] = ReplicatedState
 
     def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = RaftNode) -> None:
@@ -101,12 +101,12 @@
             self.step(self.random.choice(leaders or alive).copy, m.Propose(self.next_call, data))
         self.at(self.now + AGAIN, lambda: self.ask(event))
 
-    def play(self, seconds: float = 40.0, moves: int = 40) -> None:
-        super().play(seconds, moves)
+    def run(self, seconds: float = 40.0, moves: int = 40) -> None:
+        super().run(seconds, moves)
         if not self.whole():
             return
         self.quiet = True
-        self.run(self.now + 20.0)
+        self.run_until(self.now + 20.0)
         nodes = [one for one in self.machines.values() if one.node is not None]
         state = max(nodes, key=lambda one: one.last).state
         final = {f"store c{n}": state.buckets.get(f"c{n}") for n in range(CUSTOMERS)}
@@ -126,7 +126,7 @@
         return msgspec.structs.replace(whole, sessions=bare)
 
 
-class SnapshotWithoutSessions(StateMachinePlay):
+class SnapshotWithoutSessions(StateMachineSimulation):
     holdings = Forgetful
 
 
@@ -158,18 +158,18 @@
         return self._execute(stamp, command.session, command.operation)
 
 
-class DoneAgain(StateMachinePlay):
+class DoneAgain(StateMachineSimulation):
     holdings = NoSessions
 
 
-PLANTS: dict[str, tuple[type[StateMachinePlay], type[RaftNode]]] = {
+PLANTED_FAULTS: dict[str, tuple[type[StateMachineSimulation], type[RaftNode]]] = {
     "SnapshotWithoutSessions": (SnapshotWithoutSessions, RaftNode),
     "DoneAgain": (DoneAgain, RaftNode),
-    "JumpedClock": (StateMachinePlay, JumpedClock),
+    "JumpedClock": (StateMachineSimulation, JumpedClock),
 }
 
 
-def play(seed: int, plant: str = "") -> str:
+def run_seed(seed: int, planted_fault: str = "") -> str:
     """What broke in the play of that seed, or nothing."""
-    kind, make = PLANTS.get(plant, (StateMachinePlay, RaftNode))
-    return run_play(kind, seed, make)
+    kind, make = PLANTED_FAULTS.get(planted_fault, (StateMachineSimulation, RaftNode))
+    return run_simulation(kind, seed, make)
--- a/mapleshunt/simulation/validation.py
+++ b/mapleshunt/simulation/validation.py
@@ -60,19 +60,19 @@
     def days(self) -> list[tuple[str, int]]:
         return list(dict.fromkeys((line.kind, line.seed) for line in self.lines))
 
-    def within(self, figure: str) -> int:
+    def days_within(self, figure: str) -> int:
         return sum(line.inside for line in self.lines if line.figure == figure)
 
-    def widest(self) -> float:
+    def widest_interval(self) -> float:
         return max((line.high - line.low for line in self.lines if line.figure == "service"), default=0.0)
 
-    def good(self, least: float = 0.8) -> bool:
+    def passed(self, least: float = 0.8) -> bool:
         """Each figure inside its bars on at least so many days, and no bar on service too wide."""
         days = len(self.days())
         return (
             bool(days)
-            and self.widest() <= MAX_SERVICE_INTERVAL
-            and all(self.within(figure) >= least * days for figure in self.figures())
+            and self.widest_interval() <= MAX_SERVICE_INTERVAL
+            and all(self.days_within(figure) >= least * days for figure in self.figures())
         )
 
 
@@ -104,7 +104,7 @@
     say(f"playing and recording a {RECORDED_SCENARIO} day")
     play(base, first, folder)
     day = draw_run(base, first)
-    traffic = recorded.together(sorted(folder.glob("*.rec")))
+    traffic = recorded.read_recordings(sorted(folder.glob("*.rec")))
     say(f"fitting a world to {len(traffic.rows)} requests")
     fit = fit_fleet(
         traffic,
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -68,7 +68,7 @@
     print(text, file=sys.stderr)
 
 
-def pair(text: str) -> tuple[str, Any]:
+def parse_pair(text: str) -> tuple[str, Any]:
     """`KEY=VALUE`, checked. Raises `BadVariant`."""
     key, equals, value = text.partition("=")
     if not equals or not key:
@@ -119,7 +119,7 @@
             raise VariantError(f"{rest!r} holds no checkout with mapleshunt/policy/gateway.py")
         return Variant(text, "path", str(Path(rest).resolve()))
     if kind == "set" and colon and rest:
-        return with_pairs(dict(pair(one) for one in rest.split(",")), text)
+        return with_pairs(dict(parse_pair(one) for one in rest.split(",")), text)
     raise VariantError(f"{text!r} is none of here, path:DIR, policy:NAME, set:KEY=VALUE,...")
 
 
--- a/tests/test_checkouts.py
+++ b/tests/test_checkouts.py
@@ -19,7 +19,7 @@
     StartAttempt,
 )
 from mapleshunt.simulation import checkouts
-from mapleshunt.simulation.variants import pair
+from mapleshunt.simulation.variants import parse_pair
 
 INTERFACE = """
 from dataclasses import make_dataclass
@@ -92,9 +92,9 @@
 def test_former_names_are_accepted_and_the_names_of_now_are_said_once(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    assert pair("tip_over=3") == ("overload_crash_multiple", 3)
-    assert pair("tip_over=4") == ("overload_crash_multiple", 4)
-    assert pair("STRETCH=2.5") == ("MAX_STRETCH_OVER_BEST", 2.5)
+    assert parse_pair("tip_over=3") == ("overload_crash_multiple", 3)
+    assert parse_pair("tip_over=4") == ("overload_crash_multiple", 4)
+    assert parse_pair("STRETCH=2.5") == ("MAX_STRETCH_OVER_BEST", 2.5)
     said = capsys.readouterr().err.splitlines()
     assert said == [
         "tip_over is now called overload_crash_multiple",
@@ -105,5 +105,5 @@
 def test_each_former_name_stands_for_a_setting_or_constant_of_now() -> None:
     for former in (*checkouts.SETTINGS.values(), *checkouts.CONSTANTS):
         if former not in ("me", "instances"):  # the simulation sets them
-            key, _ = pair(f"{former}=1")
+            key, _ = parse_pair(f"{former}=1")
             assert key != former
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -18,7 +18,7 @@
 from mapleshunt.simulation import fit, fit_estimates, fitted_fleet, recorded_traffic, replay
 from mapleshunt.simulation.day import Scenario, ScenarioRun, draw_run, resized
 from mapleshunt.simulation.engine import Engine
-from mapleshunt.simulation.experiments import play
+from mapleshunt.simulation.experiments import run_scenario
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.simulation.score import score_run
 from mapleshunt.simulation.validation import compare_with_prediction
@@ -79,7 +79,7 @@
 def fitted(
     day: ScenarioRun, rows: list[tuple[RecordedRequest, int]], tmp_path_factory: pytest.TempPathFactory
 ) -> fitted_fleet.Fit:
-    traffic = recorded_traffic.together(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
+    traffic = recorded_traffic.read_recordings(write(rows, tmp_path_factory.mktemp("r"), 3, (0, 1, 2)))
     priority_weights = {c.name: c.priority_weight for c in day.parameters.classes}
     return fit.fit_fleet(
         traffic, fit.plans_of(day), priority_weights, 6, {"cores": 3.0}, fit.Search(draws=16, keep=6, jobs=4)
@@ -150,7 +150,7 @@
 def test_fit_of_two_of_three_recordings_finds_the_same_fleet(
     day: ScenarioRun, rows: list[tuple[RecordedRequest, int]], fitted: fitted_fleet.Fit, tmp_path: Path
 ) -> None:
-    traffic = recorded_traffic.together(write(rows, tmp_path, 3, (0, 2)))
+    traffic = recorded_traffic.read_recordings(write(rows, tmp_path, 3, (0, 2)))
     assert traffic.coverage == pytest.approx(2 / 3) and traffic.recorded == (0, 2)
     found = fit_estimates.fit_customers(traffic)
     recorded_rate = sum(replay.customer_rates(c, 100).mean() for c in found)
@@ -168,18 +168,18 @@
     (tmp_path / "b").mkdir()
     other = write(rows, tmp_path / "b", 2, (1,))
     with pytest.raises(recorded_traffic.RecordedTrafficError, match="different sizes"):
-        recorded_traffic.together(good + other)
+        recorded_traffic.read_recordings(good + other)
     (tmp_path / "c").mkdir()
     with pytest.raises(recorded_traffic.RecordedTrafficError, match="no requests"):
-        recorded_traffic.together(write([], tmp_path / "c", 3, (0,)))
-    few = recorded_traffic.together(good)
+        recorded_traffic.read_recordings(write([], tmp_path / "c", 3, (0,)))
+    few = recorded_traffic.read_recordings(good)
     few.rows = few.rows[:50]
     with pytest.raises(ValueError, match="too few"):
         fit_estimates.fit_classes(few, recorded_traffic.received(few, 3), {})
     hurt = bytearray(good[0].read_bytes())
     hurt[form.FILE_HEADER.size + 300] ^= 0xFF
     good[0].write_bytes(bytes(hurt))
-    assert any("damaged" in line for line in recorded_traffic.together(good).trouble)
+    assert any("damaged" in line for line in recorded_traffic.read_recordings(good).problems)
 
 
 def test_segments_are_found_for_spells_and_not_for_noise() -> None:
@@ -194,7 +194,7 @@
 
 def test_fitted_fleet_predicts_another_day_of_the_same_installation(fitted: fitted_fleet.Fit) -> None:
     predicted = replay.scenario_from(fitted, BASE)
-    model = [play(predicted, 100 + seed) for seed in range(19)]
+    model = [run_scenario(predicted, 100 + seed) for seed in range(19)]
     engine = Engine(draw_run(BASE, 2), Gateway)
     engine.run()
     lines = compare_with_prediction("quiet", 2, model, score_run(engine))
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,7 +13,7 @@
 from mapleshunt.maintenance.jobs import URGENCY_STEP_MS, MaintenanceError, MaintenanceJobs
 from mapleshunt.maintenance.records import OUT_STATES, HistoryEntry, MachineJob, MaintenanceSnapshot
 from mapleshunt.maintenance.summary import summarize
-from mapleshunt.simulation.maintenance_plays import PLANTS, explore, random_walk
+from mapleshunt.simulation.maintenance_plays import PLANTED_FAULTS, explore, random_walk
 
 DEPTH = {"AskedTwice": 7, "ReturnTakenForGranted": 8, "ForgetsUnplanned": 7}  # by which each is found; else 5
 
@@ -28,12 +28,12 @@
     for seed in range(first, first + 20):
         world, broken = random_walk(seed, 80)
         assert not broken, (seed, broken)
-        assert {one.state for one in world.works.jobs.values()} == {"done"}
+        assert {one.state for one in world.maintenance.jobs.values()} == {"done"}
 
 
-@pytest.mark.parametrize("plant", PLANTS)
+@pytest.mark.parametrize("plant", PLANTED_FAULTS)
 def test_a_planted_fault_is_found(plant: str) -> None:
-    _, broken = explore(DEPTH.get(plant, 5), *PLANTS[plant])
+    _, broken = explore(DEPTH.get(plant, 5), *PLANTED_FAULTS[plant])
     assert broken
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -295,7 +295,7 @@
 
 def test_a_sweep_reports_every_point() -> None:
     points = experiments.sweep(short("busy", 6.0), {"mail_per_s": [5, 40]}, range(1, 4), jobs=1)
-    assert [p.at["mail_per_s"] for p in points] == [5, 40]
+    assert [p.settings["mail_per_s"] for p in points] == [5, 40]
     assert all(p.figures["service"].low <= p.figures["service"].mean for p in points)
 
 
--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -8,7 +8,7 @@
 from mapleshunt.replication.config import RaftConfig
 from mapleshunt.replication.node import RaftNode
 from mapleshunt.replication.roles import Role
-from mapleshunt.simulation.replication_planted_faults import NODES
+from mapleshunt.simulation.replication_planted_faults import FAULTY_NODES
 
 
 def commits_of_an_older_term(make: type[RaftNode]) -> list[bytes]:
@@ -36,7 +36,7 @@
 
 def test_entry_of_an_older_term_is_not_committed_by_count() -> None:
     assert commits_of_an_older_term(RaftNode) == []
-    assert commits_of_an_older_term(NODES["OlderTermByCount"]) == [b"of term 2"]
+    assert commits_of_an_older_term(FAULTY_NODES["OlderTermByCount"]) == [b"of term 2"]
 
 
 def single_replica() -> RaftNode:
--- a/tests/test_replicated_state.py
+++ b/tests/test_replicated_state.py
@@ -14,7 +14,7 @@
 from mapleshunt.replicated_state.results import Applied, Denied, LeaseGranted
 from mapleshunt.replicated_state.state_machine import MAX_UNACKNOWLEDGED, ReplicatedState
 from mapleshunt.simulation.history_checker import HistoryEvent, find_violations
-from mapleshunt.simulation.state_machine_plays import PLANTS, play
+from mapleshunt.simulation.state_machine_plays import PLANTED_FAULTS, run_seed
 
 RATE, BURST = 10.0, 50.0
 
@@ -161,12 +161,12 @@
 
 
 def test_random_plays_on_replicas_violate_no_guarantee() -> None:
-    assert not {seed: said for seed in range(24) if (said := play(seed))}
+    assert not {seed: said for seed in range(24) if (said := run_seed(seed))}
 
 
-@pytest.mark.parametrize("plant", PLANTS)
+@pytest.mark.parametrize("plant", PLANTED_FAULTS)
 def test_planted_fault_is_detected(plant: str) -> None:
-    assert any(play(seed, plant) for seed in range(12))
+    assert any(run_seed(seed, plant) for seed in range(12))
 
 
 # The checkers themselves
