--- a/mapleshunt/fleet/backend.py
+++ b/mapleshunt/fleet/backend.py
@@ -17,21 +17,20 @@
 from .random_streams import BufferedDraws
 
 BackendStatus = Literal["ok", "error", "full"]
-WARMUP_STEP_MS = 100.0  # the work rate of a backend that warms up is updated at least so often
-SWEEP_INTERVAL_KEYS = 256  # keys that a store holds before expired ones are removed
-REPEAT_WORK_MS = 1.0  # work of a request whose result is stored already
-WORK_TOLERANCE_MS = 1e-9  # rounding of the work done, within which a request is finished
-REPORT_SPAN_PERIODS = 10  # a load report averages over at most so many of its periods
-AVOIDABLE_SHARE = (
-    2 / 3
-)  # share of the overload by gateways that knew of the start, from which it was avoidable
+WARMUP_STEP_MS = 100.0  # longest time between updates of a warming backend's work rate
+SWEEP_INTERVAL_KEYS = 256  # expired keys are removed at each multiple of this number of stored keys
+REPEAT_WORK_MS = 1.0  # work of a request whose result is already stored
+WORK_TOLERANCE_MS = 1e-9  # rounding tolerance within which a request's work is finished
+REPORT_SPAN_PERIODS = 10  # upper limit of a load report's averaging time, in report periods
+# A collapse was avoidable if gateways notified of the start sent at least this share of the overload.
+AVOIDABLE_SHARE = 2 / 3
 
 
 @dataclass(slots=True, eq=False)
 class BackendRequest:
     """One attempt at a backend. Times are in ms, `work_ms` is ms of a core at speed 1."""
 
-    token: object  # the host's own reference
+    token: object  # identifies the request to the host
     work_ms: float
     expires_at: float = math.inf  # when its gateway stops waiting
     idempotency_key: object = None
@@ -39,7 +38,7 @@
     gateway: int = 0
     cancelled: bool = False
     started: bool = False
-    took_effect: bool = False  # it ran, and was no repeat that the idempotency store answers
+    took_effect: bool = False  # it ran, and was not answered from the idempotency store
     work_done_ms: float = 0.0
 
 
@@ -55,16 +54,18 @@
         known = self.first_run_at.get(key)
         if known is not None and now - known <= self.window_ms:
             return False
-        held = len(self.first_run_at)
-        if held >= SWEEP_INTERVAL_KEYS and held % SWEEP_INTERVAL_KEYS == 0:
-            self.first_run_at = {k: at for k, at in self.first_run_at.items() if now - at <= self.window_ms}
+        stored_count = len(self.first_run_at)
+        if stored_count >= SWEEP_INTERVAL_KEYS and stored_count % SWEEP_INTERVAL_KEYS == 0:
+            self.first_run_at = {
+                stored_key: at for stored_key, at in self.first_run_at.items() if now - at <= self.window_ms
+            }
         self.first_run_at[key] = now
         return True
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """Load as a backend reports it: updated now and then, late, with a little noise."""
+    """Load as a backend reports it: updated periodically, with a delay and noise."""
 
     qps: float = 0.0
     latency: float = 0.0  # ms
@@ -90,57 +91,57 @@
         Args:
             number: Its number among the backends.
             parameters: The fleet's parameters.
-            speed: Its speed, 1 being a standard core's.
+            speed: Its speed relative to a standard core.
             cell: The failure domain that it belongs to.
             idempotency_store: The keys seen in its cell.
             error_draws: Uniform draws for errors and for the noise of load reports.
             overload_window_ms: The window over which arrivals during warm-up are summed.
-            overload_multiple: The multiple of its capacity in that window beyond which it collapses.
+            overload_multiple: The multiple of its capacity in that window above which it collapses.
         """
-        p = parameters
+        values = parameters
         self.number = number
         self.speed = speed
         self.cell = cell
         self.idempotency_store = idempotency_store
         self.error_draws = error_draws
-        self.cores = p["cores"]
-        self.max_concurrency = max(1, round(p["slots_per_core"] * self.cores))
-        self.max_queue_length = round(p["queue_per_core"] * self.cores)
-        self.thrash, self.thrash_at = p["thrash"], p["thrash_at"]
-        self.initial_capacity_share = p["cold_from"]
-        self.warmup_ms = p["cold_ms"]
-        self.warms_by_work = p["warm_by_work"] > 0
-        self.warmup_work_share = p["warm_work"]
-        self.error_rate = p["error_rate"]
-        self.drops_cancelled = p["drops_cancelled"] > 0
-        self.drops_expired = p["drops_expired"] > 0
-        self.max_connections = p["conn_cap_per_core"] * self.cores
-        self.connection_overhead = p["conn_tax"]
-        self.report_period, self.report_delay = p["report_period_ms"], p["report_delay_ms"]
-        self.report_noise = p["report_noise"]
-        self.overload_tolerance = p["push_slack"]
+        self.cores = values["cores"]
+        self.max_concurrency = max(1, round(values["slots_per_core"] * self.cores))
+        self.max_queue_length = round(values["queue_per_core"] * self.cores)
+        self.slowdown_per_excess, self.slowdown_from = values["thrash"], values["thrash_at"]
+        self.initial_capacity_share = values["cold_from"]
+        self.warmup_ms = values["cold_ms"]
+        self.warms_by_work = values["warm_by_work"] > 0
+        self.warmup_work_share = values["warm_work"]
+        self.error_rate = values["error_rate"]
+        self.drops_cancelled = values["drops_cancelled"] > 0
+        self.drops_expired = values["drops_expired"] > 0
+        self.max_connections = values["conn_cap_per_core"] * self.cores
+        self.connection_overhead = values["conn_tax"]
+        self.report_period, self.report_delay = values["report_period_ms"], values["report_delay_ms"]
+        self.report_noise = values["report_noise"]
+        self.overload_tolerance = values["push_slack"]
         self.overload_window_ms = overload_window_ms
         self.overload_multiple = overload_multiple
         self.up = True
         self.silent = False  # its machine does not respond
         self.collapsed = False
-        self.collapse_was_avoidable = False  # most of the overload came from gateways that knew of its start
-        self.started_at = 0.0  # 0: long ago
+        self.collapse_was_avoidable = False  # see AVOIDABLE_SHARE
+        self.started_at = 0.0  # 0: before the run, so it is warm
         self.warmup_work_done = math.inf  # work done since the start
         self.connections = 0
-        self.work_done_ms = 0.0  # of a core, in all
+        self.work_done_ms = 0.0  # total, of a core
         self._reset()
 
     def _reset(self) -> None:
-        """Forget what a process holds in memory."""
-        # Work done for each running request as of `advanced_to`, and how fast it grows (a ms).
+        """Clear the state that a process holds in memory."""
+        # Work done for each running request as of `advanced_to`, and its growth per ms.
         self.advanced_to, self.work_per_request, self.work_rate = 0.0, 0.0, 0.0
         self.running: list[tuple[float, int, BackendRequest]] = []
         self.queue: deque[BackendRequest] = deque()
         self.running_count = 0
         self.sequence = 0
         self.next_event_at = math.inf
-        # Arrivals while it warms up: when, work, whether the sender knew of the start.
+        # Arrivals during warm-up: time, work, whether the sender was notified of the start.
         self.warmup_arrivals: deque[tuple[float, float, bool]] = deque()
         self.warmup_arrival_work = 0.0
         self.load_reports: deque[tuple[float, LoadReport]] = deque([(-math.inf, LoadReport())])
@@ -155,18 +156,18 @@
         if not self.started_at:
             return 1.0
         progress = (now - self.started_at) / self.warmup_ms
-        if self.warms_by_work:  # kept busy it is warm sooner; never later than by time
+        if self.warms_by_work:  # work can only shorten the warm-up
             full_work = self.warmup_work_share * self.warmup_ms * self.cores
             progress = max(progress, self.warmup_work_done / full_work)
         return min(1.0, self.initial_capacity_share + (1 - self.initial_capacity_share) * progress)
 
     def capacity(self, now: float) -> float:
-        """Return the work it can do now, in ms of a standard core for each ms."""
+        """Return the work it can do now, in ms of a standard core per ms."""
         free_share = 1 - self.connection_overhead * min(1.0, self.connections / self.max_connections)
         return self.cores * self.speed * self.capacity_share(now) * free_share
 
     def in_flight(self) -> int:
-        """Return how many requests run or are queued."""
+        """Return the number of running and queued requests."""
         return self.running_count + len(self.queue)
 
     # Events
@@ -174,17 +175,16 @@
     def offer(
         self, now: float, request: BackendRequest, sender_knows_start: bool = True
     ) -> tuple[BackendStatus | None, list[BackendRequest]]:
-        """Receive a request.
+        """Receive a request. During warm-up, rejected requests count towards a collapse too.
 
         Args:
             now: The time.
-            request: What arrives.
-            sender_knows_start: Its gateway was notified of the backend's last start. Requests that are
-                rejected count towards a collapse too.
+            request: The request that arrives.
+            sender_knows_start: Whether its gateway was notified of the backend's last start.
 
         Returns:
             "full" if it was rejected and never ran, None if it was accepted; and the requests that finished
-            meanwhile.
+            by now.
         """
         finished = self.advance(now)
         if not self.up:
@@ -203,7 +203,7 @@
         return None, finished
 
     def cancel(self, request: BackendRequest) -> None:
-        """Mark a request as cancelled. A running one goes on; a queued one may be dropped later."""
+        """Mark a request as cancelled. A running one continues; a queued one may be dropped later."""
         request.cancelled = True
 
     def advance(self, now: float) -> list[BackendRequest]:
@@ -224,11 +224,11 @@
         return finished
 
     def draw_status(self) -> BackendStatus:
-        """Draw how a request that ran to its end is answered."""
+        """Draw the status of a request that ran to completion."""
         return "error" if self.error_rate and self.error_draws.next() < self.error_rate else "ok"
 
     def add_connection_work(self, now: float, work_ms: float) -> None:
-        """Do work beside the queue, such as a handshake; it delays the running requests."""
+        """Add work outside the queue, such as a handshake; it delays the running requests."""
         self._run_until(now)
         if self.running_count:
             self.work_per_request -= work_ms / self.running_count
@@ -236,17 +236,17 @@
         self.reschedule(now)
 
     def crash(self, now: float) -> list[BackendRequest]:
-        """End the process and return the requests that it held."""
+        """End the process and return its running and queued requests."""
         self._run_until(now)
-        held = [entry[2] for entry in self.running] + list(self.queue)
+        interrupted = [entry[2] for entry in self.running] + list(self.queue)
         self._reset()
         self.up = False
         self.advanced_to = now
         self.connections = 0
-        return held
+        return interrupted
 
     def start(self, now: float) -> None:
-        """Start the process; it warms up from now on."""
+        """Start the process and its warm-up."""
         self.up = True
         self.silent = False
         self.advanced_to = now
@@ -288,7 +288,7 @@
         work_ms = request.work_ms
         key = request.idempotency_key
         if key is not None and not self.idempotency_store.is_first_run(key, now):
-            work_ms = min(work_ms, REPEAT_WORK_MS)  # the stored result is sent again
+            work_ms = min(work_ms, REPEAT_WORK_MS)  # only sends the stored result
         else:
             request.took_effect = True
         request.work_done_ms = work_ms
@@ -304,26 +304,26 @@
             self.advanced_to = now
 
     def _work_rate(self, now: float) -> float:
-        """Return the work done for each running request in a ms."""
+        """Return the work done for each running request per ms."""
         if not self.running_count:
             return 0.0
-        excess = max(0.0, self.in_flight() / self.cores - self.thrash_at)
-        share = min(1.0, self.cores / self.running_count)
-        return self.capacity(now) / self.cores * share / (1 + self.thrash * excess)
+        excess = max(0.0, self.in_flight() / self.cores - self.slowdown_from)
+        core_share = min(1.0, self.cores / self.running_count)
+        return self.capacity(now) / self.cores * core_share / (1 + self.slowdown_per_excess * excess)
 
     def reschedule(self, now: float) -> None:
-        """Update the work rate, and when the next request finishes or the rate has to be updated again."""
+        """Update the work rate and the time of the next event: a completion or a rate update."""
         self.work_rate = self._work_rate(now)
         if not self.running or self.work_rate <= 0:
             self.next_event_at = math.inf
             return
-        left = max(0.0, self.running[0][0] - self.work_per_request)
-        self.next_event_at = now + left / self.work_rate
+        remaining_work = max(0.0, self.running[0][0] - self.work_per_request)
+        self.next_event_at = now + remaining_work / self.work_rate
         if self.started_at and now - self.started_at < self.warmup_ms:
             self.next_event_at = min(self.next_event_at, now + WARMUP_STEP_MS)
 
     def _record_warmup_arrival(self, now: float, work_ms: float, sender_knows_start: bool) -> None:
-        """Count an arrival during warm-up; over the budget of its window the backend collapses for good."""
+        """Record an arrival during warm-up; beyond the window's budget the backend collapses for good."""
         window = self.overload_window_ms
         self.warmup_arrivals.append((now, work_ms, sender_knows_start))
         self.warmup_arrival_work += work_ms
@@ -332,5 +332,5 @@
         budget = self.overload_multiple * self.capacity(now) * window * (1 + self.overload_tolerance)
         if self.warmup_arrival_work > budget:
             self.collapsed = True
-            avoidable_work = sum(work for _, work, knew in self.warmup_arrivals if knew)
+            avoidable_work = sum(work for _, work, knows_start in self.warmup_arrivals if knows_start)
             self.collapse_was_avoidable = avoidable_work >= AVOIDABLE_SHARE * self.warmup_arrival_work
--- a/mapleshunt/fleet/clients.py
+++ b/mapleshunt/fleet/clients.py
@@ -1,7 +1,7 @@
-"""Clients and the front: which requests arrive when, through which gateway, and how clients retry.
+"""Clients and the front: arrival times of requests, choice of gateways, and retries.
 
 The first attempts of requests are drawn in advance and do not depend on responses; whether and when a client
-retries is decided by `ClientBehaviour` from the result that it got.
+retries is decided by `ClientBehaviour` from the result of its last attempt.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 ClientResult = Literal["served", "refused", "failed", "unreachable", "late"]
 CustomerKind = Literal["calm", "full", "heavy", "spiky"]
 Floats = npt.NDArray[np.float64]
-RATE_STEP_MS = 250.0  # a customer's rate is constant over such a step
+RATE_STEP_MS = 250.0  # a customer's rate is constant within a step
 MS_PER_SECOND = 1000
-BURST_RAMP_MS = 1000.0  # over which a plan's burst rises and falls
-GATEWAY_SET_SIZES = (2, 4)  # least and greatest size of a customer's set of gateways
-HEAVY_SHARE_INSIDE = 0.97  # of the rate of a customer that sends too much, what its quota admits
-SPIKE_BUCKET_USE = 0.7  # of a bucket's burst that a spike uses
+BURST_RAMP_MS = 1000.0  # duration of the rise and of the fall of a plan's burst
+GATEWAY_SET_SIZES = (2, 4)  # minimum and maximum size of a customer's gateway set
+HEAVY_SHARE_INSIDE = 0.97  # share of its plan's rate admitted for a customer that exceeds it
+SPIKE_BUCKET_USE = 0.7  # share of a bucket's burst that a spike uses
 NOISE_SEED_LIMIT = 1 << 30
 MEAN_UNITS_SEED, MEAN_UNITS_SAMPLE = 7, 20000
 
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """A customer: its plan (by number), its mean rate (units a second), and its set of gateways.
+    """A customer: its plan (by number), its mean rate (units a second), and its gateway set.
 
-    The set are `gateway_set_size` gateways from `first_gateway` on, in a ring.
+    The set is `gateway_set_size` consecutive gateways from `first_gateway` on, as in a ring.
     """
 
     name: str
@@ -53,49 +53,49 @@
     arrives_at: float  # ms
     customer: int
     class_index: int
-    work_ms: float  # of a core
-    units: float  # true ones
+    work_ms: float  # on a core at speed 1
+    units: float  # true units
     estimated_units: float
     gateway_draw: float  # chooses among the gateways of the set
-    timeout_share: float  # of the deadline, that an attempt waits
+    timeout_share: float  # share of the deadline after which an attempt times out
     retry_after_draw: float  # the client respects Retry-After if this is below its probability
-    noise_offset: int  # where in the table of attempt noise this request begins
+    noise_offset: int  # index of its first attempt in the table of attempt noise
 
 
 @dataclass(slots=True)
 class Traffic:
-    """The customers and all requests of a run, by time."""
+    """The customers of a run, and all its requests in order of time."""
 
     customers: Sequence[Customer]
     requests: Sequence[ClientRequest]
-    weights: Floats  # [shift, customer, place in the set], cumulative
+    weights: Floats  # [shift, customer, position in the set], cumulative
     shift_ms: float  # after which the weights are drawn anew
 
     def pick_gateway(
         self, customer: int, now: float, draw: float, gateways: int, avoid: frozenset[int] | set[int]
     ) -> int:
-        """Return the gateway for a request now: by the set's weights, without those in `avoid`.
+        """Return the gateway for a request sent now, by the set's weights, skipping those in `avoid`.
 
-        If all of the set are in `avoid`, the one that the weights choose.
+        If all gateways of the set are in `avoid`, the choice by weight stands.
         """
-        who = self.customers[customer]
+        sender = self.customers[customer]
         rows = self.weights[min(int(now / self.shift_ms), len(self.weights) - 1), customer]
-        place = 0
-        while place < who.gateway_set_size - 1 and draw >= rows[place]:
-            place += 1
-        for step in range(who.gateway_set_size):
-            gateway = (who.first_gateway + (place + step) % who.gateway_set_size) % gateways
+        position = 0
+        while position < sender.gateway_set_size - 1 and draw >= rows[position]:
+            position += 1
+        for step in range(sender.gateway_set_size):
+            gateway = (sender.first_gateway + (position + step) % sender.gateway_set_size) % gateways
             if gateway not in avoid:
                 return gateway
-        return (who.first_gateway + place) % gateways
+        return (sender.first_gateway + position) % gateways
 
 
 def draw_customers(parameters: Parameters, gateways: int, units_per_s: float, rng: Rng) -> list[Customer]:
-    """Draw customers whose usage inside quotas sums up to `units_per_s`, by the plans' shares."""
-    least, most = GATEWAY_SET_SIZES
+    """Draw customers whose usage inside quotas adds up to `units_per_s`, by the plans' shares."""
+    min_size, max_size = GATEWAY_SET_SIZES
     customers: list[Customer] = []
     for number, plan in enumerate(parameters.plans):
-        set_size = max(min(least, gateways), min(most, round(plan.gateway_share * gateways)))
+        set_size = max(min(min_size, gateways), min(max_size, round(plan.gateway_share * gateways)))
         remaining = plan.share * units_per_s
         while remaining > 0:
             kind, sent, admitted = _draw_kind(parameters, plan, rng)
@@ -107,27 +107,27 @@
 
 
 def _draw_kind(parameters: Parameters, plan: PlanParameters, rng: Rng) -> tuple[CustomerKind, float, float]:
-    """Draw a customer's kind, and of its plan's rate the shares that it sends and that the quota admits."""
-    chance = float(rng.random())
-    usual = parameters["calm_use"] * float(rng.uniform(0.6, 1.4))
-    if chance < parameters["full"]:
+    """Draw a customer's kind, and the shares of its plan's rate that it sends and that its quota admits."""
+    kind_draw = float(rng.random())
+    usual_share = parameters["calm_use"] * float(rng.uniform(0.6, 1.4))
+    if kind_draw < parameters["full"]:
         sent = float(rng.uniform(0.85, 1.0))
         return "full", sent, sent
-    if chance < parameters["full"] + parameters["heavy"]:
+    if kind_draw < parameters["full"] + parameters["heavy"]:
         return "heavy", parameters["heavy_x"], HEAVY_SHARE_INSIDE
-    if chance < parameters["full"] + parameters["heavy"] + parameters["spiky"]:
-        # A spike uses what the bucket holds, and the whole rate while it lasts.
+    if kind_draw < parameters["full"] + parameters["heavy"] + parameters["spiky"]:
+        # A spike uses the units stored in the bucket, and the whole rate while it lasts.
         spike_share = parameters["spike_ms"] / parameters["spike_every_ms"]
         stored = plan.burst / plan.rate / (parameters["spike_every_ms"] / MS_PER_SECOND)
-        admitted = min(1.0, usual + spike_share * (1 - usual) + SPIKE_BUCKET_USE * stored)
-        return "spiky", usual, admitted
-    return "calm", usual, usual
+        admitted = min(1.0, usual_share + spike_share * (1 - usual_share) + SPIKE_BUCKET_USE * stored)
+        return "spiky", usual_share, admitted
+    return "calm", usual_share, usual_share
 
 
 def draw_rates(
     parameters: Parameters, customers: Sequence[Customer], length_ms: float, faults: Sequence[Fault], rng: Rng
 ) -> Floats:
-    """Draw multiples of each customer's rate, [customer, step]: daily wave, heavy spells, spikes, bursts."""
+    """Draw multiples of each customer's rate, [customer, step]: a slow wave, heavy spells, spikes, bursts."""
     steps = math.ceil(length_ms / RATE_STEP_MS)
     times = np.asarray((np.arange(steps) + 0.5) * RATE_STEP_MS, dtype=np.float64)
     period = float(rng.uniform(0.6, 1.2)) * max(length_ms, 1.0)
@@ -145,7 +145,7 @@
 def _apply_heavy_spells(
     parameters: Parameters, row: Floats, times: Floats, length_ms: float, rng: Rng
 ) -> None:
-    """Alternate long spells far over the quota with spells that use nearly all of it."""
+    """Alternate long spells far above the quota with spells that use nearly all of it."""
     low = 0.9 / parameters["heavy_x"]
     at = -float(rng.random()) * parameters["heavy_spell_ms"]
     over_quota = bool(rng.random() < 0.6)
@@ -191,12 +191,12 @@
 
 
 def units_for_work(parameters: Parameters, work: Floats) -> Floats:
-    """Return the true units of requests with this work."""
+    """Return the true units of requests with this work (ms)."""
     return np.clip(np.ceil(work / parameters["unit_ms"]), 1, parameters["most_units"])
 
 
 def mean_units(parameters: Parameters) -> float:
-    """Return the mean true units of a request, by a fixed sample."""
+    """Return the mean true units of a request, from a fixed sample."""
     rng = np.random.default_rng(MEAN_UNITS_SEED)
     return float(
         sum(
@@ -228,10 +228,10 @@
     streams: RandomStreams,
 ) -> Traffic:
     """Draw the traffic of given customers with given multiples of their rates, [customer, rate step]."""
-    per_request = mean_units(parameters)
+    units_per_request = mean_units(parameters)
     rng = streams.generator("arrivals")
-    usual = np.array([customer.rate for customer in customers]) / per_request  # requests a second
-    counts = rng.poisson(usual[:, None] * rates * RATE_STEP_MS / MS_PER_SECOND)
+    usual_rates = np.array([customer.rate for customer in customers]) / units_per_request  # requests a second
+    counts = rng.poisson(usual_rates[:, None] * rates * RATE_STEP_MS / MS_PER_SECOND)
     customer, step = np.nonzero(counts)
     repeats = counts[customer, step]
     customer, step = np.repeat(customer, repeats), np.repeat(step, repeats)
@@ -261,8 +261,8 @@
         drawn = lognormal(sizes, cls.work, cls.cv, size)
         work = np.where(class_index == number, drawn, work)
     units = units_for_work(parameters, work)
-    error = lognormal(sizes, 1.0, parameters["guess_cv"], size)
-    estimated_units = np.clip(np.round(units * error), 1, parameters["most_units"])
+    estimate_error = lognormal(sizes, 1.0, parameters["guess_cv"], size)
+    estimated_units = np.clip(np.round(units * estimate_error), 1, parameters["most_units"])
     gateway_draw = retries.random(size)
     timeout_share = retries.uniform(parameters["try_share"], 1, size)
     retry_after_draw = retries.random(size)
@@ -281,7 +281,7 @@
     length_ms: float,
     streams: RandomStreams,
 ) -> Floats:
-    """Draw cumulative weights of the gateways of each set, [shift, customer, place], anew at every shift."""
+    """Draw cumulative weights of each set's gateways, [shift, customer, position], anew at every shift."""
     rng = streams.generator("spread")
     shifts = math.ceil(length_ms / parameters["shift_ms"]) + 1
     largest_set = max((customer.gateway_set_size for customer in customers), default=1)
@@ -313,17 +313,17 @@
         retry_after: float,
         idempotent: bool,
     ) -> float | None:
-        """Return how long after a result the client retries (ms), or None if it does not.
+        """Return the delay between a result and the client's retry (ms), or None if it does not retry.
 
-        An idempotent request is retried after any failure; another only after a rejection, or when no
-        gateway could be reached.
+        An idempotent request is retried after any failure; any other only after a rejection, or when its
+        gateway could not be reached.
 
         Args:
             request: The request.
-            attempts: How many attempts its client has made.
-            result: How the last one ended.
+            attempts: The number of attempts that its client has made.
+            result: The result of the last attempt.
             retry_after: The Retry-After that came with it (ms); 0 for none.
-            idempotent: The request may be repeated without harm.
+            idempotent: Whether the request may be repeated without harm.
         """
         if result == "served" or attempts > self.max_retries:
             return None
@@ -337,6 +337,6 @@
         return delay
 
     def retry_gateway_draw(self, request: ClientRequest, attempts: int) -> float:
-        """Return the draw for a retry's gateway: mostly the first attempt's, or one drawn anew."""
+        """Return the draw for a retry's gateway: the first attempt's, or by chance another one."""
         draw = (request.noise_offset * (attempts + 7) * 2654435761) % 1048573 / 1048573
         return request.gateway_draw if draw > self.other_gateway_probability else (draw * 7919) % 1.0
--- a/mapleshunt/fleet/counter.py
+++ b/mapleshunt/fleet/counter.py
@@ -1,4 +1,4 @@
-"""The shared counter: a server that adds to named values, one call at a time, and its failure modes."""
+"""The shared counter: a server that adds to named values, one call at a time, and its faults."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from .parameters import Parameters
 
 CounterStatus = Literal["ok", "full", "unreachable"]
-CounterOutage = Literal["", "refusing", "silent"]  # "": it works
+CounterOutage = Literal["", "refusing", "silent"]  # "": no outage
 MAX_LIFETIME_MS = 60000.0
-SWEEP_INTERVAL_VALUES = 4096  # values held after which expired ones are removed
-SIGNIFICANT_DIGITS = 7  # of a total, as the counter keeps it
+SWEEP_INTERVAL_VALUES = 4096  # expired values are removed at each multiple of this number of values
+SIGNIFICANT_DIGITS = 7  # precision of a stored total
 MAIN_PARTITION, SPLIT_PARTITION = 0, 1
 
 
@@ -41,10 +41,10 @@
     def call(
         self, now: float, name: int, amount: float, lifetime: float, gateway: int = 0
     ) -> tuple[CounterStatus, float, float]:
-        """Add `amount` to the value `name`, which lives `lifetime` ms if it is new.
+        """Add `amount` to the value `name`, which expires after `lifetime` ms if it is new.
 
         Returns:
-            The status, when the reply leaves, and the total. A silent counter replies at infinity.
+            The status, the time of the reply, and the total. A silent counter replies at infinity.
         """
         self.calls += 1
         if self.outage == "refusing":
@@ -60,11 +60,11 @@
         return "ok", at, value.total
 
     def empty(self) -> None:
-        """Replace the counter: all values start at zero."""
+        """Delete all values, as after a restart without data."""
         self.partitions = {MAIN_PARTITION: {}}
 
     def split(self, gateways: frozenset[int]) -> None:
-        """Give these gateways a partition of their own, a copy as of now; an empty set drops it."""
+        """Give these gateways a partition that starts as a copy of the main one; an empty set removes it."""
         self.split_gateways = gateways
         if gateways:
             self.partitions[SPLIT_PARTITION] = {
@@ -75,7 +75,7 @@
             self.partitions.pop(SPLIT_PARTITION, None)
 
     def _value(self, name: int, at: float, lifetime: float, gateway: int) -> CounterValue:
-        """Return the live value `name` of the gateway's partition, a new one if there is none at `at`."""
+        """Return the value `name` of the gateway's partition, created if it is missing or expired at `at`."""
         if gateway in self.split_gateways:
             values = self.partitions.setdefault(SPLIT_PARTITION, {})
         else:
@@ -83,7 +83,7 @@
         value = values.get(name)
         if value is None or value.expires_at < at:
             if len(values) >= SWEEP_INTERVAL_VALUES and len(values) % SWEEP_INTERVAL_VALUES == 0:
-                for expired in [key for key, held in values.items() if held.expires_at < at]:
+                for expired in [key for key, stored in values.items() if stored.expires_at < at]:
                     del values[expired]
             value = values[name] = CounterValue(0.0, at + min(lifetime, MAX_LIFETIME_MS))
         return value
--- a/mapleshunt/fleet/discovery.py
+++ b/mapleshunt/fleet/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the endpoint list, and when each gateway receives a change of it (late, in order, complete)."""
+"""Discovery: the endpoint list, and when gateways receive its changes (late, in order, complete)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """One endpoint of the list. `started_at` is in ms; 0 for one that has run for long."""
+    """One endpoint of the list. `started_at` is in ms; 0 if it started before the run."""
 
     endpoint: int
     cell: int
@@ -22,7 +22,7 @@
 
 
 class Discovery:
-    """The endpoint list and the deliveries that are on their way. Times are in ms."""
+    """The endpoint list and the delivery times of its changes. Times are in ms."""
 
     def __init__(self, parameters: Parameters, rng: Rng) -> None:
         self.parameters = parameters
@@ -35,7 +35,7 @@
     ) -> list[tuple[float, int]]:
         """Apply a change and return (time of delivery, gateway) for each gateway.
 
-        A start is noticed soon, an end later, and the end of an unresponsive machine (`silent`) later still.
+        Starts, ends and ends of unresponsive machines (`silent`) are noticed after delays of their own.
         """
         self.entries[entry.endpoint] = entry
         noticed_at = now + self._notice_delay(entry, silent)
--- a/mapleshunt/fleet/network.py
+++ b/mapleshunt/fleet/network.py
@@ -1,4 +1,4 @@
-"""The network between machines: delays with jitter, lost messages, and the intake limit of a gateway."""
+"""The network between machines: delays with jitter, message loss, and a limit on received messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 MS_PER_SECOND = 1000.0
 # The positions are the numbers of the random streams of each kind of path.
 STREAM_NAMES = ("backend", "client", "peer", "loss")
-BURST_SECONDS = 0.25  # of its rate that a limiter lets through at once
+BURST_SECONDS = 0.25  # seconds of a limiter's rate that it accepts at once
 
 
 class Network:
@@ -20,14 +20,14 @@
 
         def path(name: str, mean: float) -> BufferedDraws:
             rng = rngs[name]
-            return BufferedDraws(lambda n: mean * (1 - jitter + rng.exponential(jitter, n)))
+            return BufferedDraws(lambda count: mean * (1 - jitter + rng.exponential(jitter, count)))
 
         self.backend_delay = path("backend", parameters["same_ms"])
         self.client_delay = path("client", parameters["client_ms"])
         self.peer_delay = path("peer", parameters["peer_ms"])
-        self.loss_draws = BufferedDraws(lambda n: rngs["loss"].random(n))
+        self.loss_draws = BufferedDraws(lambda count: rngs["loss"].random(count))
         self.loss_rate = parameters["peer_loss"]
-        self.partition: frozenset[int] = frozenset()  # gateways that cannot reach the others, nor be reached
+        self.partition: frozenset[int] = frozenset()  # gateways cut off from the others
 
     def peer_message_delay(self, sender: int, receiver: int) -> float | None:
         """Return the delay of a message between gateways, or None if it is lost."""
--- a/mapleshunt/fleet/parameters.py
+++ b/mapleshunt/fleet/parameters.py
@@ -1,7 +1,7 @@
-"""Parameters of an emulated fleet: each by name, with its range, and whether it is documented or guessed.
+"""Parameters of an emulated fleet, by name, with their ranges.
 
-A range that the operators' pages give is documented; one that is only plausible is marked as guessed, and an
-experiment that depends on it should sweep it.
+Ranges come from the operators' pages, except those marked as guessed, which are only plausible: an experiment
+that depends on one should sweep it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ParameterError(ValueError):
-    """An override names no parameter, or its value is not a number of 0 or more."""
+    """An override has an unknown name, or a value that is not a finite number of 0 or more."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,32 +40,31 @@
     "speed_cv": ParameterRange(0.034, 0.23),
     "slots_per_core": ParameterRange(2, 6),
     "queue_per_core": ParameterRange(8.6, 27),
-    "thrash": ParameterRange(
-        0.068, 0.21
-    ),  # part of its efficiency lost for each request a core holds beyond `thrash_at`
+    # Relative slowdown for each request per core beyond `thrash_at`.
+    "thrash": ParameterRange(0.068, 0.21),
     "thrash_at": ParameterRange(3.5, 7.6),
     "cold_from": ParameterRange(0.25, 0.48),
     "cold_ms": ParameterRange(5200, 15000),
-    "warm_by_work": ParameterRange(0, 0),  # 1: warms with the work done, never slower than by time
-    "warm_work": ParameterRange(
-        0.15, 0.25, guessed=True
-    ),  # work that warms it, as a part of what it does warm in that time
+    "warm_by_work": ParameterRange(0, 0),  # 1: work done shortens the warm-up
+    # Work that completes the warm-up, as a share of a warm backend's work in that time.
+    "warm_work": ParameterRange(0.15, 0.25, guessed=True),
     "error_rate": ParameterRange(0, 0.001),
-    "drops_cancelled": ParameterRange(0, 1, integral=True),  # queued requests that were cancelled are dropped
+    "drops_cancelled": ParameterRange(
+        0, 1, integral=True
+    ),  # 1: queued requests that were cancelled do not run
     "drops_expired": ParameterRange(0, 1, integral=True),
     "handshake_rtts": ParameterRange(1, 3, integral=True),
     "handshake_work": ParameterRange(0.64, 1.7),
     "conn_cap_per_core": ParameterRange(430, 890),
-    "conn_tax": ParameterRange(0.031, 0.15),  # part of its capacity that a full connection table takes
+    "conn_tax": ParameterRange(0.031, 0.15),  # share of capacity that a full connection table costs
     "conn_idle_ms": ParameterRange(30000, 30000),
     "dial_ms": ParameterRange(250, 250),  # timeout of a connection attempt
     "report_period_ms": ParameterRange(180, 720),
     "report_delay_ms": ParameterRange(2.9, 280),
     "report_noise": ParameterRange(0.048, 0.11),
     "cell_size": ParameterRange(3, 5, integral=True),
-    "push_slack": ParameterRange(
-        0.1, 0.1, guessed=True
-    ),  # tolerance of the budget beyond which a backend collapses
+    # Tolerance of the overload budget above which a backend collapses.
+    "push_slack": ParameterRange(0.1, 0.1, guessed=True),
     # Network.
     "same_ms": ParameterRange(0.085, 0.25),  # one way, gateway to backend
     "client_ms": ParameterRange(0.22, 1.2),
@@ -83,11 +82,11 @@
     "counter_per_s": ParameterRange(750, 1000),
     "counter_ms": ParameterRange(0.59, 1.8),
     "counter_wait_ms": ParameterRange(80, 80),
-    "counter_line": ParameterRange(0.4, 3.0),  # length of its queue, in timeouts of a call
+    "counter_line": ParameterRange(0.4, 3.0),  # longest queue, in timeouts of a call
     # Front and clients.
     "front_notice_ms": ParameterRange(1600, 3200),
     "retries": ParameterRange(2, 3.99),
-    "try_share": ParameterRange(0.5, 1),  # least share of the deadline that an attempt waits
+    "try_share": ParameterRange(0.5, 1),  # least timeout of an attempt, as a share of the deadline
     "backoff_ms": ParameterRange(50, 400),
     "backoff_grows": ParameterRange(0, 1, integral=True),
     "honour": ParameterRange(0.56, 0.97),
@@ -105,7 +104,7 @@
     "spike_x": ParameterRange(2.3, 7.5),
     "spike_ms": ParameterRange(580, 5000),
     "spike_every_ms": ParameterRange(13000, 21000),
-    # Units: true ones follow the work, estimates are off by a lognormal factor.
+    # Units: true units follow the work, estimates differ by a lognormal factor.
     "unit_ms": ParameterRange(45, 75, guessed=True),
     "guess_cv": ParameterRange(0.4, 0.7),
     "most_units": ParameterRange(8, 8, integral=True),
@@ -116,8 +115,8 @@
 class ClassParameters:
     """A request class.
 
-    `share` of all requests, mean `work` in ms of a core, its coefficient of variation `cv` over requests and
-    `noise` over the attempts of one request.
+    `share` of all requests, mean `work` in ms of a core, coefficients of variation of the work: `cv` over
+    requests and `noise` over the attempts of one request.
     """
 
     name: str
@@ -138,7 +137,7 @@
     burst: float  # units
     price: float
     over_quota_cost: float
-    gateway_share: float  # part of the gateways that a customer's set holds
+    gateway_share: float  # share of the gateways in a customer's gateway set
 
 
 CLASS_RANGES = {
@@ -206,23 +205,23 @@
         """Return the same fleet with some parameters changed.
 
         Raises:
-            ParameterError: A name is no parameter, or a value is not a number of 0 or more.
+            ParameterError: A name is unknown, or a value is not a finite number of 0 or more.
         """
         check_overrides(changes)
         return replace(self, values={**self.values, **changes})
 
 
 def check_overrides(changes: Mapping[str, object]) -> None:
-    """Check names and values that are to replace drawn ones.
+    """Check the names and values of overrides.
 
     Raises:
-        ParameterError: A name is no parameter, or a value is not a finite number of 0 or more.
+        ParameterError: A name is unknown, or a value is not a finite number of 0 or more.
     """
     for name, value in changes.items():
         if name not in PARAMETER_RANGES:
-            raise ParameterError(f"{name!r} is no parameter of the fleet")
+            raise ParameterError(f"unknown fleet parameter {name!r}")
         if not isinstance(value, (int, float)) or not np.isfinite(value) or value < 0:
-            raise ParameterError(f"{name} must be a number of 0 or more, not {value!r}")
+            raise ParameterError(f"{name} must be a finite number of 0 or more, got {value!r}")
 
 
 def draw_parameters(
@@ -230,15 +229,15 @@
     fixed: Mapping[str, float] | None = None,
     ranges: Mapping[str, ParameterRange] | None = None,
 ) -> Parameters:
-    """Draw a fleet. Every range is drawn whatever is fixed, so that fixing one parameter moves no other.
+    """Draw a fleet. Fixed parameters are drawn too, so that fixing one changes no other.
 
     Args:
-        rng: Where all draws come from.
-        fixed: Values that replace drawn ones.
+        rng: The generator of all draws.
+        fixed: Values that replace drawn values.
         ranges: Ranges that replace those of `PARAMETER_RANGES`.
 
     Raises:
-        ParameterError: `fixed` names no parameter, or a value is not a number of 0 or more.
+        ParameterError: A name in `fixed` is unknown, or a value is not a finite number of 0 or more.
     """
     check_overrides(fixed or {})
     effective = {**PARAMETER_RANGES, **(ranges or {})}
@@ -254,8 +253,8 @@
     for name, ranges in CLASS_RANGES.items():
         drawn = {field: float(rng.uniform(*limits)) for field, limits in ranges.items()}
         classes.append(ClassParameters(name, **drawn))
-    total = sum(one.share for one in classes)
-    return tuple(replace(one, share=one.share / total) for one in classes)
+    total = sum(request_class.share for request_class in classes)
+    return tuple(replace(request_class, share=request_class.share / total) for request_class in classes)
 
 
 def _draw_plans(rng: Rng, most_units: float) -> tuple[PlanParameters, ...]:
@@ -277,5 +276,5 @@
 
 
 def guessed_parameters() -> list[str]:
-    """Return the names of the parameters that no page documents."""
-    return [name for name, span in PARAMETER_RANGES.items() if span.guessed]
+    """Return the names of the parameters whose ranges are guessed."""
+    return [name for name, limits in PARAMETER_RANGES.items() if limits.guessed]
--- a/mapleshunt/fleet/random_streams.py
+++ b/mapleshunt/fleet/random_streams.py
@@ -8,9 +8,9 @@
 import numpy as np
 
 Rng = np.random.Generator
-BLOCK_SIZE = 4096  # draws that are made at once: a call into numpy costs about a microsecond
+BLOCK_SIZE = 4096  # draws made at once, as a call into numpy costs about a microsecond
 SEED_LIMIT = 1 << 62
-# The names of purposes are keys of the streams: renaming one changes every run that draws from it.
+# The names of purposes are keys of the streams: renaming one changes all runs that draw from it.
 INSTALLATION_PURPOSES = ("figures", "load", "customers", "speeds")  # drawn once for an installation
 
 
@@ -18,7 +18,7 @@
     """Independent generators by name from one seed (numpy's `SeedSequence`, keyed by the name)."""
 
     def __init__(self, seed: int, installation_seed: int | None = None) -> None:
-        """Args: `installation_seed` is the seed of what stays from day to day; None takes the day's own."""
+        """Args: `installation_seed` replaces `seed` for `INSTALLATION_PURPOSES`, unless it is None."""
         self.seed = seed
         self.installation_seed = seed if installation_seed is None else installation_seed
 
@@ -34,7 +34,7 @@
 
 
 class BufferedDraws:
-    """Single floats from a function that draws `n` at once. Each block is handed out from its end."""
+    """Single floats from a function that draws blocks. Each block is consumed from its end."""
 
     __slots__ = ("buffer", "generate")
 
--- a/mapleshunt/simulation/backend_execution.py
+++ b/mapleshunt/simulation/backend_execution.py
@@ -22,7 +22,7 @@
         effect_ran: Callable[[BackendRequest], None],
         respond: Callable[[ClientAttempt, UpstreamAttempt, str], None],
     ) -> None:
-        """Args: `effect_ran` hears of each effect, `respond` sends an attempt's status to its gateway."""
+        """Args: `effect_ran` is called for each effect, `respond` sends a status to an attempt's gateway."""
         self._event_queue = event_queue
         self._effect_ran = effect_ran
         self._respond = respond
@@ -30,16 +30,16 @@
         self.in_progress: dict[int, dict[BackendRequest, tuple[ClientAttempt, UpstreamAttempt]]] = {}
 
     def add_backend(self, number: int) -> None:
-        """Set up a new backend."""
+        """Add a new backend."""
         self.in_progress[number] = {}
         self._wake_at[number] = NEVER
 
-    def begin(self, one: ClientAttempt, attempt: UpstreamAttempt) -> None:
-        """Keep an attempt that arrived, until its backend ends it."""
-        self.in_progress[attempt.endpoint][attempt.backend_request] = (one, attempt)
+    def begin(self, client_attempt: ClientAttempt, attempt: UpstreamAttempt) -> None:
+        """Track an attempt that arrived, until its backend ends it."""
+        self.in_progress[attempt.endpoint][attempt.backend_request] = (client_attempt, attempt)
 
     def discard(self, attempt: UpstreamAttempt) -> None:
-        """Forget an attempt, if it is in progress: nobody waits for its response."""
+        """Stop tracking an attempt whose gateway no longer waits for the response."""
         self.in_progress[attempt.endpoint].pop(attempt.backend_request, None)
 
     def schedule(self, backend: Backend) -> None:
@@ -58,25 +58,25 @@
         self.schedule(backend)
 
     def advance(self, backend: Backend) -> None:
-        """Advance a backend to the present, and respond to what it finished."""
+        """Advance a backend to the present, and respond to the requests that it finished."""
         self.finish(backend, backend.advance(self._event_queue.now))
 
-    def finish(self, backend: Backend, ended: list[BackendRequest]) -> None:
+    def finish(self, backend: Backend, finished: list[BackendRequest]) -> None:
         """Respond to the requests that a backend ended."""
         in_progress = self.in_progress[backend.number]
-        for request in ended:
+        for request in finished:
             if request.took_effect:
                 self._effect_ran(request)
-            found = in_progress.pop(request, None)
-            if found is not None and not request.cancelled:
-                one, attempt = found
+            entry = in_progress.pop(request, None)
+            if entry is not None and not request.cancelled:
+                client_attempt, attempt = entry
                 backend.latency_since_report += self._event_queue.now - (attempt.arrived_at or 0.0)
-                self._respond(one, attempt, backend.draw_status())
+                self._respond(client_attempt, attempt, backend.draw_status())
 
     def reset(self, backend: Backend, accepted: Iterable[BackendRequest]) -> None:
-        """End all attempts at a backend whose connections broke: first those it accepted, in their order."""
+        """Reset all attempts at a backend whose connections broke: first those accepted, in their order."""
         in_progress = self.in_progress[backend.number]
         for request in [*accepted, *in_progress]:
-            found = in_progress.pop(request, None)
-            if found is not None and not request.cancelled:
-                self._respond(*found, "reset")
+            entry = in_progress.pop(request, None)
+            if entry is not None and not request.cancelled:
+                self._respond(*entry, "reset")
--- a/mapleshunt/simulation/day.py
+++ b/mapleshunt/simulation/day.py
@@ -1,4 +1,4 @@
-"""A day to play: a scenario drawn with a seed. The same seed gives every variant the same day."""
+"""Scenarios, and runs of them drawn with a seed. One seed gives every variant the same run."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 def no_faults(_rng: Rng, _scenario: Scenario) -> list[Fault]:
-    """Return the fault plan of a day without faults."""
+    """Return no faults."""
     return []
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """What is played: sizes, load and faults.
+    """A kind of run: sizes, load and faults.
 
-    `load` is the range of the usage inside quotas over the fleet's capacity.
+    `load` is the range of the usage inside quotas, relative to the fleet's capacity.
     """
 
     name: str
@@ -37,19 +37,19 @@
     gateways: int = 3
     backends: int = 14
     seconds: float = 30.0
-    rate: float | None = None  # requests a second inside quotas, in place of `load`
+    rate: float | None = None  # requests per second inside quotas, in place of `load`
     fixed_parameters: Mapping[str, float] = field(default_factory=dict)
     parameter_ranges: Mapping[str, parameters.ParameterRange] = field(default_factory=dict)
     settings: Mapping[str, Any] = field(default_factory=dict)  # of the gateways
-    # The seed of an installation, whose machines, parameters and customers stay from day to day.
+    # The seed of an installation, whose machines, parameters and customers are the same in all runs.
     installation_seed: int | None = None
-    # Draws the day in another way, from a recording for instance.
+    # Replaces the default way to draw a run, for example from a recording.
     run_factory: Callable[[Scenario, int], ScenarioRun] | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RuleLimits:
-    """Limits of the rules; times in ms."""
+    """Limits of the operators' rules; times in ms."""
 
     answer_slack_ms: float = 8.0
     drain_grace_ms: float = 500.0
@@ -68,7 +68,7 @@
         "idempotency_window": 4000.0,
     },
 }
-PLATFORM: dict[str, Any] = {
+GATEWAY_SETTINGS: dict[str, Any] = {
     "zone": "jkt-dc1", "tick": 2.0, "max_attempts": 6, "max_retry_after": 500.0, "allow_retry_after": True,
     "allow_hedging": False, "can_cancel": True, "gossip_enabled": True, "gossip_intake_per_s": 40.0,
     "cost_known_after": True, "max_request_units": 8.0, "slow_start_min_capacity": 0.25,
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScenarioRun:
-    """A scenario with everything drawn that is not the gateways' to decide."""
+    """One run of a scenario: everything drawn that the gateways do not decide."""
 
     scenario: Scenario
     seed: int
@@ -90,46 +90,46 @@
 
     @property
     def length_ms(self) -> float:
-        """Return how long requests arrive (ms)."""
+        """Return the time during which requests arrive (ms)."""
         return MS_PER_SECOND * self.scenario.seconds
 
-    def settings(self, words: Any = policy) -> list[Any]:
-        """Return the settings of each gateway, in the types of `words` (a checkout's own `policy`)."""
-        chosen = {**PLATFORM, **self.scenario.settings}
-        plan_changes = {name: chosen.pop(name) for name in list(chosen) if name.startswith("plan.")}
-        known = set(words.Settings.__dataclass_fields__)
-        classes = {name: words.RequestClass(name=name, **fields) for name, fields in CLASSES.items()}
+    def settings(self, policy_types: Any = policy) -> list[Any]:
+        """Return the settings of each gateway, with types of `policy_types`, a checkout's `policy`."""
+        values = {**GATEWAY_SETTINGS, **self.scenario.settings}
+        plan_changes = {name: values.pop(name) for name in list(values) if name.startswith("plan.")}
+        known_fields = set(policy_types.Settings.__dataclass_fields__)
+        classes = {name: policy_types.RequestClass(name=name, **fields) for name, fields in CLASSES.items()}
         plans = {}
         for drawn in self.parameters.plans:
             quota = {"rate": drawn.rate, "burst": drawn.burst}
             for name, value in plan_changes.items():
-                _, plan, part = name.split(".", 2)
+                _, plan, field_name = name.split(".", 2)
                 if plan == drawn.name:
-                    quota[part] = value
-            plans[drawn.name] = words.Plan(drawn.name, **quota)
-        chosen = {name: value for name, value in chosen.items() if name in known}
+                    quota[field_name] = value
+            plans[drawn.name] = policy_types.Plan(drawn.name, **quota)
+        values = {name: value for name, value in values.items() if name in known_fields}
         return [
-            words.Settings(
+            policy_types.Settings(
                 gateway_index=index,
                 gateway_count=self.scenario.gateways,
                 classes=classes,
                 plans=plans,
-                **chosen,
+                **values,
             )
             for index in range(self.scenario.gateways)
         ]
 
 
-def fleet_capacity(drawn: Parameters, servers: int) -> float:
-    """Return the work that warm backends do, in ms of a standard core a second."""
-    return MS_PER_SECOND * servers * drawn["cores"] * drawn["speed"]
+def fleet_capacity(drawn: Parameters, backends: int) -> float:
+    """Return the work that warm backends do, in ms of a standard core per second."""
+    return MS_PER_SECOND * backends * drawn["cores"] * drawn["speed"]
 
 
 def draw_run(scenario: Scenario, seed: int) -> ScenarioRun:
-    """Draw the day of a scenario and a seed.
+    """Draw a run of a scenario.
 
     Raises:
-        ParameterError: The scenario fixes a parameter that there is not, or at no number of 0 or more.
+        ParameterError: The scenario fixes an unknown parameter, or fixes one at an invalid value.
     """
     if scenario.run_factory is not None:
         return scenario.run_factory(scenario, seed)
@@ -155,10 +155,10 @@
     rate: float | None = None,
     seconds: float | None = None,
 ) -> Scenario:
-    """Return the scenario at other sizes. Raises ValueError for a size that is not above 0."""
+    """Return the scenario with other sizes. Raises ValueError if one is not a finite number above 0."""
     for name, value in (("gateways", gateways), ("servers", backends), ("rate", rate), ("seconds", seconds)):
         if value is not None and not (value > 0 and math.isfinite(value)):
-            raise ValueError(f"{name} must be above 0, not {value:g}")
+            raise ValueError(f"{name} must be a finite number above 0, got {value:g}")
     return replace(
         scenario, gateways=gateways or scenario.gateways, backends=backends or scenario.backends,
         rate=rate if rate is not None else scenario.rate, seconds=seconds or scenario.seconds,
--- a/mapleshunt/simulation/day_summary.py
+++ b/mapleshunt/simulation/day_summary.py
@@ -1,4 +1,4 @@
-"""Summaries by which a played day is compared with a recorded one."""
+"""Summaries by which a simulated run is compared with recorded traffic."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SummaryRow(NamedTuple):
-    """What a summary needs of a client's attempt."""
+    """A client's attempt as far as a summary needs it."""
 
     outcome: str
     duration_ms: float
@@ -37,32 +37,34 @@
         "full": sum(status == "full" for status in statuses) / attempt_count,
         "broken": sum(status in ("reset", "unreachable", "timeout") for status in statuses) / attempt_count,
     }
-    for name, part in QUANTILES:
-        summary[name] = math.log(float(np.quantile(served, part))) if len(served) else 0.0
+    for name, quantile in QUANTILES:
+        summary[name] = math.log(float(np.quantile(served, quantile))) if len(served) else 0.0
     return summary
 
 
 def summarize_recording(traffic: Traffic) -> Summary:
-    """Return the summary of a recorded day."""
+    """Return the summary of recorded traffic."""
     return summarize(
         [
-            SummaryRow(row.outcome, row.duration_ms, row.is_retry, [a.status for a in row.attempts])
+            SummaryRow(
+                row.outcome, row.duration_ms, row.is_retry, [attempt.status for attempt in row.attempts]
+            )
             for row in traffic.rows
         ]
     )
 
 
 def summarize_run(client_attempts: Sequence[ClientAttempt]) -> Summary:
-    """Return the summary of a played day."""
+    """Return the summary of a simulated run."""
     return summarize(
         [
             SummaryRow(
-                str(one.result or "failed"),
-                one.answered_at - one.sent_at,
-                one.number > 1,
-                [str(attempt.status or "out") for attempt in one.attempts],
+                str(client_attempt.result or "failed"),
+                client_attempt.answered_at - client_attempt.sent_at,
+                client_attempt.number > 1,
+                [str(attempt.status or "out") for attempt in client_attempt.attempts],
             )
-            for one in client_attempts
-            if one.accepted
+            for client_attempt in client_attempts
+            if client_attempt.accepted
         ]
     )
--- a/mapleshunt/simulation/gateway_policy.py
+++ b/mapleshunt/simulation/gateway_policy.py
@@ -1,4 +1,4 @@
-"""What the engine expects of a gateway, and the messages that only plain policies exchange with it."""
+"""The interface of a gateway to the engine, and the messages that only the baseline policies use."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class GatewayPolicy(Protocol):
-    """A gateway as the engine runs it: the decision module and the plain policies implement it.
+    """A gateway as the engine runs it: the decision module and the baseline policies implement it.
 
-    Events and actions are untyped here: a day may be played with the types of another checkout.
+    Events and actions are untyped here: a run may use the types of another checkout.
     """
 
     def start(self) -> Iterable[Any]:
@@ -22,13 +22,13 @@
         ...
 
 
-# Makes a gateway from settings (of whatever checkout is played, hence untyped), seed and time (ms).
+# Creates a gateway from settings (untyped, as they may come from another checkout), seed and time (ms).
 PolicyFactory = Callable[[Any, int, float], GatewayPolicy]
 
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """Action: add `amount` to the shared counter's number `name`, which lives for `lifetime_ms`."""
+    """Action: add `amount` to the shared counter's value `name`, which expires after `lifetime_ms`."""
 
     name: int
     amount: float
--- a/mapleshunt/simulation/idle_connections.py
+++ b/mapleshunt/simulation/idle_connections.py
@@ -6,11 +6,11 @@
 
 from ..fleet.backend import Backend
 
-REUSE_DELAY_MS = 10.0  # after a response, in which the program does not reuse its connection
+REUSE_DELAY_MS = 10.0  # after a response, a gateway does not reuse the connection for this time
 
 
 class IdleConnections:
-    """Idle connections of one gateway, by backend: since when each is idle (ms), the oldest first."""
+    """Idle connections of one gateway, by backend: the times since which they are idle (ms), oldest first."""
 
     __slots__ = ("by_backend", "timeout_ms")
 
@@ -19,7 +19,7 @@
         self.by_backend: dict[int, list[float]] = {}
 
     def take(self, backend: Backend, at: float) -> bool:
-        """Close the expired connections to a backend and take the last used; return whether there is one."""
+        """Close expired connections to a backend; take the last used reusable one if there is one."""
         pool = self.by_backend.get(backend.number)
         if not pool:
             return False
@@ -34,17 +34,17 @@
         del pool[index]
         return True
 
-    def put(self, server: int, now: float) -> None:
-        """Keep a connection to a backend that is idle from now on."""
-        self.by_backend.setdefault(server, []).append(now)
+    def put(self, number: int, now: float) -> None:
+        """Add a connection to a backend that is idle from now on."""
+        self.by_backend.setdefault(number, []).append(now)
 
-    def drop(self, server: int) -> None:
-        """Forget the connections to a backend, which broke."""
-        self.by_backend.pop(server, None)
+    def drop(self, number: int) -> None:
+        """Remove the connections to a backend after they broke."""
+        self.by_backend.pop(number, None)
 
     def close_all(self, backends: Mapping[int, Backend]) -> None:
         """Close all connections; the backends no longer count them."""
-        for server, idle in self.by_backend.items():
-            backend = backends[server]
+        for number, idle in self.by_backend.items():
+            backend = backends[number]
             backend.connections = max(0, backend.connections - len(idle))
         self.by_backend = {}
--- a/mapleshunt/simulation/policies.py
+++ b/mapleshunt/simulation/policies.py
@@ -1,8 +1,8 @@
-"""Plain policies that run beside the decision module, to say what the design is worth.
+"""Baseline policies with which the decision module is compared.
 
-They have its `start` and `handle` and see what it sees, and differ in how they let requests in: all of them,
-an even slice of each quota, or by a call to the shared counter for each. Servers they choose at random, with
-no ramp for cold ones and no bound on what is out.
+They have its interface and receive its events, and differ in how they admit requests: all of them, by an even
+part or the whole of each quota, or by a call to the shared counter for each. They choose endpoints at random,
+without slow start and without a limit on attempts in flight.
 """
 
 from __future__ import annotations
@@ -30,30 +30,34 @@
 from .rule_checker import NEVER_RAN
 
 MAX_ATTEMPTS = 3
-DEADLINE_MARGIN_MS = 8.0  # ms before a request's patience ends at which it is answered
+DEADLINE_MARGIN_MS = 8.0  # before a request's timeout, at which it is rejected or failed
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
+    """A request without a result. Times are in ms."""
+
     request: RequestReceived
-    due: float
-    tried: list[int] = field(default_factory=list)
-    risky: bool = False  # an attempt may have run
+    ends_at: float
+    attempted: list[int] = field(default_factory=list)  # endpoints
+    may_have_run: bool = False
 
 
 class AdmitAll:
-    """Every request is sent on, to a till server drawn at random."""
+    """Forwards every request to an endpoint drawn at random."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        self.set, self.random, self.now = settings, random.Random(seed), now
+        self.settings, self.random, self.now = settings, random.Random(seed), now
         self.ready: dict[int, EndpointInfo] = {}
-        self.held: dict[int, PendingRequest] = {}
+        self.pending: dict[int, PendingRequest] = {}
         self.actions: list[Any] = []
 
     def start(self) -> list[Any]:
+        """Return no actions."""
         return []
 
     def handle(self, now: float, event: Any) -> list[Any]:
+        """Return the actions that follow from an event at `now` (ms)."""
         self.now, self.actions = now, []
         match event:
             case EndpointUpdate():
@@ -65,7 +69,7 @@
                     else:
                         self.ready.pop(entry.endpoint, None)
             case RequestReceived():
-                self.held[event.request_id] = PendingRequest(
+                self.pending[event.request_id] = PendingRequest(
                     event, now + event.remaining_time - DEADLINE_MARGIN_MS
                 )
                 self.actions.append(
@@ -73,107 +77,128 @@
                 )
                 self.admit(event)
             case AttemptEnded():
-                self.outcome(event)
-            case TimerFired(ref) if ref in self.held:
-                self.finish(ref)
-            case ClientDisconnected(ref):
-                self.held.pop(ref, None)
+                self.attempt_ended(event)
+            case TimerFired(pending_id) if pending_id in self.pending:
+                self.finish(pending_id)
+            case ClientDisconnected(pending_id):
+                self.pending.pop(pending_id, None)
             case CounterReply():
-                self.counted(event)
+                self.counter_replied(event)
         return self.actions
 
     def admit(self, request: RequestReceived) -> None:
+        """Forward or reject a new request."""
         self.send(request.request_id)
 
-    def counted(self, event: CounterReply) -> None:
-        """Only those that call the counter hear of it."""
-
-    def send(self, ref: int) -> None:
-        held = self.held[ref]
-        pool = [server for server in self.ready if server not in held.tried] or list(self.ready)
-        if not pool:
-            self.finish(ref)
+    def counter_replied(self, event: CounterReply) -> None:
+        """Handle a counter's reply; only a policy that calls the counter gets one."""
+
+    def send(self, request_id: int) -> None:
+        """Send an attempt, to an endpoint not yet attempted if there is one."""
+        pending = self.pending[request_id]
+        candidates = [endpoint for endpoint in self.ready if endpoint not in pending.attempted] or list(
+            self.ready
+        )
+        if not candidates:
+            self.finish(request_id)
             return
-        server = self.random.choice(pool)
-        held.tried.append(server)
-        self.actions.append(StartAttempt(ref, server))
-
-    def outcome(self, event: AttemptEnded) -> None:
-        held = self.held.get(event.request_id)
-        if held is None:
+        endpoint = self.random.choice(candidates)
+        pending.attempted.append(endpoint)
+        self.actions.append(StartAttempt(request_id, endpoint))
+
+    def attempt_ended(self, event: AttemptEnded) -> None:
+        """Retry a request whose attempt failed, or end it."""
+        pending = self.pending.get(event.request_id)
+        if pending is None:
             return
         if event.request_completed:
-            del self.held[event.request_id]
+            del self.pending[event.request_id]
             return
-        held.risky = held.risky or event.status not in NEVER_RAN
-        safe = self.set.classes[held.request.request_class].effect == "safe"
-        if len(held.tried) < MAX_ATTEMPTS and (safe or not held.risky) and self.now < held.due:
+        pending.may_have_run = pending.may_have_run or event.status not in NEVER_RAN
+        safe = self.settings.classes[pending.request.request_class].effect == "safe"
+        if (
+            len(pending.attempted) < MAX_ATTEMPTS
+            and (safe or not pending.may_have_run)
+            and self.now < pending.ends_at
+        ):
             self.send(event.request_id)
         else:
             self.finish(event.request_id)
 
-    def finish(self, ref: int) -> None:
-        held = self.held.pop(ref)
-        refusable = self.set.classes[held.request.request_class].effect == "safe" or not held.tried
-        if refusable:
-            self.actions.append(RejectRequest(ref, self.set.max_retry_after))
+    def finish(self, request_id: int) -> None:
+        """Reject a request that is safe or has not been attempted, else fail it."""
+        pending = self.pending.pop(request_id)
+        rejectable = (
+            self.settings.classes[pending.request.request_class].effect == "safe" or not pending.attempted
+        )
+        if rejectable:
+            self.actions.append(RejectRequest(request_id, self.settings.max_retry_after))
         else:
-            self.actions.append(FailRequest(ref))
+            self.actions.append(FailRequest(request_id))
 
 
 class EvenSplit(AdmitAll):
-    """Each gateway grants a customer its quota over the gateways of the customer's set."""
+    """Each gateway grants a customer its quota divided by the size of its gateway set."""
 
-    part = True
+    divides_quota = True
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self.stores: dict[str, TokenBucket] = {}
+        self.buckets: dict[str, TokenBucket] = {}
 
     def admit(self, request: RequestReceived) -> None:
-        store = self.stores.get(request.customer)
-        if store is None:
-            plan, parts = self.set.plans[request.plan], request.gateway_set_size if self.part else 1
-            store = TokenBucket(plan.rate / parts, max(plan.burst / parts, self.set.max_request_units))
-            store.refilled_at, self.stores[request.customer] = self.now, store
-        if store.try_take(self.now, request.units):
+        """Forward a request if its customer's bucket holds its units, else reject it."""
+        bucket = self.buckets.get(request.customer)
+        if bucket is None:
+            plan, divisor = (
+                self.settings.plans[request.plan],
+                request.gateway_set_size if self.divides_quota else 1,
+            )
+            bucket = TokenBucket(
+                plan.rate / divisor, max(plan.burst / divisor, self.settings.max_request_units)
+            )
+            bucket.refilled_at, self.buckets[request.customer] = self.now, bucket
+        if bucket.try_take(self.now, request.units):
             self.send(request.request_id)
         else:
             self.finish(request.request_id)
 
 
 class WholeQuota(EvenSplit):
-    """Each gateway grants a customer its whole quota, and knows nothing of the others."""
+    """Each gateway grants a customer its whole quota, independently of the others."""
 
-    part = False
+    divides_quota = False
 
 
 class CountEach(AdmitAll):
-    """A call to the shared counter for each request; let in when there is no answer."""
+    """Calls the shared counter for each request, and admits the request if the call fails."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self.calls: dict[int, list[int]] = {}  # by name: those that wait for its answers, in their order
+        self.calls: dict[int, list[int]] = {}  # by value name: requests that wait for replies, in order
 
     def admit(self, request: RequestReceived) -> None:
-        plan = self.set.plans[request.plan]
+        """Call the counter of the customer's current window."""
+        plan = self.settings.plans[request.plan]
         window = 1000 * plan.burst / plan.rate
         name = zlib.crc32(f"{request.customer} {int(self.now // window)}".encode())
         self.calls.setdefault(name, []).append(request.request_id)
         self.actions.append(CounterCall(name, request.units, 2 * window))
 
-    def counted(self, event: CounterReply) -> None:
+    def counter_replied(self, event: CounterReply) -> None:
+        """Admit or reject the request that made the call."""
         waiting = self.calls[event.name]
-        ref = waiting.pop(0)
+        request_id = waiting.pop(0)
         if not waiting:
             del self.calls[event.name]
-        if ref not in self.held:
+        if request_id not in self.pending:
             return
-        plan = self.set.plans[self.held[ref].request.plan]
-        if event.status != "ok" or event.total <= 1.25 * plan.burst:  # a window's rate, and part of the store
-            self.send(ref)
+        plan = self.settings.plans[self.pending[request_id].request.plan]
+        # A window's rate amounts to the burst; a quarter more stands for stored units.
+        if event.status != "ok" or event.total <= 1.25 * plan.burst:
+            self.send(request_id)
         else:
-            self.finish(ref)
+            self.finish(request_id)
 
 
 POLICIES: dict[str, type[AdmitAll]] = {
--- a/mapleshunt/simulation/quota_accounting.py
+++ b/mapleshunt/simulation/quota_accounting.py
@@ -1,4 +1,4 @@
-"""The customers' quotas as an observer of every arrival at a backend accounts for them."""
+"""Accounting of the customers' quotas from all arrivals at the backends."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 from .day import ScenarioRun
 from .records import ClientAttempt
 
-CEILING_SLACK = (
-    0.1  # of a ceiling's burst, by which its bucket may fall below 0; the largest request at least
-)
+# Share of a ceiling's burst by which its bucket may fall below 0; at least by the largest request.
+CEILING_SLACK = 0.1
 
 
 class QuotaAccounting:
     """Token buckets of quotas and ceilings. Times are in ms."""
 
-    def __init__(self, day: ScenarioRun, on_ceiling_exceeded: Callable[[ClientAttempt, float], None]) -> None:
-        """Args: `on_ceiling_exceeded` gets the attempt that broke a ceiling, and by how many units."""
-        self._plans = day.settings()[0].plans
-        self._parameters = day.parameters
-        self._customers = day.traffic.customers
+    def __init__(
+        self, scenario_run: ScenarioRun, on_ceiling_exceeded: Callable[[ClientAttempt, float], None]
+    ) -> None:
+        """Args: `on_ceiling_exceeded` gets the attempt that exceeded a ceiling, and the excess in units."""
+        self._plans = scenario_run.settings()[0].plans
+        self._parameters = scenario_run.parameters
+        self._customers = scenario_run.traffic.customers
         self._on_ceiling_exceeded = on_ceiling_exceeded
         self._quotas: dict[int, TokenBucket] = {}
         self._ceilings: dict[int, TokenBucket] = {}
@@ -47,7 +48,7 @@
             self._on_ceiling_exceeded(attempt, -ceiling.level)
 
     def record_settlement(self, attempt: ClientAttempt, now: float) -> None:
-        """Charge the true units once the first successful response has told them."""
+        """Charge the true units, which the first successful response reports."""
         if attempt.inside_quota and attempt.result is None:
             request = attempt.request
             self._quota(request.customer).settle(now, request.units - request.estimated_units)
