--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -14,7 +14,7 @@
 from mapleshunt.cli.model import scenario_named
 from mapleshunt.simulation.day import draw_day
 from mapleshunt.simulation.score import Score
-from mapleshunt.testbed.fleet import play_day
+from mapleshunt.testbed.fleet import run_on_loopback
 from mapleshunt.testbed.ports import free_port
 
 GATEWAYS = 3
@@ -35,7 +35,7 @@
         folder = Path(text)
         env = {"PROXY_OPERATORS": str(operators(folder))} if on else {}
         scenario = scenario_named("quiet", GATEWAYS, 14, 150.0, 20.0)
-        _, found = play_day(draw_day(scenario, seed), folder / "logs", env=env)
+        _, found = run_on_loopback(draw_day(scenario, seed), folder / "logs", env=env)
         return found
 
 
--- a/benchmarks/replication_cost.py
+++ b/benchmarks/replication_cost.py
@@ -60,10 +60,10 @@
 
 async def count_up(caller: ReplicaClient, until: float, prefix: str) -> list[float]:
     took: list[float] = []
-    await caller.do(w.OpenSession())
+    await caller.execute(w.OpenSession())
     while time.perf_counter() < until:
         begun = time.perf_counter()
-        await caller.do(w.CountUsage(f"{prefix}{caller.operations}-{caller.name}", 1.0))
+        await caller.execute(w.CountUsage(f"{prefix}{caller.operations}-{caller.name}", 1.0))
         took.append(time.perf_counter() - begun)
     return took
 
@@ -101,9 +101,9 @@
             some = [fleet.client(number) for number in range(AT_ONCE)]
 
             async def fill(caller: ReplicaClient, count: int) -> None:
-                await caller.do(w.OpenSession())
+                await caller.execute(w.OpenSession())
                 for _ in range(count):
-                    await caller.do(w.CountUsage(f"{caller.name}-{caller.operations}", 1.0))
+                    await caller.execute(w.CountUsage(f"{caller.name}-{caller.operations}", 1.0))
 
             await asyncio.gather(*(fill(one, customers // AT_ONCE + 1) for one in some))
             leader = await fleet.wait_for_leader()
--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -242,9 +242,9 @@
                 known: Any = await caller.read("record", key)
                 if value == (known.value if known is not None else ""):
                     return {"group": group, "said": "told"}
-                await caller.do(words.OpenSession())
+                await caller.execute(words.OpenSession())
                 put = words.SetRecord(key, value, known.version if known is not None else 0)
-                done = await caller.do(put)
+                done = await caller.execute(put)
                 return {"group": group, "said": "told" if isinstance(done, Applied) else "told otherwise"}
         except TimeoutError:
             return {"group": group, "said": "nobody leads"}
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -69,8 +69,8 @@
     from ..replicated_state.results import Denied
 
     async def once(caller: Any) -> Any:
-        await caller.do(words.OpenSession())
-        return await caller.do(operation)
+        await caller.execute(words.OpenSession())
+        return await caller.execute(operation)
 
     result = _with(section, once)
     if isinstance(result, Denied):
@@ -365,8 +365,8 @@
             told = w.ReportProgress(machine, place.fencing_token, "out")
 
             async def once(caller: Any, told: w.ReportProgress = told) -> Any:
-                await caller.do(h.OpenSession())
-                return await caller.do(told)
+                await caller.execute(h.OpenSession())
+                return await caller.execute(told)
 
             if isinstance(_with(section, once), Applied):
                 return
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -413,11 +413,11 @@
     import tempfile
 
     from ..simulation.validation import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
-    from ..testbed.recording import play_and_record
+    from ..testbed.recording import run_and_record
 
     with tempfile.TemporaryDirectory() as place, _pool(backend):
         found = validate_model(
-            play_and_record,
+            run_and_record,
             Path(place),
             days,
             seed,
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -37,7 +37,9 @@
     from ..testbed.errors import GatewayError
 
     try:
-        return fleet.play_day(draw_day(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve())
+        return fleet.run_on_loopback(
+            draw_day(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve()
+        )
     except (GatewayError, OSError) as error:
         raise Trouble(str(error)) from None
 
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -90,7 +90,7 @@
         self.machine.crash(self.fleet.clock.now())
         self.reset_connections()
 
-    def fall_silent(self) -> None:
+    def stop_responding(self) -> None:
         """Go on to accept and read, and respond to nothing."""
         self._end_works(self.machine.advance(self.fleet.clock.now()))
         self.machine.silent, self.machine.next_event_at = True, float("inf")
@@ -150,7 +150,7 @@
             await stream.write(b"+PONG\r\n" if verb == b"PING" else resp.encode_error("ERR unknown command"))
             return
         name = bytes(words[2])
-        found = self.fleet.by_id.get(name.decode("latin-1"))
+        found = self.fleet.attempts_by_name.get(name.decode("latin-1"))
         if found is None:
             self.fleet.unknown_requests += 1
             await stream.write(resp.encode_error("SYNTAX no client sent this"))
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -33,7 +33,7 @@
     async def connect(self) -> None:
         await self.stream.connect((HOST, self.fleet.gateways[self.gateway].port))
 
-    async def ask(self, command: bytes) -> resp.Reply:
+    async def call(self, command: bytes) -> resp.Reply:
         """Raises StreamClosedError, `resp.ProtocolError`; bytes that belong to no request are one."""
         if waiting(self.stream):
             raise resp.ProtocolError("an answer that nobody asked for")
@@ -62,7 +62,7 @@
         self.fleet = fleet
         self.idle: list[list[ClientConnection]] = [[] for _ in fleet.gateways]
         self.tasks: set[asyncio.Task[None]] = set()
-        self.wrong_values = self.strange = 0
+        self.wrong_values = self.unexpected_replies = 0
 
     def _go(self, record: RequestRecord, number: int) -> None:
         task = asyncio.get_running_loop().create_task(self._try(record, number))
@@ -80,7 +80,7 @@
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
-    def _link(self, gateway: int) -> ClientConnection:
+    def _take_connection(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             link = pool.pop()
@@ -89,7 +89,7 @@
             link.stream.close()
         return ClientConnection(self.fleet, gateway)
 
-    def drop(self, gateway: int) -> None:
+    def close_idle_connections(self, gateway: int) -> None:
         for link in self.idle[gateway]:
             link.stream.close()
         self.idle[gateway] = []
@@ -100,7 +100,7 @@
         if one is None:
             return
         name = f"{fleet.request_id_base + one.request_id:016x}"
-        fleet.by_id[name] = (one, record)
+        fleet.attempts_by_name[name] = (one, record)
         told, wait = await self._send(one, name)
         pause = fleet.notify_client(record, one, told, wait)
         if pause is not None:
@@ -122,7 +122,7 @@
             fleet.day.rules.answer_slack_ms - RuleLimits().answer_slack_ms,
         )
         for last in (False, True):
-            link = self._link(one.gateway)
+            link = self._take_connection(one.gateway)
             try:
                 if not link.used:
                     async with asyncio.timeout(one.timeout_ms / 1000):
@@ -133,7 +133,7 @@
             one.accepted, one.sent_at = True, fleet.clock.now()
             try:
                 async with asyncio.timeout((one.timeout_ms + longer) / 1000):
-                    reply = await link.ask(command)
+                    reply = await link.call(command)
             except TimeoutError:
                 link.stream.close()
                 fleet.timed_out.append(one)
@@ -148,7 +148,7 @@
                 return "failed", 0.0
             except (resp.ProtocolError, MessageTooLongError):
                 link.stream.close()
-                self.strange += 1
+                self.unexpected_replies += 1
                 fleet.rule_checker.request_lost(one)
                 return "failed", 0.0
             link.used, link.at = True, asyncio.get_running_loop().time()
--- a/mapleshunt/testbed/clock.py
+++ b/mapleshunt/testbed/clock.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-class DayClock:
+class RunClock:
     """A monotonic clock that is at 0 when the day begins; it measures the event loop's lateness."""
 
     def __init__(self) -> None:
--- a/mapleshunt/testbed/counter_server.py
+++ b/mapleshunt/testbed/counter_server.py
@@ -12,7 +12,7 @@
 from ..fleet.counter import SharedCounter
 from ..net.protocol import resp
 from ..net.protocol.read_buffer import MessageTooLongError, ReadBuffer
-from .clock import DayClock
+from .clock import RunClock
 from .ports import HOST
 
 MAX_CONNECTIONS = 32  # of one gateway
@@ -24,7 +24,7 @@
     """A server of its own for one gateway; all of them share one counter."""
 
     def __init__(
-        self, counter: SharedCounter, clock: DayClock, gateway: int, on_add: Callable[[], None]
+        self, counter: SharedCounter, clock: RunClock, gateway: int, on_add: Callable[[], None]
     ) -> None:
         """`on_add` is called at each addition."""
         super().__init__()
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -14,7 +14,7 @@
 
 from ..fleet.discovery import EndpointEntry
 from ..platform_terms import ENDPOINT_STATES
-from .clock import DayClock
+from .clock import RunClock
 from .ports import HOST
 
 # of an endpoint's state, as discovery names it
@@ -29,7 +29,7 @@
         self,
         endpoints: Mapping[int, EndpointEntry],
         zone: str,
-        clock: DayClock,
+        clock: RunClock,
         port_of: Callable[[int], int],
         on_sent: Callable[[EndpointEntry], None],
     ) -> None:
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -23,7 +23,7 @@
 from ..simulation.score import Score, score_day
 from .backends import InFlightAttempt, SocketBackend
 from .clients import SocketClients
-from .clock import DayClock
+from .clock import RunClock
 from .counter_server import CounterServer
 from .discovery_agent import DiscoveryAgent
 from .errors import GatewayError
@@ -52,11 +52,11 @@
         env: Mapping[str, str] | None = None,
         limits: Mapping[str, float] | None = None,
     ) -> None:
-        self.folder, self.clock = folder, DayClock()
+        self.folder, self.clock = folder, RunClock()
         self.backends: dict[int, SocketBackend] = {}
         super().__init__(day)
         self.zone = self.settings[0].zone
-        self.by_id: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
+        self.attempts_by_name: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
         self.in_flight: dict[int, list[InFlightAttempt]] = {}
         self.timed_out: list[ClientAttempt] = []
         self.request_id_base = day.streams.seed_for("ids") >> 8 << 8
@@ -114,15 +114,15 @@
         wall = time.perf_counter()
         try:
             for gateway in self.gateways:
-                self._hand_list(gateway.number)
-                gateway.spawn(self._known(gateway.number))
+                self._record_endpoint_list(gateway.number)
+                gateway.spawn(self._initial_endpoint_list(gateway.number))
             await asyncio.gather(*(gateway.wait_until_ready() for gateway in self.gateways))
             self.clock.begin()
             for number in range(len(self.gateways)):
-                self._hand_list(number)
+                self._record_endpoint_list(number)
             for fault in self.day.faults:
                 self.clock.at(fault.at, self._inject_fault, fault)
-            self._begun()
+            self._on_clock_started()
             looking = asyncio.get_running_loop().create_task(self._look())
             await self.clients.run()
             looking.cancel()
@@ -141,7 +141,7 @@
         found.wall_s = time.perf_counter() - wall
         return found
 
-    def _begun(self) -> None:
+    def _on_clock_started(self) -> None:
         """The clock of the day has begun."""
 
     async def _stop_gateways(self) -> None:
@@ -170,12 +170,12 @@
             for gateway in self.gateways:
                 gateway.sample_usage()
                 ended = gateway.process is not None and not gateway.is_running()
-                if ended and not self._may_be_down(gateway.number):
+                if ended and not self._is_expected_down(gateway.number):
                     self.exited_gateways.append(gateway.number)
                     self.down.add(gateway.number)
             await asyncio.sleep(USAGE_SAMPLE_INTERVAL_S)
 
-    def _may_be_down(self, gateway: int) -> bool:
+    def _is_expected_down(self, gateway: int) -> bool:
         return gateway in self.down
 
     def close(self) -> None:
@@ -188,13 +188,13 @@
             counter.stop()
             counter.close_connections()
         for number in range(len(self.gateways)):
-            self.clients.drop(number)
+            self.clients.close_idle_connections(number)
         self.gossip.close()
 
-    def _known(self, number: int) -> dict[str, Any]:
+    def _initial_endpoint_list(self, number: int) -> dict[str, Any]:
         return self.agents[number].whole_list()
 
-    def _hand_list(self, number: int) -> None:
+    def _record_endpoint_list(self, number: int) -> None:
         self.rule_checker.endpoint_list_delivered(
             number, self.endpoint_lists[number].values(), self.clock.now()
         )
@@ -240,7 +240,7 @@
         self.backends[number].crash()
 
     def _silence_backend(self, number: int) -> None:
-        self.backends[number].fall_silent()
+        self.backends[number].stop_responding()
 
     def _restart_backend(self, number: int) -> None:
         self.backends[number].restart()
@@ -249,7 +249,7 @@
         self.down.add(number)
         self.gateways[number].kill(wait=False)  # which would hold up all that this process plays
         self.kills.append((self.clock.now(), number))
-        self.clients.drop(number)
+        self.clients.close_idle_connections(number)
         self.clock.at(
             self.clock.now() + self.day.parameters["front_notice_ms"], self._mark_gateway_down, number
         )
@@ -260,8 +260,8 @@
 
     def _restart_gateway(self, number: int) -> None:
         gateway = self.gateways[number]
-        gateway.spawn(self._known(number))
-        self._hand_list(number)
+        gateway.spawn(self._initial_endpoint_list(number))
+        self._record_endpoint_list(number)
 
         async def take_in() -> None:
             try:
@@ -280,7 +280,7 @@
         for number in fault.targets:
             self.gateways[number].terminate()
             self.clock.at(self.clock.now() + 300.0, self.gateways_marked_down.add, number)
-            self.clock.at(self.clock.now() + 300.0, self.clients.drop, number)
+            self.clock.at(self.clock.now() + 300.0, self.clients.close_idle_connections, number)
             stop = self.clock.now() + self.idempotency_window_ms + 1000.0
             self.clock.at(stop, self._kill_gateway, number)
             self.clock.at(stop + fault.duration, self._restart_gateway, number)
@@ -304,7 +304,7 @@
     return fleet, await fleet.run()
 
 
-def play_day(
+def run_on_loopback(
     day: Day,
     folder: Path | None = None,
     program: Path = CHECKOUT_ROOT,
--- a/mapleshunt/testbed/gossip_relay.py
+++ b/mapleshunt/testbed/gossip_relay.py
@@ -8,7 +8,7 @@
 from tornado.ioloop import IOLoop
 
 from ..fleet.network import MessageRateLimiter, Network
-from .clock import DayClock
+from .clock import RunClock
 from .ports import HOST
 
 MAX_DATAGRAM_BYTES = 256
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, gateways: int, network: Network, limiters: Sequence[MessageRateLimiter], clock: DayClock
+        self, gateways: int, network: Network, limiters: Sequence[MessageRateLimiter], clock: RunClock
     ) -> None:
         """`network` says what is lost and for how long the rest is on its way; `limiters` are by receiver."""
         self._gateways, self._network, self._limiters, self._clock = gateways, network, limiters, clock
--- a/mapleshunt/testbed/maintenance_work.py
+++ b/mapleshunt/testbed/maintenance_work.py
@@ -29,10 +29,10 @@
     `restart` gets the machine's name and returns once its gateway is back. A cancelled call leaves the
     machine out.
     """
-    result = await client.do(w.ReportProgress(place.machine, place.fencing_token, "out"))
+    result = await client.execute(w.ReportProgress(place.machine, place.fencing_token, "out"))
     if isinstance(result, Applied):
         await restart(place.machine)
-        await client.do(w.ReportProgress(place.machine, place.fencing_token, "returning"))
+        await client.execute(w.ReportProgress(place.machine, place.fencing_token, "returning"))
 
 
 def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
--- a/mapleshunt/testbed/recording.py
+++ b/mapleshunt/testbed/recording.py
@@ -7,10 +7,10 @@
 
 from ..simulation.day import Scenario, draw_day
 from ..simulation.score import Score
-from .fleet import play_day
+from .fleet import run_on_loopback
 
 
-def play_and_record(scenario: Scenario, seed: int, recordings: Path | None) -> Score:
+def run_and_record(scenario: Scenario, seed: int, recordings: Path | None) -> Score:
     """Play a day; each gateway leaves its recording in the folder, if one is given.
 
     Raises:
@@ -22,5 +22,5 @@
             operators = Path(folder) / "operators.sexp"
             operators.write_text(f'(record (file "{recordings}/{{name}}.rec") (size-mb 64) (salt "rig"))')
             env["PROXY_OPERATORS"] = str(operators)
-        _, score = play_day(draw_day(scenario, seed), Path(folder), env=env)
+        _, score = run_on_loopback(draw_day(scenario, seed), Path(folder), env=env)
         return score
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -122,7 +122,7 @@
         self._connection: ReplicaConnection | None = None
         self._gateway = rng.choice(list(gateways))
 
-    async def do(self, operation: commands.Operation) -> Result:
+    async def execute(self, operation: commands.Operation) -> Result:
         """Return the result of an operation, which is applied once, however often it is sent.
 
         If it is cancelled, the operation may have been applied; the event in the history has no end.
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -30,7 +30,7 @@
 
     async def run(self, ended: Callable[[], bool], pause_s: float) -> None:
         """Open the session, then operate until the run has ended."""
-        await self._client.do(commands.OpenSession())
+        await self._client.execute(commands.OpenSession())
         while not ended():
             customer = f"c{self._rng.randrange(CUSTOMERS)}"
             await self._operate(self._rng.choice(KINDS), customer)
@@ -44,14 +44,14 @@
                 await self._return_oldest_lease()
             case "count":
                 units = float(self._rng.randint(1, MAX_COUNTED_UNITS))
-                await self._client.do(commands.CountUsage(customer, units))
+                await self._client.execute(commands.CountUsage(customer, units))
             case "read":
                 await self._client.read("store", customer)
             case "put":
                 await self._set_record()
             case "reserve":
                 operation = commands.ReserveUnits(customer, self._unique_name(), 1.0, LEASE_TERM_MS)
-                await self._client.do(operation)
+                await self._client.execute(operation)
 
     def _unique_name(self) -> str:
         return f"{self._client.name}-{self._client.operations}"
@@ -59,17 +59,17 @@
     async def _acquire_lease(self, customer: str) -> None:
         units = self._rng.choice(LEASE_UNITS)
         operation = commands.AcquireLease(customer, RATE, BURST, units, 1.0, LEASE_TERM_MS)
-        result = await self._client.do(operation)
+        result = await self._client.execute(operation)
         if isinstance(result, LeaseGranted):
             self._leases.append((customer, result.lease_id, result.units))
 
     async def _return_oldest_lease(self) -> None:
         customer, lease, units = self._leases.pop(0)
-        await self._client.do(commands.ReturnLease(customer, lease, self._rng.uniform(0.0, units)))
+        await self._client.execute(commands.ReturnLease(customer, lease, self._rng.uniform(0.0, units)))
 
     async def _set_record(self) -> None:
         key, value = f"k{self._rng.randrange(RECORDS)}", self._unique_name()
-        result = await self._client.do(commands.SetRecord(key, value, self._versions.get(key, 0)))
+        result = await self._client.execute(commands.SetRecord(key, value, self._versions.get(key, 0)))
         self._versions[key] = int(result.value) if not isinstance(result, LeaseGranted) else 0
 
 
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -132,10 +132,10 @@
         return [MaintenanceFaultAt(rng.choice(kinds), rng.choice(STATES)) for _ in range(count)]
 
     async def _request_all(self, client: ReplicaClient) -> None:
-        await client.do(h.OpenSession())
+        await client.execute(h.OpenSession())
         request = w.RequestMaintenance("roll", tuple(self.fleet.machines), "memory", "op", 60.0)
         for _ in range(2):  # the second time as if the first had not been answered
-            result = await client.do(request)
+            result = await client.execute(request)
             if not isinstance(result, Applied):
                 raise GatewayError(f"the request for maintenance was refused: {result}")
 
@@ -157,7 +157,7 @@
     async def _work_on(self, machine: GatewayMachine, number: int) -> None:
         """Work on that machine whenever it is safe."""
         client = self.fleet.client(FIRST_WORKER + number)
-        await client.do(h.OpenSession())
+        await client.execute(h.OpenSession())
         while not self._ended:
             place = (await self._read(client)).job_of(machine.name)
             if place is not None and place.state == "safe":
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -52,7 +52,7 @@
     def soak(self) -> SoakFleet:
         return cast("SoakFleet", self.fleet)
 
-    def _link(self, gateway: int) -> ClientConnection:
+    def _take_connection(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             link = pool.pop(0)
@@ -74,7 +74,7 @@
         self.habits[habit] += 1
         for last in (False, True):
             fresh = habit == "fresh" or last
-            link = ClientConnection(self.fleet, one.gateway) if fresh else self._link(one.gateway)
+            link = ClientConnection(self.fleet, one.gateway) if fresh else self._take_connection(one.gateway)
             used = link.used
             try:
                 if not used:
@@ -106,7 +106,7 @@
                 return "failed", 0.0
             except (resp.ProtocolError, MessageTooLongError) as error:
                 link.stream.close()
-                self.strange += 1
+                self.unexpected_replies += 1
                 self.soak.break_rule("strange_answer", f"request {one.request_id}: {error}")
                 return "failed", 0.0
             if reply is None:  # it has left
@@ -133,7 +133,7 @@
                 for _ in range(PINGS):
                     await self._next(link)
                 return await self._next(link)
-            return await link.ask(command)
+            return await link.call(command)
 
     async def _write_first_pieces(self, link: ClientConnection, command: bytes) -> bytes:
         """Write all but the last piece; what is left."""
@@ -147,7 +147,7 @@
     async def _leave(self, link: ClientConnection, one: ClientAttempt, command: bytes) -> resp.Reply | None:
         try:
             async with asyncio.timeout(self.random.uniform(0.0, one.timeout_ms / 2000)):
-                return await link.ask(command)
+                return await link.call(command)
         except TimeoutError:
             link.stream.close()
             one.client_left_at = self.fleet.clock.now()
--- a/mapleshunt/testbed/soak/discovery_agent.py
+++ b/mapleshunt/testbed/soak/discovery_agent.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ...fleet.discovery import EndpointEntry
-from ..clock import DayClock
+from ..clock import RunClock
 from ..discovery_agent import DiscoveryAgent
 from ..fault_proxy import FaultProxy
 
@@ -21,7 +21,7 @@
         self,
         endpoints: Mapping[int, EndpointEntry],
         zone: str,
-        clock: DayClock,
+        clock: RunClock,
         port_of: Callable[[int], int],
         first_revision: int,
     ) -> None:
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -84,8 +84,8 @@
         self.extra.add(task)
         task.add_done_callback(self.extra.discard)
 
-    def _may_be_down(self, gateway: int) -> bool:
-        return gateway in self.leaving or super()._may_be_down(gateway)
+    def _is_expected_down(self, gateway: int) -> bool:
+        return gateway in self.leaving or super()._is_expected_down(gateway)
 
     def _up(self, gateway: int) -> bool:
         busy = gateway in self.down or gateway in self.leaving or gateway in self.upgrading
@@ -122,7 +122,7 @@
         if self.gateways[number].is_running():
             self.deaths.setdefault(number, []).append((self.now(), told))
         self.gateways[number].kill(wait=False)
-        self.clients.drop(number)
+        self.clients.close_idle_connections(number)
         self._later(0.3, self._restart_gateway, number)
 
     def _inject_kill(self, fault: ScheduledFault) -> None:
@@ -136,8 +136,8 @@
         """Start a process of the gateway, with the agent and the list that it would have now."""
         gateway = self.gateways[number]
         gateway.config["discovery"] = f"{HOST}:{self.current[number].proxy.port}"
-        gateway.spawn(self._known(number))
-        self._hand_list(number)
+        gateway.spawn(self._initial_endpoint_list(number))
+        self._record_endpoint_list(number)
         return gateway
 
     def _restart_gateway(self, number: int) -> None:
@@ -188,7 +188,7 @@
             older.kill()
         await asyncio.to_thread(older.wait)
 
-    def _known(self, number: int) -> dict[str, Any]:
+    def _initial_endpoint_list(self, number: int) -> dict[str, Any]:
         return self.current[number].whole_list()
 
     def _inject_reload(self, fault: ScheduledFault) -> None:
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -103,7 +103,7 @@
         agent = cast(SoakDiscoveryAgent, self.agents[number])
         return {**super()._config(number, limits), "discovery": f"{HOST}:{agent.proxy.port}"}
 
-    def _begun(self) -> None:
+    def _on_clock_started(self) -> None:
         self.replicas.start_clients()
         for fault in self.faults:
             self.clock.at(1000 * fault.begins_at_s, self.inject, fault)
@@ -208,7 +208,7 @@
             control.set(SyscallFaultRates(clock_step=step))
         await self._wait_for_faults_to_end()
         for number in range(len(self.gateways)):
-            self.clients.drop(number)
+            self.clients.close_idle_connections(number)
         await asyncio.sleep(SETTLE_S)
         for gateway in self.gateways:
             if gateway.is_running() and gateway.process is not None:
--- a/mapleshunt/testbed/soak/maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -38,9 +38,9 @@
 
         If it is cancelled, a machine may stay out.
         """
-        await self._client.do(h.OpenSession())
+        await self._client.execute(h.OpenSession())
         operation = w.RequestMaintenance(request, tuple(machines), "memory", "soak", EXPECTED_S)
-        if not isinstance(await self._client.do(operation), Applied):
+        if not isinstance(await self._client.execute(operation), Applied):
             return  # another request has one of them
         while jobs := await self._open_jobs(request):
             for job in jobs:
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -62,4 +62,4 @@
 def exactly_once(fleet: LoopbackFleet) -> bool:
     """Whether each request that a gateway took got one final answer, and no connection brought a second."""
     taken = (attempt for attempt in fleet.rule_checker.client_attempts if attempt.accepted)
-    return not fleet.clients.strange and all(attempt.result is not None for attempt in taken)
+    return not fleet.clients.unexpected_replies and all(attempt.result is not None for attempt in taken)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -15,10 +15,10 @@
 from mapleshunt.net.protocol import http, resp
 
 ROOT = Path(__file__).parent.parent
-EXAMPLE = ROOT / "examples" / "config.json"
+EXAMPLE_CONFIG = ROOT / "examples" / "config.json"
 PING = resp.encode_command([b"PING"])
 PONG, NOT_READY = resp.SimpleReply("PONG"), resp.ErrorReply("ERR not ready")
-LONG = 60.0  # s that a test waits at most for what must come
+WAIT_TIMEOUT_S = 60.0  # s that a test waits at most for what must come
 
 
 def run(*args: str, **env: str) -> subprocess.Popen[str]:
@@ -34,7 +34,7 @@
         return port
 
 
-def replies(client: socket.socket, count: int) -> list[resp.Reply]:
+def read_replies(client: socket.socket, count: int) -> list[resp.Reply]:
     data, got, at = bytearray(), list[resp.Reply](), 0
     while len(got) < count:
         if not (more := client.recv(65536)):
@@ -46,15 +46,15 @@
     return got
 
 
-ONE = b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"
+REQUEST_PAIRS = b"c=lookup,t=small,d=5000,units=1,spread=1,first=0"
 
 
-def query(number: int, pairs: bytes = ONE, customer: bytes = b"00000000b4d65521") -> bytes:
+def query(number: int, pairs: bytes = REQUEST_PAIRS, customer: bytes = b"00000000b4d65521") -> bytes:
     return resp.encode_command([b"SVC.QUERY", customer, b"%016x" % number, pairs])
 
 
 @contextlib.contextmanager
-def toy() -> Iterator[str]:
+def toy_servers() -> Iterator[str]:
     """Discovery and two till servers; yields discovery's address."""
     process = run("-m", "examples.toy_server", "0")
     assert process.stdout is not None
@@ -69,13 +69,13 @@
     """A gateway with an operators' door. `shared` is a listening socket that it inherits."""
 
     def __init__(self, discovery: str, shared: socket.socket | None = None, **env: str) -> None:
-        self.client = shared.getsockname() if shared else ("127.0.0.1", free_port())
-        self.door = ("127.0.0.1", free_port())
+        self.client_address = shared.getsockname() if shared else ("127.0.0.1", free_port())
+        self.admin_address = ("127.0.0.1", free_port())
         self.log = tempfile.TemporaryFile("w+")  # noqa: SIM115 - it lives as long as the process
         names = {
-            "PROXY_CONFIG": str(EXAMPLE), "PROXY_DISCOVERY": discovery,
-            "PROXY_LISTEN": f"127.0.0.1:{self.client[1]}",
-            "PROXY_MANAGEMENT": f"127.0.0.1:{self.door[1]}", **env,
+            "PROXY_CONFIG": str(EXAMPLE_CONFIG), "PROXY_DISCOVERY": discovery,
+            "PROXY_LISTEN": f"127.0.0.1:{self.client_address[1]}",
+            "PROXY_MANAGEMENT": f"127.0.0.1:{self.admin_address[1]}", **env,
         }  # fmt: skip
         if shared is not None:
             names["PROXY_ACCEPT_FD"] = str(shared.fileno())
@@ -84,8 +84,8 @@
             pass_fds=[shared.fileno()] if shared is not None else [],
         )  # fmt: skip
 
-    def call(self, method: str, path: str) -> tuple[int, str]:
-        with socket.create_connection(self.door, timeout=20) as one:
+    def call_admin(self, method: str, path: str) -> tuple[int, str]:
+        with socket.create_connection(self.admin_address, timeout=20) as one:
             one.sendall(f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
             data = bytearray()
             while got := one.recv(65536):
@@ -94,32 +94,32 @@
         assert found is not None and not found[0].keep_alive
         return found[0].status, bytes(found[0].body).decode()
 
-    def until(self, status: int) -> None:
-        end = time.monotonic() + LONG
+    def wait_for_readiness(self, status: int) -> None:
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
-            assert self.process.poll() is None, self.said()
+            assert self.process.poll() is None, self.log_text()
             with contextlib.suppress(OSError):
-                if self.call("GET", "/_ready")[0] == status:
+                if self.call_admin("GET", "/_ready")[0] == status:
                     return
             time.sleep(0.01)
         raise AssertionError("not in time")
 
-    def said(self) -> str:
+    def log_text(self) -> str:
         self.log.seek(0)
         return self.log.read()
 
-    def logged(self, event: str) -> str:
+    def wait_for_event(self, event: str) -> str:
         """The first line of that event, waited for."""
-        end = time.monotonic() + LONG
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
-            for line in self.said().splitlines(keepends=True):
+            for line in self.log_text().splitlines(keepends=True):
                 if f"event={event} " in line and line.endswith("\n"):
                     return line
             time.sleep(0.01)
-        raise AssertionError(f"no {event} in {self.said()}")
+        raise AssertionError(f"no {event} in {self.log_text()}")
 
-    def figures(self) -> dict[str, tuple[str, str]]:
-        status, text = self.call("GET", "/_vars")
+    def read_metrics(self) -> dict[str, tuple[str, str]]:
+        status, text = self.call_admin("GET", "/_vars")
         assert status == 200
         pairs = [line.partition(":") for line in text.splitlines()]
         return {name: (value.split("|")[0], value.split("|")[1]) for name, _, value in pairs}
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -18,14 +18,14 @@
 from mapleshunt.net.admin.endpoint import MAX_CONNECTIONS
 from mapleshunt.net.protocol import http
 
-from .processes import EXAMPLE, NOT_READY, PING, PONG, ROOT, Gateway, query, replies, toy
+from .processes import EXAMPLE_CONFIG, NOT_READY, PING, PONG, ROOT, Gateway, query, read_replies, toy_servers
 
 
 @pytest.fixture
 def gateway() -> Iterator[Gateway]:
-    with toy() as discovery:
+    with toy_servers() as discovery:
         process = Gateway(discovery)
-        process.until(200)
+        process.wait_for_readiness(200)
         yield process
         process.kill()
 
@@ -35,14 +35,14 @@
 
 
 def test_statistics_count_every_result_and_every_attempt(gateway: Gateway) -> None:
-    assert gateway.figures()["gateway.completed.lookup"] == ("0", "c")
-    with socket.create_connection(gateway.client, timeout=20) as client:
+    assert gateway.read_metrics()["gateway.completed.lookup"] == ("0", "c")
+    with socket.create_connection(gateway.client_address, timeout=20) as client:
         for number in range(9):
             send_request(client, number)
         send_request(client, 99, b"odd")  # of an unknown class: not counted
-        received = replies(client, 10)
+        received = read_replies(client, 10)
     served = sum(isinstance(reply, memoryview) for reply in received)
-    figures = gateway.figures()
+    figures = gateway.read_metrics()
     assert served >= 5 and figures["gateway.completed.lookup"] == (str(served), "c")
     assert figures["gateway.rejected.lookup"] == (str(9 - served), "c")
     assert figures["gateway.upstream_requests.lookup"] == (str(served), "c")
@@ -54,9 +54,9 @@
 def test_call_is_answered_while_other_clients_keep_connections_open(gateway: Gateway) -> None:
     connections = []
     for number in range(3 * MAX_CONNECTIONS):
-        connections.append(socket.create_connection(gateway.door, timeout=20))
+        connections.append(socket.create_connection(gateway.admin_address, timeout=20))
         connections[-1].sendall(b"GET /_va"[: number % 9])
-    assert gateway.call("GET", "/_ready")[0] == 200
+    assert gateway.call_admin("GET", "/_ready")[0] == 200
     # The oldest connections were closed for newer ones.
     assert sum(oldest.recv(1) == b"" for oldest in connections[: 2 * MAX_CONNECTIONS]) == 2 * MAX_CONNECTIONS
     # The newest connection may still call.
@@ -70,21 +70,21 @@
 
 @pytest.mark.parametrize("call", MALFORMED_CALLS)
 def test_malformed_call_closes_its_connection_only(gateway: Gateway, call: bytes) -> None:
-    with socket.create_connection(gateway.door, timeout=20) as client:
+    with socket.create_connection(gateway.admin_address, timeout=20) as client:
         client.sendall(call)
         data = b""
         with contextlib.suppress(ConnectionResetError):
             while received := client.recv(4096):
                 data += received
         assert data.startswith(b"HTTP/1.1 400 ")
-    assert gateway.call("GET", "/_nothing")[0] == 404 and gateway.call("PUT", "/_vars")[0] == 404
+    assert gateway.call_admin("GET", "/_nothing")[0] == 404 and gateway.call_admin("PUT", "/_vars")[0] == 404
 
 
 def test_address_in_use_is_one_line_and_exit_2() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         process = subprocess.run(
             [sys.executable, "-m", "mapleshunt"], cwd=ROOT, capture_output=True, text=True, timeout=60,
-            env={**os.environ, "PROXY_CONFIG": str(EXAMPLE), "PROXY_LISTEN": "127.0.0.1:0",
+            env={**os.environ, "PROXY_CONFIG": str(EXAMPLE_CONFIG), "PROXY_LISTEN": "127.0.0.1:0",
                  "PROXY_MANAGEMENT": f"127.0.0.1:{listener.getsockname()[1]}"},
         )  # fmt: skip
     assert process.returncode == 2 and process.stderr.count("\n") == 1
@@ -105,7 +105,7 @@
 
 asyncio.run(start())
 """
-    args = [sys.executable, "-c", code, str(EXAMPLE)]
+    args = [sys.executable, "-c", code, str(EXAMPLE_CONFIG)]
     process = subprocess.run(args, cwd=ROOT, capture_output=True, text=True)
     assert process.stdout == "[]\n", process.stderr
 
@@ -128,13 +128,13 @@
 def test_draining_gateway_empties_and_serves_again_when_resumed(gateway: Gateway) -> None:
     """No request of a busy client is lost, and the drain closes its connection and that of an idle one."""
     with (
-        socket.create_connection(gateway.client, timeout=20) as idle,
-        socket.create_connection(gateway.client, timeout=20) as busy,
+        socket.create_connection(gateway.client_address, timeout=20) as idle,
+        socket.create_connection(gateway.client_address, timeout=20) as busy,
     ):
         idle.sendall(PING)
-        assert replies(idle, 1) == [PONG]
-        assert gateway.call("POST", "/_lameduck/on") == (200, "drained\n")
-        assert gateway.call("GET", "/_ready")[0] == 503
+        assert read_replies(idle, 1) == [PONG]
+        assert gateway.call_admin("POST", "/_lameduck/on") == (200, "drained\n")
+        assert gateway.call_admin("GET", "/_ready")[0] == 503
         number = 0
         with contextlib.suppress(OSError):
             while True:  # until the gateway closes the connection: each request before that is answered
@@ -145,23 +145,23 @@
                 number += 1
                 time.sleep(0.02)
         assert number > 1 and idle.recv(1) == b""
-    with socket.create_connection(gateway.client, timeout=20) as client:
+    with socket.create_connection(gateway.client_address, timeout=20) as client:
         # The gateway answers that it is not ready and closes the connection.
         client.sendall(PING)
-        assert replies(client, 1) == [NOT_READY]
+        assert read_replies(client, 1) == [NOT_READY]
         assert client.recv(1) == b""
-    assert gateway.call("POST", "/_lameduck/on")[0] == 200 and gateway.process.poll() is None
-    assert gateway.call("POST", "/_lameduck/off") == (200, "working\n")
-    with socket.create_connection(gateway.client, timeout=20) as client:
+    assert gateway.call_admin("POST", "/_lameduck/on")[0] == 200 and gateway.process.poll() is None
+    assert gateway.call_admin("POST", "/_lameduck/off") == (200, "working\n")
+    with socket.create_connection(gateway.client_address, timeout=20) as client:
         client.sendall(PING)
-        assert replies(client, 1) == [PONG]
+        assert read_replies(client, 1) == [PONG]
     gateway.process.send_signal(signal.SIGTERM)
     assert gateway.process.wait(timeout=30) == 0
 
 
 def test_client_that_never_stops_sending_requests_cannot_delay_a_drain(gateway: Gateway) -> None:
-    with socket.create_connection(gateway.client, timeout=20) as client:
-        gateway.call("POST", "/_lameduck/on")
+    with socket.create_connection(gateway.client_address, timeout=20) as client:
+        gateway.call_admin("POST", "/_lameduck/on")
         deadline, number = time.monotonic() + 60, 0
         with contextlib.suppress(OSError):
             while time.monotonic() < deadline:  # a response is always pending: the connection is never idle
@@ -171,4 +171,4 @@
                 if not client.recv(100):
                     break
         assert time.monotonic() < deadline
-    assert gateway.figures()["gateway.pending"] == ("0", "g")
+    assert gateway.read_metrics()["gateway.pending"] == ("0", "g")
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -20,7 +20,7 @@
 from mapleshunt.net.request.context import RequestContext
 from mapleshunt.server.gateway_server import GatewayServer
 
-from .processes import EXAMPLE, PING, query
+from .processes import EXAMPLE_CONFIG, PING, query
 
 
 class FailingListener:
@@ -147,7 +147,7 @@
 
 
 def gateway_server(**limits: int) -> GatewayServer:
-    configuration = {**json.loads(EXAMPLE.read_text()), "limits": limits}
+    configuration = {**json.loads(EXAMPLE_CONFIG.read_text()), "limits": limits}
     env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
     return GatewayServer(config.parse(json.dumps(configuration), env))
 
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -10,7 +10,7 @@
 from mapleshunt.net import config
 from mapleshunt.server.gateway_server import GatewayServer
 
-from .processes import EXAMPLE
+from .processes import EXAMPLE_CONFIG
 
 
 def test_reload_is_retried_when_the_file_cannot_be_read_for_a_moment(
@@ -26,10 +26,10 @@
     def read() -> config.Config:
         if answers:
             raise answers.pop()
-        return config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:2"})
+        return config.parse(EXAMPLE_CONFIG.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:2"})
 
     async def run() -> None:
-        server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
+        server = GatewayServer(config.parse(EXAMPLE_CONFIG.read_text(), env))
         monkeypatch.setattr("mapleshunt.server.config_reload.reload", read)
         server.reloader.reload()
         async with asyncio.timeout(30):
--- a/tests/test_daemon_loads.py
+++ b/tests/test_daemon_loads.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from tests.processes import EXAMPLE, ROOT, free_port, run
+from tests.processes import EXAMPLE_CONFIG, ROOT, free_port, run
 
 TOOLS = ("click", "joblib", "matplotlib", "msgspec", "numpy", "scipy", "zstandard", "mapleshunt.fleet",
          "mapleshunt.simulation", "mapleshunt.testbed", "mapleshunt.cli", "mapleshunt.recording")  # fmt: skip
@@ -34,7 +34,7 @@
     gateway = run(
         "-m",
         "mapleshunt",
-        PROXY_CONFIG=str(EXAMPLE),
+        PROXY_CONFIG=str(EXAMPLE_CONFIG),
         PROXY_DISCOVERY=discovery,
         PROXY_LISTEN=f"127.0.0.1:{free_port()}",
     )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -26,7 +26,7 @@
 from mapleshunt.net.protocol.read_buffer import ReadBuffer
 from mapleshunt.server.gateway_server import GatewayServer
 
-from .processes import EXAMPLE
+from .processes import EXAMPLE_CONFIG
 
 
 class ShortBackoff(Backoff):
@@ -258,7 +258,7 @@
         agents = [Agent() for _ in range(3)]
         servers = [await agent.start() for agent in agents]
         first, second, third = (server.sockets[0].getsockname() for server in servers)
-        base_config = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
+        base_config = config.parse(EXAMPLE_CONFIG.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
         watch = GatewayServer(base_config).endpoint_watch
         monkeypatch.setattr(watch, "apply_list", lambda update: updates.append(update.revision))
 
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -13,7 +13,7 @@
 from mapleshunt.net.discovery.watcher import EndpointWatcher
 from mapleshunt.server.gateway_server import GatewayServer
 
-from .processes import EXAMPLE
+from .processes import EXAMPLE_CONFIG
 
 
 def test_watch_begins_anew_when_a_defect_ended_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -28,7 +28,7 @@
         await asyncio.Event().wait()
 
     async def run() -> GatewayServer:
-        base = config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
+        base = config.parse(EXAMPLE_CONFIG.read_text(), {"PROXY_LISTEN": "127.0.0.1:0"})
         server = GatewayServer(base)
         server.endpoint_watch.follow(replace(base, discovery_address=("127.0.0.1", 1)))
         async with asyncio.timeout(30):
@@ -50,7 +50,9 @@
         now = time.time() * 1000
         with monkeypatch.context() as patched:
             patched.setattr(time, "time", lambda: now / 1000 + 3600)
-            server = GatewayServer(config.parse(EXAMPLE.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:1"}))
+            server = GatewayServer(
+                config.parse(EXAMPLE_CONFIG.read_text(), {"PROXY_DISCOVERY": "127.0.0.1:1"})
+            )
             watch = server.endpoint_watch
             assert watch.max_endpoint_age(now) > 3_500_000.0  # of a first list nothing else is known
             watch.apply_list(EndpointList(1, True, ()))
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -26,7 +26,7 @@
 from mapleshunt.storage.writer import StoreWriter
 from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 
-from .processes import EXAMPLE, ROOT, free_port
+from .processes import EXAMPLE_CONFIG, ROOT, free_port
 from .test_durable_store import FIRST, filled_store
 
 OPENS = 60
@@ -199,7 +199,11 @@
 def process(folder: Path, **env: str) -> Iterator[subprocess.Popen[bytes]]:
     """A gateway with the example's configuration, its log in the folder."""
     clean = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
-    chosen = {"PROXY_CONFIG": str(EXAMPLE), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
+    chosen = {
+        "PROXY_CONFIG": str(EXAMPLE_CONFIG),
+        "PROXY_LISTEN": "127.0.0.1:0",
+        "PROXY_DISCOVERY": "127.0.0.1:1",
+    }
     with (folder / "log").open("wb") as log:
         started = subprocess.Popen(
             [sys.executable, "-m", "mapleshunt"], cwd=ROOT, env={**clean, **chosen, **env}, stderr=log
@@ -277,7 +281,7 @@
 
     async def run() -> None:
         server = GatewayServer(
-            config.parse(EXAMPLE.read_text(), {"PROXY_LISTEN": f"127.0.0.1:{free_port()}"})
+            config.parse(EXAMPLE_CONFIG.read_text(), {"PROXY_LISTEN": f"127.0.0.1:{free_port()}"})
         )
         await server.prepare()
         assert server.extensions is not None
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -167,9 +167,9 @@
             await fleet.start()
             run = command(tmp_path / "g0" / "operators.sexp")
             caller = fleet.client(1)
-            await caller.do(w.OpenSession())
+            await caller.execute(w.OpenSession())
             for number in range(8):
-                assert isinstance(await caller.do(w.CountUsage("c0", 1.0 + number)), Applied)
+                assert isinstance(await caller.execute(w.CountUsage("c0", 1.0 + number)), Applied)
             code, said = await run("copies", "recover", "0")
             assert code == 2 and "has a leader" in said
             leader = await fleet.wait_for_leader()
@@ -197,7 +197,7 @@
             await fleet.wait_until_settled()
             found: Any = await caller.read("store", "c0")
             assert found is not None and found.counted_usage == 36.0  # most had it, and so had this one
-            await caller.do(w.CountUsage("c0", 4.0))
+            await caller.execute(w.CountUsage("c0", 4.0))
             for one in lost:  # each comes back as it was, first one: together they were most of the group
                 one.restore_saved_store()
                 one.start()
--- a/tests/test_gateway_server.py
+++ b/tests/test_gateway_server.py
@@ -18,7 +18,7 @@
 from mapleshunt.net.protocol import resp
 from mapleshunt.server.gateway_server import GatewayServer
 
-from .processes import EXAMPLE, free_port, query, replies, run
+from .processes import EXAMPLE_CONFIG, free_port, query, read_replies, run
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
     process = run(
         "-m",
         "mapleshunt",
-        PROXY_CONFIG=str(EXAMPLE),
+        PROXY_CONFIG=str(EXAMPLE_CONFIG),
         PROXY_DISCOVERY=discovery,
         PROXY_LISTEN=f"127.0.0.1:{port}",
     )
@@ -54,7 +54,7 @@
     client.sendall(
         resp.encode_command([b"PING"]) + b"".join(query(n) for n in range(9)) + query(9, b"c=odd,d=1")
     )
-    pong, *rest, odd = replies(client, 11)
+    pong, *rest, odd = read_replies(client, 11)
     assert pong == resp.SimpleReply("PONG") and odd == resp.ErrorReply("ERR unknown class")
     served = [bytes(one) for one in rest if isinstance(one, memoryview)]
     # The plan's store holds 5 units and fills by one a second; each answer has its own request's id.
@@ -78,7 +78,7 @@
     file, port = tmp_path / "config.json", free_port()
 
     def write(agent: str) -> None:
-        text = {**json.loads(EXAMPLE.read_text()), "discovery": agent, "listen": f"127.0.0.1:{port}"}
+        text = {**json.loads(EXAMPLE_CONFIG.read_text()), "discovery": agent, "listen": f"127.0.0.1:{port}"}
         file.write_text(json.dumps(text))
 
     write(agents[0])
@@ -104,7 +104,7 @@
         assert f"discovery={agents[1]} counter=none" in logged("reloaded")
         assert "kind=complete" in logged("members")
         client.sendall(query(1))
-        assert isinstance(replies(client, 1)[0], memoryview)
+        assert isinstance(read_replies(client, 1)[0], memoryview)
     process.send_signal(signal.SIGTERM)
     process.communicate(timeout=30)
     for toy in toys:
@@ -129,7 +129,7 @@
 def test_bad_configuration_is_one_plain_message_and_exit_2(text: Any, said: str, tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     if isinstance(text, dict):
-        text = json.dumps({**json.loads(EXAMPLE.read_text()), **text})
+        text = json.dumps({**json.loads(EXAMPLE_CONFIG.read_text()), **text})
     file.write_text(text)
     process = run("-m", "mapleshunt", PROXY_CONFIG=str(file))
     _, message = process.communicate(timeout=60)
@@ -140,7 +140,7 @@
     # One that was accepted and closed at once may have carried a request, which was then lost.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-        server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
+        server = GatewayServer(config.parse(EXAMPLE_CONFIG.read_text(), env))
         server.clients.budget.max_clients = 2
         task = asyncio.create_task(server.run())
         while not server.clients.accepting:
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize(("memory_mb", "sockets"), [(32, 256), (192, 1024)])
 def test_what_clients_may_hold_follows_the_limits_of_the_configuration(memory_mb: int, sockets: int) -> None:
     # A constant of 2 MB for each client that does not read passed 32 MB with sixteen of them.
-    text = {**json.loads(EXAMPLE.read_text()), "limits": {"memory_mb": memory_mb, "sockets": sockets}}
+    text = {**json.loads(EXAMPLE_CONFIG.read_text()), "limits": {"memory_mb": memory_mb, "sockets": sockets}}
 
     async def run() -> GatewayServer:
         return GatewayServer(config.parse(json.dumps(text), {}))
@@ -193,7 +193,7 @@
     Their patience was counted from then: two were answered after their clients had left.
     """
     waited: list[bool] = []
-    monkeypatch.setenv("PROXY_CONFIG", str(EXAMPLE))
+    monkeypatch.setenv("PROXY_CONFIG", str(EXAMPLE_CONFIG))
 
     async def start() -> None:
         server = GatewayServer(config.load())
@@ -222,7 +222,7 @@
     # connection was ended, no idle server connection closed and no lease renewed for an hour.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-        server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
+        server = GatewayServer(config.parse(EXAMPLE_CONFIG.read_text(), env))
         task = asyncio.create_task(server.run())
         while not server.clients.accepting:
             await asyncio.sleep(0)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -28,7 +28,7 @@
 from mapleshunt.policy.gossip_codec import tag_of
 
 from .conftest import CLASSES, PLANS
-from .processes import Gateway, free_port, query, replies, run, toy
+from .processes import Gateway, free_port, query, read_replies, run, toy_servers
 
 BACKLOG_WAIT_S = 1.0  # time that a request waits in the backlog before a process is started
 SMALL_REQUEST = b"c=lookup,t=small,d=5000,units=0.01,spread=1,first=0"
@@ -49,7 +49,7 @@
             for attempt in range(2):
                 try:
                     client.sendall(query(number, SMALL_REQUEST, b"00000000000000c1"))
-                    replies(client, 1)
+                    read_replies(client, 1)
                     self.answered += 1
                     break
                 except OSError:
@@ -88,13 +88,13 @@
 
     def start_ready(self, **env: str) -> Gateway:
         gateway = self.start(**env)
-        gateway.until(200)
+        gateway.wait_for_readiness(200)
         return gateway
 
 
 @pytest.fixture
 def platform(tmp_path: Path) -> Iterator[Platform]:
-    with toy() as discovery:
+    with toy_servers() as discovery:
         shared = Platform(tmp_path, discovery)
         yield shared
         for gateway in shared.started:
@@ -104,14 +104,14 @@
 
 def terminate(gateway: Gateway) -> None:
     gateway.process.send_signal(signal.SIGTERM)
-    assert gateway.process.wait(timeout=30) == 0, gateway.said()
+    assert gateway.process.wait(timeout=30) == 0, gateway.log_text()
 
 
 def serve_eight_requests(platform: Platform) -> list[bool]:
     """Send eight requests of a customer whose bucket holds five units; return which were served."""
     with socket.create_connection(platform.socket.getsockname(), timeout=20) as client:
         client.sendall(b"".join(query(time.monotonic_ns() % (1 << 40) + n) for n in range(8)))
-        return [isinstance(reply, memoryview) for reply in replies(client, 8)]
+        return [isinstance(reply, memoryview) for reply in read_replies(client, 8)]
 
 
 def test_upgrade_under_load_loses_no_request_and_refills_no_quota(platform: Platform) -> None:
@@ -121,9 +121,9 @@
     client.wait_for_answers()
     assert 5 <= sum(serve_eight_requests(platform)) < 8
     new = platform.start_ready()
-    assert "customers=" in new.logged("knowledge_taken") and old.process.poll() is None
+    assert "customers=" in new.wait_for_event("knowledge_taken") and old.process.poll() is None
     terminate(old)
-    assert "succeeded=True" in old.said()
+    assert "succeeded=True" in old.log_text()
     # The bucket refills by one unit a second; a new bucket would serve five requests at once.
     assert sum(serve_eight_requests(platform)) < 5
     client.wait_for_answers()
@@ -133,7 +133,7 @@
 
 
 def name_of(gateway: Gateway) -> str:
-    return gateway.logged("started").split(" name=")[1].split()[0]
+    return gateway.wait_for_event("started").split(" name=")[1].split()[0]
 
 
 def test_upgrade_of_a_gateway_with_replicas_takes_over_their_store(platform: Platform) -> None:
@@ -144,14 +144,14 @@
     store = platform.folder / "store"
     operators.write_text(f'(copies (fleet "f") (folder "{store}") (groups 1) (size 3) {own_peer}{peers})\n')
     old = platform.start_ready(PROXY_OPERATORS=str(operators))
-    old.logged("copies_started")
+    old.wait_for_event("copies_started")
     client = Client(platform.socket.getsockname())
     client.start()
     client.wait_for_answers()
     new = platform.start_ready(PROXY_OPERATORS=str(operators))
-    assert "in use" in new.logged("copies_store_unavailable")
+    assert "in use" in new.wait_for_event("copies_store_unavailable")
     terminate(old)
-    new.logged("copies_started")
+    new.wait_for_event("copies_started")
     client.wait_for_answers()
     client.stop()
     assert not client.lost
@@ -164,7 +164,7 @@
     second = platform.start_ready()
     first.process.send_signal(signal.SIGTERM)
     third = platform.start_ready()
-    assert "source=2" in third.logged("knowledge_taken")
+    assert "source=2" in third.wait_for_event("knowledge_taken")
     terminate(second)
     assert first.process.wait(timeout=30) == 0
     client.wait_for_answers()
@@ -192,22 +192,22 @@
             while not any(file.name.endswith(".gateway.2") for file in platform.folder.iterdir()):
                 time.sleep(0.001)
         case "handed_on":
-            old.logged("handed_on")
+            old.wait_for_event("handed_on")
         case "started":
-            new.logged("started")
+            new.wait_for_event("started")
         case "ready":
-            new.until(200)
+            new.wait_for_readiness(200)
     dead, survivor = (old, new) if victim == "old" else (new, old)
     dead.process.kill()
     dead.process.wait()
     survivor.process.send_signal(signal.SIGCONT)
-    survivor.until(200)
+    survivor.wait_for_readiness(200)
     client.wait_for_answers()
     if victim == "new":
         if step != "begun":
-            assert survivor.logged("successor_gone")
+            assert survivor.wait_for_event("successor_gone")
         third = platform.start_ready()  # a further upgrade is still possible
-        assert third.logged("knowledge_taken")
+        assert third.wait_for_event("knowledge_taken")
         terminate(old)
         client.wait_for_answers()
     client.stop()
@@ -218,7 +218,7 @@
     old = platform.start_ready()
     old.process.send_signal(signal.SIGSTOP)
     new = platform.start_ready()
-    assert "source=1" in new.logged("knowledge_missing")
+    assert "source=1" in new.wait_for_event("knowledge_missing")
     old.process.send_signal(signal.SIGCONT)
     terminate(old)
 
@@ -242,9 +242,9 @@
     thread.start()
     new = Gateway(platform.discovery, platform.socket, TMPDIR=str(platform.folder), PROXY_NAME=name)
     platform.started.append(new)
-    new.until(200)
+    new.wait_for_readiness(200)
     done.set()
-    assert "source=1" in new.logged("knowledge_refused")
+    assert "source=1" in new.wait_for_event("knowledge_refused")
     older.close()
 
 
@@ -260,7 +260,7 @@
             sent_at = time.monotonic()
             time.sleep(BACKLOG_WAIT_S)
             platform.start_ready()
-            replies(client, 1)
+            read_replies(client, 1)
             waited_ms = 1000 * (time.monotonic() - sent_at)
         timeout_ms = int(toy_server.stdout.readline().split("d=")[1].split(",")[0])
         assert 20_000 - waited_ms - 500 < timeout_ms <= 20_000 - 1000 * BACKLOG_WAIT_S
@@ -277,7 +277,10 @@
         not_listening.bind(("127.0.0.1", 0))
         gateway = Gateway("127.0.0.1:1", not_listening, TMPDIR=str(tmp_path))
         assert gateway.process.wait(timeout=60) == 2
-        assert gateway.said().startswith("mapleshunt: cannot start: ") and gateway.said().count("\n") == 1
+        assert (
+            gateway.log_text().startswith("mapleshunt: cannot start: ")
+            and gateway.log_text().count("\n") == 1
+        )
         gateway.kill()
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -25,7 +25,7 @@
 from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet
 
 from .conftest import Driver
-from .processes import EXAMPLE, query, toy
+from .processes import EXAMPLE_CONFIG, query, toy_servers
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -271,7 +271,7 @@
 
 async def served(folder: Path, discovery: str, lease: bool, fault: str) -> tuple[int, float]:
     """Answers with a value to one customer who asks three gateways all the time, and for how many s."""
-    config = {**json.loads(EXAMPLE.read_text()), "discovery": discovery}
+    config = {**json.loads(EXAMPLE_CONFIG.read_text()), "discovery": discovery}
     fleet = ReplicatedFleet(folder, config, 3, 1, election_ms=600)
     fleet.settings.lease = lease
     count = 0
@@ -319,12 +319,12 @@
     by itself: a request or two, which are settled. One that was killed begins with a store of its own, and
     while nobody leads each earns for itself.
     """
-    with toy() as discovery:
+    with toy_servers() as discovery:
         count, seconds = asyncio.run(served(tmp_path, discovery, True, fault))
     assert 4 <= count <= 5 + seconds + 6 + (5 + 4 if fault else 0)
 
 
 def test_without_leases_each_would_let_in_as_much(tmp_path: Path) -> None:
-    with toy() as discovery:
+    with toy_servers() as discovery:
         count, _ = asyncio.run(served(tmp_path, discovery, False, ""))
     assert count >= 15  # a store each
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -20,7 +20,18 @@
 
 from mapleshunt.net.protocol import resp
 
-from .processes import EXAMPLE, LONG, ONE, PING, PONG, ROOT, free_port, query, replies, run
+from .processes import (
+    EXAMPLE_CONFIG,
+    PING,
+    PONG,
+    REQUEST_PAIRS,
+    ROOT,
+    WAIT_TIMEOUT_S,
+    free_port,
+    query,
+    read_replies,
+    run,
+)
 
 
 @contextlib.contextmanager
@@ -48,7 +59,7 @@
     """Start a gateway, and wait until it accepts clients and has logged the events."""
     port = free_port()
     environment = {
-        "PROXY_CONFIG": str(EXAMPLE), "PROXY_DISCOVERY": f"127.0.0.1:{discovery}",
+        "PROXY_CONFIG": str(EXAMPLE_CONFIG), "PROXY_DISCOVERY": f"127.0.0.1:{discovery}",
         "PROXY_LISTEN": f"127.0.0.1:{port}", **env,
     }  # fmt: skip
     process = run("-m", "mapleshunt", **environment)
@@ -72,7 +83,7 @@
             wait_for_events(process, "members")
             with socket.create_connection(("127.0.0.1", port), timeout=20) as client:
                 client.sendall(PING + query(1))
-                pong, value = replies(client, 2)
+                pong, value = read_replies(client, 2)
                 assert pong == PONG and isinstance(value, memoryview)
             process.send_signal(signal.SIGTERM)
             _, log = process.communicate(timeout=30)
@@ -97,14 +108,14 @@
     try:
         with socket.create_connection(("127.0.0.1", port), timeout=20) as client:
             client.sendall(PING)
-            assert replies(client, 1) == [PONG]
+            assert read_replies(client, 1) == [PONG]
             process.send_signal(signal.SIGSTOP)  # all that follows has arrived when it continues
             client.sendall(query(1) + query(2)[:30])
             process.send_signal(first)
             process.send_signal(signal.SIGTERM if first == signal.SIGHUP else signal.SIGHUP)
             process.send_signal(signal.SIGCONT)
             client.sendall(query(2)[30:])
-            assert all(isinstance(reply, memoryview) for reply in replies(client, 2))
+            assert all(isinstance(reply, memoryview) for reply in read_replies(client, 2))
             assert client.recv(1) == b""  # a graceful close, not a reset
         _, log = process.communicate(timeout=30)
         assert process.returncode == 0 and "exceptions=" not in log and "event=reloaded" in log
@@ -141,20 +152,20 @@
         member = {"id": "hangs", "host_port": f"127.0.0.1:{endpoint.getsockname()[1]}", "phase": "Ready"}
         endpoint_list = {"revision": 1, "complete": True, "members": [member]}
         (tmp_path / "config.json").write_text(
-            json.dumps({**json.loads(EXAMPLE.read_text()), "known": endpoint_list})
+            json.dumps({**json.loads(EXAMPLE_CONFIG.read_text()), "known": endpoint_list})
         )
         process, port = start_gateway(1, PROXY_CONFIG=str(tmp_path / "config.json"))
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=20) as client:
-                client.sendall(query(1, ONE.replace(b"d=5000", b"d=2000")))
+                client.sendall(query(1, REQUEST_PAIRS.replace(b"d=5000", b"d=2000")))
                 attempt_pairs(endpoint, 1, open_connections)  # it gets no reply
                 process.send_signal(signal.SIGTERM)
                 wait_for_events(process, "stopping")
                 time.sleep(0.9)  # the connection stays open for its pending response
-                client.sendall(query(2, ONE.replace(b"d=5000", b"d=2000")))
+                client.sendall(query(2, REQUEST_PAIRS.replace(b"d=5000", b"d=2000")))
                 # Its timeout ends 0.2 s before SIGKILL may come, however slow this machine is.
                 assert float(attempt_pairs(endpoint, 2, open_connections)[b"d"]) <= 2500 - 900
-                assert len(replies(client, 2)) == 2
+                assert len(read_replies(client, 2)) == 2
             process.communicate(timeout=30)
             assert process.returncode == 0
         finally:
@@ -166,7 +177,7 @@
 
 def test_sighup_at_any_step_of_start_is_applied(tmp_path: Path) -> None:
     """A SIGHUP before the loop handled signals ended the process. The start is the deploy file's command."""
-    config, configuration = tmp_path / "config", EXAMPLE.read_text()
+    config, configuration = tmp_path / "config", EXAMPLE_CONFIG.read_text()
     os.mkfifo(config)  # a reader blocks until the test writes, which pauses the start there
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     env = {**os.environ, "PROXY_CONFIG": str(config), "PROXY_LISTEN": f"127.0.0.1:{free_port()}"}
@@ -178,7 +189,7 @@
     @contextlib.contextmanager
     def read() -> Iterator[TextIO]:
         """Wait until the process reads its configuration, and yield the file to write it."""
-        deadline = time.monotonic() + LONG
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             assert process.poll() is None and time.monotonic() < deadline
             with contextlib.suppress(OSError):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -22,7 +22,7 @@
 from mapleshunt.simulation.rule_checker import RuleChecker
 from mapleshunt.simulation.scenarios import SCENARIOS
 from mapleshunt.testbed import clients, fleet, summary
-from mapleshunt.testbed.clock import DayClock
+from mapleshunt.testbed.clock import RunClock
 from mapleshunt.testbed.errors import GatewayError
 
 # Real gateways, timed: one after another, whatever runs beside them.
@@ -58,7 +58,7 @@
         Fault(600, "counter_down", 900),
         fixed_parameters={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
     ), 5)  # fmt: skip
-    found, score = fleet.play_day(day, tmp_path)
+    found, score = fleet.run_on_loopback(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     tries = found.rule_checker.client_attempts
     assert any(t.gateway == 1 and t.accepted and t.result is None for t in tries), (
@@ -106,14 +106,14 @@
         heard: list[str] = []
         day: Any = SimpleNamespace(
             gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])],
-            clock=DayClock(), timed_out=[],
+            clock=RunClock(), timed_out=[],
             day=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)), command=lambda *_: b"PING\r\n",
             rule_checker=SimpleNamespace(client_answered=lambda one, final, at: heard.append(final)),
         )  # fmt: skip
         one: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
         found = clients.SocketClients(day)
         ended = await found._send(one, "x")
-        found.drop(0)
+        found.close_idle_connections(0)
         server.close()
         return ended[0], heard, day.timed_out
 
@@ -127,7 +127,7 @@
     """
     day = draw_day(resized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
     program = checkout(tmp_path, QUOTA_IGNORED) if bad else ROOT
-    _, score = fleet.play_day(day, tmp_path / "logs", program)
+    _, score = fleet.run_on_loopback(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
 
@@ -137,7 +137,7 @@
     day = draw_day(
         scenario(fault, seconds=5.0, fixed_parameters={"silent_notice_ms": 5000, "add_ms": 100}), 6
     )
-    found, score = fleet.play_day(day, tmp_path)
+    found, score = fleet.run_on_loopback(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     at = [a.sent_at for t in found.rule_checker.client_attempts for a in t.attempts if a.server == 0]
     assert sum(1200 < one < 2000 for one in at) < sum(one < 500 for one in at)
@@ -146,7 +146,7 @@
 
 def test_a_planned_leave_loses_nothing(tmp_path: Path) -> None:
     day = draw_day(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
-    found, score = fleet.play_day(day, tmp_path)
+    found, score = fleet.run_on_loopback(day, tmp_path)
     assert not any(score.rules.values()), score.stories
     assert all(t.result is not None for t in found.rule_checker.client_attempts if t.accepted)
 
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("rule", BAD)
 def test_the_rig_sees_a_bad_program_break_a_rule(tmp_path: Path, rule: str) -> None:
     day = draw_day(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
-    _, score = fleet.play_day(day, tmp_path / "logs", checkout(tmp_path, *BAD[rule]))
+    _, score = fleet.run_on_loopback(day, tmp_path / "logs", checkout(tmp_path, *BAD[rule]))
     assert score.rules[rule] > 0, score.rules
 
 
@@ -218,7 +218,7 @@
         ),
     )
     with pytest.raises(GatewayError, match="ended at its start"):
-        fleet.play_day(day, tmp_path / "logs", broken)
+        fleet.run_on_loopback(day, tmp_path / "logs", broken)
     dies = checkout(
         tmp_path / "b",
         (
@@ -230,13 +230,13 @@
         ),
     )
     with pytest.raises(GatewayError, match="ended by themselves"):
-        fleet.play_day(day, tmp_path / "logs", dies)
+        fleet.run_on_loopback(day, tmp_path / "logs", dies)
 
 
 def test_gateways_record_what_crossed_the_sockets(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text(f'(record (file "{tmp_path}/{{name}}.rec") (salt "s"))')
     day = draw_day(scenario(seconds=2.0, rate=60.0), 10)
-    found, _ = fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
+    found, _ = fleet.run_on_loopback(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
     rows = [row for n in range(2) for row in form.read_recording((tmp_path / f"n{n}.rec").read_bytes()).rows]
     tries = [t for t in found.rule_checker.client_attempts if t.accepted]
     assert len(rows) == len(tries)
@@ -251,4 +251,4 @@
     (tmp_path / "o.sexp").write_text("(record (file 3))")
     day = draw_day(scenario(seconds=1.0), 9)
     with pytest.raises(GatewayError, match=r"mapleshunt: .*o\.sexp:1:15: file: expected `str`, got `int`"):
-        fleet.play_day(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
+        fleet.run_on_loopback(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -47,7 +47,7 @@
 from mapleshunt.storage.errors import StoreUnusableError
 from mapleshunt.testbed.replica_client import ReplicaClient, query_operator_port
 
-from .processes import LONG, Gateway, free_port, toy
+from .processes import WAIT_TIMEOUT_S, Gateway, free_port, toy_servers
 from .test_hot_restart import decisions
 from .test_record import record
 
@@ -371,7 +371,7 @@
     async def status(gateway: Gateway) -> dict[str, Any]:
         """As the gateway tells it once it leads group 0."""
         while True:
-            assert gateway.process.poll() is None, gateway.said()
+            assert gateway.process.poll() is None, gateway.log_text()
             reply = await query_operator_port(where, FLEET, "status")
             if reply is not None:
                 told: dict[str, Any] = msgspec.msgpack.decode(reply.data)
@@ -399,19 +399,19 @@
         assert exact(plain(held)) == exact(served["works"])
         _, place, long, some = await caller.read("place", "g1", PLACE_REPLY)
         assert exact(plain((place, long, some))) == exact(served["place of g1"])
-        await caller.do(words.OpenSession())
+        await caller.execute(words.OpenSession())
         key, one = served["records"][0]
-        assert plain(await caller.do(words.SetRecord(key, "next", one[2]))) == ["done", one[2] + 1]
+        assert plain(await caller.execute(words.SetRecord(key, "next", one[2]))) == ["done", one[2] + 1]
         caller.close()
 
     async def limited(gateway: Gateway) -> None:
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             await serve(gateway)
 
-    with toy() as discovery:
+    with toy_servers() as discovery:
         gateway = Gateway(discovery, PROXY_OPERATORS=str(operators), TMPDIR=str(tmp_path))
         try:
-            gateway.until(200)
+            gateway.wait_for_readiness(200)
             asyncio.run(limited(gateway))
         finally:
             gateway.kill()
