--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -46,7 +46,7 @@
         self.listener = _bind(0)
         self.port: int = self.listener.getsockname()[1]
         self._tasks: set[asyncio.Task[None]] = set()
-        self.listening: Callable[[], None] | None = None
+        self.remove_accept_handler: Callable[[], None] | None = None
         self.listen()
         self.streams: set[IOStream] = set()
         self._waiting: dict[BackendRequest, InFlightAttempt] = {}
@@ -58,13 +58,13 @@
     def listen(self) -> None:
         """Take connections from now on."""
         self.listener.listen(BACKLOG)
-        self.listening = add_accept_handler(self.listener, self._accept)
+        self.remove_accept_handler = add_accept_handler(self.listener, self._accept)
 
     def stop(self) -> None:
         """Take no more connections: new ones are refused."""
-        if self.listening is not None:
-            self.listening()
-            self.listening = None
+        if self.remove_accept_handler is not None:
+            self.remove_accept_handler()
+            self.remove_accept_handler = None
         self.listener.close()
 
     def _accept(self, connection: socket.socket, _address: object) -> None:
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -28,7 +28,7 @@
         self.stream = IOStream(socket.socket())
         self.buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         self.fleet, self.gateway = fleet, gateway
-        self.used, self.at = False, 0.0
+        self.used, self.last_used_at = False, 0.0
 
     async def connect(self) -> None:
         await self.stream.connect((HOST, self.fleet.gateways[self.gateway].port))
@@ -84,7 +84,7 @@
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             link = pool.pop()
-            if now - link.at < IDLE and not link.stream.closed():
+            if now - link.last_used_at < IDLE and not link.stream.closed():
                 return link
             link.stream.close()
         return ClientConnection(self.fleet, gateway)
@@ -151,13 +151,13 @@
                 self.unexpected_replies += 1
                 fleet.rule_checker.request_lost(one)
                 return "failed", 0.0
-            link.used, link.at = True, asyncio.get_running_loop().time()
+            link.used, link.last_used_at = True, asyncio.get_running_loop().time()
             self.idle[one.gateway].append(link)
-            told, wait = self._read(one, name, reply)
+            told, wait = self._record_reply(one, name, reply)
             return (told, wait) if one.answered_at - one.sent_at <= one.timeout_ms else ("late", 0.0)
         return "failed", 0.0
 
-    def _read(self, one: ClientAttempt, name: str, reply: resp.Reply) -> tuple[ClientResult, float]:
+    def _record_reply(self, one: ClientAttempt, name: str, reply: resp.Reply) -> tuple[ClientResult, float]:
         fleet, now = self.fleet, self.fleet.clock.now()
         one.answered_at = now
         if isinstance(reply, memoryview):
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class MaintenanceFaultAt:
+class ScheduledMaintenanceFault:
     """A fault, and the state that a machine has to be in for it."""
 
     kind: MaintenanceFault
@@ -93,7 +93,7 @@
         }
 
     async def run(
-        self, schedule: Sequence[MaintenanceFaultAt] = (), faults: int = 3
+        self, schedule: Sequence[ScheduledMaintenanceFault] = (), faults: int = 3
     ) -> RollingMaintenanceReport:
         """Work on all machines, with the schedule's faults or as many as the seed draws; all must be done.
 
@@ -127,9 +127,9 @@
         self.report.seconds = round(time.monotonic() - begun, 1)
         return self.report
 
-    def _draw(self, count: int) -> list[MaintenanceFaultAt]:
+    def _draw(self, count: int) -> list[ScheduledMaintenanceFault]:
         kinds, rng = tuple(MaintenanceFault), self.fleet.random
-        return [MaintenanceFaultAt(rng.choice(kinds), rng.choice(STATES)) for _ in range(count)]
+        return [ScheduledMaintenanceFault(rng.choice(kinds), rng.choice(STATES)) for _ in range(count)]
 
     async def _request_all(self, client: ReplicaClient) -> None:
         await client.execute(h.OpenSession())
@@ -206,7 +206,7 @@
             f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s: {self._works.blocked_reason}"
         )
 
-    async def _inject(self, fault: MaintenanceFaultAt, client: ReplicaClient) -> None:
+    async def _inject(self, fault: ScheduledMaintenanceFault, client: ReplicaClient) -> None:
         """Inject a fault once a machine is in its state, and heal it. One that is worked on is left alone."""
         machine = await self._next_in_state(client, fault.state)
         self.report.faults.append(f"{fault.kind} while {machine.name} is {fault.state}")
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -112,10 +112,10 @@
 
     def stop_accepting(self) -> None:
         """Let no new connections be made: the backlog is full, and stays so."""
-        if self.listening is None:
+        if self.remove_accept_handler is None:
             return
-        self.listening()
-        self.listening = None
+        self.remove_accept_handler()
+        self.remove_accept_handler = None
         self.listener.listen(0)
         for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
@@ -128,7 +128,7 @@
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
-        if self.machine.up and self.listening is None:
+        if self.machine.up and self.remove_accept_handler is None:
             self.listen()
 
     def hang(self) -> None:
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -56,7 +56,7 @@
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             link = pool.pop(0)
-            if now - link.at < MAX_IDLE_S and not link.stream.closed():
+            if now - link.last_used_at < MAX_IDLE_S and not link.stream.closed():
                 return link
             link.stream.close()
         return ClientConnection(self.fleet, gateway)
@@ -111,9 +111,9 @@
                 return "failed", 0.0
             if reply is None:  # it has left
                 return "failed", 0.0
-            link.used, link.at = True, asyncio.get_running_loop().time()
+            link.used, link.last_used_at = True, asyncio.get_running_loop().time()
             self.idle[one.gateway].append(link)
-            told, wait = self._read(one, name, reply)
+            told, wait = self._record_reply(one, name, reply)
             return (told, wait) if one.answered_at - one.sent_at <= one.timeout_ms else ("late", 0.0)
         return "failed", 0.0
 
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -15,8 +15,8 @@
 from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
 from mapleshunt.testbed.rolling_maintenance import (
     MaintenanceFault,
-    MaintenanceFaultAt,
     RollingMaintenanceRun,
+    ScheduledMaintenanceFault,
 )
 
 from .test_faults import PEERS, command
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("number", range(len(SCHEDULES)))
 def test_each_machine_goes_once_and_never_more_than_may(number: int, tmp_path: Path) -> None:
     fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 5, seed=number + 1, election_ms=500.0)
-    schedule = [MaintenanceFaultAt(MaintenanceFault(kind), state) for kind, state in SCHEDULES[number]]
+    schedule = [ScheduledMaintenanceFault(MaintenanceFault(kind), state) for kind, state in SCHEDULES[number]]
     report = asyncio.run(RollingMaintenanceRun(fleet).run(schedule))
     assert not report.violations and len(report.faults) == len(SCHEDULES[number]), report
     assert report.times_out == dict.fromkeys(fleet.machines, 1) and report.most_drained == 1
