--- a/mapleshunt/testbed/__init__.py
+++ b/mapleshunt/testbed/__init__.py
@@ -1,6 +1,6 @@
-"""The fleet on loopback sockets in real time: the world's machines, with real gateway processes among them.
+"""The fleet on loopback sockets in real time: real gateway processes among emulated machines.
 
-It hosts the state machines of `mapleshunt.fleet`, plays the days of `mapleshunt.simulation` and is judged by
-the same rules and score. It may import `net` (for its parsers) and the model; the program imports nothing of
-it.
+It hosts the state machines of `mapleshunt.fleet`, runs the scenarios of `mapleshunt.simulation` and applies
+the same rules and score. It may import `net` (for its parsers), `fleet` and `simulation`; the gateway imports
+nothing from it.
 """
--- a/mapleshunt/testbed/backends.py
+++ b/mapleshunt/testbed/backends.py
@@ -1,4 +1,4 @@
-"""Backends on sockets: RESP2 before the fleet's state machine, and what arrives at them on record."""
+"""Emulated backends on sockets: RESP2 in front of the state machine; arriving attempts are recorded."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 BACKLOG = 512  # connections that wait to be accepted
-CANCELLED = "cancelled"  # status of an attempt whose gateway has ended the connection
+CANCELLED = "cancelled"  # status of an attempt whose gateway closed the connection
 REQUEST_VERBS = (b"SVC.QUERY", b"SVC.SUBMIT")
-REQUEST_WORDS = 4  # verb, customer, name and pairs
+REQUEST_WORDS = 4  # verb, customer, request id and pairs
 
 
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
-    """An attempt that has no response yet, and the connection that it came by."""
+    """An attempt without a response yet, and the connection it arrived on."""
 
     request: ClientAttempt
     attempt: UpstreamAttempt
@@ -39,14 +39,14 @@
 
 
 class SocketBackend:
-    """One backend. Its address stays the same when its process restarts."""
+    """An emulated backend. Its address stays the same when its process restarts."""
 
     def __init__(self, machine: Backend, fleet: LoopbackFleet) -> None:
         self.machine, self.fleet = machine, fleet
         self.listener = _bind(0)
         self.port: int = self.listener.getsockname()[1]
         self._tasks: set[asyncio.Task[None]] = set()
-        self.remove_accept_handler: Callable[[], None] | None = None
+        self.remove_accept_handler: Callable[[], None] | None = None  # None: not accepting
         self.listen()
         self.streams: set[IOStream] = set()
         self._waiting: dict[BackendRequest, InFlightAttempt] = {}
@@ -56,12 +56,12 @@
     # The process
 
     def listen(self) -> None:
-        """Take connections from now on."""
+        """Start accepting connections."""
         self.listener.listen(BACKLOG)
         self.remove_accept_handler = add_accept_handler(self.listener, self._accept)
 
     def stop(self) -> None:
-        """Take no more connections: new ones are refused."""
+        """Stop accepting connections: new ones are refused."""
         if self.remove_accept_handler is not None:
             self.remove_accept_handler()
             self.remove_accept_handler = None
@@ -84,19 +84,19 @@
 
     def crash(self) -> None:
         """End the process: connections are reset, and new ones are refused."""
-        self._end_works(self.machine.advance(self.fleet.clock.now()))
+        self._finish_requests(self.machine.advance(self.fleet.clock.now()))
         self.stop()
-        self.listener = _bind(self.port)  # held and not listening: connections are refused
+        self.listener = _bind(self.port)  # not listening: the port stays taken, connections are refused
         self.machine.crash(self.fleet.clock.now())
         self.reset_connections()
 
     def stop_responding(self) -> None:
-        """Go on to accept and read, and respond to nothing."""
-        self._end_works(self.machine.advance(self.fleet.clock.now()))
+        """Keep accepting and reading without responding."""
+        self._finish_requests(self.machine.advance(self.fleet.clock.now()))
         self.machine.silent, self.machine.next_event_at = True, float("inf")
 
     def restart(self) -> None:
-        """Start a process anew, cold; one that is silent is ended first."""
+        """Start a new process, which warms up; one that does not respond is ended first."""
         if self.machine.silent:
             self.crash()
         self.listen()
@@ -105,7 +105,7 @@
     # Connections
 
     async def handle_stream(self, stream: IOStream) -> None:
-        """Handle a connection's commands one after another until it ends."""
+        """Handle a connection's commands one at a time until it ends."""
         machine, clock = self.machine, self.fleet.clock
         if len(self.streams) >= machine.max_connections:
             stream.close()
@@ -118,9 +118,9 @@
         stream.set_close_callback(lambda: self._closed(stream, current))
         try:
             while True:
-                while found := resp.parse_command(buffer.data, buffer.start, buffer.end):
-                    buffer.consume(found[1])
-                    await self._handle_command(stream, found[0], current)
+                while parsed := resp.parse_command(buffer.data, buffer.start, buffer.end):
+                    buffer.consume(parsed[1])
+                    await self._handle_command(stream, parsed[0], current)
                 await buffer.fill(stream)
         except (StreamClosedError, resp.ProtocolError, MessageTooLongError):
             stream.close()
@@ -132,7 +132,7 @@
             self.cancel(in_flight)
 
     def cancel(self, in_flight: InFlightAttempt) -> None:
-        """Cancel an attempt whose gateway has ended the connection; nothing if it has ended."""
+        """Cancel an attempt whose gateway closed the connection, unless the attempt has ended."""
         if in_flight.attempt.status is None:
             in_flight.attempt.status = CANCELLED
             in_flight.attempt.backend_request.cancelled = True
@@ -149,32 +149,33 @@
         if verb not in REQUEST_VERBS or len(words) < REQUEST_WORDS:
             await stream.write(b"+PONG\r\n" if verb == b"PING" else resp.encode_error("ERR unknown command"))
             return
-        name = bytes(words[2])
-        found = self.fleet.attempts_by_name.get(name.decode("latin-1"))
-        if found is None:
+        wire_id = bytes(words[2])
+        known = self.fleet.attempts_by_wire_id.get(wire_id.decode("latin-1"))
+        if known is None:
             self.fleet.unknown_requests += 1
             await stream.write(resp.encode_error("SYNTAX no client sent this"))
             return
-        in_flight = self._begin_attempt(found[0], stream)
+        in_flight = self._begin_attempt(known[0], stream)
         current[:] = [in_flight]
         status = await self._wait_for_status(in_flight)
         if status is None:
             return
         in_flight.attempt.status = status
-        self.fleet.ended(in_flight)
+        self.fleet.remove_in_flight(in_flight)
         current.clear()
-        await self._respond(in_flight, status, name)
+        await self._respond(in_flight, status, wire_id)
 
     def _begin_attempt(self, request: ClientAttempt, stream: IOStream) -> InFlightAttempt:
         """Record an attempt that has arrived."""
         fleet, now = self.fleet, self.fleet.clock.now()
         for earlier in fleet.in_flight.get(request.request_id, ()):
-            if is_closed_by_peer(
-                earlier.stream
-            ):  # it ended before this one came, though that is not read yet
+            # The gateway closed it before it sent this one; the close has not been read yet.
+            if is_closed_by_peer(earlier.stream):
                 fleet.cancel(earlier)
-        work = fleet.backend_request(request, len(request.attempts), request.sent_at + request.timeout_ms)
-        attempt = UpstreamAttempt(self.machine.number, self.machine.cell, now, work, now)
+        backend_request = fleet.backend_request(
+            request, len(request.attempts), request.sent_at + request.timeout_ms
+        )
+        attempt = UpstreamAttempt(self.machine.number, self.machine.cell, now, backend_request, now)
         fleet.rule_checker.attempt_sent(request, attempt, request.gateway, fleet.sent_at(now))
         request.attempts.append(attempt)
         fleet.quota_accounting.record_arrival(request, now)
@@ -183,7 +184,7 @@
         return in_flight
 
     async def _wait_for_status(self, in_flight: InFlightAttempt) -> str | None:
-        """Return how the attempt ended; None if it has no response: cancelled, or the backend collapsed."""
+        """Return how the attempt ended; None without a response: cancelled, or the backend collapsed."""
         status: str | None = None
         if not self.machine.silent:
             collapsed_before = self.machine.collapsed
@@ -200,42 +201,42 @@
         return status
 
     def _offer(self, in_flight: InFlightAttempt) -> str | None:
-        """Offer an attempt's work to the machine; returns its status if it has ended at once."""
+        """Offer an attempt's work to the machine; return its status if it ended at once."""
         gateway, attempt = in_flight.request.gateway, in_flight.attempt
         knows_start = self.fleet.rule_checker.knows_start(
             gateway, self.machine.number, self.machine.started_at
         )
-        status, ended = self.machine.offer(attempt.sent_at, attempt.backend_request, knows_start)
-        self._end_works(ended)
+        status, finished = self.machine.offer(attempt.sent_at, attempt.backend_request, knows_start)
+        self._finish_requests(finished)
         return status
 
-    async def _respond(self, in_flight: InFlightAttempt, status: str, name: bytes) -> None:
+    async def _respond(self, in_flight: InFlightAttempt, status: str, wire_id: bytes) -> None:
         if status == "full":
             await in_flight.stream.write(resp.encode_error("BUSY"))
         elif status == "error":
             await in_flight.stream.write(resp.encode_error("ERR failed"))
         else:
             self.fleet.quota_accounting.record_settlement(in_flight.request, self.fleet.clock.now())
-            await self._write_result(in_flight.stream, self._result(in_flight.request, name))
+            await self._write_result(in_flight.stream, self._result(in_flight.request, wire_id))
 
-    def _result(self, request: ClientAttempt, name: bytes) -> bytes:
+    def _result(self, request: ClientAttempt, wire_id: bytes) -> bytes:
         report = self.machine.load_report(self.fleet.clock.now())
         load = f"qps={report.qps:.0f},latency_ms={report.latency:.0f},inflight={report.inflight:.0f}"
-        value = b"%s by %d" % (name, self.machine.number)
+        value = b"%s by %d" % (wire_id, self.machine.number)
         cost = f"cost={request.request.units:.0f}".encode()
         return b"*3\r\n" + resp.encode_bulk(value) + resp.encode_bulk(cost) + resp.encode_bulk(load.encode())
 
     async def _write_result(self, stream: IOStream, data: bytes) -> None:
         await stream.write(data)
 
-    # The machine's time
+    # The machine's progress
 
-    def _end_works(self, works: list[BackendRequest]) -> None:
-        for work in works:
-            if work.took_effect:
-                self.fleet.rule_checker.effect_ran(work)
-            in_flight = self._waiting.pop(work, None)
-            if in_flight is not None and not work.cancelled and not in_flight.done.done():
+    def _finish_requests(self, finished: list[BackendRequest]) -> None:
+        for request in finished:
+            if request.took_effect:
+                self.fleet.rule_checker.effect_ran(request)
+            in_flight = self._waiting.pop(request, None)
+            if in_flight is not None and not request.cancelled and not in_flight.done.done():
                 self.machine.latency_since_report += self.fleet.clock.now() - (
                     in_flight.attempt.arrived_at or 0.0
                 )
@@ -251,12 +252,12 @@
     def _run_due(self) -> None:
         self._timer, self._timer_at = None, float("inf")
         if self.machine.up and not self.machine.silent:
-            self._end_works(self.machine.advance(self.fleet.clock.now()))
+            self._finish_requests(self.machine.advance(self.fleet.clock.now()))
             self._schedule()
 
 
 def is_closed_by_peer(stream: IOStream) -> bool:
-    """Whether the other side has ended this connection, even if that has not been read."""
+    """Return whether the peer has closed this connection, even if that has not been read yet."""
     raw: socket.socket | None = stream.socket
     if stream.closed() or raw is None:
         return True
@@ -269,9 +270,9 @@
 
 
 def _bind(port: int) -> socket.socket:
-    """Return a socket that holds a port of the loopback, 0 for a new one."""
-    holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.setblocking(False)
-    holder.bind((HOST, port))
-    return holder
+    """Return a socket bound to that loopback port; 0 picks a free one."""
+    bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound.setblocking(False)
+    bound.bind((HOST, port))
+    return bound
--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -1,4 +1,4 @@
-"""Clients and front on sockets: each ask of the day in its time, its answers and repeats on record."""
+"""Clients on sockets, behind the front: sends each request at its time, and records replies and retries."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from .fleet import LoopbackFleet
 
-IDLE = 1.5  # s for which a client uses a connection again
+IDLE_TIMEOUT_S = 1.5  # after which a client does not use a connection again
 
 
 class ClientConnection:
-    """A client connection, one request at a time."""
+    """A connection to a gateway, for one request at a time."""
 
     def __init__(self, fleet: LoopbackFleet, gateway: int) -> None:
         self.stream = IOStream(socket.socket())
@@ -31,23 +31,27 @@
         self.used, self.last_used_at = False, 0.0
 
     async def connect(self) -> None:
+        """Connect. Raises StreamClosedError."""
         await self.stream.connect((HOST, self.fleet.gateways[self.gateway].port))
 
     async def call(self, command: bytes) -> resp.Reply:
-        """Raises StreamClosedError, `resp.ProtocolError`; bytes that belong to no request are one."""
-        if waiting(self.stream):
-            raise resp.ProtocolError("an answer that nobody asked for")
+        """Send a command and return its reply.
+
+        Raises StreamClosedError, and `resp.ProtocolError` also for bytes that belong to no request.
+        """
+        if has_unread_data(self.stream):
+            raise resp.ProtocolError("received bytes before the request was sent")
         await self.stream.write(command)
-        while not (found := resp.parse_reply(self.buffer.data, self.buffer.start, self.buffer.end)):
+        while not (parsed := resp.parse_reply(self.buffer.data, self.buffer.start, self.buffer.end)):
             await self.buffer.fill(self.stream)
-        self.buffer.consume(found[1])
+        self.buffer.consume(parsed[1])
         if self.buffer.start != self.buffer.end:
-            raise resp.ProtocolError("more than one answer")
-        return found[0]
+            raise resp.ProtocolError("received bytes after the reply")
+        return parsed[0]
 
 
-def waiting(stream: IOStream) -> bool:
-    """Has something come that nobody has read?"""
+def has_unread_data(stream: IOStream) -> bool:
+    """Return whether data has arrived that has not been read."""
     try:
         raw: socket.socket | None = stream.socket
         return raw is not None and bool(raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
@@ -56,7 +60,7 @@
 
 
 class SocketClients:
-    """All clients of a day, behind the front."""
+    """All clients of a run, behind the front."""
 
     def __init__(self, fleet: LoopbackFleet) -> None:
         self.fleet = fleet
@@ -64,114 +68,124 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.wrong_values = self.unexpected_replies = 0
 
-    def _go(self, record: RequestRecord, number: int) -> None:
-        task = asyncio.get_running_loop().create_task(self._try(record, number))
+    def _begin_attempt(self, record: RequestRecord, number: int) -> None:
+        task = asyncio.get_running_loop().create_task(self._make_attempt(record, number))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run(self) -> None:
-        """All asks, and on until each has its end."""
-        clock, asks = self.fleet.clock, self.fleet.requests
-        for record in asks:
+        """Send all requests, each at its time, and wait until their last attempts have ended."""
+        clock, records = self.fleet.clock, self.fleet.requests
+        for record in records:
             wait = record.request.arrives_at - clock.now()
             if wait > 0.5:
                 await asyncio.sleep(wait / 1000)
-            self._go(record, 1)
+            self._begin_attempt(record, 1)
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
     def _take_connection(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
-            link = pool.pop()
-            if now - link.last_used_at < IDLE and not link.stream.closed():
-                return link
-            link.stream.close()
+            connection = pool.pop()
+            if now - connection.last_used_at < IDLE_TIMEOUT_S and not connection.stream.closed():
+                return connection
+            connection.stream.close()
         return ClientConnection(self.fleet, gateway)
 
     def close_idle_connections(self, gateway: int) -> None:
-        for link in self.idle[gateway]:
-            link.stream.close()
+        """Close the idle connections to a gateway."""
+        for connection in self.idle[gateway]:
+            connection.stream.close()
         self.idle[gateway] = []
 
-    async def _try(self, record: RequestRecord, number: int) -> None:
+    async def _make_attempt(self, record: RequestRecord, number: int) -> None:
         fleet, clock = self.fleet, self.fleet.clock
-        one = fleet.start_attempt(record, number)
-        if one is None:
+        attempt = fleet.start_attempt(record, number)
+        if attempt is None:
             return
-        name = f"{fleet.request_id_base + one.request_id:016x}"
-        fleet.attempts_by_name[name] = (one, record)
-        told, wait = await self._send(one, name)
-        pause = fleet.notify_client(record, one, told, wait)
-        if pause is not None:
-            clock.at(clock.now() + pause, self._go, record, number + 1)
-            # The day is not over while a client waits to come back.
-            self.tasks.add(task := asyncio.get_running_loop().create_task(asyncio.sleep((pause + 5) / 1000)))
+        wire_id = f"{fleet.request_id_base + attempt.request_id:016x}"
+        fleet.attempts_by_wire_id[wire_id] = (attempt, record)
+        result, retry_after = await self._send(attempt, wire_id)
+        delay = fleet.notify_client(record, attempt, result, retry_after)
+        if delay is not None:
+            clock.at(clock.now() + delay, self._begin_attempt, record, number + 1)
+            # The run is not over while a client waits to retry.
+            self.tasks.add(task := asyncio.get_running_loop().create_task(asyncio.sleep((delay + 5) / 1000)))
             task.add_done_callback(self.tasks.discard)
 
-    async def _send(self, one: ClientAttempt, name: str) -> tuple[ClientResult, float]:
-        """Send a try and wait for its end as its client sees it, and the advised wait.
+    async def _send(self, attempt: ClientAttempt, wire_id: str) -> tuple[ClientResult, float]:
+        """Send an attempt; return its result as the client sees it, and the Retry-After (ms).
 
-        By the protocol its patience counts from the sending: for how long the connection came up is nothing
-        that a gateway could know. It listens for as much longer as every limit is on sockets, since a machine
-        that stands still for some ms is no gateway that does not answer; such an answer earns nothing.
+        By the protocol the timeout counts from the sending: a gateway cannot know how long the connection
+        took. The client listens longer by the slack that every limit has on sockets, since a machine that
+        stalls for some ms is not a gateway that does not answer; such an answer still counts as late.
         """
         fleet = self.fleet
-        command, longer = (
-            fleet.command(one, name),
+        command, slack_ms = (
+            fleet.command(attempt, wire_id),
             fleet.day.rules.answer_slack_ms - RuleLimits().answer_slack_ms,
         )
-        for last in (False, True):
-            link = self._take_connection(one.gateway)
+        for resent in (False, True):
+            connection = self._take_connection(attempt.gateway)
             try:
-                if not link.used:
-                    async with asyncio.timeout(one.timeout_ms / 1000):
-                        await link.connect()
+                if not connection.used:
+                    async with asyncio.timeout(attempt.timeout_ms / 1000):
+                        await connection.connect()
             except (StreamClosedError, TimeoutError):
-                link.stream.close()
+                connection.stream.close()
                 return "unreachable", 0.0
-            one.accepted, one.sent_at = True, fleet.clock.now()
+            attempt.accepted, attempt.sent_at = True, fleet.clock.now()
             try:
-                async with asyncio.timeout((one.timeout_ms + longer) / 1000):
-                    reply = await link.call(command)
+                async with asyncio.timeout((attempt.timeout_ms + slack_ms) / 1000):
+                    reply = await connection.call(command)
             except TimeoutError:
-                link.stream.close()
-                fleet.timed_out.append(one)
+                connection.stream.close()
+                fleet.timed_out.append(attempt)
                 return "late", 0.0
             except StreamClosedError:
-                link.stream.close()
-                if link.used and not one.attempts and not last:
-                    continue  # it was closed between two requests: once more on a new one
-                if fleet.unwell(one.gateway) or not link.used:
+                connection.stream.close()
+                if connection.used and not attempt.attempts and not resent:
+                    continue  # closed between two requests: send once more on another connection
+                if fleet.is_gateway_down(attempt.gateway) or not connection.used:
                     return "failed", 0.0
-                fleet.rule_checker.request_lost(one)
+                fleet.rule_checker.request_lost(attempt)
                 return "failed", 0.0
             except (resp.ProtocolError, MessageTooLongError):
-                link.stream.close()
+                connection.stream.close()
                 self.unexpected_replies += 1
-                fleet.rule_checker.request_lost(one)
+                fleet.rule_checker.request_lost(attempt)
                 return "failed", 0.0
-            link.used, link.last_used_at = True, asyncio.get_running_loop().time()
-            self.idle[one.gateway].append(link)
-            told, wait = self._record_reply(one, name, reply)
-            return (told, wait) if one.answered_at - one.sent_at <= one.timeout_ms else ("late", 0.0)
+            connection.used, connection.last_used_at = True, asyncio.get_running_loop().time()
+            self.idle[attempt.gateway].append(connection)
+            result, retry_after = self._record_reply(attempt, wire_id, reply)
+            return (
+                (result, retry_after)
+                if attempt.answered_at - attempt.sent_at <= attempt.timeout_ms
+                else ("late", 0.0)
+            )
         return "failed", 0.0
 
-    def _record_reply(self, one: ClientAttempt, name: str, reply: resp.Reply) -> tuple[ClientResult, float]:
+    def _record_reply(
+        self, attempt: ClientAttempt, wire_id: str, reply: resp.Reply
+    ) -> tuple[ClientResult, float]:
+        """Record a reply; return its result and the Retry-After (ms)."""
         fleet, now = self.fleet, self.fleet.clock.now()
-        one.answered_at = now
+        attempt.answered_at = now
         if isinstance(reply, memoryview):
-            one.result = "served"
-            if not bytes(reply).startswith(name.encode()) or not any(a.status == "ok" for a in one.attempts):
+            attempt.result = "served"
+            if not bytes(reply).startswith(wire_id.encode()) or not any(
+                upstream.status == "ok" for upstream in attempt.attempts
+            ):
                 self.wrong_values += 1
-                fleet.rule_checker.request_lost(one)
+                fleet.rule_checker.request_lost(attempt)
         elif isinstance(reply, resp.ErrorReply) and reply.text.split(" ")[0] == "BUSY":
-            one.result = "refused"
+            attempt.result = "refused"
         else:
-            one.result = "failed"
-        fleet.rule_checker.client_answered(one, one.result, now)
-        wait = 0.0
-        if one.result == "refused" and isinstance(reply, resp.ErrorReply):
+            attempt.result = "failed"
+        fleet.rule_checker.client_answered(attempt, attempt.result, now)
+        retry_after = 0.0
+        if attempt.result == "refused" and isinstance(reply, resp.ErrorReply):
             words = reply.text.split(" ")
-            wait = float(words[1]) if len(words) > 1 and words[1].isdigit() else 0.0
-        return one.result, wait
+            retry_after = float(words[1]) if len(words) > 1 and words[1].isdigit() else 0.0
+        return attempt.result, retry_after
--- a/mapleshunt/testbed/clock.py
+++ b/mapleshunt/testbed/clock.py
@@ -1,4 +1,4 @@
-"""Real time in ms since a day began, and calls at times of that day."""
+"""Real time in ms since a run began, and calls scheduled at times of that run."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class RunClock:
-    """A monotonic clock that is at 0 when the day begins; it measures the event loop's lateness."""
+    """A monotonic clock that starts at 0 when the run begins; it measures the event loop's lateness."""
 
     def __init__(self) -> None:
-        self.unix_ms = time.time() * 1000  # Unix time at which the day began
-        self.max_lateness_ms = 0.0  # by which the event loop was late at worst
+        self.unix_ms = time.time() * 1000  # Unix time at which the run began
+        self.max_lateness_ms = 0.0  # worst delay of a scheduled call
         self._origin = time.monotonic()  # s
 
     def begin(self) -> None:
-        """Let the day begin now."""
+        """Set the start of the run to now."""
         self._origin, self.unix_ms = time.monotonic(), time.time() * 1000
 
     def now(self) -> float:
-        """Return the time of the day, ms."""
+        """Return the time since the run began (ms)."""
         return (time.monotonic() - self._origin) * 1000
 
-    # The arguments are those of any call: only the call knows their types.
+    # The arguments are the called function's own, hence untyped.
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> asyncio.TimerHandle:
-        """Call at a time of the day, ms, or at once if it has passed; the handle cancels the call."""
+        """Schedule a call at a time of the run (ms), or at once if that has passed; the handle cancels it."""
         loop = asyncio.get_running_loop()
         return loop.call_later(max(0.0, when - self.now()) / 1000, self._run, when, call, arguments)
 
--- a/mapleshunt/testbed/counter_server.py
+++ b/mapleshunt/testbed/counter_server.py
@@ -17,11 +17,11 @@
 
 MAX_CONNECTIONS = 32  # of one gateway
 ADD_WORDS = 4  # CNT.ADD, name, amount and lifetime in ms
-MAX_DELAY_MS = 1e6  # as which a response that never comes counts
+MAX_DELAY_MS = 1e6  # stands for a response that never comes
 
 
 class CounterServer(TCPServer):
-    """A server of its own for one gateway; all of them share one counter."""
+    """The server of one gateway; all servers share one counter."""
 
     def __init__(
         self, counter: SharedCounter, clock: RunClock, gateway: int, on_add: Callable[[], None]
@@ -49,16 +49,16 @@
         try:
             while True:
                 await buffer.fill(stream)
-                while found := resp.parse_command(buffer.data, buffer.start, buffer.end):
-                    buffer.consume(found[1])
-                    await stream.write(await self._respond([bytes(word) for word in found[0]]))
+                while parsed := resp.parse_command(buffer.data, buffer.start, buffer.end):
+                    buffer.consume(parsed[1])
+                    await stream.write(await self._respond([bytes(word) for word in parsed[0]]))
         except (StreamClosedError, resp.ProtocolError, MessageTooLongError, ValueError):
             stream.close()
         finally:
             self._streams.discard(stream)
 
     async def _respond(self, words: list[bytes]) -> bytes:
-        """Return the response once it is time. Raises ValueError if a number is none."""
+        """Return the response once it is due. Raises ValueError for a malformed number."""
         if words[0] == b"PING":
             return b"+PONG\r\n"
         if words[0] != b"CNT.ADD" or len(words) != ADD_WORDS:
--- a/mapleshunt/testbed/discovery_agent.py
+++ b/mapleshunt/testbed/discovery_agent.py
@@ -17,13 +17,13 @@
 from .clock import RunClock
 from .ports import HOST
 
-# of an endpoint's state, as discovery names it
+# Discovery's name of each endpoint state.
 PHASES = {state: phase for phase, state in ENDPOINT_STATES.items()}
 MAX_WATCH_MS = 60_000.0  # for which a watch waits without a change
 
 
 class DiscoveryAgent:
-    """An agent with an HTTP server of its own; its revision counts the changes that it has had."""
+    """An agent with an HTTP server of its own; its revision is the number of changes so far."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         port_of: Callable[[int], int],
         on_sent: Callable[[EndpointEntry], None],
     ) -> None:
-        """`endpoints` is the list as the agent has it now, changed by its owner.
+        """`endpoints` is the agent's current list, which its owner changes.
 
         `port_of` returns a backend's port; `on_sent` is called with each entry that is sent to the gateway.
         """
         self._endpoints, self._zone, self._clock = endpoints, zone, clock
         self._port_of, self._on_sent = port_of, on_sent
         self._changes: list[EndpointEntry] = []
-        self._changed = asyncio.Event()  # set at the next change, and replaced
+        self._changed = asyncio.Event()  # set at the next change, then replaced
         (listener,) = bind_sockets(0, HOST)
         self.port: int = listener.getsockname()[1]
         routes = [("/catalog/members", CatalogHandler, {"agent": self})]
@@ -49,17 +49,17 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the list as it is now."""
+        """The revision of the current list."""
         return len(self._changes)
 
     def change(self, entry: EndpointEntry) -> None:
-        """Add a change, which all watches that wait get."""
+        """Add a change and answer all pending watches with it."""
         self._changes.append(entry)
         self._changed.set()
         self._changed = asyncio.Event()
 
     def stop(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         self._server.stop()
 
     async def wait_for_change(self, timeout_s: float) -> None:
@@ -77,7 +77,7 @@
         return self._list(entries, complete=since is None)
 
     def whole_list(self) -> dict[str, Any]:
-        """Return the whole list (JSON), as a gateway may know it from before its start."""
+        """Return the whole list (JSON), as a gateway gets it in its configuration."""
         return self._list(list(self._endpoints.values()), complete=True)
 
     def _notify_sent(self, entry: EndpointEntry) -> None:
@@ -102,14 +102,14 @@
 
 
 class CatalogHandler(RequestHandler):
-    """A call for the list, or a watch: with `index`, the revision that the gateway has, and `wait` in ms."""
+    """A request for the list, or a watch: `index` is the revision that the gateway has, `wait` is in ms."""
 
     def initialize(self, agent: DiscoveryAgent) -> None:
         """Called by tornado with the route's arguments."""
         self.agent = agent
 
     async def get(self) -> None:
-        """Answer with the whole list, or with the changes since a revision once there are any."""
+        """Respond with the whole list, or with the changes since a revision once there are any."""
         index = self.get_query_argument("index", "")
         if not index:
             self.write(json.dumps(self.agent.response(None)))
@@ -122,4 +122,4 @@
 
 
 def _log_nothing(_handler: RequestHandler) -> None:
-    """Calls to discovery are not worth a line each."""
+    """Log nothing: requests to discovery are too frequent for a line each."""
--- a/mapleshunt/testbed/errors.py
+++ b/mapleshunt/testbed/errors.py
@@ -1,17 +1,17 @@
-"""The errors of the testbed."""
+"""Errors of the testbed."""
 
 from __future__ import annotations
 
 
 class TestbedError(Exception):
-    """A run cannot go on; its text is one line for the operator."""
+    """A run cannot continue; the text is one line for the operator."""
 
-    __test__ = False  # pytest: no test class
+    __test__ = False  # not a test class for pytest
 
 
 class GatewayError(TestbedError):
-    """A gateway did not start, ended by itself, or the fleet did not get into the state that is awaited."""
+    """A gateway did not start or exited unexpectedly, or the fleet did not reach an awaited state in time."""
 
 
 class LibraryBuildError(TestbedError):
-    """The library of failing system calls cannot be built here; the text says why."""
+    """The library of failing system calls cannot be built on this machine; the text says why."""
--- a/mapleshunt/testbed/fault_proxy.py
+++ b/mapleshunt/testbed/fault_proxy.py
@@ -12,33 +12,33 @@
 
 CHUNK_BYTES = 65536
 BACKLOG = 512
-ACCEPT_WAIT_S = 5.0  # for which a connection through a cut proxy is held before it is closed
+ACCEPT_WAIT_S = 5.0  # for which a connection through a cut proxy waits before it is closed
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 
 
 @dataclass
 class Direction:
-    """One direction of a proxy. What is held while it is cut is delivered, late, once it is open again."""
+    """One direction of a proxy. Bytes that arrive while it is cut are delivered once it is open again."""
 
     open: asyncio.Event = field(default_factory=asyncio.Event)
     delay_s: float = 0.0
-    piece_bytes: int = CHUNK_BYTES  # that are written at once
-    bytes_to_reset: int | None = None  # until the connection is reset, within a message as likely as not
+    piece_bytes: int = CHUNK_BYTES  # written at once
+    bytes_to_reset: int | None = None  # left until a reset, which may fall within a message
 
     def __post_init__(self) -> None:
         self.open.set()
 
     def heal(self) -> None:
-        """Carry all bytes again, at once and whole."""
+        """Copy all bytes again, without delay and in whole chunks."""
         self.delay_s, self.bytes_to_reset, self.piece_bytes = 0.0, None, CHUNK_BYTES
         self.open.set()
 
 
 class FaultProxy:
-    """Listens on a port of its own and carries connections to a port of this machine."""
+    """A proxy that listens on a port of its own and forwards connections to a port of this machine."""
 
     def __init__(self, port: int) -> None:
-        """`port` is the one that it carries connections to."""
+        """`port` is the port that connections are forwarded to."""
         self.to_target, self.from_target = Direction(), Direction()
         self._target_port = port
         self._pairs: set[tuple[socket.socket, socket.socket]] = set()
@@ -57,7 +57,7 @@
         return listener
 
     async def start(self) -> None:
-        """Begin to accept: until then connections wait in the backlog."""
+        """Start accepting; until then connections wait in the backlog."""
         self._accepting = asyncio.create_task(self._accept())
 
     async def _accept(self) -> None:
@@ -66,11 +66,11 @@
             client, _ = await loop.sock_accept(self._listener)
             client.setblocking(False)
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = loop.create_task(self._carry(client))
+            task = loop.create_task(self._forward(client))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _carry(self, client: socket.socket) -> None:
+    async def _forward(self, client: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         server = socket.socket()
         server.setblocking(False)
@@ -90,10 +90,10 @@
                 end.close()
 
     async def _copy_both(self, client: socket.socket, server: socket.socket) -> None:
-        """Carry both directions until both have ended.
+        """Copy both directions until both have ended.
 
-        Neither waits on a socket once this returns, raises or is cancelled: closed under a pending read, its
-        descriptor would be another connection's.
+        Neither copy uses a socket once this returns, raises or is cancelled: a descriptor that is closed
+        during a pending read could be reused by another connection.
         """
         copies = [
             asyncio.create_task(self._copy(client, server, self.to_target)),
@@ -107,7 +107,7 @@
             await asyncio.gather(*copies, return_exceptions=True)
 
     async def _copy(self, source: socket.socket, target: socket.socket, direction: Direction) -> None:
-        """Carry bytes until the source ends its side, which is passed on. Raises OSError for a reset."""
+        """Copy bytes until the source closes its side, then close the target's. Raises OSError on a reset."""
         loop = asyncio.get_running_loop()
         while data := await loop.sock_recv(source, CHUNK_BYTES):
             if direction.delay_s:
@@ -124,7 +124,7 @@
         target.shutdown(socket.SHUT_WR)
 
     def cut(self) -> None:
-        """Carry nothing from now on; connections stay open."""
+        """Deliver nothing from now on; connections stay open."""
         self.to_target.open.clear()
         self.from_target.open.clear()
 
@@ -141,7 +141,7 @@
         self._listener.close()
 
     async def accept_again(self) -> None:
-        """End a refusal."""
+        """Accept new connections again after `refuse`."""
         if self._accepting is None:
             self._listener = self._listen(self.port)
             await self.start()
@@ -156,7 +156,7 @@
         for end in pair:
             with contextlib.suppress(OSError):
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-                end.shutdown(socket.SHUT_RD)  # wakes the task that waits for bytes, which closes both
+                end.shutdown(socket.SHUT_RD)  # wakes the task that waits for bytes; it closes both
 
     async def close(self) -> None:
         """Refuse new connections and close all, without a reset."""
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -1,4 +1,4 @@
-"""A day on loopback: gateways as processes, everything else in this one; judged as the model's days are."""
+"""A run on loopback: gateways as processes, everything else in this one; scored as in the simulation."""
 
 from __future__ import annotations
 
@@ -31,15 +31,14 @@
 from .gossip_relay import ALL_PEERS, GossipRelay
 from .ports import HOST
 
-SOCKET_RULES = RuleLimits(
-    answer_slack_ms=58.0, drain_grace_ms=550.0
-)  # every limit is 50 ms longer on sockets
-USAGE_SAMPLE_INTERVAL_S = 0.5  # s between looks at the gateways' CPU and memory
+# Every limit is 50 ms longer on sockets.
+SOCKET_RULES = RuleLimits(answer_slack_ms=58.0, drain_grace_ms=550.0)
+USAGE_SAMPLE_INTERVAL_S = 0.5  # between samples of the gateways' CPU and memory
 CHECKOUT_ROOT = Path(__file__).parent.parent.parent
 
 
 class LoopbackFleet(FleetHost):
-    """One run. `program` is the checkout whose gateways run; `env` is added to theirs."""
+    """One run. `program` is the checkout whose gateways run; `env` is added to their environment."""
 
     backend_class: type[SocketBackend] = SocketBackend
     clients_class: type[SocketClients] = SocketClients
@@ -56,14 +55,14 @@
         self.backends: dict[int, SocketBackend] = {}
         super().__init__(day)
         self.zone = self.settings[0].zone
-        self.attempts_by_name: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
+        self.attempts_by_wire_id: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
         self.in_flight: dict[int, list[InFlightAttempt]] = {}
         self.timed_out: list[ClientAttempt] = []
         self.request_id_base = day.streams.seed_for("ids") >> 8 << 8
-        self.unknown_requests = 0  # that arrived at a backend, and that no client has sent
+        self.unknown_requests = 0  # that arrived at a backend without a client that sent them
         self.down: set[int] = set()
         self.exited_gateways: list[int] = []
-        self.kills: list[tuple[float, int]] = []  # when each was killed
+        self.kills: list[tuple[float, int]] = []  # time (ms) and gateway of each
         count = day.scenario.gateways
         self.agents = [self._make_agent(number) for number in range(count)]
         self.counters = [
@@ -79,17 +78,19 @@
         self.clients = self.clients_class(self)
 
     def now(self) -> float:
+        """Return the time since the run began (ms)."""
         return self.clock.now()
 
     def sent_at(self, now: float) -> float:
-        """When an attempt was sent that is read now."""
+        """Return when an attempt that is read at `now` was sent."""
         return now
 
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+        """Schedule a call at a time of the run (ms)."""
         self.clock.at(when, call, *arguments)
 
-    def _backend_added(self, till: Backend) -> None:
-        self.backends[till.number] = self.backend_class(till, self)
+    def _backend_added(self, backend: Backend) -> None:
+        self.backends[backend.number] = self.backend_class(backend, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
         gossip, count = self.gossip, self.day.scenario.gateways
@@ -109,9 +110,9 @@
     # Running
 
     async def run(self) -> Score:
-        """Play the day. Raises `GatewayError` if a gateway does not start or ends by itself."""
-        begun = time.process_time_ns()
-        wall = time.perf_counter()
+        """Run to the end. Raises `GatewayError` if a gateway does not start or exits unexpectedly."""
+        cpu_before_ns = time.process_time_ns()
+        started_at = time.perf_counter()
         try:
             for gateway in self.gateways:
                 self._record_endpoint_list(gateway.number)
@@ -123,26 +124,28 @@
             for fault in self.day.faults:
                 self.clock.at(fault.at, self._inject_fault, fault)
             self._on_clock_started()
-            looking = asyncio.get_running_loop().create_task(self._look())
+            sampling = asyncio.get_running_loop().create_task(self._sample_gateways())
             await self.clients.run()
-            looking.cancel()
+            sampling.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await looking
+                await sampling
         finally:
             await self._stop_gateways()
             self.close()
         self.gateway_cpu_ns = int(1e9 * sum(gateway.cpu_s for gateway in self.gateways))
-        self.total_cpu_ns = time.process_time_ns() - begun + self.gateway_cpu_ns
+        self.total_cpu_ns = time.process_time_ns() - cpu_before_ns + self.gateway_cpu_ns
         self.message_bytes = self.gossip.delivered_bytes
-        self.events = sum(len(one.attempts) + 1 for one in self.rule_checker.client_attempts)
+        self.events = sum(len(attempt.attempts) + 1 for attempt in self.rule_checker.client_attempts)
         if self.exited_gateways:
-            raise GatewayError(f"gateways {self.exited_gateways} ended by themselves; see {self.folder}")
-        found = score_day(self)
-        found.wall_s = time.perf_counter() - wall
-        return found
+            raise GatewayError(
+                f"gateways {self.exited_gateways} exited unexpectedly; logs are in {self.folder}"
+            )
+        score = score_day(self)
+        score.wall_s = time.perf_counter() - started_at
+        return score
 
     def _on_clock_started(self) -> None:
-        """The clock of the day has begun."""
+        """Do nothing; a subclass acts here when the run's clock has started."""
 
     async def _stop_gateways(self) -> None:
         await asyncio.gather(*(gateway.stop() for gateway in self.gateways))
@@ -165,7 +168,7 @@
     def _count_addition(self) -> None:
         self.counter_calls += 1
 
-    async def _look(self) -> None:
+    async def _sample_gateways(self) -> None:
         while True:
             for gateway in self.gateways:
                 gateway.sample_usage()
@@ -179,9 +182,10 @@
         return gateway in self.down
 
     def close(self) -> None:
-        for till in self.backends.values():
-            till.stop()
-            till.reset_connections()
+        """Close all sockets of this process."""
+        for backend in self.backends.values():
+            backend.stop()
+            backend.reset_connections()
         for agent in self.agents:
             agent.stop()
         for counter in self.counters:
@@ -199,36 +203,46 @@
             number, self.endpoint_lists[number].values(), self.clock.now()
         )
 
-    # What the parts ask
+    # For clients and backends
 
-    def command(self, one: ClientAttempt, name: str) -> bytes:
-        ask = one.request
-        who = self.day.traffic.customers[ask.customer]
+    def command(self, attempt: ClientAttempt, wire_id: str) -> bytes:
+        """Return the command (RESP) that a client sends for an attempt."""
+        request = attempt.request
+        customer = self.day.traffic.customers[request.customer]
         pairs = (
-            f"c={self.classes[ask.class_index]},t={self.day.parameters.plans[who.plan].name},d={one.timeout_ms:.3f},"
-            f"units={ask.estimated_units:.0f},spread={who.gateway_set_size},first={who.first_gateway}"
+            f"c={self.classes[request.class_index]},t={self.day.parameters.plans[customer.plan].name},"
+            f"d={attempt.timeout_ms:.3f},units={request.estimated_units:.0f},"
+            f"spread={customer.gateway_set_size},first={customer.first_gateway}"
         )
-        if one.number > 1:
+        if attempt.number > 1:
             pairs += ",r=1"
-        safe = self.effects[ask.class_index] == "safe"
-        if not safe:
-            pairs += f",k={abs(hash((ask.customer, ask.arrives_at, ask.work_ms))) & (2**64 - 1):016x}"
-        words = [b"SVC.QUERY" if safe else b"SVC.SUBMIT", who.name.encode(), name.encode(), pairs.encode()]
+        idempotent = self.effects[request.class_index] == "safe"
+        if not idempotent:
+            pairs += (
+                f",k={abs(hash((request.customer, request.arrives_at, request.work_ms))) & (2**64 - 1):016x}"
+            )
+        words = [
+            b"SVC.QUERY" if idempotent else b"SVC.SUBMIT",
+            customer.name.encode(),
+            wire_id.encode(),
+            pairs.encode(),
+        ]
         return resp.encode_command(words)
 
-    def ended(self, out: InFlightAttempt) -> None:
-        there = self.in_flight.get(out.request.request_id, [])
-        if out in there:
-            there.remove(out)
-        if not there:
-            self.in_flight.pop(out.request.request_id, None)
+    def remove_in_flight(self, ended: InFlightAttempt) -> None:
+        """Remove an attempt that has ended from those in flight."""
+        attempts = self.in_flight.get(ended.request.request_id, [])
+        if ended in attempts:
+            attempts.remove(ended)
+        if not attempts:
+            self.in_flight.pop(ended.request.request_id, None)
 
     def cancel(self, in_flight: InFlightAttempt) -> None:
-        """Cancel an attempt whose gateway has ended its connection."""
+        """Cancel an attempt whose gateway closed its connection."""
         self.backends[in_flight.attempt.server].cancel(in_flight)
 
-    def unwell(self, gateway: int) -> bool:
-        """It has been killed, or told to end: connections that it ends are no loss of its own."""
+    def is_gateway_down(self, gateway: int) -> bool:
+        """Return whether a gateway was killed or is being ended: requests on its connections are not lost."""
         return gateway in self.down or not self.gateways[gateway].is_running()
 
     # Faults
@@ -247,7 +261,7 @@
 
     def _kill_gateway(self, number: int) -> None:
         self.down.add(number)
-        self.gateways[number].kill(wait=False)  # which would hold up all that this process plays
+        self.gateways[number].kill(wait=False)  # waiting would stall everything that this process emulates
         self.kills.append((self.clock.now(), number))
         self.clients.close_idle_connections(number)
         self.clock.at(
@@ -263,7 +277,7 @@
         gateway.spawn(self._initial_endpoint_list(number))
         self._record_endpoint_list(number)
 
-        async def take_in() -> None:
+        async def mark_up_when_ready() -> None:
             try:
                 await gateway.wait_until_ready()
             except GatewayError:
@@ -272,7 +286,7 @@
             self.down.discard(number)
             self.gateways_marked_down.discard(number)
 
-        task = asyncio.get_running_loop().create_task(take_in())
+        task = asyncio.get_running_loop().create_task(mark_up_when_ready())
         self.clients.tasks.add(task)
         task.add_done_callback(self.clients.tasks.discard)
 
@@ -292,15 +306,15 @@
             server.close_connections()
 
 
-def on_sockets(day: Day) -> Day:
-    """The day under the rules as they hold on sockets."""
+def with_socket_rules(day: Day) -> Day:
+    """Return the drawn run with the rules' limits for sockets."""
     return replace(day, rules=SOCKET_RULES)
 
 
-async def _play(
+async def _run(
     day: Day, folder: Path, program: Path, env: Mapping[str, str] | None, limits: Mapping[str, float] | None
 ) -> tuple[LoopbackFleet, Score]:
-    fleet = LoopbackFleet(on_sockets(day), folder, program, env, limits)
+    fleet = LoopbackFleet(with_socket_rules(day), folder, program, env, limits)
     return fleet, await fleet.run()
 
 
@@ -311,7 +325,7 @@
     env: Mapping[str, str] | None = None,
     limits: Mapping[str, float] | None = None,
 ) -> tuple[LoopbackFleet, Score]:
-    """Play a day on loopback with real gateways; logs and configurations stay in `folder`.
+    """Run on loopback with real gateways; logs and configurations stay in `folder`, if one is given.
 
     Raises `GatewayError`.
     """
@@ -319,6 +333,6 @@
 
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        return uvloop.run(_play(day, folder, program, env, limits))
-    with tempfile.TemporaryDirectory() as place:
-        return uvloop.run(_play(day, Path(place), program, env, limits))
+        return uvloop.run(_run(day, folder, program, env, limits))
+    with tempfile.TemporaryDirectory() as temporary:
+        return uvloop.run(_run(day, Path(temporary), program, env, limits))
--- a/mapleshunt/testbed/gateway_process.py
+++ b/mapleshunt/testbed/gateway_process.py
@@ -1,4 +1,4 @@
-"""A real gateway as a process: its configuration, starts, ends, log, and use of CPU and memory."""
+"""A real gateway as a process: its configuration, start, end, log, and use of CPU and memory."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .errors import GatewayError
 from .ports import HOST, free_port
 
-BACKLOG = 512  # connections that wait to be accepted from a listener that is held here
+BACKLOG = 512  # of a listener that this process holds
 READY_REQUEST = b"GET /_ready HTTP/1.1\r\nHost: gateway\r\n\r\n"
 READY_RESPONSE = b"HTTP/1.1 200 OK\r\n"
 PING_REQUEST = b"*1\r\n$4\r\nPING\r\n"
@@ -36,7 +36,7 @@
     module: str = "mapleshunt",
     pass_fds: Sequence[int] = (),
 ) -> subprocess.Popen[bytes]:
-    """Start a gateway of that checkout; of the variables that it reads it has those of `env` alone."""
+    """Start a gateway of that checkout. Of the PROXY_ variables it gets only those in `env`."""
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
     with log.open("ab") as file:
         return subprocess.Popen(
@@ -51,7 +51,7 @@
 
 
 class GatewayProcess:
-    """One gateway, from process to process; its ports stay the same."""
+    """One gateway across restarts of its process; its ports stay the same."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         config: dict[str, Any],
         env: Mapping[str, str] | None = None,
     ) -> None:
-        """`program` is the checkout that it runs, `folder` where its configuration and log are.
+        """`program` is the checkout that it runs, `folder` the place of its configuration and log.
 
         `config` is the JSON of its configuration file, without its addresses.
         """
@@ -75,7 +75,7 @@
         self.peak_memory_kb = 0
         self._admin_port = 0  # of the process that was started last, if it inherits the listener
         self._ended_cpu_s = 0.0  # of processes that have ended
-        self._running_cpu_s = 0.0  # of the one that runs, as last read
+        self._running_cpu_s = 0.0  # of the running process, as last sampled
 
     @property
     def log(self) -> Path:
@@ -83,9 +83,9 @@
         return self.folder / f"gateway-{self.number}.log"
 
     def inherit_listener(self) -> None:
-        """Hold the listening socket here from now on, for its processes to inherit.
+        """Hold the listening socket in this process from now on, for its processes to inherit.
 
-        A platform does so that starts a second process of a gateway beside the first.
+        A platform does so for a hot restart, when it starts a second process beside the first.
         """
         self.listener = socket.create_server((HOST, self.port), backlog=BACKLOG)
         shared = self.folder / f"shared-{self.number}"
@@ -93,17 +93,17 @@
         self.env |= {"TMPDIR": str(shared), "PROXY_ACCEPT_FD": str(self.listener.fileno())}
 
     def close_listener(self) -> None:
-        """Close the listening socket, if it is held here."""
+        """Close the listening socket, if this process holds it."""
         if self.listener is not None:
             self.listener.close()
 
     def detach(self) -> subprocess.Popen[bytes] | None:
-        """Return the process that runs, which is the caller's to end from now on."""
+        """Return the running process, which the caller has to end from now on."""
         process, self.process = self.process, None
         return process
 
     def spawn(self, known_endpoints: Mapping[str, Any]) -> None:
-        """Start a process, with the endpoint list (JSON) that it is to know before discovery answers."""
+        """Start a process with the endpoint list (JSON) that it uses until discovery answers."""
         self.starts += 1
         config = {
             **self.config,
@@ -123,21 +123,21 @@
         self.process = launch_gateway(self.program, env, self.log, pass_fds=pass_fds)
 
     async def wait_until_ready(self) -> None:
-        """Wait until the process that was started last takes clients.
+        """Wait until the process that was started last is ready for clients.
 
-        Another process may answer PING on an inherited socket: then its admin endpoint is called. Raises
-        `GatewayError`; a cancelled wait leaves the process as it is.
+        Another process may answer PING on an inherited socket: the admin endpoint is polled instead. Raises
+        `GatewayError`; a cancelled wait leaves the process running.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + READY_TIMEOUT_S
         while loop.time() < deadline:
             if self.process is None or self.process.poll() is not None:
                 last_line = self.log.read_text(errors="replace").strip().splitlines()[-1:]
-                raise GatewayError(f"gateway {self.number} ended at its start: {' '.join(last_line)}")
+                raise GatewayError(f"gateway {self.number} exited at startup: {' '.join(last_line)}")
             if await self._accepts_requests():
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
-        raise GatewayError(f"gateway {self.number} does not answer PING")
+        raise GatewayError(f"gateway {self.number} was not ready after {READY_TIMEOUT_S:g} s")
 
     async def _accepts_requests(self) -> bool:
         port, request, expected = self.port, PING_REQUEST, PING_RESPONSE
@@ -154,11 +154,11 @@
         return line == expected
 
     def is_running(self) -> bool:
-        """Whether it has a process that has not ended."""
+        """Return whether it has a process that has not ended."""
         return self.process is not None and self.process.poll() is None
 
     def sample_usage(self) -> None:
-        """Read the CPU and memory that its process uses; nothing if it ends meanwhile."""
+        """Sample the CPU and memory that its process uses, unless it has ended."""
         if not self.is_running() or self.process is None:
             return
         try:
@@ -172,7 +172,7 @@
 
     @property
     def cpu_s(self) -> float:
-        """CPU of all its processes, s, as last sampled."""
+        """CPU time of all its processes (s), as last sampled."""
         return self._ended_cpu_s + self._running_cpu_s
 
     def _forget_process(self) -> None:
@@ -180,7 +180,7 @@
         self.process = None
 
     def kill(self, wait: bool = True) -> None:
-        """Send SIGKILL. With `wait` block until it has ended, else the start of the next process reaps it."""
+        """Send SIGKILL. With `wait`, block until it ends; otherwise the next start reaps it."""
         if self.process is not None:
             self.sample_usage()
             self.process.kill()
@@ -189,12 +189,12 @@
             self._forget_process()
 
     def terminate(self) -> None:
-        """Send SIGTERM: it is to drain and end."""
+        """Send SIGTERM, on which it drains and exits."""
         if self.is_running() and self.process is not None:
             self.process.send_signal(signal.SIGTERM)
 
     async def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
-        """Send SIGTERM, and SIGKILL if it has not ended in time or this is cancelled."""
+        """Send SIGTERM, and SIGKILL if it has not ended in time or this call is cancelled."""
         self.sample_usage()
         self.terminate()
         try:
@@ -211,7 +211,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def counters(self) -> dict[str, int]:
-        """Return the counters that it last logged; none before it has logged any."""
+        """Return the counters that it logged last; an empty dict before the first."""
         for line in reversed(self.log.read_text(errors="replace").splitlines()):
             if "event=counters" in line:
                 pairs = dict(item.partition("=")[::2] for item in line.split())
--- a/mapleshunt/testbed/gossip_relay.py
+++ b/mapleshunt/testbed/gossip_relay.py
@@ -1,4 +1,4 @@
-"""The network between gateways: a relay of their gossip datagrams, which delays and loses some."""
+"""The network between gateways: a relay of their gossip datagrams, which delays and drops some."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from .ports import HOST
 
 MAX_DATAGRAM_BYTES = 256
-MAX_DATAGRAMS_AT_ONCE = 64  # that are read from one socket before the others have their turn
-ALL_PEERS = -1  # in place of a peer: the socket for what is sent to all of them
+MAX_DATAGRAMS_AT_ONCE = 64  # read from one socket before others are served
+ALL_PEERS = -1  # in place of a peer: the socket for datagrams to all peers
 
 
 class GossipRelay:
-    """For each gateway a socket for every peer, and one for all of them.
+    """A relay with a socket per gateway and peer, and one per gateway for datagrams to all peers.
 
-    A gateway is known by the address that it sends from; what arrives for it leaves from the socket that
-    stands for the sender.
+    Gateways identify a peer by its source address: a datagram is delivered from the receiver's socket for
+    its sender.
     """
 
     def __init__(
         self, gateways: int, network: Network, limiters: Sequence[MessageRateLimiter], clock: RunClock
     ) -> None:
-        """`network` says what is lost and for how long the rest is on its way; `limiters` are by receiver."""
+        """`network` decides which datagrams are lost and how long others take; `limiters` are by receiver."""
         self._gateways, self._network, self._limiters, self._clock = gateways, network, limiters, clock
         self.addresses: dict[int, tuple[str, int]] = {}  # where each gateway listens
-        self.oversized_datagrams = 0  # which are dropped
+        self.oversized_datagrams = 0  # dropped
         self.delivered_bytes = 0
         self._sockets: dict[tuple[int, int], socket.socket] = {}  # by gateway, and peer or ALL_PEERS
         for gateway in range(gateways):
@@ -41,7 +41,7 @@
                 IOLoop.current().add_handler(endpoint, self._reader(gateway, peer), IOLoop.READ)
 
     def address(self, gateway: int, peer: int) -> str:
-        """Return where the gateway sends what is for that peer, or for `ALL_PEERS`."""
+        """Return the address to which the gateway sends datagrams for that peer, or for `ALL_PEERS`."""
         host, port = self._sockets[gateway, peer].getsockname()
         return f"{host}:{port}"
 
@@ -56,7 +56,7 @@
             for _ in range(MAX_DATAGRAMS_AT_ONCE):
                 try:
                     data, _sender = self._sockets[gateway, peer].recvfrom(MAX_DATAGRAM_BYTES + 1)
-                except OSError:  # none is left
+                except OSError:  # no datagram left
                     return
                 self._relay(gateway, peer, data)
 
--- a/mapleshunt/testbed/maintenance_work.py
+++ b/mapleshunt/testbed/maintenance_work.py
@@ -1,4 +1,4 @@
-"""Work on machines that maintenance has made safe, as an operator or a script does it, and its traces."""
+"""Work on machines that maintenance has made safe, as an operator does it, and its traces in the logs."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 
 async def read_maintenance_state(client: ReplicaClient) -> MaintenanceJobs:
-    """Return the state of maintenance as the group's leader has it; repeats its call until it is answered."""
-    works = MaintenanceJobs()
-    _, frozen = await client.read("works", "", tuple[float, MaintenanceSnapshot])
-    works.restore(frozen)
-    return works
+    """Return the maintenance state of the group's leader; the call is repeated until it is answered."""
+    jobs = MaintenanceJobs()
+    _, snapshot = await client.read("works", "", tuple[float, MaintenanceSnapshot])
+    jobs.restore(snapshot)
+    return jobs
 
 
 async def work_on_safe_machine(
-    client: ReplicaClient, place: MachineJob, restart: Callable[[str], Awaitable[None]]
+    client: ReplicaClient, job: MachineJob, restart: Callable[[str], Awaitable[None]]
 ) -> None:
-    """Take a safe machine out, restart its gateway and say that it returns; nothing if it may not go.
+    """Report a safe machine as out, restart its gateway and report it as returning, if it may go out.
 
-    `restart` gets the machine's name and returns once its gateway is back. A cancelled call leaves the
+    `restart` gets the machine's name and returns once its gateway is started. A cancelled call leaves the
     machine out.
     """
-    result = await client.execute(w.ReportProgress(place.machine, place.fencing_token, "out"))
+    result = await client.execute(w.ReportProgress(job.machine, job.fencing_token, "out"))
     if isinstance(result, Applied):
-        await restart(place.machine)
-        await client.execute(w.ReportProgress(place.machine, place.fencing_token, "returning"))
+        await restart(job.machine)
+        await client.execute(w.ReportProgress(job.machine, job.fencing_token, "returning"))
 
 
 def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
-    """Return the grants under which several machines were drained, by number, from the logs by machine."""
+    """Return the machines drained under each grant (by its fencing token) that several machines had."""
     drained: dict[str, set[str]] = {}
     for name, log in logs.items():
         for found in re.finditer(r"event=maintenance_drains fence=(\d+)", log.read_text(errors="replace")):
--- a/mapleshunt/testbed/ports.py
+++ b/mapleshunt/testbed/ports.py
@@ -1,4 +1,4 @@
-"""Ports of the loopback that no other test fleet on this machine draws."""
+"""Loopback ports that no other test fleet on this machine uses."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from .errors import GatewayError
 
 HOST = "127.0.0.1"
-PORTS = range(20000, 32000)  # below those that the system gives to outgoing connections
+PORTS = range(20000, 32000)  # below the system's range for outgoing connections
 MAX_DRAWS = 1000
 
 
 class PortRegistry:
-    """Draws ports for this process, and locks them against all other processes for as long as it lives.
+    """Draws ports for this process, and locks them against other processes for its lifetime.
 
-    What is drawn is bound only later, and may be bound anew: until then nobody else may draw it.
+    A port is bound only after it is drawn, and may be bound again: no other process may draw it meanwhile.
     """
 
     def __init__(self) -> None:
-        self._drawn: set[int] = set()  # by this process, whose own locks do not keep it away
+        self._drawn: set[int] = set()  # by this process: its own locks do not exclude it
         self._lock_file: TextIO | None = None
 
     def draw(self, kind: socket.SocketKind) -> int:
-        """Return a port that nobody holds now. Raises `GatewayError` if none is free."""
+        """Return a port that is free now. Raises `GatewayError` if none was found."""
         for port in random.sample(PORTS, MAX_DRAWS):
             if port in self._drawn or not self._lock(port):
                 continue
@@ -38,7 +38,7 @@
                     continue
                 self._drawn.add(port)
                 return port
-        raise GatewayError("no port is free")
+        raise GatewayError(f"no free port in {MAX_DRAWS} draws from {PORTS.start} to {PORTS.stop - 1}")
 
     def _lock(self, port: int) -> bool:
         """Lock the byte at the port's number in a file that all test fleets of this machine share."""
@@ -55,5 +55,5 @@
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    """Return a port that nobody holds now, and that no test fleet draws again. Raises `GatewayError`."""
+    """Return a port that is free now and that no test fleet draws again. Raises `GatewayError`."""
     return _registry.draw(kind)
--- a/mapleshunt/testbed/recording.py
+++ b/mapleshunt/testbed/recording.py
@@ -1,4 +1,4 @@
-"""Days on loopback whose gateways record the requests that they handle."""
+"""Runs on loopback whose gateways record the requests that they handle."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def run_and_record(scenario: Scenario, seed: int, recordings: Path | None) -> Score:
-    """Play a day; each gateway leaves its recording in the folder, if one is given.
+    """Run a scenario; each gateway writes its recording to the folder, if one is given.
 
     Raises:
-        GatewayError: a gateway did not start, or ended by itself.
+        GatewayError: a gateway did not start, or exited unexpectedly.
     """
     with tempfile.TemporaryDirectory() as folder:
         env = {}
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -1,4 +1,4 @@
-"""Clients of the replicas: they call until they are answered, and record what they see."""
+"""Clients of the replicas: they repeat calls until they are answered, and record a history."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 REPLY_TIMEOUT_S = 0.7  # after which another gateway is tried
 RETRY_PAUSE_RANGE_S = (0.01, 0.1)  # before a call is repeated
 READ_BYTES = 65536
-FRAMES_PER_CALL = 1000  # numbers that one operation's frames may use: its repeats never get near
+FRAMES_PER_CALL = 1000  # frame numbers for one operation, far more than its repeats use
 
 
 class ReplicaConnection:
@@ -35,7 +35,7 @@
     async def open(cls, address: Address, fleet: str) -> ReplicaConnection:
         """Connect and exchange handshakes.
 
-        Raises `OSError` and `wire.ProtocolError`. If it is cancelled, the socket is closed with its object.
+        Raises `OSError` and `wire.ProtocolError`. If cancelled, the socket is closed when it is freed.
         """
         connection = cls(*await asyncio.open_connection(*address))
         connection.send(
@@ -45,7 +45,7 @@
         return connection
 
     def send(self, message: wire.Frame) -> None:
-        """Write a frame, without waiting until it has left."""
+        """Write a frame without waiting until it is sent."""
         self._writer.write(wire.encode_frame(message))
 
     async def receive(self, kind: type[Any]) -> Any:
@@ -55,29 +55,29 @@
         has arrived is kept for the next call.
         """
         while True:
-            while found := wire.decode_frame(self._received, 0, len(self._received)):
-                self._received = self._received[found[1] :]
-                if isinstance(found[0], kind):
-                    return found[0]
-            more = await self._reader.read(READ_BYTES)
-            if not more:
+            while decoded := wire.decode_frame(self._received, 0, len(self._received)):
+                self._received = self._received[decoded[1] :]
+                if isinstance(decoded[0], kind):
+                    return decoded[0]
+            data = await self._reader.read(READ_BYTES)
+            if not data:
                 raise ConnectionResetError
-            self._received += more
+            self._received += data
 
     def close(self) -> None:
-        """Close the connection, without waiting."""
+        """Close the connection without waiting."""
         self._writer.close()
 
 
 async def query_operator_port(
-    address: Address, fleet: str, what: str, group: int = -1, copy: str = ""
+    address: Address, fleet: str, operation: str, group: int = -1, replica: str = ""
 ) -> wire.ClientResponse | None:
-    """Send an operator's request; returns None if there is no answer within 0.7 s."""
+    """Send an operator's request; return None if there is no response within 0.7 s."""
     with contextlib.suppress(OSError, TimeoutError, wire.ProtocolError):
         async with asyncio.timeout(REPLY_TIMEOUT_S):
             connection = await ReplicaConnection.open(address, fleet)
             try:
-                connection.send(wire.AdminRequest(1, what, group, copy))
+                connection.send(wire.AdminRequest(1, operation, group, replica))
                 response: wire.ClientResponse = await connection.receive(wire.ClientResponse)
                 return response
             finally:
@@ -89,19 +89,21 @@
     """Return the status (decoded msgpack) of each gateway by name; None for one that does not answer."""
     queries = (query_operator_port(address, fleet, "status") for address in addresses.values())
     responses = await asyncio.gather(*queries)
-    statuses = (msgspec.msgpack.decode(one.data) if one is not None else None for one in responses)
+    statuses = (
+        msgspec.msgpack.decode(response.data) if response is not None else None for response in responses
+    )
     return dict(zip(addresses, statuses, strict=True))
 
 
 def leader_status(statuses: Mapping[str, dict[str, Any] | None], group: int) -> dict[str, Any] | None:
     """Return the group's status from its leader in the highest term; None if no gateway leads it."""
-    groups = (one for status in statuses.values() if status is not None for one in status["groups"])
-    led = (one for one in groups if one["group"] == group and one["role"] == "leader")
-    return max(led, key=lambda one: one["term"], default=None)
+    entries = (entry for status in statuses.values() if status is not None for entry in status["groups"])
+    led = (entry for entry in entries if entry["group"] == group and entry["role"] == "leader")
+    return max(led, key=lambda entry: entry["term"], default=None)
 
 
 class ReplicaClient:
-    """A client of one group with a session of its own; each operation is repeated until it is answered."""
+    """A client of one group with its own session; each operation is repeated until it is answered."""
 
     def __init__(
         self,
@@ -113,10 +115,10 @@
         now: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """`history` gets an event for each operation, with its times by `now`, s."""
+        """`history` gets an event for each operation, with times from `now` (s)."""
         self.name, self.rng = name, rng
         self.history = history
-        self.operations = 0  # that were begun; also the number of the last one
+        self.operations = 0  # begun so far; also the number of the last one
         self.repeats = 0
         self._gateways, self._fleet, self._group, self._now = gateways, fleet, group, now
         self._connection: ReplicaConnection | None = None
@@ -125,7 +127,7 @@
     async def execute(self, operation: commands.Operation) -> Result:
         """Return the result of an operation, which is applied once, however often it is sent.
 
-        If it is cancelled, the operation may have been applied; the event in the history has no end.
+        If cancelled, the operation may have been applied; the event in the history has no end.
         """
         self.operations += 1
         number = self.operations
@@ -140,16 +142,18 @@
     async def read(self, kind: str, name: str, result_type: Any = None) -> Any:
         """Return what the group's leader has under that name, decoded as `result_type`.
 
-        If it is cancelled, the event in the history has no end.
+        If cancelled, the event in the history has no end.
         """
         self.operations += 1
-        read = f"{kind} {name}"
-        event = self._record(read)
-        answer = await self._call_until_done(lambda frame: wire.ClientRequest(frame, self._group, query=read))
+        query = f"{kind} {name}"
+        event = self._record(query)
+        answer = await self._call_until_done(
+            lambda frame: wire.ClientRequest(frame, self._group, query=query)
+        )
         default_type = TokenBucket if kind == "store" else Record
-        found = msgspec.msgpack.decode(answer, type=result_type or default_type | None)
-        event.result, event.ended_at = found, self._now()
-        return found
+        value = msgspec.msgpack.decode(answer, type=result_type or default_type | None)
+        event.result, event.ended_at = value, self._now()
+        return value
 
     def close(self) -> None:
         """Close the connection; the session stays open."""
@@ -161,7 +165,7 @@
         return event
 
     async def _call_until_done(self, make: Callable[[int], wire.ClientRequest]) -> bytes:
-        """Send the same operation, in frames of different numbers, to one gateway after another."""
+        """Send an operation to one gateway after another, in frames of different numbers, until it is done."""
         attempt = 0
         while True:
             attempt += 1
@@ -176,7 +180,7 @@
             await asyncio.sleep(self.rng.uniform(*RETRY_PAUSE_RANGE_S))
 
     async def _call_once(self, request: wire.ClientRequest) -> wire.ClientResponse | None:
-        """Return the response; None, and no connection, if there is none in time."""
+        """Return the response; without one in time, close the connection and return None."""
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_S):
                 if self._connection is None:
@@ -193,7 +197,7 @@
             return None
 
     def _disconnect(self) -> None:
-        """Close the connection; the next goes to a gateway that is drawn."""
+        """Close the connection and draw the gateway for the next one."""
         if self._connection is not None:
             self._connection.close()
         self._connection = None
--- a/mapleshunt/testbed/replica_workload.py
+++ b/mapleshunt/testbed/replica_workload.py
@@ -1,4 +1,4 @@
-"""What clients of replicas do: operations of every kind, one after another, each until it is answered."""
+"""The workload of a client of replicas: operations of every kind, one at a time, each until answered."""
 
 from __future__ import annotations
 
@@ -12,12 +12,21 @@
 
 CUSTOMERS = 4
 RECORDS = 2
-RATE, BURST = 5.0, 40.0  # units a second and units, of each customer's token bucket
+RATE, BURST = 5.0, 40.0  # units/s and units, of each customer's token bucket
 LEASE_TERM_MS = 1500.0
 LEASE_UNITS = (1.0, 5.0, 15.0)
 MAX_COUNTED_UNITS = 9
 PAUSE_S = 0.002  # between two operations
-KINDS = ("lease", "lease", "return", "count", "count", "read", "put", "reserve")  # drawn with these weights
+KINDS = (
+    "lease",
+    "lease",
+    "return",
+    "count",
+    "count",
+    "read",
+    "put",
+    "reserve",
+)  # drawn uniformly: repeated entries are likelier
 
 
 class ReplicaWorkload:
@@ -25,11 +34,13 @@
 
     def __init__(self, client: ReplicaClient) -> None:
         self._client, self._rng = client, client.rng
-        self._leases: list[tuple[str, int, float]] = []  # customer, lease and units, not returned yet
+        self._leases: list[
+            tuple[str, int, float]
+        ] = []  # customer, lease id and units of each not returned yet
         self._versions: dict[str, int] = {}  # of records, as last known
 
     async def run(self, ended: Callable[[], bool], pause_s: float) -> None:
-        """Open the session, then operate until the run has ended."""
+        """Open the session, then execute operations until the run has ended."""
         await self._client.execute(commands.OpenSession())
         while not ended():
             customer = f"c{self._rng.randrange(CUSTOMERS)}"
@@ -64,8 +75,8 @@
             self._leases.append((customer, result.lease_id, result.units))
 
     async def _return_oldest_lease(self) -> None:
-        customer, lease, units = self._leases.pop(0)
-        await self._client.execute(commands.ReturnLease(customer, lease, self._rng.uniform(0.0, units)))
+        customer, lease_id, units = self._leases.pop(0)
+        await self._client.execute(commands.ReturnLease(customer, lease_id, self._rng.uniform(0.0, units)))
 
     async def _set_record(self) -> None:
         key, value = f"k{self._rng.randrange(RECORDS)}", self._unique_name()
@@ -74,15 +85,15 @@
 
 
 async def run_workload(client: ReplicaClient, ended: Callable[[], bool], pause_s: float = PAUSE_S) -> None:
-    """Operate as gateways do until the run has ended. If it is cancelled, an operation may have no answer."""
+    """Execute operations until the run has ended. If cancelled, the last one may have no answer."""
     await ReplicaWorkload(client).run(ended, pause_s)
 
 
 async def read_final_state(client: ReplicaClient, timeout_s: float) -> dict[str, Any]:
     """Return what the token buckets and records hold; raises `TimeoutError` if a read takes longer."""
-    found: dict[str, Any] = {}
+    state: dict[str, Any] = {}
     for number in range(CUSTOMERS):
-        found[f"store c{number}"] = await asyncio.wait_for(client.read("store", f"c{number}"), timeout_s)
+        state[f"store c{number}"] = await asyncio.wait_for(client.read("store", f"c{number}"), timeout_s)
     for number in range(RECORDS):
-        found[f"record k{number}"] = await asyncio.wait_for(client.read("record", f"k{number}"), timeout_s)
-    return found
+        state[f"record k{number}"] = await asyncio.wait_for(client.read("record", f"k{number}"), timeout_s)
+    return state
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -67,7 +67,9 @@
 
     def _judge(self, words: list[memoryview]) -> None:
         """Look at the deadline passed on, and whether the client was still there when this began."""
-        found = self.fleet.attempts_by_name.get(bytes(words[2]).decode("latin-1")) if len(words) > 3 else None
+        found = (
+            self.fleet.attempts_by_wire_id.get(bytes(words[2]).decode("latin-1")) if len(words) > 3 else None
+        )
         if found is None:
             return
         if self.soak.lag() > MAX_LAG_S:
--- a/mapleshunt/testbed/summary.py
+++ b/mapleshunt/testbed/summary.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a run, and why: from the record of what crossed the sockets."""
+"""Outcomes of a run's requests and their reasons, from the record of what crossed the sockets."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 def final_answer(attempt: ClientAttempt) -> str:
-    """Return served, refused or failed; or why there was no answer."""
+    """Return "served", "refused" or "failed", or why there was no answer."""
     if attempt.result is not None:
         return str(attempt.result)
     return NO_ANSWER if attempt.accepted else UNREACHABLE
 
 
 def reason(attempt: ClientAttempt, within_quota: bool) -> str:
-    """Return the reason for a client's attempt's end, as far as it shows on the wire."""
+    """Return why a client's attempt ended as it did, as far as the wire shows it."""
     match attempt.result:
         case "served":
             return "first attempt" if len(attempt.attempts) == 1 else "further attempt"
@@ -45,7 +45,7 @@
 
 def reasons(fleet: LoopbackFleet) -> dict[str, Counter[str]]:
     """Return the counts of clients' attempts by final answer and reason."""
-    found: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
+    counts: dict[str, Counter[str]] = {name: Counter() for name in ("served", "refused", "failed")}
     buckets: dict[int, TokenBucket] = {}
     plans, customers = fleet.day.parameters.plans, fleet.day.traffic.customers
     for attempt in fleet.rule_checker.client_attempts:
@@ -53,13 +53,13 @@
         plan = plans[customers[request.customer].plan]
         bucket = buckets.setdefault(request.customer, TokenBucket(plan.rate, plan.burst))
         within_quota = bucket.refill(attempt.sent_at) >= request.estimated_units
-        found.setdefault(final_answer(attempt), Counter())[reason(attempt, within_quota)] += 1
+        counts.setdefault(final_answer(attempt), Counter())[reason(attempt, within_quota)] += 1
         if attempt.inside_quota:
             bucket.try_take(attempt.sent_at, request.units)
-    return found
+    return counts
 
 
 def exactly_once(fleet: LoopbackFleet) -> bool:
-    """Whether each request that a gateway took got one final answer, and no connection brought a second."""
-    taken = (attempt for attempt in fleet.rule_checker.client_attempts if attempt.accepted)
-    return not fleet.clients.unexpected_replies and all(attempt.result is not None for attempt in taken)
+    """Return whether each request that a gateway accepted got exactly one final answer."""
+    accepted = (attempt for attempt in fleet.rule_checker.client_attempts if attempt.accepted)
+    return not fleet.clients.unexpected_replies and all(attempt.result is not None for attempt in accepted)
--- a/mapleshunt/testbed/syscall_faults.py
+++ b/mapleshunt/testbed/syscall_faults.py
@@ -1,7 +1,7 @@
-"""System calls of a process that fail by chance: builds and controls the library of `syscall_faults.c`.
+"""Random failures of a process's system calls: builds and controls the library of `syscall_faults.c`.
 
 The library is preloaded (LD_PRELOAD) into one process at a time. It and this module map the same control
-file: this side writes the rates that hold, the library counts what it did.
+file: this side writes the current rates, the library counts the faults that it injects.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
     interrupt: float = 0.0  # EINTR, of reads, writes and waits
     broken_as: float = 0.0  # a reset that shows as ETIMEDOUT or EHOSTUNREACH
     hold: float = 0.0  # a pause of up to 0.06 s before a write, once a second
-    disk: float = 0.0  # writes and syncs under the folder: EIO, ENOSPC, half of the bytes
+    disk: float = 0.0  # writes and syncs under the folder: EIO, ENOSPC, half of the bytes written
     disk_read: float = 0.0  # reads under the folder: EIO
-    clock_step: float = 0.0  # s that the wall clock is ahead; no chance
-    disk_slow: float = 0.0  # s that each sync under the folder takes longer; no chance
+    clock_step: float = 0.0  # s that the wall clock is ahead; not a chance
+    disk_slow: float = 0.0  # s added to each sync under the folder; not a chance
 
 
 KINDS = tuple(field.name for field in fields(SyscallFaultRates))
@@ -47,7 +47,7 @@
     """Compile the library into the folder and return its path. Raises `LibraryBuildError`."""
     compiler = next((found for name in COMPILERS if (found := shutil.which(name))), None)
     if compiler is None:
-        raise LibraryBuildError(f"none of {', '.join(COMPILERS)} is installed")
+        raise LibraryBuildError(f"no C compiler found: none of {', '.join(COMPILERS)} is installed")
     library = folder / "syscall_faults.so"
     command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
     compilation = subprocess.run(command, capture_output=True, text=True)
@@ -57,10 +57,10 @@
 
 
 class SyscallFaultControl:
-    """The rates that hold for one process, and the faults that the library has injected into it."""
+    """The current rates of one process, and the faults that the library has injected into it."""
 
     def __init__(self, library: Path, file: Path, seed: int, folder: Path | None = None) -> None:
-        """The disk faults are about files in `folder`; without one there are none."""
+        """The disk faults affect files in `folder`; without a folder there are none."""
         self.folder = folder
         self._library, self._file, self._seed = library, file, seed
         file.write_bytes(bytes(RATES.size + COUNTS.size))
@@ -76,19 +76,19 @@
         }
         if self.folder is not None:
             variables["MAPLESHUNT_FAULT_FOLDER"] = str(self.folder)
-        if before := os.environ.get("LD_PRELOAD"):
-            variables["LD_PRELOAD"] += f":{before}"
+        if inherited := os.environ.get("LD_PRELOAD"):
+            variables["LD_PRELOAD"] += f":{inherited}"
         return variables
 
     def set(self, rates: SyscallFaultRates) -> None:
-        """Make these rates hold from now on."""
+        """Apply these rates from now on."""
         self._shared[: RATES.size] = RATES.pack(*astuple(rates))
 
     def counts(self) -> Mapping[str, int]:
-        """Return the faults that were injected so far, by kind; none of 0."""
+        """Return how many faults were injected so far, by kind, without zeros."""
         values = COUNTS.unpack(self._shared[RATES.size :])
         return {kind: count for kind, count in zip(KINDS, values, strict=True) if count}
 
     def close(self) -> None:
-        """Unmap the control file; the rates that hold stay."""
+        """Unmap the control file; the current rates stay in force."""
         self._shared.close()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -217,7 +217,7 @@
             "def run_gateway() -> int:\n    raise SystemExit(3)\n",
         ),
     )
-    with pytest.raises(GatewayError, match="ended at its start"):
+    with pytest.raises(GatewayError, match="exited at startup"):
         fleet.run_on_loopback(day, tmp_path / "logs", broken)
     dies = checkout(
         tmp_path / "b",
@@ -229,7 +229,7 @@
             "            os._exit(4)\n",
         ),
     )
-    with pytest.raises(GatewayError, match="ended by themselves"):
+    with pytest.raises(GatewayError, match="exited unexpectedly"):
         fleet.run_on_loopback(day, tmp_path / "logs", dies)
 
 
