--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -165,7 +165,7 @@
         return event
 
     async def _call_until_done(self, make: Callable[[int], wire.ClientRequest]) -> bytes:
-        """Send an operation to one gateway after another, in frames of different numbers, until it is done."""
+        """Send an operation, in frames of different numbers, to one gateway after another until it is done."""
         attempt = 0
         while True:
             attempt += 1
