--- a/mapleshunt/testbed/faults/__init__.py
+++ b/mapleshunt/testbed/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Fault schedules of replicas: real gateways with replicas, faults in and between them, and a judgement."""
+"""Fault schedules for replicas: real gateways with replicas, faults in and between them, and checks."""
--- a/mapleshunt/testbed/faults/fault_injection.py
+++ b/mapleshunt/testbed/faults/fault_injection.py
@@ -1,4 +1,4 @@
-"""The faults of a schedule: each is injected until it has had its effect, and healed by the caller."""
+"""The faults of a schedule: each is injected until it has taken effect, and healed by the caller."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from .process_faults import CrashStep, ProcessFaults
 from .replicated_fleet import FLEET_NAME, ReplicatedFleet
 
-MAX_CALLS_DURING_FAULT = 30  # that are awaited while a fault lasts
-CALLS_BEFORE_RESTORE = 10  # at least, between a copy of a store and its return
-CALLS_BEFORE_CRASH = 30  # at least, within which a process that is to crash at a step has reached it
-MAX_OCCURRENCE = 6  # of the step at which a process crashes
+MAX_CALLS_DURING_FAULT = 30  # awaited while a fault lasts
+CALLS_BEFORE_RESTORE = 10  # at least, between saving a store and restoring it
+CALLS_BEFORE_CRASH = 30  # at least, for a process to reach the step at which it crashes
+MAX_OCCURRENCE = 6  # of a step, at which a process crashes
 MAX_BYTES_BEFORE_RESET = 4000
 DELAYED_DIRECTIONS = 2
 DELAY_RANGE_S = (0.01, 0.2)
 COMMIT_DELAYS_S = (0.02, 0.1)
 CLOCK_OFFSET_S = 5.0
 START_GAPS_S = (0.0, 0.0, 0.3)  # between two machines that start after all were killed
-LARGE_GROUP = 5  # machines, and replicas, from which two may be down at once
+LARGE_GROUP = 5  # machines and replicas with which two may be down at once
 
 
 class FaultKind(StrEnum):
-    """What can be injected; the values are the names that operators give in a schedule's file."""
+    """Kinds of faults; the values are the names that operators give in a schedule's file."""
 
     KILL_LEADER = "kill_leader"
     KILL = "kill"
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class FaultTargets:
-    """What a fault is about, drawn before it begins."""
+    """The targets of a fault, drawn before it is injected."""
 
     leader: GatewayMachine
     others: list[GatewayMachine]  # all machines but the leader
@@ -63,10 +63,10 @@
 
 
 class FaultInjector:
-    """Injects faults into a fleet; all choices are drawn from the fleet's random numbers, in their order."""
+    """Injects faults into a fleet; all choices are drawn from the fleet's random generator, in order."""
 
     def __init__(self, fleet: ReplicatedFleet, leaderless_s: list[float]) -> None:
-        """`leaderless_s` is appended to: the time from each leader's kill until another leads, s."""
+        """`leaderless_s` receives the time (s) from each kill of a leader until another leads."""
         self._fleet, self._leaderless_s = fleet, leaderless_s
         self._random = fleet.random
         self._handlers: dict[FaultKind, Callable[[FaultTargets], Awaitable[None]]] = {
@@ -78,8 +78,8 @@
             FaultKind.CUT_LEADER: self._cut_leader,
             FaultKind.DEAFEN_LEADER: self._deafen_leader,
             FaultKind.MUTE_LEADER: self._mute_leader,
-            FaultKind.DELAY: self._delay_links,
-            FaultKind.RESET: self._reset_links,
+            FaultKind.DELAY: self._delay_connections,
+            FaultKind.RESET: self._reset_connections,
             FaultKind.WIPE_FOLLOWER: self._lose_follower_store,
             FaultKind.WIPE_LEADER: self._lose_leader_store,
             FaultKind.OLD_DISK: self._restore_old_store,
@@ -93,9 +93,9 @@
         }
 
     async def inject(self, kind: FaultKind) -> None:
-        """Inject a fault and wait for its effect: a new leader, or so many calls.
+        """Inject a fault and wait for its effect: a new leader, or a number of answered calls.
 
-        Raises `GatewayError` if the group does not recover where it should. A cancelled fault is not healed:
+        Raises `GatewayError` if the group does not recover in time. A cancelled fault is not healed:
         `ReplicatedFleet.heal` does that.
         """
         leader = await self._fleet.wait_for_leader()
@@ -107,10 +107,10 @@
     # Processes
 
     async def _kill_leader(self, targets: FaultTargets) -> None:
-        begun = time.monotonic()
+        killed_at = time.monotonic()
         targets.leader.kill()
         await self._fleet.wait_for_leader(other_than=targets.leader.name)
-        self._leaderless_s.append(time.monotonic() - begun)
+        self._leaderless_s.append(time.monotonic() - killed_at)
 
     async def _terminate_leader(self, targets: FaultTargets) -> None:
         targets.leader.kill(signal.SIGTERM)
@@ -130,7 +130,7 @@
         targets.leader.pause()
         await self._fleet.wait_for_leader(other_than=targets.leader.name)
         await self._fleet.wait_for_answers(targets.calls)
-        targets.leader.resume()  # it believes that it still leads
+        targets.leader.resume()  # it still acts as the leader
 
     async def _kill_all(self, _targets: FaultTargets) -> None:
         order = list(self._fleet.machines.values())
@@ -164,7 +164,7 @@
         await query_operator_port(targets.leader.address, FLEET_NAME, "transfer", 0)
         await self._fleet.wait_for_answers(targets.calls)
 
-    # Links
+    # Connections
 
     async def _cut_leader(self, targets: FaultTargets) -> None:
         await self._cut(targets, incoming=True, outgoing=True)
@@ -183,12 +183,12 @@
             direction.open.clear()
         await self._fleet.wait_for_answers(targets.calls)
 
-    async def _delay_links(self, targets: FaultTargets) -> None:
+    async def _delay_connections(self, targets: FaultTargets) -> None:
         for direction in self._random.sample(self._fleet.directions(None, None), DELAYED_DIRECTIONS):
             direction.delay_s = self._random.uniform(*DELAY_RANGE_S)
         await self._fleet.wait_for_answers(targets.calls)
 
-    async def _reset_links(self, targets: FaultTargets) -> None:
+    async def _reset_connections(self, targets: FaultTargets) -> None:
         for direction in self._fleet.directions(targets.leader, None):
             direction.bytes_to_reset = self._random.randint(1, MAX_BYTES_BEFORE_RESET)
         await self._fleet.wait_for_answers(targets.calls)
@@ -204,7 +204,7 @@
     async def _lose_store(self, machine: GatewayMachine, calls: int) -> None:
         machine.lose_store()
         await self._fleet.wait_for_answers(self._random.choice([0, 0, calls]))
-        machine.start()  # at once, under its name
+        machine.start()  # replaced soon, under the same name
         await self._fleet.wait_until_settled()
 
     async def _restore_old_store(self, targets: FaultTargets) -> None:
--- a/mapleshunt/testbed/faults/faulty_gateway.py
+++ b/mapleshunt/testbed/faults/faulty_gateway.py
@@ -1,8 +1,7 @@
 """A gateway with replicas that can be made to fail between two steps of an operation.
 
-Run as `python -m mapleshunt.testbed.faults.faulty_gateway`: the program as it is, with a few of its functions
-wrapped before it starts. The faults are in the file that `MAPLESHUNT_FAULTS` names, read at the start and on
-SIGUSR2.
+Run as `python -m mapleshunt.testbed.faults.faulty_gateway`: the program with a few of its functions wrapped
+before it starts. The faults are in the file that `MAPLESHUNT_FAULTS` names, read at startup and on SIGUSR2.
 """
 
 from __future__ import annotations
@@ -21,27 +20,27 @@
 
 
 class FaultyProgram:
-    """Wraps functions of the program in this process, so that they fail as the faults file says."""
+    """Wraps functions of the program in this process, so that they fail as the faults file demands."""
 
     def __init__(self, file: Path) -> None:
         self._file = file
         self._faults = ProcessFaults()
-        self._occurrences = 0  # of the step at which the process is to be killed
+        self._occurrences = 0  # so far, of the crash step
         self.read_faults()
 
     def read_faults(self, *_signal_arguments: object) -> None:
-        """Read the faults anew, and count occurrences of the step from 0."""
+        """Read the faults again, and count occurrences of the crash step from 0."""
         self._faults, self._occurrences = read_process_faults(self._file), 0
 
     def _reach(self, step: CrashStep) -> None:
-        """Kill this process if the step has occurred often enough."""
+        """Kill this process if the step has occurred as often as the faults demand."""
         if self._faults.crash_step == step:
             self._occurrences += 1
             if self._occurrences >= self._faults.occurrence:
                 os.kill(os.getpid(), signal.SIGKILL)
 
     def install(self) -> None:
-        """Wrap the program's functions; to be called once, before it starts."""
+        """Wrap the program's functions; call this once, before it starts."""
         self._wrap_commit()
         self._wrap_step()
         self._wrap_apply()
@@ -50,7 +49,7 @@
     def _wrap_commit(self) -> None:
         commit = DurableStore.commit
 
-        # Both arguments are handed on as they are, of whatever type the store takes.
+        # Both arguments are passed on unchanged, hence untyped.
         def slow_commit(store: DurableStore, writes: Any, beside: Any = None) -> None:
             time.sleep(self._faults.commit_delay_s)
             self._reach(CrashStep.UNWRITTEN)
@@ -73,7 +72,7 @@
         GroupHost.step = watched_step  # type: ignore[method-assign, assignment]
 
     def _wrap_apply(self) -> None:
-        # The step between commit and answer has no public name.
+        # No public method covers the step between commit and answer.
         apply = GroupHost._apply
 
         def watched_apply(host: GroupHost, entry: m.Entry, call: int | None) -> None:
--- a/mapleshunt/testbed/faults/gateway_machine.py
+++ b/mapleshunt/testbed/faults/gateway_machine.py
@@ -1,4 +1,4 @@
-"""A gateway with replicas on a machine of its own: its folder, its process, and what fails in them."""
+"""A gateway with replicas on a machine of its own: its folder, its process, and their faults."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     write_process_faults,
 )
 
-FULL_DISK_SPACE_BYTES = 128 * 1024  # that a full disk has left beyond the size of the log
-STOP_TIMEOUT_S = 8.0  # after a signal, until a process that has not ended is killed
+FULL_DISK_SPACE_BYTES = 128 * 1024  # left on a full disk beyond the size of the log
+STOP_TIMEOUT_S = 8.0  # after a signal, until the process is killed
 
 
 class GatewayMachine:
-    """A gateway with a folder and a replication port of its own; it keeps both from process to process."""
+    """A gateway with its own folder and replication port, which stay the same across restarts."""
 
     def __init__(
         self,
@@ -48,11 +48,11 @@
         self.paused = False
         self._gateway_config, self._settings, self._peers_of = gateway_config, settings, peers_of
         self._saved_store: Path | None = None
-        self._faults: ProcessFaults | None = None  # that the process has been given
+        self._faults: ProcessFaults | None = None  # last given to the process
 
     @property
     def address(self) -> Address:
-        """Where its replicas are called."""
+        """The address of its replication port."""
         return HOST, self.port
 
     @property
@@ -66,17 +66,17 @@
         return self.folder / "disk"
 
     def is_running(self) -> bool:
-        """Whether its process has not ended; a paused one has not."""
+        """Return whether its process has not ended; a paused one counts as running."""
         return self.process is not None and self.process.poll() is None
 
     # The process
 
     def start(self) -> None:
-        """Start a process with the settings as they are now, unless one runs."""
+        """Start a process with the current settings, unless one runs."""
         if self.is_running():
             return
         self._write_configuration()
-        # It reads its faults at its start: a signal before it listens for one would end it.
+        # It reads its faults at startup: SIGUSR2 before its handler is installed would kill it.
         self._faults = None
         self.set_faults(ProcessFaults())
         env = {
@@ -95,11 +95,11 @@
         config = {**self._gateway_config, "name": self.name, "listen": f"{HOST}:{self.client_port}"}
         (self.folder / "config.json").write_text(json.dumps(config))
 
-    def kill(self, how: signal.Signals = signal.SIGKILL) -> None:
-        """Send the process that signal, and SIGKILL if it has not ended 8 s later; blocks until it has."""
+    def kill(self, first_signal: signal.Signals = signal.SIGKILL) -> None:
+        """Send a signal, and SIGKILL if the process has not ended 8 s later; block until it has."""
         if self.process is not None:
             self.resume()
-            self.process.send_signal(how)
+            self.process.send_signal(first_signal)
             with contextlib.suppress(subprocess.TimeoutExpired):
                 self.process.wait(STOP_TIMEOUT_S)
             self.process.kill()
@@ -107,19 +107,19 @@
             self.process = None
 
     def pause(self) -> None:
-        """Stop the process as it is, without its end."""
+        """Suspend the process without ending it."""
         if self.process is not None and not self.paused:
             self.process.send_signal(signal.SIGSTOP)
             self.paused = True
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Continue a paused process."""
         if self.process is not None and self.paused:
             self.process.send_signal(signal.SIGCONT)
         self.paused = False
 
     def set_faults(self, faults: ProcessFaults) -> None:
-        """Give the process these faults, in place of those that it had."""
+        """Replace the faults of the process."""
         if faults == self._faults:
             return
         self._faults = faults
@@ -130,9 +130,9 @@
     # The disk
 
     def fill_disk(self) -> None:
-        """Let no file of this process grow past a little more than its log has.
+        """Limit the files of this process to little more than the size of its log.
 
-        SQLite's write-ahead log, whose space is used anew each thousand pages, soon wants more.
+        SQLite's write-ahead log, which reuses its space every thousand pages, soon exceeds that.
         """
         if self.process is not None:
             size = self.log.stat().st_size + FULL_DISK_SPACE_BYTES
@@ -140,7 +140,7 @@
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (size, hard_limit))
 
     def free_disk(self) -> None:
-        """End what `fill_disk` began."""
+        """Remove the limit set by `fill_disk`."""
         if self.process is not None and self.is_running():
             _, hard_limit = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (hard_limit, hard_limit))
@@ -151,14 +151,14 @@
         shutil.rmtree(self.store, ignore_errors=True)
 
     def save_store(self) -> None:
-        """Kill the process and keep a copy of the store as it is."""
+        """Kill the process and save a copy of its store."""
         self.kill()
         self._saved_store = self.folder / "saved"
         shutil.rmtree(self._saved_store, ignore_errors=True)
         shutil.copytree(self.store, self._saved_store)
 
     def restore_saved_store(self) -> None:
-        """Kill the process and put the copy that was saved in its store's place, if there is one."""
+        """Kill the process and replace its store by the saved copy, if there is one."""
         self.kill()
         if self._saved_store is not None:
             shutil.rmtree(self.store, ignore_errors=True)
--- a/mapleshunt/testbed/faults/process_faults.py
+++ b/mapleshunt/testbed/faults/process_faults.py
@@ -1,4 +1,4 @@
-"""What the process of a gateway with replicas is made to do wrong, and the file that tells it."""
+"""Faults of the process of a gateway with replicas, and the file from which it reads them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CrashStep(StrEnum):
-    """The steps of an operation, in the order in which it passes them."""
+    """The steps of an operation, in their order."""
 
     UNWRITTEN = "unwritten"  # before it is on disk
     WRITTEN = "written"  # on disk, and the replica has not been notified
@@ -27,7 +27,7 @@
 
     crash_step: CrashStep | None = None
     occurrence: int = 1  # of the step, counted from 1, at which the process is killed
-    commit_delay_s: float = 0.0  # that each commit to the store takes longer
+    commit_delay_s: float = 0.0  # added to each commit to the store
     clock_offset_s: float = 0.0  # by which the wall clock is ahead
 
 
--- a/mapleshunt/testbed/faults/replicated_fleet.py
+++ b/mapleshunt/testbed/faults/replicated_fleet.py
@@ -1,4 +1,4 @@
-"""Real gateways with replicas on loopback: a machine each, a fault proxy between each two."""
+"""Real gateways with replicas on loopback: a machine each, and a fault proxy between each pair."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from .process_faults import ProcessFaults
 
 FLEET_NAME = "faults"
-SETTLE_TIMEOUT_S = 20.0  # within which all has to be answered once no fault is left
-ANSWERS_TIMEOUT_S = 3.0  # for more calls while a fault lasts: perhaps none can be answered
+SETTLE_TIMEOUT_S = 20.0  # within which all calls must be answered once no fault is left
+ANSWERS_TIMEOUT_S = 3.0  # to wait for calls during a fault, when perhaps none can be answered
 PROGRAM = Path(__file__).parents[3]  # this checkout
 
 
@@ -45,7 +45,7 @@
 
 
 class ReplicatedFleet:
-    """The machines of one run, the links between them, and what is seen of them from outside."""
+    """The machines of one run, the connections between them, and their state as seen from outside."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
     ) -> None:
         """`program` is the checkout whose gateways run, by default this one."""
         self.seed = seed
-        self.random = random.Random(seed)  # all choices of a run come from here, in their order
+        self.random = random.Random(seed)  # the source of all choices of a run, in order
         self.settings = ReplicationSettings(FLEET_NAME, replicas=replicas, election_ms=election_ms)
         self.proxies: dict[tuple[str, str], FaultProxy] = {}  # by the names of both ends, the lower first
         self.machines: dict[str, GatewayMachine] = {}
@@ -74,15 +74,15 @@
     def _peers_of(self, name: str) -> list[PeerAddress]:
         peers = []
         for other in self.machines.values():
-            # The lower name dials: through the proxy of that pair.
+            # The gateway with the lower name connects, through the pair's proxy.
             proxy = self.proxies.get((name, other.name))
             peers.append(PeerAddress(other.name, proxy.port if proxy is not None else other.port))
         return peers
 
-    # Its run
+    # Start and stop
 
     async def start(self) -> None:
-        """Start all machines, each pair linked by a proxy, and wait until the group has settled.
+        """Start all machines, each pair connected by a proxy, and wait until the group has settled.
 
         Raises `GatewayError`. If it is cancelled, `stop` ends what was started.
         """
@@ -102,7 +102,7 @@
             await proxy.close()
 
     def now(self) -> float:
-        """Return the time since this fleet was made, s."""
+        """Return the time since this fleet was created (s)."""
         return time.monotonic() - self._origin
 
     def client(self, number: int) -> ReplicaClient:
@@ -111,11 +111,11 @@
         rng = random.Random(self.seed * 1000 + number)
         return ReplicaClient(f"s{number}", addresses, FLEET_NAME, 0, self.history, self.now, rng)
 
-    # What is seen from outside
+    # State as seen from outside
 
     @property
     def answered_calls(self) -> int:
-        """How many calls in the history have their answer."""
+        """The number of answered calls in the history."""
         return sum(bool(event.ended_at) for event in self.history)
 
     async def wait_for_answers(self, calls: int, timeout_s: float = ANSWERS_TIMEOUT_S) -> None:
@@ -133,8 +133,8 @@
             for machine in self.machines.values()
             if machine.process and not machine.paused
         }
-        found = await gateway_statuses(addresses, FLEET_NAME)
-        return {name: status for name, status in found.items() if status is not None}
+        statuses = await gateway_statuses(addresses, FLEET_NAME)
+        return {name: status for name, status in statuses.items() if status is not None}
 
     async def wait_for_leader(
         self, other_than: str = "", timeout_s: float = SETTLE_TIMEOUT_S
@@ -167,11 +167,11 @@
         all_answer = len(statuses) == len(self.machines)
         return all_answer and voters <= present and len(voters) == self.settings.replicas
 
-    # Links
+    # Faults
 
     def directions(self, source: GatewayMachine | None, target: GatewayMachine | None) -> list[Direction]:
-        """Return the directions of links from one machine to another; None stands for any."""
-        found = []
+        """Return the proxied directions from one machine to another; None stands for any machine."""
+        matching = []
         for (lower, higher), proxy in self.proxies.items():
             for sender, receiver, direction in (
                 (lower, higher, proxy.to_target),
@@ -180,11 +180,11 @@
                 from_source = source is None or source.name == sender
                 to_target = target is None or target.name == receiver
                 if from_source and to_target:
-                    found.append(direction)
-        return found
+                    matching.append(direction)
+        return matching
 
     def heal(self) -> None:
-        """End all faults: of links, processes and disks; machines that are down are started."""
+        """End all faults of connections, processes and disks, and start the machines that are down."""
         for direction in self.directions(None, None):
             direction.delay_s, direction.bytes_to_reset = 0.0, None
             direction.open.set()
--- a/mapleshunt/testbed/faults/schedule.py
+++ b/mapleshunt/testbed/faults/schedule.py
@@ -1,8 +1,8 @@
-"""A schedule of faults, drawn by seed or given, on a fleet whose clients call all the time.
+"""A schedule of faults, drawn by seed or given, on a fleet whose clients call continuously.
 
-What is injected next depends on the seed and on what has happened (calls answered, who leads), not on wall
-time. Each fault is healed before the next. At the end every call has to be answered, and the history of all
-calls is checked against the guarantees of replication.
+The next fault depends on the seed and on events (calls answered, the current leader), not on wall time. Each
+fault is healed before the next. At the end every call has to be answered, and the history of all calls is
+checked against the guarantees of replication.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .replicated_fleet import SETTLE_TIMEOUT_S, ReplicatedFleet
 from .report import FaultReport
 
-# What a seed draws from: a crash at a step, of which there are many, comes twice as often as the others.
+# Kinds that a seed draws from. DIE, a crash at one of many steps, is twice as likely as the others.
 DRAWN_KINDS: tuple[FaultKind, ...] = (
     FaultKind.KILL_LEADER, FaultKind.KILL, FaultKind.KILL_TWO, FaultKind.PAUSE_LEADER, FaultKind.CUT_LEADER,
     FaultKind.DEAFEN_LEADER, FaultKind.MUTE_LEADER, FaultKind.DELAY, FaultKind.RESET,
@@ -29,7 +29,7 @@
     FaultKind.DIE, FaultKind.SLOW_DISK, FaultKind.CLOCKS,
 )  # fmt: skip
 CALLS_BETWEEN_FAULTS = 20
-MAX_LISTED_CALLS = 3  # of those that have no answer
+MAX_LISTED_CALLS = 3  # of those without an answer, in a message
 
 
 class FaultScheduleRun:
@@ -39,17 +39,17 @@
         self.fleet = fleet
         self.report = FaultReport(fleet.seed, len(fleet.machines))
         self.injector = FaultInjector(fleet, self.report.leaderless_s)
-        self._ended = False  # the clients begin no more calls
+        self._ended = False  # clients start no more calls
 
     async def run(self, faults: int = 6, clients: int = 4, schedule: Sequence[str] = ()) -> FaultReport:
-        """Play so many faults as the seed draws them, or those of the schedule, and judge the history.
+        """Inject `faults` drawn by seed, or those of the schedule, and check the history.
 
-        What goes wrong is in the report. If it is cancelled, the clients and the fleet are stopped.
+        Violations are in the report. If it is cancelled, the clients and the fleet are stopped.
 
         Raises:
-            ValueError: the schedule names a fault that there is not.
+            ValueError: the schedule names an unknown fault.
         """
-        begun = time.monotonic()
+        started_at = time.monotonic()
         given = [FaultKind(name) for name in schedule]
         callers: list[ReplicaClient] = []
         calls: list[asyncio.Task[None]] = []
@@ -65,7 +65,7 @@
             final = await read_final_state(callers[0], SETTLE_TIMEOUT_S)
             self.report.broken = find_violations(self.fleet.history, final, BURST)
         except (GatewayError, TimeoutError) as error:
-            self.report.broken.append(f"not healed in time: {error!r} {self._unanswered_calls()}")
+            self.report.broken.append(f"timed out: {error!r}; unanswered calls: {self._unanswered_calls()}")
         finally:
             for call in calls:
                 call.cancel()
@@ -74,11 +74,11 @@
             await self.fleet.stop()
         self.report.calls = _calls_by_kind(self.fleet.history)
         self.report.repeats = sum(caller.repeats for caller in callers)
-        self.report.seconds = round(time.monotonic() - begun, 2)
+        self.report.seconds = round(time.monotonic() - started_at, 2)
         return self.report
 
     async def _inject_each(self, given: Sequence[FaultKind], count: int) -> None:
-        """Inject the faults that are given or drawn, heal each, and see calls answered after it."""
+        """Inject the given or drawn faults; heal each and wait for answered calls before the next."""
         await self.fleet.wait_for_answers(CALLS_BETWEEN_FAULTS, SETTLE_TIMEOUT_S)
         for kind in given or self.fleet.random.choices(DRAWN_KINDS, k=count):
             self.report.faults.append(kind.value)
@@ -98,7 +98,7 @@
 
 
 def _kind_of(event: HistoryEvent) -> str:
-    """Return the first word of a read, or an operation's type."""
+    """Return the first word of a read, or the name of an operation's type."""
     if isinstance(event.operation, str):
         return event.operation.split()[0]
     return type(event.operation).__name__
--- a/mapleshunt/testbed/maintenance_work.py
+++ b/mapleshunt/testbed/maintenance_work.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 from pathlib import Path
 
-from ..maintenance import commands as w
+from ..maintenance import commands
 from ..maintenance.jobs import MaintenanceJobs
 from ..maintenance.records import MachineJob, MaintenanceSnapshot
 from ..replicated_state.results import Applied
@@ -29,10 +29,10 @@
     `restart` gets the machine's name and returns once its gateway is started. A cancelled call leaves the
     machine out.
     """
-    result = await client.execute(w.ReportProgress(job.machine, job.fencing_token, "out"))
+    result = await client.execute(commands.ReportProgress(job.machine, job.fencing_token, "out"))
     if isinstance(result, Applied):
         await restart(job.machine)
-        await client.execute(w.ReportProgress(job.machine, job.fencing_token, "returning"))
+        await client.execute(commands.ReportProgress(job.machine, job.fencing_token, "returning"))
 
 
 def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
--- a/mapleshunt/testbed/replica_client.py
+++ b/mapleshunt/testbed/replica_client.py
@@ -165,7 +165,7 @@
         return event
 
     async def _call_until_done(self, make: Callable[[int], wire.ClientRequest]) -> bytes:
-        """Send an operation, in frames of different numbers, to one gateway after another until it is done."""
+        """Send an operation to one gateway after another until it is done, in frames of different numbers."""
         attempt = 0
         while True:
             attempt += 1
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -1,7 +1,7 @@
-"""Rolling maintenance on real gateways: one machine after another, with faults in the middle.
+"""Rolling maintenance on real gateways: one machine after another, with faults injected meanwhile.
 
-Each machine has somebody who works on it: waits until it is safe, ends its gateway, starts it again, and says
-so. A fault is injected by what has happened: when some machine is next in a given state.
+Each machine has a worker that waits until it is safe, restarts its gateway and reports that. A fault is
+injected not at a time, but when a machine is next in a given state.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from ..maintenance import commands as w
+from ..maintenance import commands as maintenance_commands
 from ..maintenance.jobs import MaintenanceJobs
-from ..replicated_state import commands as h
+from ..replicated_state import commands
 from ..replicated_state.results import Applied
 from .errors import GatewayError
 from .faults.gateway_machine import GatewayMachine
@@ -24,16 +24,16 @@
 from .maintenance_work import grants_of_two_machines, read_maintenance_state, work_on_safe_machine
 from .replica_client import ReplicaClient
 
-GRANT_S = 3.0  # that a grant to drain holds
-BEYOND_GRANT_S = 1.0  # that a paused machine is paused longer than its grant holds
-EFFECT_S = 1.5  # for which a cut or a kill of another machine lasts
-RESTART_AFTER_S = 0.5  # that a killed machine is down
-ROLL_TIMEOUT_S = 4 * SETTLE_TIMEOUT_S  # after the last fault, until all machines are done
-FIRST_WORKER = 1000  # number of the client that works on the first machine
+GRANT_DURATION_S = 3.0  # for which a grant to drain is valid
+PAUSE_BEYOND_GRANT_S = 1.0  # by which a pause exceeds the grant
+FAULT_DURATION_S = 1.5  # for which a cut or a kill of another machine lasts
+KILL_DURATION_S = 0.5  # for which a killed machine is down
+ROLL_TIMEOUT_S = 4 * SETTLE_TIMEOUT_S  # from the last fault until all machines are done
+FIRST_WORKER_NUMBER = 1000  # client number of the first machine's worker
 
 
 class MaintenanceFault(StrEnum):
-    """What can happen in the middle of rolling maintenance, in the order in which a seed draws from it."""
+    """Faults that can be injected during rolling maintenance; seeds draw from them in this order."""
 
     KILL_COORDINATOR = "kill_coordinator"
     KILL_IT = "kill_it"
@@ -44,12 +44,12 @@
     KILL_ANOTHER = "kill_another"
 
 
-STATES = ("granted", "draining", "safe", "out", "returning")  # of a machine in which a fault is injected
+STATES = ("granted", "draining", "safe", "out", "returning")  # of a machine at which a fault can be injected
 
 
 @dataclass(frozen=True)
 class ScheduledMaintenanceFault:
-    """A fault, and the state that a machine has to be in for it."""
+    """A fault, and the machine state at which it is injected."""
 
     kind: MaintenanceFault
     state: str
@@ -57,21 +57,21 @@
 
 @dataclass
 class RollingMaintenanceReport:
-    """What a run came to."""
+    """The result of a run."""
 
-    faults: list[str] = field(default_factory=list)  # that were injected, each with its machine and state
+    faults: list[str] = field(default_factory=list)  # injected, each with its machine and state
     violations: list[str] = field(default_factory=list)
-    times_out: dict[str, int] = field(default_factory=dict)  # by machine
-    most_drained: int = 0  # machines that took no clients by plan at once
+    times_out: dict[str, int] = field(default_factory=dict)  # for maintenance, by machine
+    most_drained: int = 0  # most machines that were drained at once
     seconds: float = 0.0
-    states: list[str] = field(default_factory=list)  # of each machine, one after another
+    states: list[str] = field(default_factory=list)  # that each machine passed through
 
 
 class RollingMaintenanceRun:
-    """One run on a fleet that has not been started; its settings are made those of maintenance."""
+    """One run on a fleet that has not been started; it changes the fleet's settings for maintenance."""
 
-    def __init__(self, fleet: ReplicatedFleet, max_out: int = 1, grant_s: float = GRANT_S) -> None:
-        """At most `max_out` machines may be out at once; a grant to drain holds for `grant_s` s."""
+    def __init__(self, fleet: ReplicatedFleet, max_out: int = 1, grant_s: float = GRANT_DURATION_S) -> None:
+        """At most `max_out` machines may be out at once; a grant to drain is valid for `grant_s` s."""
         self.fleet, self.max_out, self.grant_s = fleet, max_out, grant_s
         self.report = RollingMaintenanceReport()
         fleet.settings.lease, fleet.settings.groups = False, 2
@@ -79,8 +79,8 @@
             f"(maintenance (most {max_out}) (zone 1) (pause-s 0.2) (drain-s {grant_s}) (failures 99)"
             " (most-load 9.0))"
         )
-        self._out: set[str] = set()  # machines that are worked on
-        self._works = MaintenanceJobs()  # as last read
+        self._out: set[str] = set()  # machines that are being worked on
+        self._jobs = MaintenanceJobs()  # as last read
         self._ended = False
         self._handlers: dict[MaintenanceFault, Callable[[GatewayMachine], Awaitable[None]]] = {
             MaintenanceFault.KILL_COORDINATOR: self._kill_coordinator,
@@ -95,11 +95,12 @@
     async def run(
         self, schedule: Sequence[ScheduledMaintenanceFault] = (), faults: int = 3
     ) -> RollingMaintenanceReport:
-        """Work on all machines, with the schedule's faults or as many as the seed draws; all must be done.
+        """Work on all machines during the schedule's faults, or `faults` that the seed draws.
 
-        What goes wrong is in the report. If it is cancelled, all tasks and the fleet are stopped.
+        All machines must be done. Violations are in the report. If cancelled, all tasks and the fleet are
+        stopped.
         """
-        begun = time.monotonic()
+        started_at = time.monotonic()
         drawn = self._draw(faults)
         tasks: list[asyncio.Task[None]] = []
         client = self.fleet.client(1)
@@ -114,9 +115,9 @@
             await self._wait_until_done(client)
             self._ended = True
             await asyncio.wait_for(asyncio.gather(*tasks), SETTLE_TIMEOUT_S)
-            self._judge()
+            self._check_result()
         except (GatewayError, TimeoutError) as error:
-            self.report.violations.append(f"not in time: {error!r}; {self._states()}")
+            self.report.violations.append(f"timed out: {error!r}; machines: {self._states()}")
         finally:
             for task in tasks:
                 task.cancel()
@@ -124,7 +125,7 @@
                 await asyncio.gather(*tasks, return_exceptions=True)
             client.close()
             await self.fleet.stop()
-        self.report.seconds = round(time.monotonic() - begun, 1)
+        self.report.seconds = round(time.monotonic() - started_at, 1)
         return self.report
 
     def _draw(self, count: int) -> list[ScheduledMaintenanceFault]:
@@ -132,36 +133,38 @@
         return [ScheduledMaintenanceFault(rng.choice(kinds), rng.choice(STATES)) for _ in range(count)]
 
     async def _request_all(self, client: ReplicaClient) -> None:
-        await client.execute(h.OpenSession())
-        request = w.RequestMaintenance("roll", tuple(self.fleet.machines), "memory", "op", 60.0)
-        for _ in range(2):  # the second time as if the first had not been answered
+        await client.execute(commands.OpenSession())
+        request = maintenance_commands.RequestMaintenance(
+            "roll", tuple(self.fleet.machines), "memory", "op", 60.0
+        )
+        for _ in range(2):  # repeated as by a client that got no response
             result = await client.execute(request)
             if not isinstance(result, Applied):
-                raise GatewayError(f"the request for maintenance was refused: {result}")
+                raise GatewayError(f"maintenance request denied: {result}")
 
     async def _wait_until_done(self, client: ReplicaClient) -> None:
         end = time.monotonic() + ROLL_TIMEOUT_S
         while True:
-            works = await self._read(client)
-            if not works.open_jobs() or time.monotonic() >= end:
+            jobs = await self._read(client)
+            if not jobs.open_jobs() or time.monotonic() >= end:
                 break
             await asyncio.sleep(0.1)
         await self.fleet.wait_until_settled()
 
     async def _read(self, client: ReplicaClient) -> MaintenanceJobs:
-        self._works = await asyncio.wait_for(read_maintenance_state(client), SETTLE_TIMEOUT_S)
-        return self._works
+        self._jobs = await asyncio.wait_for(read_maintenance_state(client), SETTLE_TIMEOUT_S)
+        return self._jobs
 
     # Work on machines
 
     async def _work_on(self, machine: GatewayMachine, number: int) -> None:
-        """Work on that machine whenever it is safe."""
-        client = self.fleet.client(FIRST_WORKER + number)
-        await client.execute(h.OpenSession())
+        """Work on a machine whenever it is safe."""
+        client = self.fleet.client(FIRST_WORKER_NUMBER + number)
+        await client.execute(commands.OpenSession())
         while not self._ended:
-            place = (await self._read(client)).job_of(machine.name)
-            if place is not None and place.state == "safe":
-                await work_on_safe_machine(client, place, self._restart)
+            job = (await self._read(client)).job_of(machine.name)
+            if job is not None and job.state == "safe":
+                await work_on_safe_machine(client, job, self._restart)
                 self._out.discard(machine.name)
             await asyncio.sleep(0.1)
         client.close()
@@ -171,43 +174,49 @@
         self._out.add(name)
         self.report.times_out[name] = self.report.times_out.get(name, 0) + 1
         if len(self._out) > self.max_out:
-            self.report.violations.append(f"{sorted(self._out)} are worked on, {self.max_out} may be")
+            self.report.violations.append(
+                f"{sorted(self._out)} are out at once, at most {self.max_out} may be"
+            )
         await asyncio.to_thread(machine.kill, signal.SIGTERM)
         await asyncio.sleep(self.fleet.random.uniform(0.1, 0.4))
         machine.start()
 
     async def _watch_drained(self) -> None:
-        """Count the machines that take no clients: those that had taken some, and are drained since.
+        """Count the machines drained at once: those that took clients in their boot and no longer do.
 
-        One that a fault ended takes none while it starts, which is not by plan.
+        A machine that a fault ended takes none while it starts, which is not planned.
         """
-        served: set[tuple[str, int]] = set()  # machines and boots that have taken clients
+        served: set[tuple[str, int]] = set()  # machines and boots that took clients
         while not self._ended:
             statuses = await self.fleet.statuses()
-            served |= {(name, one["boot"]) for name, one in statuses.items() if one.get("takes", True)}
-            idle = {name for name, one in statuses.items() if not one.get("takes", True)}
+            served |= {
+                (name, status["boot"]) for name, status in statuses.items() if status.get("takes", True)
+            }
+            idle = {name for name, status in statuses.items() if not status.get("takes", True)}
             drained = {name for name in idle if (name, statuses[name]["boot"]) in served} | self._out
             self.report.most_drained = max(self.report.most_drained, len(drained))
             if len(drained) > self.max_out:
-                self.report.violations.append(f"{sorted(drained)} take no clients, {self.max_out} may not")
+                self.report.violations.append(
+                    f"{sorted(drained)} are drained at once, at most {self.max_out} may be"
+                )
             await asyncio.sleep(0.05)
 
     # Faults
 
     async def _next_in_state(self, client: ReplicaClient, state: str) -> GatewayMachine:
-        """Return the machine that is in that state next. Raises `GatewayError`."""
+        """Wait until a machine is in that state and return it. Raises `GatewayError`."""
         end = time.monotonic() + SETTLE_TIMEOUT_S
         while time.monotonic() < end:
-            for place in (await self._read(client)).open_jobs():
-                if place.state == state:
-                    return self.fleet.machines[place.machine]
+            for job in (await self._read(client)).open_jobs():
+                if job.state == state:
+                    return self.fleet.machines[job.machine]
             await asyncio.sleep(0.02)
         raise GatewayError(
-            f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s: {self._works.blocked_reason}"
+            f"no machine is {state} after {SETTLE_TIMEOUT_S:g} s; blocked: {self._jobs.blocked_reason}"
         )
 
     async def _inject(self, fault: ScheduledMaintenanceFault, client: ReplicaClient) -> None:
-        """Inject a fault once a machine is in its state, and heal it. One that is worked on is left alone."""
+        """Inject a fault once a machine is in its state, then heal it; a process that is out is not hit."""
         machine = await self._next_in_state(client, fault.state)
         self.report.faults.append(f"{fault.kind} while {machine.name} is {fault.state}")
         hits_process = fault.kind in (
@@ -217,11 +226,11 @@
             await self._handlers[fault.kind](machine)
         for direction in self.fleet.directions(None, None):
             direction.open.set()
-        for one in self._not_worked_on():
-            one.resume()
-            one.start()
+        for other in self._machines_not_out():
+            other.resume()
+            other.start()
 
-    def _not_worked_on(self) -> list[GatewayMachine]:
+    def _machines_not_out(self) -> list[GatewayMachine]:
         return [machine for machine in self.fleet.machines.values() if machine.name not in self._out]
 
     async def _kill_coordinator(self, _machine: GatewayMachine) -> None:
@@ -231,47 +240,47 @@
 
     async def _kill(self, machine: GatewayMachine) -> None:
         machine.kill()
-        await asyncio.sleep(RESTART_AFTER_S)
+        await asyncio.sleep(KILL_DURATION_S)
 
     async def _lose_store(self, machine: GatewayMachine) -> None:
         machine.lose_store()
 
     async def _pause(self, machine: GatewayMachine) -> None:
         machine.pause()
-        await asyncio.sleep(self.grant_s + BEYOND_GRANT_S)
+        await asyncio.sleep(self.grant_s + PAUSE_BEYOND_GRANT_S)
         machine.resume()
 
     async def _cut(self, machine: GatewayMachine) -> None:
         directions = [*self.fleet.directions(None, machine), *self.fleet.directions(machine, None)]
         for direction in directions:
             direction.open.clear()
-        await asyncio.sleep(EFFECT_S)
+        await asyncio.sleep(FAULT_DURATION_S)
 
     async def _kill_another(self, machine: GatewayMachine) -> None:
-        others = [one for one in self._not_worked_on() if one is not machine]
+        others = [other for other in self._machines_not_out() if other is not machine]
         self.fleet.random.choice(others).kill()
-        await asyncio.sleep(EFFECT_S)
+        await asyncio.sleep(FAULT_DURATION_S)
 
     async def _kill_all(self, _machine: GatewayMachine) -> None:
-        for machine in self._not_worked_on():
+        for machine in self._machines_not_out():
             machine.kill()
 
-    # The judgement
+    # Checks
 
     def _states(self) -> str:
-        return ", ".join(f"{place.machine} {place.state}" for place in self._works.jobs.values())
-
-    def _judge(self) -> None:
-        report, places = self.report, self._works.jobs.values()
-        if left := [place for place in places if place.state != "done"]:
-            report.violations.append(f"not done: {self._states()} ({len(left)})")
-        for place in places:
-            report.states.append(f"{place.machine}: {' '.join(step.state for step in place.history)}")
+        return ", ".join(f"{job.machine} {job.state}" for job in self._jobs.jobs.values())
+
+    def _check_result(self) -> None:
+        report, job_list = self.report, self._jobs.jobs.values()
+        if unfinished := [job for job in job_list if job.state != "done"]:
+            report.violations.append(f"{len(unfinished)} not done: {self._states()}")
+        for job in job_list:
+            report.states.append(f"{job.machine}: {' '.join(step.state for step in job.history)}")
         if repeated := {name: count for name, count in report.times_out.items() if count != 1}:
             report.violations.append(f"out more than once: {repeated}")
-        # Each grant's number was one machine's alone, whichever gateway coordinated.
+        # A grant's fencing token is for one machine only, whichever gateway coordinated.
         logs = {machine.name: machine.log for machine in self.fleet.machines.values()}
         if shared := grants_of_two_machines(logs):
-            report.violations.append(f"two machines under one grant: {shared}")
+            report.violations.append(f"several machines under one grant: {shared}")
         if len(report.times_out) != len(self.fleet.machines):
-            report.violations.append(f"only {sorted(report.times_out)} were out")
+            report.violations.append(f"only these machines were out: {sorted(report.times_out)}")
