--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -96,7 +96,7 @@
     assert "event=link_up" in logs and "speaks versions" not in logs
 
 
-def command(file: Path) -> Callable[..., Awaitable[tuple[int, str]]]:
+def command_line(file: Path) -> Callable[..., Awaitable[tuple[int, str]]]:
     """The command line with that operators' file: exit status and what it said."""
 
     async def run(*args: str) -> tuple[int, str]:
@@ -119,7 +119,7 @@
         try:
             await fleet.start()
             leader = await fleet.wait_for_leader()
-            run = command(tmp_path / "g0" / "operators.sexp")
+            run = command_line(tmp_path / "g0" / "operators.sexp")
 
             async def held_by(names: set[str]) -> None:
                 for _ in range(100):
@@ -165,7 +165,7 @@
     async def play() -> None:
         try:
             await fleet.start()
-            run = command(tmp_path / "g0" / "operators.sexp")
+            run = command_line(tmp_path / "g0" / "operators.sexp")
             caller = fleet.client(1)
             await caller.execute(w.OpenSession())
             for number in range(8):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -126,7 +126,7 @@
     whoever its view refuses shows that the day would tell.
     """
     day = draw_day(resized(SCENARIOS["quiet"], gateways=3, servers=4, seconds=5.0), 2)
-    program = checkout(tmp_path, QUOTA_IGNORED) if bad else ROOT
+    program = copy_program(tmp_path, QUOTA_IGNORED) if bad else ROOT
     _, score = fleet.run_on_loopback(day, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
     assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
@@ -151,7 +151,7 @@
     assert all(t.result is not None for t in found.rule_checker.client_attempts if t.accepted)
 
 
-def checkout(tmp_path: Path, *changes: tuple[str, str, str]) -> Path:
+def copy_program(tmp_path: Path, *changes: tuple[str, str, str]) -> Path:
     """A copy of the program with some lines changed: file below the package, line, replacement."""
     target, left = tmp_path / "program", list(changes)
     package = ROOT / "mapleshunt"
@@ -176,7 +176,7 @@
 QUOTA_IGNORED = (
     "policy/quota_check.py", "if shortfall > 0 or self._has_too_many_open", "if self._has_too_many_open"
 )  # fmt: skip
-BAD = {
+BROKEN_PROGRAMS = {
     "two_out": [("policy/dispatch.py", APPENDED, APPENDED + TWICE)],
     "lost": [("net/request/respond.py", "        context.response_sink.serve(value)\n",
               "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
@@ -201,16 +201,16 @@
         assert watchman.violations["drain"] == broken, watchman.descriptions
 
 
-@pytest.mark.parametrize("rule", BAD)
+@pytest.mark.parametrize("rule", BROKEN_PROGRAMS)
 def test_the_rig_sees_a_bad_program_break_a_rule(tmp_path: Path, rule: str) -> None:
     day = draw_day(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
-    _, score = fleet.run_on_loopback(day, tmp_path / "logs", checkout(tmp_path, *BAD[rule]))
+    _, score = fleet.run_on_loopback(day, tmp_path / "logs", copy_program(tmp_path, *BROKEN_PROGRAMS[rule]))
     assert score.rules[rule] > 0, score.rules
 
 
 def test_a_program_that_does_not_start_or_ends_is_told_in_a_line(tmp_path: Path) -> None:
     day = draw_day(scenario(seconds=2.0), 9)
-    broken = checkout(
+    broken = copy_program(
         tmp_path / "a",
         (
             "server/bootstrap.py",
@@ -220,7 +220,7 @@
     )
     with pytest.raises(GatewayError, match="exited at startup"):
         fleet.run_on_loopback(day, tmp_path / "logs", broken)
-    dies = checkout(
+    dies = copy_program(
         tmp_path / "b",
         (
             "net/policy_driver.py",
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -19,7 +19,7 @@
     ScheduledMaintenanceFault,
 )
 
-from .test_faults import PEERS, command
+from .test_faults import PEERS, command_line
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -52,7 +52,7 @@
     async def play() -> None:
         try:
             await fleet.start()
-            run = command(tmp_path / "g0" / "operators.sexp")
+            run = command_line(tmp_path / "g0" / "operators.sexp")
 
             async def told(*args: str) -> object:
                 code, text = await run("maintenance", *args, "--json")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,7 +14,7 @@
 from mapleshunt.testbed.soak import schedule
 from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 
-from .test_rig import BAD, checkout
+from .test_rig import BROKEN_PROGRAMS, copy_program
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -65,6 +65,6 @@
 def test_the_soak_sees_a_bad_program(tmp_path: Path, rule: str) -> None:
     report = soak.play(
         4, tmp_path / "logs", gateways=3, backends=8, rate=60.0, seconds=14.0, only=("backend_drain",),
-        program=checkout(tmp_path, *BAD[rule]),
+        program=copy_program(tmp_path, *BROKEN_PROGRAMS[rule]),
     )  # fmt: skip
     assert any(rule in story for story in report.violations), report
