--- a/mapleshunt/testbed/clients.py
+++ b/mapleshunt/testbed/clients.py
@@ -124,7 +124,7 @@
         fleet = self.fleet
         command, slack_ms = (
             fleet.command(attempt, wire_id),
-            fleet.day.rules.answer_slack_ms - RuleLimits().answer_slack_ms,
+            fleet.scenario_run.rules.answer_slack_ms - RuleLimits().answer_slack_ms,
         )
         for resent in (False, True):
             connection = self._take_connection(attempt.gateway)
--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -17,10 +17,10 @@
 from ..fleet.faults import Fault
 from ..net.protocol import resp
 from ..platform_terms import init_from_settings
-from ..simulation.day import Day, RuleLimits
+from ..simulation.day import RuleLimits, ScenarioRun
 from ..simulation.fleet_host import FleetHost
 from ..simulation.records import ClientAttempt, RequestRecord
-from ..simulation.score import Score, score_day
+from ..simulation.score import Score, score_run
 from .backends import InFlightAttempt, SocketBackend
 from .clients import SocketClients
 from .clock import RunClock
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioRun,
         folder: Path,
         program: Path = CHECKOUT_ROOT,
         env: Mapping[str, str] | None = None,
@@ -85,7 +85,7 @@
         """Return when an attempt that is read at `now` was sent."""
         return now
 
-    def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
         """Schedule a call at a time of the run (ms)."""
         self.clock.at(when, call, *arguments)
 
@@ -93,14 +93,14 @@
         self.backends[backend.number] = self.backend_class(backend, self)
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
-        gossip, count = self.gossip, self.day.scenario.gateways
-        f = self.day.parameters
+        gossip, count = self.gossip, self.scenario_run.scenario.gateways
+        f = self.scenario_run.parameters
         settings = init_from_settings(
             self.settings[number], DialTimeout=f["dial_ms"], ConnIdle=f["conn_idle_ms"], MaxOpen=20000
         )
         return {
             "name": f"n{number}", "discovery": f"{HOST}:{self.agents[number].port}",
-            "seed": self.day.streams.seed_for("gateway", number),
+            "seed": self.scenario_run.streams.seed_for("gateway", number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **limits},
             "peers": [gossip.address(number, peer) for peer in range(count)],
             "peers_all": gossip.address(number, ALL_PEERS), "counter": f"{HOST}:{self.counters[number].port}",
@@ -121,7 +121,7 @@
             self.clock.begin()
             for number in range(len(self.gateways)):
                 self._record_endpoint_list(number)
-            for fault in self.day.faults:
+            for fault in self.scenario_run.faults:
                 self.clock.at(fault.at, self._inject_fault, fault)
             self._on_clock_started()
             sampling = asyncio.get_running_loop().create_task(self._sample_gateways())
@@ -140,7 +140,7 @@
             raise GatewayError(
                 f"gateways {self.exited_gateways} exited unexpectedly; logs are in {self.folder}"
             )
-        score = score_day(self)
+        score = score_run(self)
         score.wall_s = time.perf_counter() - started_at
         return score
 
@@ -208,9 +208,9 @@
     def command(self, attempt: ClientAttempt, wire_id: str) -> bytes:
         """Return the command (RESP) that a client sends for an attempt."""
         request = attempt.request
-        customer = self.day.traffic.customers[request.customer]
+        customer = self.scenario_run.traffic.customers[request.customer]
         pairs = (
-            f"c={self.classes[request.class_index]},t={self.day.parameters.plans[customer.plan].name},"
+            f"c={self.classes[request.class_index]},t={self.scenario_run.parameters.plans[customer.plan].name},"
             f"d={attempt.timeout_ms:.3f},units={request.estimated_units:.0f},"
             f"spread={customer.gateway_set_size},first={customer.first_gateway}"
         )
@@ -239,7 +239,7 @@
 
     def cancel(self, in_flight: InFlightAttempt) -> None:
         """Cancel an attempt whose gateway closed its connection."""
-        self.backends[in_flight.attempt.server].cancel(in_flight)
+        self.backends[in_flight.attempt.endpoint].cancel(in_flight)
 
     def is_gateway_down(self, gateway: int) -> bool:
         """Return whether a gateway was killed or is being ended: requests on its connections are not lost."""
@@ -265,7 +265,9 @@
         self.kills.append((self.clock.now(), number))
         self.clients.close_idle_connections(number)
         self.clock.at(
-            self.clock.now() + self.day.parameters["front_notice_ms"], self._mark_gateway_down, number
+            self.clock.now() + self.scenario_run.parameters["front_notice_ms"],
+            self._mark_gateway_down,
+            number,
         )
 
     def _mark_gateway_down(self, number: int) -> None:
@@ -306,20 +308,24 @@
             server.close_connections()
 
 
-def with_socket_rules(day: Day) -> Day:
+def with_socket_rules(day: ScenarioRun) -> ScenarioRun:
     """Return the drawn run with the rules' limits for sockets."""
     return replace(day, rules=SOCKET_RULES)
 
 
 async def _run(
-    day: Day, folder: Path, program: Path, env: Mapping[str, str] | None, limits: Mapping[str, float] | None
+    day: ScenarioRun,
+    folder: Path,
+    program: Path,
+    env: Mapping[str, str] | None,
+    limits: Mapping[str, float] | None,
 ) -> tuple[LoopbackFleet, Score]:
     fleet = LoopbackFleet(with_socket_rules(day), folder, program, env, limits)
     return fleet, await fleet.run()
 
 
 def run_on_loopback(
-    day: Day,
+    day: ScenarioRun,
     folder: Path | None = None,
     program: Path = CHECKOUT_ROOT,
     env: Mapping[str, str] | None = None,
--- a/mapleshunt/testbed/recording.py
+++ b/mapleshunt/testbed/recording.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from ..simulation.day import Scenario, draw_day
+from ..simulation.day import Scenario, draw_run
 from ..simulation.score import Score
 from .fleet import run_on_loopback
 
@@ -22,5 +22,5 @@
             operators = Path(folder) / "operators.sexp"
             operators.write_text(f'(record (file "{recordings}/{{name}}.rec") (size-mb 64) (salt "rig"))')
             env["PROXY_OPERATORS"] = str(operators)
-        _, score = run_on_loopback(draw_day(scenario, seed), Path(folder), env=env)
+        _, score = run_on_loopback(draw_run(scenario, seed), Path(folder), env=env)
         return score
