--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        day: ScenarioRun,
+        scenario_run: ScenarioRun,
         folder: Path,
         program: Path = CHECKOUT_ROOT,
         env: Mapping[str, str] | None = None,
@@ -53,17 +53,17 @@
     ) -> None:
         self.folder, self.clock = folder, RunClock()
         self.backends: dict[int, SocketBackend] = {}
-        super().__init__(day)
+        super().__init__(scenario_run)
         self.zone = self.settings[0].zone
         self.attempts_by_wire_id: dict[str, tuple[ClientAttempt, RequestRecord]] = {}
         self.in_flight: dict[int, list[InFlightAttempt]] = {}
         self.timed_out: list[ClientAttempt] = []
-        self.request_id_base = day.streams.seed_for("ids") >> 8 << 8
-        self.unknown_requests = 0  # that arrived at a backend without a client that sent them
+        self.request_id_base = scenario_run.streams.seed_for("ids") >> 8 << 8
+        self.unknown_requests = 0  # attempts at a backend with an id that no client sent
         self.down: set[int] = set()
         self.exited_gateways: list[int] = []
         self.kills: list[tuple[float, int]] = []  # time (ms) and gateway of each
-        count = day.scenario.gateways
+        count = scenario_run.scenario.gateways
         self.agents = [self._make_agent(number) for number in range(count)]
         self.counters = [
             CounterServer(self.counter, self.clock, number, self._count_addition) for number in range(count)
@@ -308,24 +308,24 @@
             server.close_connections()
 
 
-def with_socket_rules(day: ScenarioRun) -> ScenarioRun:
+def with_socket_rules(scenario_run: ScenarioRun) -> ScenarioRun:
     """Return the drawn run with the rules' limits for sockets."""
-    return replace(day, rules=SOCKET_RULES)
+    return replace(scenario_run, rules=SOCKET_RULES)
 
 
 async def _run(
-    day: ScenarioRun,
+    scenario_run: ScenarioRun,
     folder: Path,
     program: Path,
     env: Mapping[str, str] | None,
     limits: Mapping[str, float] | None,
 ) -> tuple[LoopbackFleet, Score]:
-    fleet = LoopbackFleet(with_socket_rules(day), folder, program, env, limits)
+    fleet = LoopbackFleet(with_socket_rules(scenario_run), folder, program, env, limits)
     return fleet, await fleet.run()
 
 
 def run_on_loopback(
-    day: ScenarioRun,
+    scenario_run: ScenarioRun,
     folder: Path | None = None,
     program: Path = CHECKOUT_ROOT,
     env: Mapping[str, str] | None = None,
@@ -339,6 +339,6 @@
 
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        return uvloop.run(_run(day, folder, program, env, limits))
+        return uvloop.run(_run(scenario_run, folder, program, env, limits))
     with tempfile.TemporaryDirectory() as temporary:
-        return uvloop.run(_run(day, Path(temporary), program, env, limits))
+        return uvloop.run(_run(scenario_run, Path(temporary), program, env, limits))
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig: real gateways on loopback, faults on sockets, and that it sees rules broken by a bad program."""
+"""The testbed: real gateways on loopback, faults on sockets, and violations by broken programs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mapleshunt.fleet.backend import BackendRequest
 from mapleshunt.fleet.discovery import EndpointEntry
 from mapleshunt.fleet.faults import Fault
-from mapleshunt.recording import file_format as form
+from mapleshunt.recording import file_format
 from mapleshunt.simulation.day import RuleLimits, Scenario, draw_run, resized
 from mapleshunt.simulation.records import ClientAttempt, RequestRecord, UpstreamAttempt
 from mapleshunt.simulation.rule_checker import RuleChecker
@@ -25,7 +25,7 @@
 from mapleshunt.testbed.clock import RunClock
 from mapleshunt.testbed.errors import GatewayError
 
-# Real gateways, timed: one after another, whatever runs beside them.
+# Real gateways with timing checks: run one after another, also when other tests run in parallel.
 pytestmark = pytest.mark.xdist_group("gateways")
 
 ROOT = Path(__file__).parent.parent
@@ -37,151 +37,176 @@
 
 
 def test_demo_answers_every_request_exactly_once() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "mapleshunt", "demo", "--seconds", "2", "--json"],
         cwd=ROOT,
         text=True,
         capture_output=True,
     )
-    found = json.loads(done.stdout)
-    assert done.returncode == 0 and found["exactly_one"] is True
+    report = json.loads(completed.stdout)
+    assert completed.returncode == 0 and report["exactly_one"] is True
     assert (
-        found["served"] > 50 and sum(found[k] for k in ("served", "refused", "failed")) == found["requests"]
+        report["served"] > 50
+        and sum(report[result] for result in ("served", "refused", "failed")) == report["requests"]
     )
-    assert not any(found["rules"].values())
+    assert not any(report["rules"].values())
 
 
-def test_a_gateway_killed_with_requests_open_a_crash_and_a_drain_break_no_rule(tmp_path: Path) -> None:
-    day = draw_run(scenario(
+def test_gateway_kill_backend_crash_and_drain_break_no_rule(tmp_path: Path) -> None:
+    scenario_run = draw_run(scenario(
         Fault(800, "crash", 1200, (0,)), Fault(1000, "restart", 600, (1,)), Fault(1500, "drain", 300, (1,)),
         Fault(1200, "add", magnitude=1), Fault(500, "loss", 2000, magnitude=0.5),
         Fault(600, "counter_down", 900),
         fixed_parameters={"notice_ms": 300, "add_ms": 100, "front_notice_ms": 400},
     ), 5)  # fmt: skip
-    found, score = fleet.run_on_loopback(day, tmp_path)
+    loopback, score = fleet.run_on_loopback(scenario_run, tmp_path)
     assert not any(score.rules.values()), score.stories
-    tries = found.rule_checker.client_attempts
-    assert any(t.gateway == 1 and t.accepted and t.result is None for t in tries), (
-        "nothing was open at the kill"
+    attempts = loopback.rule_checker.client_attempts
+    assert any(
+        attempt.gateway == 1 and attempt.accepted and attempt.result is None for attempt in attempts
+    ), "no request was in flight at the kill"
+    # When the machine stalls, a few answers may come only after their clients have left.
+    unanswered = [
+        attempt
+        for attempt in attempts
+        if attempt.accepted and attempt.gateway == 0 and attempt.result is None
+    ]
+    assert (
+        all(attempt in loopback.timed_out for attempt in unanswered)
+        and len(unanswered) <= len(attempts) / 100
     )
-    # A machine that stands still may keep the gateway from a few answers until their clients have gone.
-    silent = [t for t in tries if t.accepted and t.gateway == 0 and t.result is None]
-    assert all(t in found.timed_out for t in silent) and len(silent) <= len(tries) / 100
-    assert any(t.gateway == 1 and t.result is not None and t.sent_at > 1700 for t in tries), "it is back"
+    assert any(
+        attempt.gateway == 1 and attempt.result is not None and attempt.sent_at > 1700 for attempt in attempts
+    ), "the killed gateway did not come back"
     assert (
-        found.gateways[1].starts == 2
-        and found.unknown_requests == 0
-        and found.gossip.oversized_datagrams == 0
+        loopback.gateways[1].starts == 2
+        and loopback.unknown_requests == 0
+        and loopback.gossip.oversized_datagrams == 0
+    )
+    after_drain = [
+        upstream
+        for attempt in attempts
+        for upstream in attempt.attempts
+        if upstream.endpoint == 1 and upstream.sent_at > 1500 + 300 + 550 + 400
+    ]
+    assert not after_drain, "sent to a draining backend"
+    assert any(upstream.endpoint == 4 for attempt in attempts for upstream in attempt.attempts), (
+        "the new backend was not used"
     )
-    after = [a for t in tries for a in t.attempts if a.endpoint == 1 and a.sent_at > 1500 + 300 + 550 + 400]
-    assert not after, "sent to a draining server"
-    assert any(a.endpoint == 4 for t in tries for a in t.attempts), "the new server was not used"
-    assert summary.exactly_once(found) is False  # the kill left some without an answer, and that shows
+    assert summary.exactly_once(loopback) is False  # requests in flight at the kill got no answer
 
 
 @pytest.mark.parametrize(
-    ("patience", "connecting", "answering", "told"),
+    ("timeout_ms", "connect_s", "response_s", "expected"),
     [(1000.0, 0.6, 0.7, "refused"), (200.0, 0.0, 0.4, "late")],
-    ids=["counted_from_the_sending", "after_its_patience_and_within_the_slack"],
+    ids=["time_to_connect_does_not_count", "response_within_the_slack_is_late"],
 )
-def test_an_answer_counts_by_the_time_since_the_request_was_sent(
-    monkeypatch: pytest.MonkeyPatch, patience: float, connecting: float, answering: float, told: str
+def test_client_timeout_counts_from_the_sending_of_the_request(
+    monkeypatch: pytest.MonkeyPatch, timeout_ms: float, connect_s: float, response_s: float, expected: str
 ) -> None:
     async def gateway(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
-        await asyncio.sleep(answering)
+        await asyncio.sleep(response_s)
         writer.write(b"-BUSY 7\r\n")
         await reader.read()
         writer.close()
 
-    async def connect(link: clients.ClientConnection) -> None:
-        await asyncio.sleep(connecting)
-        await really(link)
+    async def slow_connect(connection: clients.ClientConnection) -> None:
+        await asyncio.sleep(connect_s)
+        await connect(connection)
 
-    really = clients.ClientConnection.connect
-    monkeypatch.setattr(clients.ClientConnection, "connect", connect)
+    connect = clients.ClientConnection.connect
+    monkeypatch.setattr(clients.ClientConnection, "connect", slow_connect)
 
-    async def play() -> tuple[Any, Any, Any]:
+    async def send() -> tuple[Any, Any, Any]:
         server = await asyncio.start_server(gateway, "127.0.0.1", 0)
-        heard: list[str] = []
-        day: Any = SimpleNamespace(
+        results: list[str] = []
+        loopback: Any = SimpleNamespace(
             gateways=[SimpleNamespace(port=server.sockets[0].getsockname()[1])],
             clock=RunClock(), timed_out=[],
             scenario_run=SimpleNamespace(rules=RuleLimits(answer_slack_ms=2000.0)),
             command=lambda *_: b"PING\r\n",
-            rule_checker=SimpleNamespace(client_answered=lambda one, final, at: heard.append(final)),
+            rule_checker=SimpleNamespace(client_answered=lambda attempt, result, at: results.append(result)),
         )  # fmt: skip
-        one: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, patience)  # type: ignore[arg-type]
-        found = clients.SocketClients(day)
-        ended = await found._send(one, "x")
-        found.close_idle_connections(0)
+        attempt: Any = ClientAttempt(1, SimpleNamespace(), 1, 0, 0.0, timeout_ms)  # type: ignore[arg-type]
+        socket_clients = clients.SocketClients(loopback)
+        ended = await socket_clients._send(attempt, "x")
+        socket_clients.close_idle_connections(0)
         server.close()
-        return ended[0], heard, day.timed_out
+        return ended[0], results, loopback.timed_out
+
+    assert asyncio.run(send()) == (expected, ["refused"], [])
 
-    assert asyncio.run(play()) == (told, ["refused"], [])
 
+@pytest.mark.parametrize("ignores_quotas", [False, True])
+def test_quotas_hold_over_all_gateways_under_low_load(tmp_path: Path, ignores_quotas: bool) -> None:
+    """The allowed excess is 0.1 over that of a policy that sees all usage with a delay, here taken as 0.
 
-@pytest.mark.parametrize("bad", [False, True])
-def test_on_a_quiet_day_quotas_hold_over_all_gateways(tmp_path: Path, bad: bool) -> None:
-    """0.1 more than a policy that sees all, if late, is allowed; here against none. A program that lets in
-    whoever its view refuses shows that the day would tell.
+    A program that admits requests beyond its view of the quota exceeds that, so the scenario shows the fault.
     """
-    day = draw_run(resized(SCENARIOS["quiet"], gateways=3, backends=4, seconds=5.0), 2)
-    program = copy_program(tmp_path, QUOTA_IGNORED) if bad else ROOT
-    _, score = fleet.run_on_loopback(day, tmp_path / "logs", program)
+    scenario_run = draw_run(resized(SCENARIOS["quiet"], gateways=3, backends=4, seconds=5.0), 2)
+    program = copy_program(tmp_path, IGNORE_QUOTAS) if ignores_quotas else ROOT
+    _, score = fleet.run_on_loopback(scenario_run, tmp_path / "logs", program)
     assert not any(score.rules.values()), score.stories
-    assert (score.penalties["over_quota"] > 0.1) is bad and score.service > 0.9
+    assert (score.penalties["over_quota"] > 0.1) is ignores_quotas and score.service > 0.9
 
 
-def test_a_silent_machine_is_left_alone_and_found_again(tmp_path: Path) -> None:
+def test_unresponsive_backend_is_avoided_and_used_again_after_it_recovers(tmp_path: Path) -> None:
     fault = Fault(500, "silent", 1500, (0,))
-    day = draw_run(
+    scenario_run = draw_run(
         scenario(fault, seconds=5.0, fixed_parameters={"silent_notice_ms": 5000, "add_ms": 100}), 6
     )
-    found, score = fleet.run_on_loopback(day, tmp_path)
+    loopback, score = fleet.run_on_loopback(scenario_run, tmp_path)
     assert not any(score.rules.values()), score.stories
-    at = [a.sent_at for t in found.rule_checker.client_attempts for a in t.attempts if a.endpoint == 0]
-    assert sum(1200 < one < 2000 for one in at) < sum(one < 500 for one in at)
-    assert any(one > 2500 for one in at)
-
-
-def test_a_planned_leave_loses_nothing(tmp_path: Path) -> None:
-    day = draw_run(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
-    found, score = fleet.run_on_loopback(day, tmp_path)
+    sent_at = [
+        upstream.sent_at
+        for attempt in loopback.rule_checker.client_attempts
+        for upstream in attempt.attempts
+        if upstream.endpoint == 0
+    ]
+    assert sum(1200 < at < 2000 for at in sent_at) < sum(at < 500 for at in sent_at)
+    assert any(at > 2500 for at in sent_at)
+
+
+def test_planned_leave_of_a_gateway_loses_no_request(tmp_path: Path) -> None:
+    scenario_run = draw_run(scenario(Fault(1000, "leave", 500, (0,)), seconds=3.0), 7)
+    loopback, score = fleet.run_on_loopback(scenario_run, tmp_path)
     assert not any(score.rules.values()), score.stories
-    assert all(t.result is not None for t in found.rule_checker.client_attempts if t.accepted)
+    assert all(
+        attempt.result is not None for attempt in loopback.rule_checker.client_attempts if attempt.accepted
+    )
 
 
 def copy_program(tmp_path: Path, *changes: tuple[str, str, str]) -> Path:
-    """A copy of the program with some lines changed: file below the package, line, replacement."""
-    target, left = tmp_path / "program", list(changes)
+    """Copy the program with lines changed; a change is file (below the package), line and replacement."""
+    target, pending = tmp_path / "program", list(changes)
     package = ROOT / "mapleshunt"
     for source in package.rglob("*.py"):
-        place = target / source.relative_to(ROOT)
-        place.parent.mkdir(parents=True, exist_ok=True)
+        copy = target / source.relative_to(ROOT)
+        copy.parent.mkdir(parents=True, exist_ok=True)
         text = source.read_text()
         file = source.relative_to(package).as_posix()
-        for change in [one for one in left if one[0] == file and one[1] in text]:
+        for change in [change for change in pending if change[0] == file and change[1] in text]:
             text = text.replace(change[1], change[2])
-            left.remove(change)
-        place.write_text(text)
-    assert not left, "a line to change is not there"
+            pending.remove(change)
+        copy.write_text(text)
+    assert not pending, f"lines to change were not found: {pending}"
     return target
 
 
-APPENDED = "        request.attempts.append(Attempt(endpoint, now))\n"
-TWICE = """        if len(request.attempts) == 1:
+APPEND_ATTEMPT = "        request.attempts.append(Attempt(endpoint, now))\n"
+APPEND_SECOND_ATTEMPT = """        if len(request.attempts) == 1:
             request.attempts.append(Attempt(endpoint, now))
             self._actions.append(StartAttempt(request.request_id, endpoint.info.endpoint))
 """
-QUOTA_IGNORED = (
+IGNORE_QUOTAS = (
     "policy/quota_check.py", "if shortfall > 0 or self._has_too_many_open", "if self._has_too_many_open"
 )  # fmt: skip
 BROKEN_PROGRAMS = {
-    "two_out": [("policy/dispatch.py", APPENDED, APPENDED + TWICE)],
+    "two_out": [("policy/dispatch.py", APPEND_ATTEMPT, APPEND_ATTEMPT + APPEND_SECOND_ATTEMPT)],
     "lost": [("net/request/respond.py", "        context.response_sink.serve(value)\n",
               "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
-    # The host asks again before bytes go out: both must be bad.
+    # The state is checked again before bytes go out: both checks must be broken.
     "drain": [("policy/endpoints.py", 'endpoint.info.state == "ready"',
                'endpoint.info.state in ("ready", "draining")'),
               ("net/upstream/endpoint_group.py", 'pool.endpoint.state == "ready"',
@@ -189,28 +214,33 @@
 }  # fmt: skip
 
 
-def test_bytes_that_a_killed_gateway_left_are_judged_by_what_it_had_been_told() -> None:
-    # They arrive after the kill. The list was forgotten with the process: each such attempt broke the rule.
-    day = draw_run(scenario(), 8)
-    watchman = RuleChecker(day, day.settings()[0])
-    watchman.endpoint_list_delivered(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
-    ask = RequestRecord(day.traffic.requests[0]).request
-    for server, broken in (1, 0), (2, 1), (3, 2):
-        one = ClientAttempt(server, ask, 1, 0, 2000.0, 1000.0)
-        attempt = UpstreamAttempt(server, 0, 2000.0, BackendRequest((server, 0), 1.0, 3000.0, None, 1.0, 0))
-        watchman.attempt_sent(one, attempt, 0, 2000.0)
-        assert watchman.violations["drain"] == broken, watchman.descriptions
+def test_attempts_of_a_killed_gateway_are_checked_against_its_last_endpoint_list() -> None:
+    # Bytes that it sent arrive after the kill. Its endpoint list was dropped with the process, and each such
+    # attempt counted as a violation.
+    scenario_run = draw_run(scenario(), 8)
+    checker = RuleChecker(scenario_run, scenario_run.settings()[0])
+    checker.endpoint_list_delivered(0, [EndpointEntry(1, 0), EndpointEntry(2, 0, "draining")], 100.0)
+    request = RequestRecord(scenario_run.traffic.requests[0]).request
+    for endpoint, violations in (1, 0), (2, 1), (3, 2):
+        attempt = ClientAttempt(endpoint, request, 1, 0, 2000.0, 1000.0)
+        upstream = UpstreamAttempt(
+            endpoint, 0, 2000.0, BackendRequest((endpoint, 0), 1.0, 3000.0, None, 1.0, 0)
+        )
+        checker.attempt_sent(attempt, upstream, 0, 2000.0)
+        assert checker.violations["drain"] == violations, checker.descriptions
 
 
 @pytest.mark.parametrize("rule", BROKEN_PROGRAMS)
-def test_the_rig_sees_a_bad_program_break_a_rule(tmp_path: Path, rule: str) -> None:
-    day = draw_run(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
-    _, score = fleet.run_on_loopback(day, tmp_path / "logs", copy_program(tmp_path, *BROKEN_PROGRAMS[rule]))
+def test_violations_of_a_broken_program_are_counted(tmp_path: Path, rule: str) -> None:
+    scenario_run = draw_run(scenario(Fault(300, "drain", 100, (0,)), seconds=2.5), 8)
+    _, score = fleet.run_on_loopback(
+        scenario_run, tmp_path / "logs", copy_program(tmp_path, *BROKEN_PROGRAMS[rule])
+    )
     assert score.rules[rule] > 0, score.rules
 
 
-def test_a_program_that_does_not_start_or_ends_is_told_in_a_line(tmp_path: Path) -> None:
-    day = draw_run(scenario(seconds=2.0), 9)
+def test_gateway_that_does_not_start_or_exits_raises_an_error(tmp_path: Path) -> None:
+    scenario_run = draw_run(scenario(seconds=2.0), 9)
     broken = copy_program(
         tmp_path / "a",
         (
@@ -220,8 +250,8 @@
         ),
     )
     with pytest.raises(GatewayError, match="exited at startup"):
-        fleet.run_on_loopback(day, tmp_path / "logs", broken)
-    dies = copy_program(
+        fleet.run_on_loopback(scenario_run, tmp_path / "logs", broken)
+    exiting = copy_program(
         tmp_path / "b",
         (
             "net/policy_driver.py",
@@ -232,25 +262,35 @@
         ),
     )
     with pytest.raises(GatewayError, match="exited unexpectedly"):
-        fleet.run_on_loopback(day, tmp_path / "logs", dies)
+        fleet.run_on_loopback(scenario_run, tmp_path / "logs", exiting)
 
 
-def test_gateways_record_what_crossed_the_sockets(tmp_path: Path) -> None:
+def test_recordings_hold_the_requests_and_attempts_that_crossed_the_sockets(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text(f'(record (file "{tmp_path}/{{name}}.rec") (salt "s"))')
-    day = draw_run(scenario(seconds=2.0, rate=60.0), 10)
-    found, _ = fleet.run_on_loopback(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
-    rows = [row for n in range(2) for row in form.read_recording((tmp_path / f"n{n}.rec").read_bytes()).rows]
-    tries = [t for t in found.rule_checker.client_attempts if t.accepted]
-    assert len(rows) == len(tries)
-    for final in ("served", "refused", "failed"):
-        assert sum(r.outcome == final for r in rows) == sum(t.result == final for t in tries)
-    sent = [a for r in rows for a in r.attempts if a.status != "unsent"]
-    assert abs(len(sent) - sum(len(t.attempts) for t in tries)) <= 2
-    assert sum(r.true_cost for r in rows) == sum(t.request.units for t in tries if t.result == "served")
-
-
-def test_an_operators_file_that_makes_no_sense_is_one_line_and_exit_status_2(tmp_path: Path) -> None:
+    scenario_run = draw_run(scenario(seconds=2.0, rate=60.0), 10)
+    loopback, _ = fleet.run_on_loopback(
+        scenario_run, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")}
+    )
+    rows = [
+        row
+        for number in range(2)
+        for row in file_format.read_recording((tmp_path / f"n{number}.rec").read_bytes()).rows
+    ]
+    attempts = [attempt for attempt in loopback.rule_checker.client_attempts if attempt.accepted]
+    assert len(rows) == len(attempts)
+    for result in ("served", "refused", "failed"):
+        assert sum(row.outcome == result for row in rows) == sum(
+            attempt.result == result for attempt in attempts
+        )
+    sent = [upstream for row in rows for upstream in row.attempts if upstream.status != "unsent"]
+    assert abs(len(sent) - sum(len(attempt.attempts) for attempt in attempts)) <= 2
+    assert sum(row.true_cost for row in rows) == sum(
+        attempt.request.units for attempt in attempts if attempt.result == "served"
+    )
+
+
+def test_invalid_operators_file_ends_the_start_with_one_line(tmp_path: Path) -> None:
     (tmp_path / "o.sexp").write_text("(record (file 3))")
-    day = draw_run(scenario(seconds=1.0), 9)
+    scenario_run = draw_run(scenario(seconds=1.0), 9)
     with pytest.raises(GatewayError, match=r"mapleshunt: .*o\.sexp:1:15: file: expected `str`, got `int`"):
-        fleet.run_on_loopback(day, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
+        fleet.run_on_loopback(scenario_run, tmp_path, env={"PROXY_OPERATORS": str(tmp_path / "o.sexp")})
