--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -279,12 +279,12 @@
     attempts = [attempt for attempt in loopback.rule_checker.client_attempts if attempt.accepted]
     assert len(rows) == len(attempts)
     for result in ("served", "refused", "failed"):
-        assert sum(row.outcome == result for row in rows) == sum(
+        assert sum(recorded.outcome == result for recorded in rows) == sum(
             attempt.result == result for attempt in attempts
         )
-    sent = [upstream for row in rows for upstream in row.attempts if upstream.status != "unsent"]
+    sent = [upstream for recorded in rows for upstream in recorded.attempts if upstream.status != "unsent"]
     assert abs(len(sent) - sum(len(attempt.attempts) for attempt in attempts)) <= 2
-    assert sum(row.true_cost for row in rows) == sum(
+    assert sum(recorded.true_cost for recorded in rows) == sum(
         attempt.request.units for attempt in attempts if attempt.result == "served"
     )
 
