--- a/mapleshunt/testbed/fleet.py
+++ b/mapleshunt/testbed/fleet.py
@@ -94,9 +94,12 @@
 
     def _config(self, number: int, limits: Mapping[str, float]) -> dict[str, Any]:
         gossip, count = self.gossip, self.scenario_run.scenario.gateways
-        f = self.scenario_run.parameters
+        parameters = self.scenario_run.parameters
         settings = init_from_settings(
-            self.settings[number], DialTimeout=f["dial_ms"], ConnIdle=f["conn_idle_ms"], MaxOpen=20000
+            self.settings[number],
+            DialTimeout=parameters["dial_ms"],
+            ConnIdle=parameters["conn_idle_ms"],
+            MaxOpen=20000,
         )
         return {
             "name": f"n{number}", "discovery": f"{HOST}:{self.agents[number].port}",
--- a/mapleshunt/testbed/maintenance_work.py
+++ b/mapleshunt/testbed/maintenance_work.py
@@ -39,6 +39,6 @@
     """Return the machines drained under each grant (by its fencing token) that several machines had."""
     drained: dict[str, set[str]] = {}
     for name, log in logs.items():
-        for found in re.finditer(r"event=maintenance_drains fence=(\d+)", log.read_text(errors="replace")):
-            drained.setdefault(found[1], set()).add(name)
+        for match in re.finditer(r"event=maintenance_drains fence=(\d+)", log.read_text(errors="replace")):
+            drained.setdefault(match[1], set()).add(name)
     return {fence: names for fence, names in drained.items() if len(names) > 1}
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -116,7 +116,7 @@
     fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 4, 9, 3, election_ms=600.0)
     fleet.settings.replace_after_s = fleet.settings.settle_after_s = 3.0
 
-    async def play() -> None:
+    async def run_commands() -> None:
         try:
             await fleet.start()
             leader = await fleet.wait_for_leader()
@@ -153,7 +153,7 @@
         finally:
             await fleet.stop()
 
-    asyncio.run(play())
+    asyncio.run(run_commands())
 
 
 def test_lost_group_continues_only_after_recover_and_restored_disks_do_not_revive_it(tmp_path: Path) -> None:
@@ -161,7 +161,7 @@
     fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 3, 11, 3, election_ms=600.0)
     fleet.settings.lease = False
 
-    async def play() -> None:
+    async def run_commands() -> None:
         try:
             await fleet.start()
             run = command_line(tmp_path / "g0" / "operators.sexp")
@@ -207,7 +207,7 @@
         finally:
             await fleet.stop()
 
-    asyncio.run(play())
+    asyncio.run(run_commands())
     logs = "".join(log.read_text() for log in tmp_path.glob("*/log"))
     assert logs.count("event=copies_recovered") == 1 and "event=copies_superseded" in logs
     assert "exception" not in logs
