--- a/mapleshunt/testbed/maintenance_work.py
+++ b/mapleshunt/testbed/maintenance_work.py
@@ -36,7 +36,7 @@
 
 
 def grants_of_two_machines(logs: Mapping[str, Path]) -> dict[str, set[str]]:
-    """Return the machines drained under each grant (by its fencing token) that several machines had."""
+    """Return the machines drained under a shared grant, by its fencing token; `logs` are by machine."""
     drained: dict[str, set[str]] = {}
     for name, log in logs.items():
         for match in re.finditer(r"event=maintenance_drains fence=(\d+)", log.read_text(errors="replace")):
