--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -216,7 +216,7 @@
         )
 
     async def _inject(self, fault: ScheduledMaintenanceFault, client: ReplicaClient) -> None:
-        """Inject a fault once a machine is in its state, then heal it; spare the process of one that is out."""
+        """Inject a fault once a machine is in its state, then heal it; one that is out keeps its process."""
         machine = await self._next_in_state(client, fault.state)
         self.report.faults.append(f"{fault.kind} while {machine.name} is {fault.state}")
         hits_process = fault.kind in (
