--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -67,7 +67,9 @@
 
     def _judge(self, words: list[memoryview]) -> None:
         """Look at the deadline passed on, and whether the client was still there when this began."""
-        found = self.fleet.by_id.get(bytes(words[2]).decode("latin-1")) if len(words) > 3 else None
+        found = (
+            self.fleet.attempts_by_wire_id.get(bytes(words[2]).decode("latin-1")) if len(words) > 3 else None
+        )
         if found is None:
             return
         if self.soak.lag() > MAX_LAG_S:
@@ -112,10 +114,10 @@
 
     def stop_accepting(self) -> None:
         """Let no new connections be made: the backlog is full, and stays so."""
-        if self.listening is None:
+        if self.remove_accept_handler is None:
             return
-        self.listening()
-        self.listening = None
+        self.remove_accept_handler()
+        self.remove_accept_handler = None
         self.listener.listen(0)
         for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
@@ -128,12 +130,12 @@
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
-        if self.machine.up and self.listening is None:
+        if self.machine.up and self.remove_accept_handler is None:
             self.listen()
 
     def hang(self) -> None:
         """Go on to accept and read, and answer nothing."""
-        self.fall_silent()
+        self.stop_responding()
 
     def resume(self) -> None:
         """End a hang: accepted work is done, and answered if its gateway still waits."""
--- a/tests/test_rolls.py
+++ b/tests/test_rolls.py
@@ -15,11 +15,11 @@
 from mapleshunt.testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
 from mapleshunt.testbed.rolling_maintenance import (
     MaintenanceFault,
-    MaintenanceFaultAt,
     RollingMaintenanceRun,
+    ScheduledMaintenanceFault,
 )
 
-from .test_faults import PEERS, command
+from .test_faults import PEERS, command_line
 
 # Real gateways, timed: one after another, whatever runs beside them.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("number", range(len(SCHEDULES)))
 def test_each_machine_goes_once_and_never_more_than_may(number: int, tmp_path: Path) -> None:
     fleet = ReplicatedFleet(tmp_path, replicas_only_config(), 5, seed=number + 1, election_ms=500.0)
-    schedule = [MaintenanceFaultAt(MaintenanceFault(kind), state) for kind, state in SCHEDULES[number]]
+    schedule = [ScheduledMaintenanceFault(MaintenanceFault(kind), state) for kind, state in SCHEDULES[number]]
     report = asyncio.run(RollingMaintenanceRun(fleet).run(schedule))
     assert not report.violations and len(report.faults) == len(SCHEDULES[number]), report
     assert report.times_out == dict.fromkeys(fleet.machines, 1) and report.most_drained == 1
@@ -52,7 +52,7 @@
     async def play() -> None:
         try:
             await fleet.start()
-            run = command(tmp_path / "g0" / "operators.sexp")
+            run = command_line(tmp_path / "g0" / "operators.sexp")
 
             async def told(*args: str) -> object:
                 code, text = await run("maintenance", *args, "--json")
