--- a/mapleshunt/cli/copies.py
+++ b/mapleshunt/cli/copies.py
@@ -265,9 +265,9 @@
                 record: Any = await client.read("record", key)
                 if value == (record.value if record is not None else ""):
                     return {"group": group, "said": "told"}
-                await client.do(state_commands.OpenSession())
+                await client.execute(state_commands.OpenSession())
                 command = state_commands.SetRecord(key, value, record.version if record is not None else 0)
-                result = await client.do(command)
+                result = await client.execute(command)
                 return {"group": group, "said": "told" if isinstance(result, Applied) else "told otherwise"}
         except TimeoutError:
             return {"group": group, "said": "nobody leads"}
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -84,8 +84,8 @@
     from ..replicated_state.results import Denied
 
     async def execute(client: Any) -> Any:
-        await client.do(state_commands.OpenSession())
-        return await client.do(operation)
+        await client.execute(state_commands.OpenSession())
+        return await client.execute(operation)
 
     result = _call_group_zero(section, execute)
     if isinstance(result, Denied):
@@ -394,8 +394,8 @@
             report = maintenance_commands.ReportProgress(machine, job.fencing_token, "out")
 
             async def execute(client: Any, report: maintenance_commands.ReportProgress = report) -> Any:
-                await client.do(state_commands.OpenSession())
-                return await client.do(report)
+                await client.execute(state_commands.OpenSession())
+                return await client.execute(report)
 
             if isinstance(_call_group_zero(section, execute), Applied):
                 return
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -74,7 +74,7 @@
 def _load_fitted_scenario(
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
-    """Return the scenario `fit:FILE[,KIND][,xSCALE][,rates]`: a fitted fleet, scaled, with faults of a scenario."""
+    """Return `fit:FILE[,KIND][,xSCALE][,rates]`: a fitted fleet, scaled, with a scenario's faults."""
     from ..simulation.day import resized
     from ..simulation.fitted_fleet import decode_fit
     from ..simulation.replay import scenario_from
@@ -91,7 +91,7 @@
     for part in parts:
         if part in ("customers", "rates"):
             by = part
-        elif part[:1] == "x" and part[1:].replace(".", "", 1).isdigit():
+        elif part[:1] == "line" and part[1:].replace(".", "", 1).isdigit():
             scale = float(part[1:])
         else:
             base = get_scenario(part)
@@ -145,14 +145,14 @@
     as_json: bool,
 ) -> None:
     """Simulate one run of a scenario."""
-    from ..simulation.experiments import play
+    from ..simulation.experiments import run_scenario
 
-    chosen, sized_scenario = (
+    selected_variant, sized_scenario = (
         _parse_variant(variant),
         load_scenario(scenario, gateways, servers, rate, seconds),
     )
     try:
-        found = play(sized_scenario, seed, chosen)
+        found = run_scenario(sized_scenario, seed, selected_variant)
     except Exception as error:
         raise CommandError(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
     if as_json:
@@ -160,22 +160,29 @@
         return
     table(["figure", "value"], [
         *service_rows(found),
-        ["first tries", found.requests], ["tries", found.tries], ["served", found.served],
-        ["refused", found.refused], ["failed", found.failed], ["median answer, ms", found.p50_ms],
-        ["99th percentile, ms", found.p99_ms], ["events", found.events], ["wall time, s", found.wall_s],
-        ["CPU of the gateways, s", found.gateway_cpu_s], ["CPU of the model, s", found.model_cpu_s],
+        ["requests", found.requests], ["attempts", found.tries], ["served", found.served],
+        ["rejected", found.refused], ["failed", found.failed], ["median response time, ms", found.p50_ms],
+        ["99th percentile response time, ms", found.p99_ms], ["events", found.events],
+        ["wall time, s", found.wall_s],
+        ["CPU of the gateways, s", found.gateway_cpu_s], ["CPU of the simulation, s", found.model_cpu_s],
     ])  # fmt: skip
-    for story in found.stories:
-        click.echo(f"broken: {story}")
+    for violation in found.stories:
+        click.echo(f"broken: {violation}")
 
 
 @model.command()
 @click.argument("scenario")
 @click.option("--a", "a", default="here", show_default=True, help="The first variant.")
 @click.option("--b", "b", required=True, help="The second.")
-@click.option("--seeds", default=10, show_default=True, type=click.IntRange(1), help="Days that both play.")
+@click.option(
+    "--seeds", default=10, show_default=True, type=click.IntRange(1), help="Number of runs of each variant."
+)
 @click.option("--first-seed", default=1, show_default=True, type=click.IntRange(0))
-@click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="A picture of the differences.")
+@click.option(
+    "--plot",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write a plot of the differences to this file.",
+)
 @size_options
 @pool_options
 @json_option
@@ -194,41 +201,45 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """Two variants over the same days: the difference with its interval."""
+    """Compare two variants over runs of the same seeds, with confidence intervals."""
     from ..simulation.experiments import compare as compare_variants
 
-    one, other = _parse_variant(a), _parse_variant(b)
+    first, second = _parse_variant(a), _parse_variant(b)
     sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
     with progress(2 * seeds, scenario) as step, _joblib_backend(backend):
         found = compare_variants(
-            sized_scenario, one, other, range(first_seed, first_seed + seeds), jobs, step
+            sized_scenario, first, second, range(first_seed, first_seed + seeds), jobs, step
         )
     if plot is not None and found.difference:
         from ..simulation import plots
 
-        plots.comparison(found, (a, b), f"{scenario}, {seeds} days", plot)
+        plots.comparison(found, (a, b), f"{scenario}, {seeds} runs", plot)
     if as_json:
         print_json(found.as_dict())
     else:
         rows = [
-            [key, found.a[key].mean, found.b[key].mean, row.mean, row.low, row.high]
-            for key, row in found.difference.items()
+            [key, found.a[key].mean, found.b[key].mean, difference.mean, difference.low, difference.high]
+            for key, difference in found.difference.items()
             if found.a[key].mean or found.b[key].mean
         ]
-        table(["figure", "a", "b", "b less a", "low", "high"], rows)
-        words = {"a": f"a ({a}) serves more", "b": f"b ({b}) serves more", "none": "no difference shown"}
-        click.echo(f"service: {words[found.verdict]} (95% interval of paired differences, Student's t)")
+        table(["figure", "a", "b", "b - a", "low", "high"], rows)
+        verdicts = {
+            "a": f"a ({a}) serves more",
+            "b": f"b ({b}) serves more",
+            "none": "no significant difference",
+        }
+        click.echo(f"service: {verdicts[found.verdict]} (95% interval of paired differences, Student's t)")
         for name, errors in found.errors.items():
-            click.echo(f"{name} failed on {len(errors)} of {seeds} days: {errors[0]}")
+            click.echo(f"variant {name} failed in {len(errors)} of {seeds} runs: {errors[0]}")
     if not found.difference:
         raise CommandError("no run was completed by both variants")
 
 
 @model.command()
 @click.argument("scenario")
-@click.option("--over", required=True, multiple=True, help="KEY=VALUE,VALUE,...; twice for two settings.")
+@click.option("--over", required=True, multiple=True, help="KEY=VALUE,VALUE,...; may be given twice.")
 @click.option("--seeds", default=6, show_default=True, type=click.IntRange(1))
-@click.option("--figure", default="service", show_default=True, help="What the plot shows.")
+@click.option("--figure", default="service", show_default=True, help="Figure that is tabulated and plotted.")
 @click.option("--plot", type=click.Path(dir_okay=False, path_type=Path))
 @size_options
 @pool_options
@@ -247,25 +258,25 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """A figure over the values of one or two settings."""
+    """Show a figure over the values of one or two settings."""
     from ..simulation.experiments import intervals_as_dict
     from ..simulation.experiments import sweep as sweep_settings
-    from ..simulation.variants import pair
+    from ..simulation.variants import parse_pair
 
     if len(over) > 2:
-        raise CommandError("a sweep goes over one or two settings")
+        raise CommandError(f"--over must be given once or twice, got {len(over)}")
     values: dict[str, list[Any]] = {}
-    for one in over:
-        key, _, rest = one.partition("=")
+    for setting in over:
+        key, _, texts = setting.partition("=")
         try:
-            pairs = [pair(f"{key}={value}") for value in rest.split(",")]
+            pairs = [parse_pair(f"{key}={value}") for value in texts.split(",")]
             values[pairs[0][0]] = [value for _, value in pairs]
         except ValueError as error:
             raise CommandError(str(error)) from None
     sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
     total = seeds
-    for held in values.values():
-        total *= len(held)
+    for setting_values in values.values():
+        total *= len(setting_values)
     with progress(total, scenario) as step, _joblib_backend(backend):
         points = sweep_settings(sized_scenario, values, range(1, seeds + 1), jobs, step)
     if (
@@ -273,19 +284,19 @@
         and any(p.figures for p in points)
         and figure not in next(p.figures for p in points if p.figures)
     ):
-        raise CommandError(f"{figure!r} is no figure")
+        raise CommandError(f"no figure is named {figure!r}")
     if plot is not None:
         from ..simulation import plots
 
-        plots.sweep(points, figure, f"{scenario}, {seeds} days a point", plot)
+        plots.sweep(points, figure, f"{scenario}, {seeds} runs per point", plot)
     if as_json:
         print_json(
-            [{"at": p.at, "errors": p.errors, "figures": intervals_as_dict(p.figures)} for p in points]
+            [{"at": p.settings, "errors": p.errors, "figures": intervals_as_dict(p.figures)} for p in points]
         )
         return
     rows = [
         [
-            *(p.at[key] for key in values),
+            *(p.settings[key] for key in values),
             p.figures[figure].mean,
             p.figures[figure].low,
             p.figures[figure].high,
@@ -304,20 +315,23 @@
     "told",
     required=True,
     type=click.Path(dir_okay=False, path_type=Path),
-    help="A gateway's configuration: its plans and classes.",
+    help="Configuration of a gateway, for its plans.",
 )
 @click.option(
-    "--out", required=True, type=click.Path(dir_okay=False, path_type=Path), help="Where the fit goes."
+    "--out",
+    required=True,
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="File that the fit is written to.",
 )
-@click.option("--servers", type=click.IntRange(1), help="Till servers; else those that were sent anything.")
-@click.option("--know", multiple=True, help="FIGURE=VALUE that is known, cores=3 say.")
-@click.option("--worth", multiple=True, help="CLASS=WORTH; else 1.")
+@click.option("--servers", type=click.IntRange(1), help="Number of backends; by default those with attempts.")
+@click.option("--know", multiple=True, help="Known parameter as FIGURE=VALUE, for example cores=3.")
+@click.option("--worth", multiple=True, help="Value of a request class as CLASS=WORTH; by default 1.")
 @click.option("--draws", default=160, show_default=True, type=click.IntRange(8))
 @click.option("--keep", default=24, show_default=True, type=click.IntRange(2))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @pool_options
 @json_option
-def fit_world(
+def fit_parameters(
     files: tuple[Path, ...],
     told: Path,
     out: Path,
@@ -331,37 +345,41 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """Fit a world to the recordings of a fleet's gateways."""
+    """Fit the parameters of a fleet to the recordings of its gateways."""
     import json
 
     from ..fleet.parameters import check_overrides
     from ..simulation import recorded_traffic
     from ..simulation.fit import Search, fit_fleet
     from ..simulation.fitted_fleet import FittedPlan, encode_fit
-    from ..simulation.variants import pair
+    from ..simulation.variants import parse_pair
 
     try:
-        wire = json.loads(told.read_text())
-        packages = wire.get("settings", wire)["Packages"]
+        document = json.loads(told.read_text())
+        packages = document.get("settings", document)["Packages"]
         plans = [
             FittedPlan(
-                p["Name"],
+                package["Name"],
                 0.0,
-                p["QuotaRate"],
-                p["Burst"],
-                p.get("ValueFactor", 1.0),
-                p.get("ExcessCost", 1.0),
+                package["QuotaRate"],
+                package["Burst"],
+                package.get("ValueFactor", 1.0),
+                package.get("ExcessCost", 1.0),
                 1.0,
             )
-            for p in packages
+            for package in packages
         ]
-        known = {key: float(value) for key, value in (pair(f"world.{one}") for one in know)}
+        known = {
+            key: float(value) for key, value in (parse_pair(f"world.{known_figure}") for known_figure in know)
+        }
         known = {key[6:]: value for key, value in known.items()}
         check_overrides(known)
-        worths = {name: float(value) for name, _, value in (one.partition("=") for one in worth)}
-        traffic = recorded_traffic.together(list(files))
-        for line in traffic.trouble:
-            click.echo(f"not read: {line}", err=True)
+        worths = {
+            name: float(value) for name, _, value in (class_worth.partition("=") for class_worth in worth)
+        }
+        traffic = recorded_traffic.read_recordings(list(files))
+        for problem in traffic.problems:
+            click.echo(f"not read: {problem}", err=True)
         with progress(draws, "fit") as step, _joblib_backend(backend):
             search = Search(draws, min(keep, draws), seed, jobs)
             found = fit_fleet(traffic, plans, worths, servers, known, search, step)
@@ -371,8 +389,8 @@
             f"{type(error).__name__}: {error}" if isinstance(error, KeyError) else str(error)
         ) from None
     compared = {
-        k: {"recorded": v, "mean": found.played[k][0], "sd": found.played[k][1]}
-        for k, v in found.recorded.items()
+        figure: {"recorded": value, "mean": found.played[figure][0], "sd": found.played[figure][1]}
+        for figure, value in found.recorded.items()
     }
     if as_json:
         print_json(
@@ -391,26 +409,41 @@
         f"{found.coverage:.0%} of the gateways"
     )
     table(
-        ["class", "share", "work, ms of a core", "standard error", "cv"],
-        [[c.name, c.share, c.work, c.work * c.error, c.cv] for c in found.classes],
+        ["class", "fraction", "work, ms of a core", "standard error", "coefficient of variation"],
+        [
+            [fitted.name, fitted.share, fitted.work, fitted.work * fitted.error, fitted.cv]
+            for fitted in found.classes
+        ],
     )
     table(
-        ["compared (times in log ms)", "recorded", "draws kept", "their sd"],
-        [[k, v["recorded"], v["mean"], v["sd"]] for k, v in compared.items()],
+        ["figure (times in log ms)", "recorded", "mean of kept draws", "their sd"],
+        [[figure, row["recorded"], row["mean"], row["sd"]] for figure, row in compared.items()],
     )
 
 
 @model.command("check")
 @click.option("--days", default=10, show_default=True, type=click.IntRange(1))
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Draws the installation.")
+@click.option(
+    "--seed", default=1, show_default=True, type=click.IntRange(0), help="Seed of the installation."
+)
 @click.option("--seconds", default=40.0, show_default=True, type=click.FloatRange(3))
 @click.option("--gateways", default=3, show_default=True, type=click.IntRange(1))
 @click.option("--servers", default=16, show_default=True, type=click.IntRange(1))
 @click.option("--draws", default=96, show_default=True, type=click.IntRange(8))
 @click.option(
-    "--foretold", default=39, show_default=True, type=click.IntRange(19), help="Days of the model for each."
+    "--foretold",
+    default=39,
+    show_default=True,
+    type=click.IntRange(19),
+    help="Simulated runs per run of the testbed.",
+)
+@click.option(
+    "--at-once",
+    default=4,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Testbeds that run at the same time.",
 )
-@click.option("--at-once", default=4, show_default=True, type=click.IntRange(1), help="Rigs side by side.")
 @pool_options
 @json_option
 def check_model(
@@ -426,16 +459,16 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """Hold the model against days of real gateways on loopback: minutes of real time."""
+    """Validate the model against real gateways on loopback; takes minutes of real time."""
     import tempfile
 
     from ..simulation.validation import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
-    from ..testbed.recording import play_and_record
+    from ..testbed.recording import run_and_record
 
-    with tempfile.TemporaryDirectory() as place, _joblib_backend(backend):
+    with tempfile.TemporaryDirectory() as folder, _joblib_backend(backend):
         found = validate_model(
-            play_and_record,
-            Path(place),
+            run_and_record,
+            Path(folder),
             days,
             seed,
             seconds,
@@ -446,45 +479,56 @@
             foretold,
             at_once,
             jobs,
-            lambda line: click.echo(line, err=True),
+            lambda message: click.echo(message, err=True),
         )
-    within = {figure: found.within(figure) for figure in found.figures()}
+    within = {figure: found.days_within(figure) for figure in found.figures()}
     count = len(found.days())
     if as_json:
         print_json(
             {
                 "days": count,
                 "within": within,
-                "widest_service": found.widest(),
-                "good": found.good(),
+                "widest_service": found.widest_interval(),
+                "good": found.passed(),
                 "errors": found.errors,
                 "lines": [
                     {
-                        "kind": x.kind,
-                        "seed": x.seed,
-                        "figure": x.figure,
-                        "low": x.low,
-                        "mean": x.mean,
-                        "high": x.high,
-                        "real": x.real,
-                        "inside": x.inside,
+                        "kind": line.kind,
+                        "seed": line.seed,
+                        "figure": line.figure,
+                        "low": line.low,
+                        "mean": line.mean,
+                        "high": line.high,
+                        "real": line.real,
+                        "inside": line.inside,
                     }
-                    for x in found.lines
+                    for line in found.lines
                 ],
             }
         )
     else:
         table(
-            ["scenario", "seed", "figure", "low", "foretold", "high", "real", "inside"],
+            ["scenario", "seed", "figure", "low", "predicted", "high", "real", "inside"],
             [
-                [x.kind, x.seed, x.figure, x.low, x.mean, x.high, x.real, "yes" if x.inside else "NO"]
-                for x in found.lines
+                [
+                    line.kind,
+                    line.seed,
+                    line.figure,
+                    line.low,
+                    line.mean,
+                    line.high,
+                    line.real,
+                    "yes" if line.inside else "NO",
+                ]
+                for line in found.lines
             ],
         )
-        for figure, number in within.items():
-            click.echo(f"{figure}: inside its {PREDICTION_LEVEL:.0%} bars on {number} of {count} days")
-        click.echo(f"widest bar on service {found.widest():.3f} (at most {MAX_SERVICE_INTERVAL} wanted)")
+        for figure, inside in within.items():
+            click.echo(f"{figure}: inside its {PREDICTION_LEVEL:.0%} interval in {inside} of {count} runs")
+        click.echo(
+            f"widest interval of service: {found.widest_interval():.3f} (limit {MAX_SERVICE_INTERVAL})"
+        )
         for error in found.errors:
-            click.echo(f"not played: {error}")
-    if not found.good() or found.errors:
+            click.echo(f"run failed: {error}")
+    if not found.passed() or found.errors:
         raise SystemExit(1)
--- a/mapleshunt/testbed/soak/backends.py
+++ b/mapleshunt/testbed/soak/backends.py
@@ -70,7 +70,9 @@
 
     def _check_deadline(self, words: list[memoryview]) -> None:
         """Check the deadline that was passed on, and that the client was still connected."""
-        known = self.fleet.by_id.get(bytes(words[2]).decode("latin-1")) if len(words) > 3 else None
+        known = (
+            self.fleet.attempts_by_wire_id.get(bytes(words[2]).decode("latin-1")) if len(words) > 3 else None
+        )
         if known is None:
             return
         if self.soak.lag() > MAX_LAG_S:
@@ -122,10 +124,10 @@
 
     def stop_accepting(self) -> None:
         """Stop accepting and fill the backlog, so that new connections are not established."""
-        if self.listening is None:
+        if self.remove_accept_handler is None:
             return
-        self.listening()
-        self.listening = None
+        self.remove_accept_handler()
+        self.remove_accept_handler = None
         self.listener.listen(0)
         for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
@@ -138,12 +140,12 @@
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
-        if self.machine.up and self.listening is None:
+        if self.machine.up and self.remove_accept_handler is None:
             self.listen()
 
     def hang(self) -> None:
         """Accept and read, but answer nothing."""
-        self.fall_silent()
+        self.stop_responding()
 
     def resume(self) -> None:
         """End a hang: finish the accepted work, and answer where the gateway still waits."""
--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -54,11 +54,11 @@
         """The fleet, whose report collects the violations."""
         return cast("SoakFleet", self.fleet)
 
-    def _link(self, gateway: int) -> ClientConnection:
+    def _take_connection(self, gateway: int) -> ClientConnection:
         pool, now = self.idle[gateway], asyncio.get_running_loop().time()
         while pool:
             connection = pool.pop(0)
-            if now - connection.at < MAX_IDLE_S and not connection.stream.closed():
+            if now - connection.last_used_at < MAX_IDLE_S and not connection.stream.closed():
                 return connection
             connection.stream.close()
         return ClientConnection(self.fleet, gateway)
@@ -81,7 +81,9 @@
         for is_resend in (False, True):
             needs_new = habit == "fresh" or is_resend
             connection = (
-                ClientConnection(self.fleet, attempt.gateway) if needs_new else self._link(attempt.gateway)
+                ClientConnection(self.fleet, attempt.gateway)
+                if needs_new
+                else self._take_connection(attempt.gateway)
             )
             reused = connection.used
             try:
@@ -122,14 +124,14 @@
                 return "failed", 0.0
             except (resp.ProtocolError, MessageTooLongError) as error:
                 connection.stream.close()
-                self.strange += 1
+                self.unexpected_replies += 1
                 self.soak.record_violation("strange_answer", f"request {attempt.request_id}: {error}")
                 return "failed", 0.0
             if reply is None:  # the client disconnected
                 return "failed", 0.0
-            connection.used, connection.at = True, asyncio.get_running_loop().time()
+            connection.used, connection.last_used_at = True, asyncio.get_running_loop().time()
             self.idle[attempt.gateway].append(connection)
-            result, retry_after = self._read(attempt, name, reply)
+            result, retry_after = self._record_reply(attempt, name, reply)
             return (
                 (result, retry_after)
                 if attempt.answered_at - attempt.sent_at <= attempt.timeout_ms
@@ -153,7 +155,7 @@
                 for _ in range(PIPELINED_PINGS):
                     await self._read_reply(connection)
                 return await self._read_reply(connection)
-            return await connection.ask(command)
+            return await connection.call(command)
 
     async def _write_first_pieces(self, connection: ClientConnection, command: bytes) -> bytes:
         """Write all but the last piece, with pauses; return the unwritten bytes."""
@@ -169,7 +171,7 @@
     ) -> resp.Reply | None:
         try:
             async with asyncio.timeout(self.random.uniform(0.0, attempt.timeout_ms / 2000)):
-                return await connection.ask(command)
+                return await connection.call(command)
         except TimeoutError:
             connection.stream.close()
             attempt.client_left_at = self.fleet.clock.now()
--- a/mapleshunt/testbed/soak/fault_injection.py
+++ b/mapleshunt/testbed/soak/fault_injection.py
@@ -86,8 +86,8 @@
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
 
-    def _may_be_down(self, gateway: int) -> bool:
-        return gateway in self.terminating or super()._may_be_down(gateway)
+    def _is_expected_down(self, gateway: int) -> bool:
+        return gateway in self.terminating or super()._is_expected_down(gateway)
 
     def _is_available(self, gateway: int) -> bool:
         unavailable = gateway in self.down or gateway in self.terminating or gateway in self.upgrading
@@ -126,7 +126,7 @@
         if self.gateways[number].is_running():
             self.kill_times.setdefault(number, []).append((self.now(), sigterm_at))
         self.gateways[number].kill(wait=False)
-        self.clients.drop(number)
+        self.clients.close_idle_connections(number)
         self._call_later(0.3, self._restart_gateway, number)
 
     def _inject_kill(self, fault: ScheduledFault) -> None:
@@ -140,8 +140,8 @@
         """Start a process of the gateway with its current agent and endpoint list."""
         gateway = self.gateways[number]
         gateway.config["discovery"] = f"{HOST}:{self.current_agents[number].proxy.port}"
-        gateway.spawn(self._known(number))
-        self._hand_list(number)
+        gateway.spawn(self._initial_endpoint_list(number))
+        self._record_endpoint_list(number)
         return gateway
 
     def _restart_gateway(self, number: int) -> None:
@@ -192,7 +192,7 @@
             older.kill()
         await asyncio.to_thread(older.wait)
 
-    def _known(self, number: int) -> dict[str, Any]:
+    def _initial_endpoint_list(self, number: int) -> dict[str, Any]:
         return self.current_agents[number].whole_list()
 
     def _inject_reload(self, fault: ScheduledFault) -> None:
--- a/mapleshunt/testbed/soak/maintenance.py
+++ b/mapleshunt/testbed/soak/maintenance.py
@@ -41,11 +41,11 @@
 
         Returns at once if the request is denied. When cancelled, a machine may stay out.
         """
-        await self._client.do(state_commands.OpenSession())
+        await self._client.execute(state_commands.OpenSession())
         operation = maintenance_commands.RequestMaintenance(
             request, tuple(machines), "memory", "soak", EXPECTED_DURATION_S
         )
-        if not isinstance(await self._client.do(operation), Applied):
+        if not isinstance(await self._client.execute(operation), Applied):
             return  # another request has one of the machines
         while jobs := await self._open_jobs(request):
             for job in jobs:
--- a/tests/test_gateway_server.py
+++ b/tests/test_gateway_server.py
@@ -18,7 +18,7 @@
 from mapleshunt.net.protocol import resp
 from mapleshunt.server.gateway_server import GatewayServer
 
-from .processes import EXAMPLE, free_port, query, replies, run
+from .processes import EXAMPLE_CONFIG, free_port, query, read_replies, run
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
     process = run(
         "-m",
         "mapleshunt",
-        PROXY_CONFIG=str(EXAMPLE),
+        PROXY_CONFIG=str(EXAMPLE_CONFIG),
         PROXY_DISCOVERY=discovery,
         PROXY_LISTEN=f"127.0.0.1:{port}",
     )
@@ -54,7 +54,7 @@
     client.sendall(
         resp.encode_command([b"PING"]) + b"".join(query(n) for n in range(9)) + query(9, b"c=odd,d=1")
     )
-    pong, *responses, unknown_class = replies(client, 11)
+    pong, *responses, unknown_class = read_replies(client, 11)
     assert pong == resp.SimpleReply("PONG") and unknown_class == resp.ErrorReply("ERR unknown class")
     served = [bytes(response) for response in responses if isinstance(response, memoryview)]
     # The plan's token bucket holds 5 units and refills by 1 a second. Each value has its own request's id.
@@ -79,7 +79,7 @@
     file, port = tmp_path / "config.json", free_port()
 
     def write(agent: str) -> None:
-        text = {**json.loads(EXAMPLE.read_text()), "discovery": agent, "listen": f"127.0.0.1:{port}"}
+        text = {**json.loads(EXAMPLE_CONFIG.read_text()), "discovery": agent, "listen": f"127.0.0.1:{port}"}
         file.write_text(json.dumps(text))
 
     write(agents[0])
@@ -105,7 +105,7 @@
         assert f"discovery={agents[1]} counter=none" in logged("reloaded")
         assert "kind=complete" in logged("members")
         client.sendall(query(1))
-        assert isinstance(replies(client, 1)[0], memoryview)
+        assert isinstance(read_replies(client, 1)[0], memoryview)
     process.send_signal(signal.SIGTERM)
     process.communicate(timeout=30)
     for toy in toys:
@@ -132,7 +132,7 @@
 ) -> None:
     file = tmp_path / "config.json"
     if isinstance(text, dict):
-        text = json.dumps({**json.loads(EXAMPLE.read_text()), **text})
+        text = json.dumps({**json.loads(EXAMPLE_CONFIG.read_text()), **text})
     file.write_text(text)
     process = run("-m", "mapleshunt", PROXY_CONFIG=str(file))
     _, stderr = process.communicate(timeout=60)
@@ -143,7 +143,7 @@
     # A connection that was accepted and closed at once may have carried a request, which was lost.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-        server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
+        server = GatewayServer(config.parse(EXAMPLE_CONFIG.read_text(), env))
         server.clients.budget.max_clients = 2
         task = asyncio.create_task(server.run())
         while not server.clients.accepting:
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize(("memory_mb", "sockets"), [(32, 256), (192, 1024)])
 def test_limits_for_clients_follow_the_limits_of_the_configuration(memory_mb: int, sockets: int) -> None:
     # With a constant 2 MB per client, sixteen clients that do not read exceeded a limit of 32 MB.
-    text = {**json.loads(EXAMPLE.read_text()), "limits": {"memory_mb": memory_mb, "sockets": sockets}}
+    text = {**json.loads(EXAMPLE_CONFIG.read_text()), "limits": {"memory_mb": memory_mb, "sockets": sockets}}
 
     async def run() -> GatewayServer:
         return GatewayServer(config.parse(json.dumps(text), {}))
@@ -201,7 +201,7 @@
     Their remaining time was counted from then: two got responses after their clients had disconnected.
     """
     fired: list[bool] = []
-    monkeypatch.setenv("PROXY_CONFIG", str(EXAMPLE))
+    monkeypatch.setenv("PROXY_CONFIG", str(EXAMPLE_CONFIG))
 
     async def start() -> None:
         server = GatewayServer(config.load())
@@ -230,7 +230,7 @@
     # connection and no idle endpoint connection was closed, and no lease renewed, for an hour.
     async def run() -> None:
         env = {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
-        server = GatewayServer(config.parse(EXAMPLE.read_text(), env))
+        server = GatewayServer(config.parse(EXAMPLE_CONFIG.read_text(), env))
         task = asyncio.create_task(server.run())
         while not server.clients.accepting:
             await asyncio.sleep(0)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,7 +14,7 @@
 from mapleshunt.testbed.soak import schedule
 from mapleshunt.testbed.syscall_faults import SyscallFaultControl, SyscallFaultRates, build_library
 
-from .test_rig import BAD, checkout
+from .test_rig import BROKEN_PROGRAMS, copy_program
 
 # These tests time real gateways, so they run one after another in one worker.
 pytestmark = pytest.mark.xdist_group("gateways")
@@ -65,6 +65,6 @@
 def test_soak_detects_a_broken_program(tmp_path: Path, rule: str) -> None:
     report = soak.run_soak(
         4, tmp_path / "logs", gateways=3, backends=8, rate=60.0, seconds=14.0, only=("backend_drain",),
-        program=checkout(tmp_path, *BAD[rule]),
+        program=copy_program(tmp_path, *BROKEN_PROGRAMS[rule]),
     )  # fmt: skip
     assert any(rule in violation for violation in report.violations), report
