--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,8 +1,8 @@
-"""Two toy till servers and a toy discovery in one process, to try the gateway with.
+"""Two toy backends and a toy discovery service in one process, to try the gateway with.
 
     python -m examples.toy_server [DISCOVERY_PORT]
 
-A till server answers every request with its own name and the request's id, after 20 ms.
+A backend answers each request with its own name and the request's id, after 20 ms.
 """
 
 from __future__ import annotations
@@ -21,10 +21,12 @@
 from mapleshunt.net.protocol.read_buffer import ReadBuffer
 
 HOST = "127.0.0.1"
-WORK = 0.02  # s
+RESPONSE_DELAY_S = 0.02
 
 
-class TillServer(TCPServer):
+class ToyBackend(TCPServer):
+    """A backend on a free port, named `name`."""
+
     def __init__(self, name: str) -> None:
         super().__init__()
         self.name = name
@@ -33,6 +35,7 @@
         self.port = listener.getsockname()[1]
 
     async def handle_stream(self, stream: IOStream, address: object) -> None:
+        """Answer a connection's commands one after another until it ends."""
         buffer = ReadBuffer(resp.MAX_MESSAGE_BYTES)
         try:
             while True:
@@ -44,30 +47,33 @@
             stream.close()
 
     async def answer(self, words: list[memoryview]) -> bytes:
+        """Return the encoded reply to a command."""
         if bytes(words[0]) not in (b"SVC.QUERY", b"SVC.SUBMIT"):
             return resp.encode_error("ERR unknown command")
         print(self.name, *(str(word, "latin-1") for word in words), flush=True)
-        await asyncio.sleep(WORK)
+        await asyncio.sleep(RESPONSE_DELAY_S)
         value = b"%s did %s" % (self.name.encode(), words[2])
         load = b"qps=1,latency_ms=20,inflight=1"
         return b"*3\r\n" + resp.encode_bulk(value) + resp.encode_bulk(b"cost=1") + resp.encode_bulk(load)
 
 
-class Members(RequestHandler):
-    """The list never changes: a watch waits its time and is told of nothing."""
+class EndpointList(RequestHandler):
+    """The list of endpoints. It never changes, so a watch ends with no event after its `wait` time."""
 
-    def initialize(self, servers: list[TillServer]) -> None:
-        self.servers = servers
+    def initialize(self, backends: list[ToyBackend]) -> None:
+        """Store the backends to list."""
+        self.backends = backends
 
     async def get(self) -> None:
+        """Answer with the whole list, or with no entries after `wait` ms if `index` is given."""
         rows: list[dict[str, object]] = []
         if watch := self.get_query_argument("index", ""):
             await asyncio.sleep(float(self.get_query_argument("wait", "0")) / 1000)
         else:
             rows = [
                 {
-                    "id": s.name,
-                    "host_port": f"{HOST}:{s.port}",
+                    "id": backend.name,
+                    "host_port": f"{HOST}:{backend.port}",
                     "locality": "toy",
                     "flavor": "toy",
                     "cell": 0,
@@ -75,15 +81,16 @@
                     "size": 1.0,
                     "up_since_ms": 0,
                 }
-                for s in self.servers
+                for backend in self.backends
             ]
         self.write(json.dumps({"revision": 1, "complete": not watch, "members": rows}))
 
 
 async def main(port: int) -> None:
-    servers = [TillServer("toy-1"), TillServer("toy-2")]
+    """Serve discovery on a port, 0 for a free one, until the process is ended."""
+    backends = [ToyBackend("toy-1"), ToyBackend("toy-2")]
     sockets = bind_sockets(port, HOST)
-    HTTPServer(Application([("/catalog/members", Members, {"servers": servers})])).add_sockets(sockets)
+    HTTPServer(Application([("/catalog/members", EndpointList, {"backends": backends})])).add_sockets(sockets)
     print(f"discovery at {HOST}:{sockets[0].getsockname()[1]}", flush=True)
     await asyncio.Event().wait()
 
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -329,7 +329,7 @@
 @author_option
 @settings_option
 def withdraw(name: str, author: str, file: Path | None) -> None:
-    """Withdraw a request: queued machines stay, draining ones serve again, those out are to return."""
+    """Withdraw a request: queued machines stay, draining ones serve again, those out return as usual."""
     from ..maintenance.commands import WithdrawRequest
 
     _execute(_load_section(file), WithdrawRequest(name, author))
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -91,7 +91,7 @@
     for part in parts:
         if part in ("customers", "rates"):
             by = part
-        elif part[:1] == "line" and part[1:].replace(".", "", 1).isdigit():
+        elif part[:1] == "x" and part[1:].replace(".", "", 1).isdigit():
             scale = float(part[1:])
         else:
             base = get_scenario(part)
