--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -174,14 +174,15 @@
             self._actions.append(StartAttempt(request.request_id, endpoint.info.endpoint))
 """
 QUOTA_IGNORED = (
-    "policy/quota_check.py", "if lack > 0 or self._has_too_many_open", "if self._has_too_many_open"
+    "policy/quota_check.py", "if shortfall > 0 or self._has_too_many_open", "if self._has_too_many_open"
 )  # fmt: skip
 BAD = {
     "two_out": [("policy/dispatch.py", APPENDED, APPENDED + TWICE)],
     "lost": [("net/request/respond.py", "        context.response_sink.serve(value)\n",
               "        context.response_sink.serve(memoryview(b'nonsense'))\n")],
     # The host asks again before bytes go out: both must be bad.
-    "drain": [("policy/endpoints.py", 'one.info.state == "ready"', 'one.info.state in ("ready", "draining")'),
+    "drain": [("policy/endpoints.py", 'endpoint.info.state == "ready"',
+               'endpoint.info.state in ("ready", "draining")'),
               ("net/upstream/endpoint_group.py", 'pool.endpoint.state == "ready"',
                'pool.endpoint.state != "gone"')],
 }  # fmt: skip
