--- a/tests/test_replica_stores.py
+++ b/tests/test_replica_stores.py
@@ -1,4 +1,4 @@
-"""A gateway's replicas and their store, at the crossings of creating, renewing and forgetting them."""
+"""Tests of a gateway's replicas and their store: interleaved operations, late opening, and defects."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from mapleshunt.testbed.faults.replicated_fleet import replicas_only_config
 
 from .processes import free_port
-from .test_sessions import WAIT_S, until
+from .test_sessions import WAIT_S, wait_until
 
 FLEET = "f"
 GATEWAY_NAMES = ("g0", "g1", "g2")
 
 
-def text_of(folder: Path, more: str = "", election_ms: int = 100) -> str:
-    """The operators' file of a gateway whose peers are not there."""
-    peers = " ".join(f'(peer (name "{one}") (address "127.0.0.1:{free_port()}"))' for one in GATEWAY_NAMES)
+def operators_file(folder: Path, more: str = "", election_ms: int = 100) -> str:
+    """Return the text of the operators' file of a gateway whose peers do not run."""
+    peers = " ".join(f'(peer (name "{peer}") (address "127.0.0.1:{free_port()}"))' for peer in GATEWAY_NAMES)
     section = f'(fleet "{FLEET}") (folder "{folder}") (groups 2) (size 3) (election-ms {election_ms})'
     return f"(copies {section} {more}{peers})\n"
 
@@ -45,113 +45,115 @@
 def replication_host_in(
     folder: Path, name: str = GATEWAY_NAMES[0], election_ms: int = 100
 ) -> ReplicationHost:
-    """The replication host of a gateway whose peers are not there."""
-    section = operators.parse_settings(text_of(folder, election_ms=election_ms)).copies
+    """Return the replication host of a gateway whose peers do not run."""
+    section = operators.parse_settings(operators_file(folder, election_ms=election_ms)).copies
     assert section is not None
     parsed = config.parse(json.dumps({**replicas_only_config(), "name": name}), {})
-    disk = open_store(section, parsed.name)
-    return ReplicationHost(section, parsed.name, disk, Counters(), parsed.seed)
+    store = open_store(section, parsed.name)
+    return ReplicationHost(section, parsed.name, store, Counters(), parsed.seed)
 
 
-def host_in(copies: ReplicationHost) -> GroupHost:
-    """A replica of group 0, which has not begun; the other voters are not there."""
-    members = m.Members((copies.knowledge.replica(), "g1/1", "g2/1"))
-    stored = copies.store.create(0, m.Snapshot(1, 1, 0.0, members, b""))
-    host = copies.groups.hosts[0] = copies.groups.open(0, stored)
+def create_group_host(replication: ReplicationHost) -> GroupHost:
+    """Create a replica of group 0 that is not started; the other voters do not run."""
+    members = m.Members((replication.knowledge.replica(), "g1/1", "g2/1"))
+    stored = replication.store.create(0, m.Snapshot(1, 1, 0.0, members, b""))
+    host = replication.groups.hosts[0] = replication.groups.open(0, stored)
     return host
 
 
-def test_a_replica_that_is_being_created_while_its_store_is_renewed_leaves_the_store_whole(
+def test_store_that_is_renewed_while_a_replica_is_created_stays_undamaged(
     tmp_path: Path,
 ) -> None:
-    """A message to a group that an older disk lacks, and the word that the disk is older, in one turn."""
+    """In one turn a message for an unknown group and the notice that the store is outdated arrive."""
 
     async def run() -> None:
-        copies = replication_host_in(tmp_path)
-        copies.start()
-        before = copies.store.incarnation
-        copies.groups.create(1, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
-        copies.groups.renew("g1", copies.store.boot + (1 << 32))
-        await until(lambda: copies.store.incarnation != before and not copies.groups.renewing)
-        for host in copies.groups.hosts.values():
+        replication = replication_host_in(tmp_path)
+        replication.start()
+        first_incarnation = replication.store.incarnation
+        replication.groups.create(1, m.Snapshot(0, 0, 0.0, m.Members(()), b""))
+        replication.groups.renew("g1", replication.store.boot + (1 << 32))
+        await wait_until(
+            lambda: replication.store.incarnation != first_incarnation and not replication.groups.renewing
+        )
+        for host in replication.groups.hosts.values():
             host.step(m.MessageReceived("g1/1", m.AppendEntries(7, 0, 0, (m.Entry(1, 7, 0.0, b"x"),), 0, 1)))
-        commits = copies.tasks.writer.commits
-        await until(lambda: not copies.groups.hosts or copies.tasks.writer.commits > commits)
-        copies.close()
+        commits = replication.tasks.writer.commits
+        await wait_until(lambda: not replication.groups.hosts or replication.tasks.writer.commits > commits)
+        replication.close()
 
     asyncio.run(run())
-    disk = DurableStore(tmp_path, FLEET, GATEWAY_NAMES[0])
-    assert not disk.set_aside
-    disk.close()
+    store = DurableStore(tmp_path, FLEET, GATEWAY_NAMES[0])
+    assert not store.set_aside
+    store.close()
 
 
-def test_a_store_that_opens_slowly_later_holds_nobody_up(
+def test_event_loop_is_not_blocked_while_the_opening_of_the_store_is_retried(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It could not be opened at the start. The loop goes on while it is opened again."""
-    loop_went_on = threading.Event()
+    """The first attempt fails at the start. The second one blocks until the loop has run on."""
+    loop_continued = threading.Event()
     attempts: list[bool] = []
 
     def open_slowly(section: operators.ReplicationSettings, name: str) -> DurableStore:
         if not attempts:
             attempts.append(False)
             raise StoreUnavailableError("the disk is full")
-        attempts.append(loop_went_on.wait(WAIT_S))
+        attempts.append(loop_continued.wait(WAIT_S))
         return open_store(section, name)
 
     file = tmp_path / "operators.sexp"
-    file.write_text(text_of(tmp_path / "store", "(lease false) "))
+    file.write_text(operators_file(tmp_path / "store", "(lease false) "))
     monkeypatch.setenv(operators.ENVIRONMENT_VARIABLE, str(file))
     monkeypatch.setattr(extensions, "open_store", open_slowly)
     monkeypatch.setattr(extensions, "STORE_RETRY_DELAY_S", 0.01)
     parsed = config.parse(json.dumps({**replicas_only_config(), "name": GATEWAY_NAMES[0]}), {})
 
     async def run() -> None:
-        made = extensions.Extensions(parsed, None, Counters(), None)  # type: ignore[arg-type]
-        made.start()
-        assert made.replication is None
-        await asyncio.sleep(0.05)  # the next attempt has begun by now, or begins before the event is set
-        loop_went_on.set()
-        await until(lambda: made.replication is not None)
-        made.close()
+        gateway_extensions = extensions.Extensions(parsed, None, Counters(), None)  # type: ignore[arg-type]
+        gateway_extensions.start()
+        assert gateway_extensions.replication is None
+        await asyncio.sleep(0.05)  # the second attempt has usually started by now, and waits for the event
+        loop_continued.set()
+        await wait_until(lambda: gateway_extensions.replication is not None)
+        gateway_extensions.close()
 
     asyncio.run(run())
     assert attempts == [False, True]
 
 
 class Client(PeerConnection):
-    """A client's connection, of which only what is written to it matters."""
+    """A client's connection that records the responses written to it."""
 
     def __init__(self) -> None:
-        self.ours, self.theirs = socket.socketpair()
-        super().__init__(IOStream(self.ours), FLEET, cast(Any, None), Counters())
-        self.replies: list[wire.ClientResponse] = []
+        self.gateway_socket, self.client_socket = socket.socketpair()
+        super().__init__(IOStream(self.gateway_socket), FLEET, cast(Any, None), Counters())
+        self.responses: list[wire.ClientResponse] = []
 
     def write(self, frame: wire.Frame) -> None:
         super().write(frame)
         if isinstance(frame, wire.ClientResponse):
-            self.replies.append(frame)
+            self.responses.append(frame)
 
     def close(self) -> None:
         self.stream.close()
-        self.theirs.close()
+        self.client_socket.close()
 
 
-async def lead(host: GroupHost, follower: str) -> None:
-    """Let the replica lead its group, with the votes and the word of one follower."""
+async def make_leader(host: GroupHost, follower: str) -> None:
+    """Make the replica the leader of its group, with the votes and the acknowledgement of one follower."""
     host.started, host.node.election.deadline = True, 0.0
     host.step(m.Tick())
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term + 1, True, True)))
-    await until(lambda: host.node.outbox.durable_write == host.node.outbox.last_write)
+    await wait_until(lambda: host.node.outbox.durable_write == host.node.outbox.last_write)
     host.step(m.MessageReceived(follower, m.VoteResponse(host.node.term, True, False)))
     assert host.is_leader()
-    await follow(host, follower)
+    await acknowledge(host, follower)
 
 
-async def follow(host: GroupHost, follower: str) -> None:
-    """The follower has all that the leader has, and says so."""
+async def acknowledge(host: GroupHost, follower: str) -> None:
+    """Deliver the follower's acknowledgement of all entries of the leader."""
     node = host.node
-    await until(lambda: node.outbox.durable_write == node.outbox.last_write)
+    await wait_until(lambda: node.outbox.durable_write == node.outbox.last_write)
     host.step(
         m.MessageReceived(
             follower, m.AppendEntriesResponse(node.term, True, node.log.last_index(), node.round)
@@ -159,53 +161,53 @@
     )
 
 
-def test_an_answer_that_is_too_long_to_be_sent_keeps_no_entry_from_being_applied(
+def test_response_that_is_too_long_to_be_sent_does_not_keep_an_entry_from_being_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A read and an operation are confirmed by the same message of a follower."""
 
     async def run() -> None:
-        copies = replication_host_in(tmp_path, election_ms=5000)
-        copies.start()
-        host = host_in(copies)
-        await lead(host, "g1/1")
+        replication = replication_host_in(tmp_path, election_ms=5000)
+        replication.start()
+        host = create_group_host(replication)
+        await make_leader(host, "g1/1")
         reader, writer = Client(), Client()
-        monkeypatch.setattr(host, "_read", lambda what: bytes(2 * wire.MAX_FRAME_BYTES))
+        monkeypatch.setattr(host, "_read", lambda query: bytes(2 * wire.MAX_FRAME_BYTES))
         host.handle(reader, wire.ClientRequest(1, 0, query="works"))
         host.handle(
             writer, wire.ClientRequest(2, 0, words.encode(words.Command("s", 1, 1, words.OpenSession())))
         )
-        with contextlib.suppress(ValueError):  # as the follower's link contains it
-            await follow(host, "g1/1")
+        with contextlib.suppress(ValueError):  # the follower's connection would catch it
+            await acknowledge(host, "g1/1")
         assert "s" in host.state.sessions
-        assert [one.status for one in writer.replies] == ["done"]
-        assert [one.status for one in reader.replies[-1:]] == ["unknown"]
-        for one in (reader, writer):
-            one.close()
-        copies.close()
+        assert [response.status for response in writer.responses] == ["done"]
+        assert [response.status for response in reader.responses[-1:]] == ["unknown"]
+        for client in (reader, writer):
+            client.close()
+        replication.close()
 
     asyncio.run(run())
 
 
-def test_a_replica_whose_step_meets_a_defect_times_out_again(
+def test_replica_whose_step_raises_keeps_its_timeouts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def run() -> None:
-        copies = replication_host_in(tmp_path, election_ms=50)
-        copies.start()
-        host = host_in(copies)
-        step, met = host.node.step, list[m.Event]()
-
-        def defective(now: float, event: m.Event) -> list[m.Output]:
-            met.append(event)
-            if len(met) == 2:
+        replication = replication_host_in(tmp_path, election_ms=50)
+        replication.start()
+        host = create_group_host(replication)
+        step, events = host.node.step, list[m.Event]()
+
+        def defective_step(now: float, event: m.Event) -> list[m.Output]:
+            events.append(event)
+            if len(events) == 2:
                 raise AssertionError("a defect")
             return step(now, event)
 
-        monkeypatch.setattr(host.node, "step", defective)
+        monkeypatch.setattr(host.node, "step", defective_step)
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
         host.start()
-        await until(lambda: len(met) >= 5)
-        copies.close()
+        await wait_until(lambda: len(events) >= 5)
+        replication.close()
 
     asyncio.run(run())
