--- a/mapleshunt/net/replication/connections.py
+++ b/mapleshunt/net/replication/connections.py
@@ -118,7 +118,7 @@
             except (OSError, StreamClosedError, TimeoutError):
                 if stream is not None:
                     stream.close()
-            except Exception:  # after a defect the peer is dialed again as well
+            except Exception:  # a defect must not end the redialing
                 self._counters.add("exceptions")
                 log.log_exception("link_exception")
             duration_s = asyncio.get_running_loop().time() - started_at
@@ -147,7 +147,7 @@
             handshake.gateway,
         ):
             raise wire.ProtocolError(
-                f"{handshake.gateway!r} is not the dialed peer or no peer of this gateway"
+                f"{handshake.gateway!r} is not the dialed gateway or not one of the peers"
             )
         self._unidentified.pop(connection, None)
         if (previous := self._by_peer.get(handshake.gateway)) is not None:
--- a/mapleshunt/net/replication/group_host.py
+++ b/mapleshunt/net/replication/group_host.py
@@ -66,7 +66,7 @@
         self._evacuated: set[str] = set()
 
     def start(self) -> None:
-        """Start to take part in the group."""
+        """Start taking part in the group."""
         self.started = True
         self.step(m.Tick())
 
@@ -218,7 +218,7 @@
         }
 
     def stop(self) -> None:
-        """Stop to take part; pending requests end with the status "unknown"."""
+        """Stop taking part; pending requests end with the status "unknown"."""
         self.started = False
         if self._timer is not None:
             self._timer.cancel()
--- a/mapleshunt/net/replication/leases.py
+++ b/mapleshunt/net/replication/leases.py
@@ -21,7 +21,7 @@
 
 MAX_LEASE_MS = 10_000.0
 MAX_REQUEST_DELAY_MS = 100.0  # that a request waits for a lease that is being acquired
-MAX_CUSTOMERS = 100_000  # with leases at a time
+MAX_CUSTOMERS = 100_000  # for which leases are acquired at a time
 
 
 @dataclass(slots=True, frozen=True)
@@ -53,7 +53,7 @@
         self._driver = driver
         self._counters = counters
         self._delayed: dict[str, list[DelayedRequest]] = {}  # by customer, in order of arrival
-        self._plans: dict[str, str] = {}  # of the customers with leases
+        self._plans: dict[str, str] = {}  # of the customers for which leases are acquired
         self._sessions: dict[int, LeaseSession] = {}  # by group
         self._is_available = True  # the operation that ended last had a result
         self._ticks = PeriodicTask(self._tick, TICK_INTERVAL_S, counters.add)
@@ -167,7 +167,7 @@
         )
 
     def _session_dropped(self, session: LeaseSession) -> None:
-        """Replace a session that its group has dropped.
+        """Remove a session that its group has dropped.
 
         It is unknown whether its pending operations were applied. The next operation opens a session of
         another name.
