--- a/mapleshunt/maintenance/jobs.py
+++ b/mapleshunt/maintenance/jobs.py
@@ -69,7 +69,7 @@
 
 
 class MaintenanceError(Exception):
-    """An operation that is denied and changes nothing; the text is stored and sent."""
+    """An operation is denied and changes nothing; the text is stored and sent."""
 
 
 class MaintenanceJobs:
@@ -296,7 +296,7 @@
         )
 
     def _expire_grants(self, now: float) -> None:
-        """Recall machines whose grant expired, and mark those that are out for too long as overdue."""
+        """Recall machines whose grant expired; mark those that are out for too long as overdue."""
         for job in self.open_jobs():
             if job.state in GRANT_STATES and now > job.expires_at:
                 self._enter(now, job, JobState.RECALLED, "the grant ran out")
--- a/mapleshunt/net/replication/membership_manager.py
+++ b/mapleshunt/net/replication/membership_manager.py
@@ -24,7 +24,7 @@
 
 
 class MembershipManager:
-    """Forms groups of which this gateway is the first by rank, and changes members of those that it leads."""
+    """Forms the groups for which this gateway ranks first, and changes members of those that it leads."""
 
     def __init__(
         self,
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -112,7 +112,7 @@
 def test_every_customer_gets_a_lease_again_after_the_group_has_dropped_the_session(
     second_is_answered: bool,
 ) -> None:
-    """Two operations are pending, and the response to one says that the session is unknown."""
+    """Two operations are pending, and the response to the first denies the unknown session."""
 
     async def run() -> None:
         group, driver = FakeGroup(), FakePolicyDriver()
