--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model of the fleet: the engine, its rules and score, plain policies, experiments, the command line."""
+"""Tests of the model: the engine, its rules and score, baseline policies, experiments, the command line."""
 
 from __future__ import annotations
 
@@ -46,91 +46,91 @@
     return replace(resized(SCENARIOS[name], backends=8, seconds=seconds), **changes)
 
 
-def test_the_same_seed_gives_the_same_run_bit_for_bit_and_another_one_does_not() -> None:
-    def facts(seed: int) -> dict[str, object]:
+def test_same_seed_gives_the_same_score_and_another_seed_does_not() -> None:
+    def figures(seed: int) -> dict[str, object]:
         found = played(short("worst"), seed)[1].as_dict()
-        return {k: v for k, v in found.items() if not k.endswith("_s")}
+        return {name: value for name, value in found.items() if not name.endswith("_s")}
 
-    assert facts(1) == facts(1) != facts(2)
+    assert figures(1) == figures(1) != figures(2)
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_the_module_keeps_the_rules_and_every_request_has_one_end(name: str) -> None:
+def test_decision_module_keeps_the_rules_and_every_request_ends(name: str) -> None:
     engine, found = played(short(name), 3)
     assert not any(found.rules.values()), found.stories
     assert found.requests > 300 and 0.2 < found.service <= 1
     assert found.g == pytest.approx(found.service - sum(found.penalties.values()))
     assert not any(engine.open_requests), "requests were left open"
-    assert not any(engine.attempts), "attempts were left out"
-    for one in engine.rule_checker.client_attempts:
-        assert one.client_notified, "a client was left without an end"
-    for till in engine.backend_models.values():
-        assert till.connections >= 0 and not engine.backend_transport.execution.in_progress[till.number]
+    assert not any(engine.attempts), "attempts were left in flight"
+    for client_attempt in engine.rule_checker.client_attempts:
+        assert client_attempt.client_notified, "a client was left without a result"
+    for backend in engine.backend_models.values():
+        assert backend.connections >= 0 and not engine.backend_transport.execution.in_progress[backend.number]
 
 
-class Careless:
-    """Sends all to one server, whatever it is told of it; its kin break one rule each."""
+class FixedEndpointPolicy:
+    """Sends all requests to one endpoint, whatever its state; each subclass breaks one rule."""
 
-    in_time = True
+    answers_at_timeout = True
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        self.kept = set[int]()
+        self.pending = set[int]()
 
     def start(self) -> list[Any]:
         return []
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if isinstance(event, RequestReceived):
-            self.kept.add(event.request_id)
-            return [*self.take(event), SetTimer(now + event.remaining_time - 10, event.request_id)]
+            self.pending.add(event.request_id)
+            return [*self.admit_request(event), SetTimer(now + event.remaining_time - 10, event.request_id)]
         if isinstance(event, AttemptEnded):
-            if not event.request_completed and event.request_id in self.kept:
-                return self.again(event)
-            self.kept.discard(event.request_id)
-        if isinstance(event, TimerFired) and event.token in self.kept and self.in_time:
-            self.kept.discard(event.token)
+            if not event.request_completed and event.request_id in self.pending:
+                return self.attempt_failed(event)
+            self.pending.discard(event.request_id)
+        if isinstance(event, TimerFired) and event.token in self.pending and self.answers_at_timeout:
+            self.pending.discard(event.token)
             return [FailRequest(event.token)]
         return []
 
-    def take(self, event: RequestReceived) -> list[Any]:
+    def admit_request(self, event: RequestReceived) -> list[Any]:
         return [StartAttempt(event.request_id, 0)]
 
-    def again(self, event: AttemptEnded) -> list[Any]:
-        self.kept.discard(event.request_id)
+    def attempt_failed(self, event: AttemptEnded) -> list[Any]:
+        self.pending.discard(event.request_id)
         return [FailRequest(event.request_id)]
 
 
-class Forgets(Careless):
-    in_time = False
+class NeverAnswersPolicy(FixedEndpointPolicy):
+    answers_at_timeout = False
 
-    def take(self, event: RequestReceived) -> list[Any]:
+    def admit_request(self, event: RequestReceived) -> list[Any]:
         return []
 
 
-class SendsTwice(Careless):
-    def take(self, event: RequestReceived) -> list[Any]:
+class SendsTwicePolicy(FixedEndpointPolicy):
+    def admit_request(self, event: RequestReceived) -> list[Any]:
         return [StartAttempt(event.request_id, 0), StartAttempt(event.request_id, 1)]
 
 
-class RefusesWhatMayHaveRun(Careless):
-    def again(self, event: AttemptEnded) -> list[Any]:
-        self.kept.discard(event.request_id)
+class RejectsAfterAttemptPolicy(FixedEndpointPolicy):
+    def attempt_failed(self, event: AttemptEnded) -> list[Any]:
+        self.pending.discard(event.request_id)
         return [RejectRequest(event.request_id)]
 
 
-class RepeatsAnywhere(Careless):
-    def again(self, event: AttemptEnded) -> list[Any]:
-        return [StartAttempt(event.request_id, 7)] if event.attempt < 1 else super().again(event)
+class RetriesInOtherCellPolicy(FixedEndpointPolicy):
+    def attempt_failed(self, event: AttemptEnded) -> list[Any]:
+        return [StartAttempt(event.request_id, 7)] if event.attempt < 1 else super().attempt_failed(event)
 
 
 @pytest.mark.parametrize(
     ("factory", "rule", "fault"),
     [
-        (Forgets, "lost", ()),
-        (SendsTwice, "two_out", ()),
-        (RefusesWhatMayHaveRun, "doubled", (Fault(3000, "crash", 500, (0,)),)),
-        (RepeatsAnywhere, "doubled", (Fault(3000, "crash", 500, (0,)),)),
-        (Careless, "drain", (Fault(3000, "drain", 1000, (0,)),)),
+        (NeverAnswersPolicy, "lost", ()),
+        (SendsTwicePolicy, "two_out", ()),
+        (RejectsAfterAttemptPolicy, "doubled", (Fault(3000, "crash", 500, (0,)),)),
+        (RetriesInOtherCellPolicy, "doubled", (Fault(3000, "crash", 500, (0,)),)),
+        (FixedEndpointPolicy, "drain", (Fault(3000, "drain", 1000, (0,)),)),
     ],
 )
 def test_rule_checker_reports_each_violated_rule(factory: Any, rule: str, fault: tuple[Fault, ...]) -> None:
@@ -143,47 +143,53 @@
     )
     found = played(scenario, 1, factory)[1]
     assert found.rules[rule] > 0
-    if factory is not RepeatsAnywhere:
+    if factory is not RetriesInOtherCellPolicy:
         assert {name for name, count in found.rules.items() if count} == {rule}
 
 
-def test_a_policy_without_a_ramp_pushes_cold_servers_over_and_the_module_does_not() -> None:
-    begin = Fault(3000, "crash", 2000, (0, 1))
+def test_policy_without_slow_start_overloads_warming_backends_and_the_decision_module_does_not() -> None:
+    crash = Fault(3000, "crash", 2000, (0, 1))
     scenario = short(
         "overload",
         15.0,
-        fault_plan=lambda rng, scenario: [begin],
+        fault_plan=lambda rng, scenario: [crash],
         load=(1.6, 1.6),
         fixed_parameters={"cold_from": 0.25},
     )
-    careful, careless = played(scenario, 4)[1], played(scenario, 4, POLICIES["let-all"])[1]
-    assert careful.rules["pushed_over"] == 0
-    assert careless.rules["pushed_over"] > 0
+    module, let_all = played(scenario, 4)[1], played(scenario, 4, POLICIES["let-all"])[1]
+    assert module.rules["pushed_over"] == 0
+    assert let_all.rules["pushed_over"] > 0
 
 
-def test_clients_of_a_killed_gateway_repeat_through_others() -> None:
+def test_clients_of_a_killed_gateway_retry_safe_requests_through_others() -> None:
     scenario = short("quiet", 10.0, fault_plan=lambda rng, scenario: [Fault(4000, "restart", 4000, (0,))])
     engine, found = played(scenario, 5)
     broken = [
-        t for t in engine.rule_checker.client_attempts if t.gateway == 0 and t.accepted and t.result is None
+        attempt
+        for attempt in engine.rule_checker.client_attempts
+        if attempt.gateway == 0 and attempt.accepted and attempt.result is None
     ]
-    assert broken, "nothing was open at the kill"
-    repeated = {t.request for t in engine.rule_checker.client_attempts if t.number > 1 and t.gateway != 0}
-    safe = [t for t in broken if engine.effects[t.request.class_index] == "safe"]
-    assert any(t.request in repeated for t in safe)
-    assert not any(t.request in repeated for t in broken if t not in safe)
+    assert broken, "no request was open when the gateway was killed"
+    retried = {
+        attempt.request
+        for attempt in engine.rule_checker.client_attempts
+        if attempt.number > 1 and attempt.gateway != 0
+    }
+    safe = [attempt for attempt in broken if engine.effects[attempt.request.class_index] == "safe"]
+    assert any(attempt.request in retried for attempt in safe)
+    assert not any(attempt.request in retried for attempt in broken if attempt not in safe)
     assert not any(found.rules.values()), found.stories
 
 
-def test_quota_use_is_seen_by_one_store_over_all_gateways() -> None:
-    """The whole quota at each gateway passes it by far; the module does not."""
+def test_quota_use_is_measured_over_all_gateways() -> None:
+    """Granting the whole quota at each gateway exceeds it by far; the decision module does not."""
     scenario = short("busy", 15.0, rate=150.0)
     whole = played(scenario, 5, POLICIES["whole-quota"])[1]
     module = played(scenario, 5)[1]
     assert whole.over_quota > 0.1 > 0.04 > module.over_quota
 
 
-def test_a_ceiling_is_one_store_over_all_gateways_that_no_restart_fills() -> None:
+def test_ceiling_holds_over_all_gateways_and_across_restarts() -> None:
     changes = {"plan.standard.ceiling_rate": 9, "plan.standard.ceiling_burst": 30}
     fault = Fault(4000, "restart", 500, (0,))
     scenario = short("busy", 10.0, rate=150.0, settings=changes, fault_plan=lambda rng, scenario: [fault])
@@ -192,24 +198,33 @@
     assert module.rules["ceiling"] == 0, module.stories
 
 
-def test_policies_come_in_their_order_when_overloaded() -> None:
-    """Slow servers make the overload: let-all is worst, the module best, on each of three days."""
+def test_policies_rank_as_expected_under_overload() -> None:
+    """Under overload `let-all` scores worst and the decision module best, in each of three runs."""
     for seed in (1, 2, 3):
         scenario = short("overload", 12.0)
-        g = {n: played(scenario, seed, POLICIES[n])[1].g for n in ("let-all", "even-split", "count-each")}
-        g["module"] = played(scenario, seed)[1].g
-        assert g["let-all"] < g["even-split"] < g["module"], (seed, g)
-        assert g["let-all"] < g["count-each"] < g["module"], (seed, g)
+        scores = {
+            name: played(scenario, seed, POLICIES[name])[1].g
+            for name in ("let-all", "even-split", "count-each")
+        }
+        scores["module"] = played(scenario, seed)[1].g
+        assert scores["let-all"] < scores["even-split"] < scores["module"], (seed, scores)
+        assert scores["let-all"] < scores["count-each"] < scores["module"], (seed, scores)
 
 
-def test_two_variants_meet_the_same_days() -> None:
+def test_two_variants_get_the_same_run() -> None:
     scenario = short("worst")
-    one, other = played(scenario, 6)[0], played(scenario, 6, POLICIES["let-all"])[0]
-    assert one.scenario_run.faults == other.scenario_run.faults
-    assert [(a.arrives_at, a.work_ms, a.units, a.customer) for a in one.scenario_run.traffic.requests] == [
-        (a.arrives_at, a.work_ms, a.units, a.customer) for a in other.scenario_run.traffic.requests
+    first, second = played(scenario, 6)[0], played(scenario, 6, POLICIES["let-all"])[0]
+    assert first.scenario_run.faults == second.scenario_run.faults
+    assert [
+        (request.arrives_at, request.work_ms, request.units, request.customer)
+        for request in first.scenario_run.traffic.requests
+    ] == [
+        (request.arrives_at, request.work_ms, request.units, request.customer)
+        for request in second.scenario_run.traffic.requests
+    ]
+    assert [backend.speed for backend in first.backend_models.values()] == [
+        backend.speed for backend in second.backend_models.values()
     ]
-    assert [t.speed for t in one.backend_models.values()] == [t.speed for t in other.backend_models.values()]
 
 
 # Experiments
@@ -218,8 +233,8 @@
 def test_intervals_are_those_of_the_t_distribution() -> None:
     found = stats.interval([1.0, 2.0, 3.0, 4.0])
     assert found.mean == 2.5 and found.high - 2.5 == pytest.approx(3.1824 * 1.29099 / 2, rel=1e-3)
-    bar = stats.prediction([float(n) for n in range(39, 0, -1)], 0.9)
-    assert (bar.low, bar.mean, bar.high) == (2.0, 20.0, 38.0)
+    predicted = stats.prediction([float(n) for n in range(39, 0, -1)], 0.9)
+    assert (predicted.low, predicted.mean, predicted.high) == (2.0, 20.0, 38.0)
     with pytest.raises(ValueError):
         stats.prediction([1.0, 2.0], 0.9)
     assert (
@@ -229,19 +244,19 @@
         stats.interval([])
 
 
-def test_equal_variants_show_no_difference_and_their_chance_is_not_the_same() -> None:
+def test_equal_variants_show_no_difference_and_draw_independently() -> None:
     found = experiments.compare(short("busy", 8.0), parse("here"), parse("here"), range(1, 6), jobs=1)
     assert found.verdict == "none" and not found.errors
     assert found.difference["service"].low < 0 < found.difference["service"].high
 
 
-def test_a_worse_setting_is_told_from_a_better_one() -> None:
+def test_worse_variant_is_distinguished_from_a_better_one() -> None:
     scenario = short("overload", 8.0)
     found = experiments.compare(scenario, parse("policy:let-all"), parse("here"), range(1, 5), jobs=2)
     assert found.verdict == "b" and found.difference["service"].low > 0
 
 
-def test_a_checkout_whose_code_raises_is_reported_and_the_other_goes_on(tmp_path: Path) -> None:
+def test_error_in_one_checkout_is_reported_and_the_other_is_scored(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
     shutil.copytree(ROOT / "mapleshunt" / "policy", package / "policy")
     admission = package / "policy" / "admission.py"
@@ -258,7 +273,7 @@
     assert found.a["service"].mean > 0.5 and not found.difference and found.verdict == "none"
 
 
-def test_a_variant_that_ends_its_process_does_not_end_the_experiment(tmp_path: Path) -> None:
+def test_variant_that_ends_its_process_does_not_end_the_experiment(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
     (package / "policy").mkdir(parents=True)
     (package / "__init__.py").write_text("")
@@ -270,18 +285,18 @@
     assert "processes ended" in found.errors["b"][0] and found.a["service"].mean > 0.5
 
 
-def test_settings_constants_and_figures_can_be_set() -> None:
-    one = parse("set:mail_per_s=10,TARGET=0.5,world.peer_loss=0.2,plan.basic.rate=9")
-    day = draw_run(one.scenario(SCENARIOS["quiet"]), 1)
-    assert day.parameters["peer_loss"] == 0.2
-    settings = day.settings()[0]
+def test_settings_constants_and_parameters_can_be_set() -> None:
+    variant = parse("set:mail_per_s=10,TARGET=0.5,world.peer_loss=0.2,plan.basic.rate=9")
+    scenario_run = draw_run(variant.scenario(SCENARIOS["quiet"]), 1)
+    assert scenario_run.parameters["peer_loss"] == 0.2
+    settings = scenario_run.settings()[0]
     assert settings.gossip_intake_per_s == 10 and settings.plans["basic"].rate == 9
-    factory, _ = load(one)
-    changed = factory.__module__.removesuffix(".gateway")
+    factory, _ = load(variant)
+    changed_package = factory.__module__.removesuffix(".gateway")
     for module in ("latency", "concurrency_limit", "outlier_detection"):
-        assert sys.modules[f"{changed}.{module}"].TARGET_LATENCY_RATIO == 0.5
+        assert sys.modules[f"{changed_package}.{module}"].TARGET_LATENCY_RATIO == 0.5
         assert sys.modules[f"mapleshunt.policy.{module}"].TARGET_LATENCY_RATIO == 0.35
-    for bad in (
+    for invalid in (
         "set:nosuch=1",
         "set:mail_per_s=much",
         "policy:best",
@@ -290,13 +305,13 @@
         "set:SMOOTHER=1",
     ):
         with pytest.raises(VariantError):
-            parse(bad)
+            parse(invalid)
 
 
-def test_a_sweep_reports_every_point() -> None:
+def test_sweep_reports_every_point() -> None:
     points = experiments.sweep(short("busy", 6.0), {"mail_per_s": [5, 40]}, range(1, 4), jobs=1)
-    assert [p.at["mail_per_s"] for p in points] == [5, 40]
-    assert all(p.figures["service"].low <= p.figures["service"].mean for p in points)
+    assert [point.at["mail_per_s"] for point in points] == [5, 40]
+    assert all(point.figures["service"].low <= point.figures["service"].mean for point in points)
 
 
 # Command line
@@ -308,8 +323,8 @@
     )
 
 
-def test_model_run_prints_what_its_contract_says() -> None:
-    done = command(
+def test_model_run_prints_the_documented_json_keys() -> None:
+    process = command(
         "model",
         "run",
         "payday",
@@ -325,8 +340,8 @@
         "6",
         "--json",
     )
-    found = json.loads(done.stdout)
-    wanted = {
+    found = json.loads(process.stdout)
+    expected_keys = {
         "service",
         "whole",
         "worst_window",
@@ -338,11 +353,13 @@
         "gateway_cpu_s",
         "model_cpu_s",
     }
-    assert wanted <= set(found) and isinstance(found["penalties"], dict) and found["rules"]["lost"] == 0
+    assert (
+        expected_keys <= set(found) and isinstance(found["penalties"], dict) and found["rules"]["lost"] == 0
+    )
 
 
-def test_model_compare_prints_differences_and_draws_them(tmp_path: Path) -> None:
-    done = command(
+def test_model_compare_prints_differences_and_writes_a_plot(tmp_path: Path) -> None:
+    process = command(
         "model",
         "compare",
         "quiet",
@@ -362,13 +379,13 @@
         "--plot",
         str(tmp_path / "x.png"),
     )
-    found = json.loads(done.stdout)
+    found = json.loads(process.stdout)
     assert {"a", "b", "difference", "verdict"} <= set(found)
     assert set(found["difference"]["service"]) == {"mean", "low", "high"}
     assert (tmp_path / "x.png").read_bytes()[:4] == b"\x89PNG"
 
 
-def test_what_cannot_be_done_is_one_line_and_exit_status_2() -> None:
+def test_invalid_arguments_print_one_line_and_exit_with_status_2() -> None:
     for arguments in (
         ("model", "run", "nosuch"),
         ("model", "run", "quiet", "--rate", "-3"),
@@ -376,6 +393,6 @@
         ("model", "compare", "quiet", "--b", "set:x=1"),
         ("model", "sweep", "quiet", "--over", "x"),
     ):
-        done = command(*arguments)
-        assert done.returncode == 2 and done.stdout == ""
-        assert done.stderr.startswith("mapleshunt: ") and done.stderr.count("\n") == 1
+        process = command(*arguments)
+        assert process.returncode == 2 and process.stdout == ""
+        assert process.stderr.startswith("mapleshunt: ") and process.stderr.count("\n") == 1
