--- a/mapleshunt/simulation/experiments.py
+++ b/mapleshunt/simulation/experiments.py
@@ -16,9 +16,9 @@
 
 from joblib import Parallel, delayed
 
-from .day import Scenario, draw_day
+from .day import Scenario, draw_run
 from .engine import Engine
-from .score import Score, score_day
+from .score import Score, score_run
 from .stats import Interval, interval, verdict
 from .variants import Variant, load, with_pairs
 
@@ -36,15 +36,15 @@
 ProgressCallback = Callable[[int], None]  # told how many replicas have ended
 
 
-def play(scenario: Scenario, seed: int, variant: Variant | None = None, salt: int = 0) -> Score:
+def run_scenario(scenario: Scenario, seed: int, variant: Variant | None = None, salt: int = 0) -> Score:
     """One day, played and judged. Raises what the variant's code raises."""
     begun = time.perf_counter()
     chosen = variant or Variant("here", "here")
     factory, words = load(chosen)
-    day = draw_day(chosen.scenario(scenario), seed)
+    day = draw_run(chosen.scenario(scenario), seed)
     engine = Engine(day, lambda settings, drawn, now: factory(settings, drawn ^ salt, now), words)
     engine.run()
-    found = score_day(engine)
+    found = score_run(engine)
     found.wall_s = time.perf_counter() - begun
     return found
 
@@ -60,7 +60,7 @@
 
 def _replica(scenario: Scenario, seed: int, variant: Variant, salt: int) -> SeedResult:
     try:
-        return SeedResult(seed, play(scenario, seed, variant, salt))
+        return SeedResult(seed, run_scenario(scenario, seed, variant, salt))
     except Exception as error:  # a variant's code may raise anything: it is reported, the others go on
         last = traceback.extract_tb(error.__traceback__)[-1]
         return SeedResult(seed, error=f"{type(error).__name__}: {error} ({last.name}, line {last.lineno})")
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True)
 class SweepPoint:
-    at: dict[str, Any]
+    settings: dict[str, Any]
     figures: dict[str, Interval]
     errors: list[str]
 
--- a/mapleshunt/testbed/recording.py
+++ b/mapleshunt/testbed/recording.py
@@ -1,20 +1,20 @@
-"""Days on loopback whose gateways record the requests that they handle."""
+"""Runs on loopback whose gateways record the requests that they handle."""
 
 from __future__ import annotations
 
 import tempfile
 from pathlib import Path
 
-from ..simulation.day import Scenario, draw_day
+from ..simulation.day import Scenario, draw_run
 from ..simulation.score import Score
-from .fleet import play_day
+from .fleet import run_on_loopback
 
 
-def play_and_record(scenario: Scenario, seed: int, recordings: Path | None) -> Score:
-    """Play a day; each gateway leaves its recording in the folder, if one is given.
+def run_and_record(scenario: Scenario, seed: int, recordings: Path | None) -> Score:
+    """Run a scenario; each gateway writes its recording to the folder, if one is given.
 
     Raises:
-        GatewayError: a gateway did not start, or ended by itself.
+        GatewayError: a gateway did not start, or exited unexpectedly.
     """
     with tempfile.TemporaryDirectory() as folder:
         env = {}
@@ -22,5 +22,5 @@
             operators = Path(folder) / "operators.sexp"
             operators.write_text(f'(record (file "{recordings}/{{name}}.rec") (size-mb 64) (salt "rig"))')
             env["PROXY_OPERATORS"] = str(operators)
-        _, score = play_day(draw_day(scenario, seed), Path(folder), env=env)
+        _, score = run_on_loopback(draw_run(scenario, seed), Path(folder), env=env)
         return score
