--- a/mapleshunt/simulation/checkouts.py
+++ b/mapleshunt/simulation/checkouts.py
@@ -1,8 +1,8 @@
-"""Decisions of other checkouts, so that the model can play them beside this one's.
+"""The policy code of other checkouts, loaded beside this one's so that the simulation can compare them.
 
-A checkout of this layout has the package `mapleshunt/policy`, whose types the engine speaks directly. Older
+A checkout of this layout has the package `mapleshunt/policy`, whose types the engine uses directly. Older
 ones (up to commit 98386c1) have `mapleshunt/control.py` and `mapleshunt/interface.py`, with other names for
-the same types: `LegacyGateway` translates settings, events and actions, so that the engine knows only today's
+the same types: `LegacyGateway` translates settings, events and actions, so that the engine uses only current
 names. The tables `SETTINGS` and `CONSTANTS` also hold the former names that `set:NAME=VALUE` still accepts.
 """
 
@@ -19,7 +19,7 @@
 
 from .. import policy
 
-# Former names of types, by the names of now.
+# Former names of types, by current name.
 TYPES: Mapping[str, str] = {
     "EndpointUpdate": "Members",
     "RequestReceived": "Request",
@@ -37,7 +37,7 @@
     "WatchEndpoints": "Watch",
     "EndpointInfo": "ServerEntry",
 }
-# Former names of fields, by type and by the names of now; the others kept theirs.
+# Former names of fields, by type and current name; fields that are not listed kept their names.
 SETTINGS: Mapping[str, str] = {
     "gateway_index": "me",
     "gateway_count": "instances",
@@ -85,7 +85,7 @@
     "FailRequest": {"request_id": "ref"},
     "CancelAttempt": {"request_id": "ref"},
 }
-# Constants of the decisions by their former names, which `set:NAME=VALUE` goes on accepting for one version.
+# Current names of policy constants, by former name, which `set:NAME=VALUE` still accepts for one version.
 CONSTANTS: Mapping[str, str] = {
     "ALPHA": "COST_SMOOTHING",
     "MARGIN": "DEADLINE_MARGIN_TICKS",
@@ -127,17 +127,17 @@
 
 
 class CheckoutError(ValueError):
-    """A folder holds no decisions that can be played."""
+    """A folder contains no policy code that can be loaded."""
 
 
 def is_checkout(folder: Path) -> bool:
-    """Return whether the folder holds a checkout, of this layout or of a former one."""
+    """Return whether the folder contains a checkout, of this layout or of the former one."""
     package = folder / "mapleshunt"
     return (package / "policy" / "gateway.py").is_file() or (package / "control.py").is_file()
 
 
 def load_package(folder: Path, alias: str) -> ModuleType:
-    """Import a package under a name of its own: its modules name each other relatively, so copies do not mix.
+    """Import a package under an alias. Its modules import each other relatively, so packages do not mix.
 
     Raises:
         CheckoutError: The folder cannot be loaded.
@@ -148,7 +148,7 @@
         alias, folder / "__init__.py", submodule_search_locations=[str(folder)]
     )
     if spec is None or spec.loader is None:
-        raise CheckoutError(f"{str(folder)!r} cannot be loaded")
+        raise CheckoutError(f"no Python package can be loaded from {str(folder)!r}")
     module = importlib.util.module_from_spec(spec)
     sys.modules[alias] = module
     try:
@@ -160,7 +160,7 @@
 
 
 def load_decisions(package: ModuleType) -> tuple[Callable[[Any, int, float], Any], ModuleType]:
-    """Return the factory of a package's gateways, and the module that holds the types that they speak."""
+    """Return the factory of a package's gateways, and the module with the types of their interface."""
     folder = Path(package.__path__[0])
     if (folder / "policy" / "events.py").is_file():
         module = importlib.import_module(f"{package.__name__}.policy")
@@ -179,7 +179,7 @@
 
 
 class LegacyGateway:
-    """A gateway of a former layout, which takes and returns the types of now."""
+    """A gateway of the former layout, which takes and returns the current types."""
 
     def __init__(
         self, control: ModuleType, interface: ModuleType, settings: policy.Settings, seed: int, now: float
@@ -187,26 +187,29 @@
         self._interface = interface
         self._gateway = control.Gateway(self._settings(settings), seed, now)
         self._actions = {
-            getattr(interface, TYPES.get(one.__name__, one.__name__)): self._reader(one) for one in ACTIONS
+            getattr(interface, TYPES.get(action.__name__, action.__name__)): self._converter(action)
+            for action in ACTIONS
         }
 
     def start(self) -> list[policy.Action]:
-        """Return the actions with which the gateway starts."""
+        """Start the gateway and return its first actions."""
         return [self._actions[type(action)](action) for action in self._gateway.start()]
 
     def handle(self, now: float, event: policy.Event) -> list[policy.Action]:
-        """Hand the gateway an event and return its actions."""
+        """Pass an event to the gateway and return its actions."""
         if isinstance(event, policy.EndpointUpdate):
-            entries = tuple(self._translate(one) for one in event.endpoints)
-            former = self._interface.Members(event.kind, entries)
+            entries = tuple(self._translate(endpoint) for endpoint in event.endpoints)
+            translated = self._interface.Members(event.kind, entries)
         else:
-            former = self._translate(event)
-        return [self._actions[type(action)](action) for action in self._gateway.handle(now, former)]
+            translated = self._translate(event)
+        return [self._actions[type(action)](action) for action in self._gateway.handle(now, translated)]
 
     def _settings(self, settings: policy.Settings) -> object:
         values = self._values(settings)
-        values["classes"] = {name: self._translate(one) for name, one in settings.classes.items()}
-        values["plans"] = {name: self._translate(one) for name, one in settings.plans.items()}
+        values["classes"] = {
+            name: self._translate(request_class) for name, request_class in settings.classes.items()
+        }
+        values["plans"] = {name: self._translate(plan) for name, plan in settings.plans.items()}
         known = self._interface.Settings.__dataclass_fields__
         return self._interface.Settings(**{name: value for name, value in values.items() if name in known})
 
@@ -217,40 +220,40 @@
     @staticmethod
     def _values(value: Any) -> dict[str, Any]:  # Any: any of the dataclasses of `policy`
         names = FIELDS.get(type(value).__name__, {})
-        return {names.get(one.name, one.name): getattr(value, one.name) for one in fields(value)}
+        return {names.get(item.name, item.name): getattr(value, item.name) for item in fields(value)}
 
     @staticmethod
-    def _reader(kind: type[Any]) -> Callable[[Any], policy.Action]:
-        """Return a function that makes an action of this type from one of the other checkout's."""
+    def _converter(kind: type[Any]) -> Callable[[Any], policy.Action]:
+        """Return a function that converts an action of the other checkout to this type."""
         names = FIELDS.get(kind.__name__, {})
-        pairs = [(one.name, names.get(one.name, one.name)) for one in fields(kind)]
+        pairs = [(item.name, names.get(item.name, item.name)) for item in fields(kind)]
 
-        def read(action: Any) -> policy.Action:
-            values = {now: getattr(action, former) for now, former in pairs}
+        def convert(action: Any) -> policy.Action:
+            values = {current: getattr(action, former) for current, former in pairs}
             if "reason" in values:
                 values["reason"] = policy.RejectReason(values["reason"])
-            made: policy.Action = kind(**values)
-            return made
+            converted: policy.Action = kind(**values)
+            return converted
 
-        return read
+        return convert
 
 
 def modules_with(modules: Iterable[ModuleType], name: str) -> list[ModuleType]:
-    """Return the modules that have a figure of this name, their own or imported."""
-    return [one for one in modules if isinstance(vars(one).get(name), int | float)]
+    """Return the modules with a numeric constant of this name, defined or imported there."""
+    return [module for module in modules if isinstance(vars(module).get(name), int | float)]
 
 
 def decision_modules(package: ModuleType) -> list[ModuleType]:
-    """Return all modules of a package's decisions."""
+    """Return all modules of a package's policy."""
     folder = Path(package.__path__[0]) / "policy"
-    names = sorted(one.stem for one in folder.glob("*.py") if one.stem != "__init__")
+    names = sorted(file.stem for file in folder.glob("*.py") if file.stem != "__init__")
     return [importlib.import_module(f"{package.__name__}.policy.{name}") for name in names]
 
 
-def current_name(key: str, say: Callable[[str], None]) -> str:
-    """Return the name of now for a setting's or constant's former name, which is told through `say`."""
-    former = {old: new for new, old in SETTINGS.items()} | dict(CONSTANTS)
-    if key not in former:
+def current_name(key: str, report: Callable[[str], None]) -> str:
+    """Return the current name of a setting or constant, and report a former name through `report`."""
+    current = {old: new for new, old in SETTINGS.items()} | dict(CONSTANTS)
+    if key not in current:
         return key
-    say(f"{key} is now called {former[key]}")
-    return former[key]
+    report(f"{key} is now called {current[key]}")
+    return current[key]
--- a/mapleshunt/simulation/experiments.py
+++ b/mapleshunt/simulation/experiments.py
@@ -1,8 +1,8 @@
-"""Experiments: replicas of a scenario on all cores, two variants over common days, and sweeps of settings.
+"""Experiments: parallel runs of a scenario, comparisons of two variants, and sweeps of settings.
 
-Two variants meet the same days: arrivals, sizes, speeds and faults come from the seed alone. What gateways
-draw by chance is their own, and differs between variants even if their code is the same: else an interval
-would leave that chance out and call any change of the draws' order a difference.
+Compared variants run under the same conditions: arrivals, sizes, speeds and faults come from the seed alone.
+The gateways' own random draws differ between variants even if their code is the same. Otherwise an interval
+would leave that variation out, and any change in the order of draws would show as a difference.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .engine import Engine
 from .score import Score, score_run
 from .stats import Interval, interval, verdict
-from .variants import Variant, load, with_pairs
+from .variants import Variant, load, variant_with
 
 METRICS = (
     "service",
@@ -33,35 +33,35 @@
     "p50_ms",
     "p99_ms",
 )
-ProgressCallback = Callable[[int], None]  # told how many replicas have ended
+ProgressCallback = Callable[[int], None]  # called with 1 after each run
 
 
 def run_scenario(scenario: Scenario, seed: int, variant: Variant | None = None, salt: int = 0) -> Score:
-    """One day, played and judged. Raises what the variant's code raises."""
-    begun = time.perf_counter()
+    """Simulate and score one run of a scenario. Raises whatever the variant's code raises."""
+    started_at = time.perf_counter()
     chosen = variant or Variant("here", "here")
-    factory, words = load(chosen)
-    day = draw_run(chosen.scenario(scenario), seed)
-    engine = Engine(day, lambda settings, drawn, now: factory(settings, drawn ^ salt, now), words)
+    factory, types = load(chosen)
+    run = draw_run(chosen.scenario(scenario), seed)
+    engine = Engine(run, lambda settings, drawn, now: factory(settings, drawn ^ salt, now), types)
     engine.run()
-    found = score_run(engine)
-    found.wall_s = time.perf_counter() - begun
-    return found
+    score = score_run(engine)
+    score.wall_s = time.perf_counter() - started_at
+    return score
 
 
 @dataclass(slots=True)
 class SeedResult:
-    """A played day, or how its variant failed."""
+    """The score of a run, or the error with which its variant failed."""
 
     seed: int
     score: Score | None = None
     error: str = ""
 
 
-def _replica(scenario: Scenario, seed: int, variant: Variant, salt: int) -> SeedResult:
+def _run_seed(scenario: Scenario, seed: int, variant: Variant, salt: int) -> SeedResult:
     try:
         return SeedResult(seed, run_scenario(scenario, seed, variant, salt))
-    except Exception as error:  # a variant's code may raise anything: it is reported, the others go on
+    except Exception as error:  # a variant's code may raise anything; the other runs continue
         last = traceback.extract_tb(error.__traceback__)[-1]
         return SeedResult(seed, error=f"{type(error).__name__}: {error} ({last.name}, line {last.lineno})")
 
@@ -74,32 +74,32 @@
     jobs: int = -1,
     progress: ProgressCallback | None = None,
 ) -> list[SeedResult]:
-    """Days over these seeds, in the order of the seeds, on as many cores as joblib is told to use.
+    """Simulate a run for each seed and return the results in the order of the seeds.
 
-    A process that dies takes its variant's replicas with it: they are reported as failed.
+    If a process dies, all runs of this call are reported as failed.
     """
     try:
         with Parallel(n_jobs=jobs, return_as="generator") as pool:
-            found = []
-            for one in pool(delayed(_replica)(scenario, seed, variant, salt) for seed in seeds):
-                found.append(one)
+            results = []
+            for result in pool(delayed(_run_seed)(scenario, seed, variant, salt) for seed in seeds):
+                results.append(result)
                 if progress is not None:
                     progress(1)
-            return found
+            return results
     except Exception as error:
         return [SeedResult(seed, error=f"its processes ended: {type(error).__name__}") for seed in seeds]
 
 
-def metrics_of(found: Score) -> dict[str, float]:
-    """A score's figures that an experiment reports, penalties as `penalty.NAME`, breaks as `broken.NAME`."""
-    row = {name: float(getattr(found, name)) for name in METRICS}
-    row |= {f"penalty.{name}": value for name, value in found.penalties.items()}
-    return row | {f"broken.{name}": float(count) for name, count in found.rules.items()}
+def metrics_of(score: Score) -> dict[str, float]:
+    """Return a score's reported metrics, penalties as `penalty.NAME`, rule violations as `broken.NAME`."""
+    row = {name: float(getattr(score, name)) for name in METRICS}
+    row |= {f"penalty.{name}": value for name, value in score.penalties.items()}
+    return row | {f"broken.{name}": float(count) for name, count in score.rules.items()}
 
 
 @dataclass(slots=True)
 class Comparison:
-    """Two variants over common seeds: each one's means, and b less a, pair by pair."""
+    """Two variants over common seeds: the metrics of each, and the paired differences b - a."""
 
     seeds: int
     a: dict[str, Interval] = field(default_factory=dict)
@@ -109,6 +109,7 @@
     errors: dict[str, list[str]] = field(default_factory=dict)
 
     def as_dict(self) -> dict[str, Any]:
+        """Return the comparison for JSON."""
         return {
             "seeds": self.seeds,
             "a": intervals_as_dict(self.a),
@@ -120,12 +121,12 @@
 
 
 def intervals_as_dict(rows: dict[str, Interval]) -> dict[str, Any]:
-    """Intervals for JSON."""
-    return {name: {k: finite(v) for k, v in one.as_dict().items()} for name, one in rows.items()}
+    """Return intervals for JSON."""
+    return {name: {k: finite(v) for k, v in row.as_dict().items()} for name, row in rows.items()}
 
 
 def finite(value: float) -> float | None:
-    """JSON has no infinity: an end that one replica leaves open is null."""
+    """Return a value for JSON, which has no infinity: an end that a single run leaves unbounded is null."""
     return value if abs(value) < float("inf") else None
 
 
@@ -137,33 +138,35 @@
     jobs: int = -1,
     progress: ProgressCallback | None = None,
 ) -> Comparison:
-    """Both over the same days. A variant that fails on some days is judged on the days both played."""
-    rows = [run_seeds(scenario, seeds, one, salt, jobs, progress) for salt, one in ((0, a), (0x5EED, b))]
-    result = Comparison(len(seeds))
-    for name, found in zip("ab", rows, strict=True):
-        errors = [f"seed {one.seed}: {one.error}" for one in found if one.error]
+    """Run both variants with the same seeds; runs that failed in either are left out of the difference."""
+    rows = [run_seeds(scenario, seeds, v, salt, jobs, progress) for salt, v in ((0, a), (0x5EED, b))]
+    comparison = Comparison(len(seeds))
+    for name, results in zip("ab", rows, strict=True):
+        errors = [f"seed {result.seed}: {result.error}" for result in results if result.error]
         if errors:
-            result.errors[name] = errors
-        played = [metrics_of(one.score) for one in found if one.score is not None]
-        if played:
-            means = {key: interval([row[key] for row in played]) for key in played[0]}
+            comparison.errors[name] = errors
+        metrics = [metrics_of(result.score) for result in results if result.score is not None]
+        if metrics:
+            means = {key: interval([row[key] for row in metrics]) for key in metrics[0]}
             if name == "a":
-                result.a = means
+                comparison.a = means
             else:
-                result.b = means
+                comparison.b = means
     pairs = [
-        (metrics_of(one.score), metrics_of(other.score))
-        for one, other in zip(*rows, strict=True)
-        if one.score is not None and other.score is not None
+        (metrics_of(first.score), metrics_of(second.score))
+        for first, second in zip(*rows, strict=True)
+        if first.score is not None and second.score is not None
     ]
     if pairs:
-        result.difference = {key: interval([y[key] - x[key] for x, y in pairs]) for key in pairs[0][0]}
-        result.verdict = verdict(result.difference["service"])
-    return result
+        comparison.difference = {key: interval([y[key] - x[key] for x, y in pairs]) for key in pairs[0][0]}
+        comparison.verdict = verdict(comparison.difference["service"])
+    return comparison
 
 
 @dataclass(slots=True)
 class SweepPoint:
+    """One combination of settings, the metrics of its runs, and the errors of those that failed."""
+
     settings: dict[str, Any]
     figures: dict[str, Interval]
     errors: list[str]
@@ -176,13 +179,13 @@
     jobs: int = -1,
     progress: ProgressCallback | None = None,
 ) -> list[SweepPoint]:
-    """Each combination of one or two settings' values, over common seeds."""
+    """Run each combination of one or two settings' values with common seeds."""
     points = []
     for values in itertools.product(*over.values()):
-        at = dict(zip(over, values, strict=True))
-        variant = with_pairs(at, "set:" + ",".join(f"{k}={v}" for k, v in at.items()))
-        found = run_seeds(scenario, seeds, variant, 0, jobs, progress)
-        played = [metrics_of(one.score) for one in found if one.score is not None]
-        means = {key: interval([row[key] for row in played]) for key in played[0]} if played else {}
-        points.append(SweepPoint(at, means, [f"seed {o.seed}: {o.error}" for o in found if o.error]))
+        settings = dict(zip(over, values, strict=True))
+        variant = variant_with(settings, "set:" + ",".join(f"{k}={v}" for k, v in settings.items()))
+        results = run_seeds(scenario, seeds, variant, 0, jobs, progress)
+        metrics = [metrics_of(result.score) for result in results if result.score is not None]
+        means = {key: interval([row[key] for row in metrics]) for key in metrics[0]} if metrics else {}
+        points.append(SweepPoint(settings, means, [f"seed {r.seed}: {r.error}" for r in results if r.error]))
     return points
--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -1,10 +1,11 @@
-"""Fits a fleet to recordings, and leaves uncertain what they do not show.
-
-Three steps. What shows directly is estimated with its standard error: work by class and its spread,
-relative speeds of the backends, shares of classes, errors of estimated units. The customers' demand is cut
-into spells of constant rate. What shows only through the fleet's behaviour (queues, client behaviour, the
-gateways' own time) is drawn from its range, played, and accepted where the played day resembles the
-recorded one (approximate Bayesian computation by rejection): the accepted draws are the uncertainty.
+"""Fit of a fleet to recordings, with the uncertainty of what they do not show.
+
+Three steps. What the recordings show directly is estimated with its standard error: work by class and its
+spread, relative speeds of the backends, shares of classes, errors of estimated units. The customers' demand
+is cut into spells of constant rate. Parameters that show only in the fleet's behaviour (queues, client
+behaviour, the gateways' own time) are drawn from their ranges and simulated; the draws whose runs resemble
+the recording most are accepted (approximate Bayesian computation by rejection). The spread of the accepted
+draws is the uncertainty.
 """
 
 from __future__ import annotations
@@ -25,17 +26,17 @@
 from .engine import Engine
 from .fit_estimates import fit_classes, fit_customers, fit_units
 from .fitted_fleet import FORMAT_VERSION, Fit, FittedPlan
-from .recorded_traffic import Traffic, received
-from .replay import Replay, day_from
+from .recorded_traffic import Traffic, served_work
+from .replay import Replay, draw_fitted_run
 
-MIN_SCALE = 1e-3  # of a figure's standard deviation over the draws, by which distances are divided
+MIN_SCALE = 1e-3  # lower bound of the standard deviation over the draws that a distance is divided by
 
 Draw = dict[str, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Search:
-    """How parameters are searched: draws played, draws accepted, seed, and processes side by side."""
+    """Settings of the parameter search: draws simulated, draws accepted, seed, and parallel processes."""
 
     draws: int = 96
     keep: int = 16
@@ -43,11 +44,11 @@
     jobs: int = -1  # all cores
 
 
-def _play_draw(fit: Fit, scenario: Scenario, seed: int, draw: Draw) -> tuple[Draw, Summary]:
-    """Play one draw over the recorded day."""
+def _simulate_draw(fit: Fit, scenario: Scenario, seed: int, draw: Draw) -> tuple[Draw, Summary]:
+    """Simulate the recorded traffic with one draw, and return the draw with its run's summary."""
     candidate = msgspec.structs.replace(fit, draws=(draw,))
-    day = day_from(candidate, scenario, seed, Replay(candidate, aligned=True), 0)
-    engine = Engine(day, Gateway)
+    run = draw_fitted_run(candidate, scenario, seed, Replay(candidate, aligned=True), 0)
+    engine = Engine(run, Gateway)
     engine.run()
     return draw, summarize_run(engine.rule_checker.client_attempts)
 
@@ -67,13 +68,13 @@
         traffic: the recordings.
         plans: the gateways' plans.
         priority_weights: by class.
-        servers: how many backends there are, if not just those in the recordings.
+        servers: number of backends; None for those in the recordings.
         known: parameters that the operator knows.
-        search: how the other parameters are searched.
-        progress: called with 1 after each draw that was played.
+        search: settings of the search for the other parameters.
+        progress: called with 1 after each simulated draw.
 
     Raises:
-        ValueError: there are too few served attempts, or plans that are not given.
+        ValueError: there are too few served attempts, or a recording names a plan that is not in `plans`.
     """
     search = search or Search()
     known = known or {}
@@ -83,7 +84,7 @@
     for _ in range(search.draws):
         draw = {name: parameter.draw(rng) for name, parameter in PARAMETER_RANGES.items()}
         draws.append({**draw, **known})
-    return _accept(base, _play_draws(base, draws, search.jobs, progress), search.keep)
+    return _accept(base, _simulate_draws(base, draws, search.jobs, progress), search.keep)
 
 
 def _estimate(
@@ -93,9 +94,9 @@
     servers: int | None,
     known: Mapping[str, float],
 ) -> Fit:
-    """Return a fit without draws: what the recordings show directly."""
+    """Return a fit without draws, of what the recordings show directly."""
     cores = known.get("cores", PARAMETER_RANGES["cores"].low)
-    served = received(traffic, cores)
+    served = served_work(traffic, cores)
     classes, speed_cv = fit_classes(traffic, served, priority_weights)
     unit_ms, guess_cv = fit_units(traffic, served)
     endpoints = {attempt.endpoint for row in traffic.rows for attempt in row.attempts}
@@ -120,18 +121,18 @@
 
 
 def _with_shares(traffic: Traffic, plans: Sequence[FittedPlan]) -> tuple[FittedPlan, ...]:
-    counts = Counter(row.plan for row in traffic.firsts())
+    counts = Counter(row.plan for row in traffic.first_attempts())
     unknown = set(counts) - {plan.name for plan in plans}
     if unknown:
-        raise ValueError(f"the recordings name plans that are not given: {', '.join(sorted(unknown))}")
+        raise ValueError(f"recordings name plans that the settings do not have: {', '.join(sorted(unknown))}")
     total = sum(counts.values())
     return tuple(msgspec.structs.replace(plan, share=counts[plan.name] / total) for plan in plans)
 
 
-def _play_draws(
+def _simulate_draws(
     base: Fit, draws: Sequence[Draw], jobs: int, progress: Callable[[int], None] | None
 ) -> list[tuple[Draw, Summary]]:
-    """Play all draws over the recorded day, in their order."""
+    """Simulate all draws, in their order."""
     scenario = Scenario(
         "recorded",
         "a recorded day",
@@ -140,31 +141,31 @@
         backends=base.servers,
         seconds=max(1.0, base.length_ms / 1000),
     )
-    played: list[tuple[Draw, Summary]] = []
+    results: list[tuple[Draw, Summary]] = []
     with Parallel(n_jobs=jobs, return_as="generator") as pool:
-        for one in pool(delayed(_play_draw)(base, scenario, n, draw) for n, draw in enumerate(draws)):
-            played.append(one)
+        for result in pool(delayed(_simulate_draw)(base, scenario, n, draw) for n, draw in enumerate(draws)):
+            results.append(result)
             if progress is not None:
                 progress(1)
-    return played
+    return results
 
 
-def _accept(base: Fit, played: Sequence[tuple[Draw, Summary]], keep: int) -> Fit:
-    """Return the fit with the draws whose days are the nearest to the recorded one."""
+def _accept(base: Fit, results: Sequence[tuple[Draw, Summary]], keep: int) -> Fit:
+    """Return the fit with the `keep` draws whose summaries are the nearest to the recording's."""
     keys = list(base.recorded)
-    table = np.array([[summary[key] for key in keys] for _, summary in played])
+    table = np.array([[summary[key] for key in keys] for _, summary in results])
     target = np.array([base.recorded[key] for key in keys])
     scale = np.maximum(table.std(axis=0), MIN_SCALE)
     distance = np.sqrt((((table - target) / scale) ** 2).mean(axis=1))
-    best = np.argsort(distance, kind="stable")[:keep]
-    accepted = table[best]
+    nearest = np.argsort(distance, kind="stable")[:keep]
+    accepted = table[nearest]
     spread = {key: (float(accepted[:, n].mean()), float(accepted[:, n].std())) for n, key in enumerate(keys)}
-    return msgspec.structs.replace(base, draws=tuple(played[int(n)][0] for n in best), played=spread)
+    return msgspec.structs.replace(base, draws=tuple(results[int(n)][0] for n in nearest), played=spread)
 
 
-def plans_of(day: ScenarioRun) -> list[FittedPlan]:
-    """Return the plans of a day's gateways, for a fit of its recording."""
+def plans_of(run: ScenarioRun) -> list[FittedPlan]:
+    """Return the plans of a run's gateways, for a fit of its recording."""
     return [
         FittedPlan(p.name, p.share, p.rate, p.burst, p.price, p.over_quota_cost, p.gateway_share)
-        for p in day.parameters.plans
+        for p in run.parameters.plans
     ]
--- a/mapleshunt/simulation/fit_estimates.py
+++ b/mapleshunt/simulation/fit_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates that follow from recordings directly: work by class, units and the customers' rates."""
+"""Direct estimates from recordings: work by class, units and the customers' rates."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from ..fleet import clients
 from ..recording.file_format import RecordedRequest
 from .fitted_fleet import FittedClass, FittedCustomer, Spell
-from .recorded_traffic import Floats, Received, Traffic, segments
+from .recorded_traffic import Floats, ServedWork, Traffic, segment_rates
 
 MIN_SERVED_ATTEMPTS = 200  # for a fit
 MIN_BACKEND_ATTEMPTS = 10  # for an estimate of one backend's speed
-MIN_UNIT_SAMPLES = 20  # for an estimate of the unit, and of the guesses
+MIN_UNIT_SAMPLES = 20  # for an estimate of the unit, and of the error of estimated units
 DEFAULT_UNIT_MS = 60.0
-DEFAULT_GUESS_SIGMA = 0.5  # of the logarithm
+DEFAULT_ESTIMATE_SIGMA = 0.5  # of the logarithm of estimated over true units
 MAX_UNITS = 8
 MEDIAN_ERROR_FACTOR = 1.57  # variance of a normal sample's median over that of its mean
 
@@ -26,72 +26,74 @@
 
 
 def fit_classes(
-    traffic: Traffic, received: Received, priority_weights: Mapping[str, float]
+    traffic: Traffic, served_work: ServedWork, priority_weights: Mapping[str, float]
 ) -> tuple[list[FittedClass], float]:
     """Return the classes with their work, and the spread of the backends' speeds.
 
     Raises:
         ValueError: there are too few served attempts.
     """
-    rows, work = received
+    rows, work = served_work
     if len(rows) < MIN_SERVED_ATTEMPTS:
         raise ValueError(
-            f"{len(rows)} served attempts are too few for a fit; {MIN_SERVED_ATTEMPTS} are the least"
+            f"too few served attempts for a fit: got {len(rows)}, need at least {MIN_SERVED_ATTEMPTS}"
         )
-    first_attempts = traffic.firsts()
+    first_attempts = traffic.first_attempts()
     normalized, spread = _normalize_speeds(rows, work)
     weights = _admission_weights(first_attempts, rows)
     classes = []
     for name in sorted({row.request_class for row in first_attempts}):
-        at = np.array([row.request_class == name for row, _ in rows])
+        in_class = np.array([row.request_class == name for row, _ in rows])
         share = sum(row.request_class == name for row in first_attempts) / len(first_attempts)
         priority_weight = priority_weights.get(name, 1.0)
-        if weights[at].sum() <= 0:
+        if weights[in_class].sum() <= 0:
             classes.append(FittedClass(name, share, float(normalized.mean()), 1.0, 1.0, priority_weight))
             continue
-        mean = float(np.average(normalized[at], weights=weights[at]))
-        cv = math.sqrt(float(np.average((normalized[at] - mean) ** 2, weights=weights[at]))) / mean
-        count = float(weights[at].sum() ** 2 / (weights[at] ** 2).sum())
+        mean = float(np.average(normalized[in_class], weights=weights[in_class]))
+        cv = (
+            math.sqrt(float(np.average((normalized[in_class] - mean) ** 2, weights=weights[in_class]))) / mean
+        )
+        count = float(weights[in_class].sum() ** 2 / (weights[in_class] ** 2).sum())
         classes.append(FittedClass(name, share, mean, cv / math.sqrt(count), cv, priority_weight))
     return classes, math.sqrt(max(0.0, spread))
 
 
 def _normalize_speeds(rows: Served, work: Floats) -> tuple[Floats, float]:
-    """Return the work as the mean backend would have it, and the variance of the backends' speeds (log)."""
+    """Return the attempts' work scaled to the mean backend, and the variance of the backends' log speeds."""
     servers = sorted({server for _, server in rows})
     backend = np.array([servers.index(server) for _, server in rows])
-    # A backend's relative speed shows in the work of its attempts over the units that they reported.
+    # A backend's relative speed is estimated from the work of its attempts per reported unit.
     units = np.array([max(0.5, row.true_cost - 0.5) for row, _ in rows])
     residual = np.log(work / units)
     residual -= float(np.median(residual))
     effects, errors = np.zeros(len(servers)), np.ones(len(servers))
     for number in range(len(servers)):
-        there = residual[backend == number]
-        if len(there) >= MIN_BACKEND_ATTEMPTS:
-            effects[number] = float(np.median(there))
-            errors[number] = MEDIAN_ERROR_FACTOR * float(there.var(ddof=1)) / len(there)
+        samples = residual[backend == number]
+        if len(samples) >= MIN_BACKEND_ATTEMPTS:
+            effects[number] = float(np.median(samples))
+            errors[number] = MEDIAN_ERROR_FACTOR * float(samples.var(ddof=1)) / len(samples)
     known = effects[errors < 1]
     spread = 0.0
     if len(known) > 1:
         spread = float(np.var(known, ddof=1)) - float(np.mean(errors[errors < 1]))
-    # Fast backends get more attempts: this is the mean backend's speed, not the mean attempt's.
+    # Fast backends get more attempts, so the mean is over backends, not over attempts.
     level = float(np.mean(np.exp(known))) if len(known) else 1.0
     return work / np.exp(effects)[backend] * level, spread
 
 
 def _admission_weights(first_attempts: Sequence[RecordedRequest], rows: Served) -> npt.NDArray[np.float64]:
-    """Return weights of the served attempts: requests of many units are rejected more often."""
+    """Return weights that make served attempts stand for all: those of many units are rejected more often."""
     arrived = Counter((row.request_class, row.estimated_cost) for row in first_attempts)
     served = Counter((row.request_class, row.estimated_cost) for row, _ in rows)
     keys = [(row.request_class, row.estimated_cost) for row, _ in rows]
     return np.array([arrived[key] / served[key] for key in keys])
 
 
-def fit_units(traffic: Traffic, received: Received) -> tuple[float, float]:
+def fit_units(traffic: Traffic, served_work: ServedWork) -> tuple[float, float]:
     """Return the work of a unit (ms), and the coefficient of variation of estimated over true units."""
-    rows, work = received
+    rows, work = served_work
     reported = [(ms, row.true_cost) for (row, _), ms in zip(rows, work, strict=True) if row.true_cost > 0]
-    guesses = [
+    estimate_ratios = [
         row.estimated_cost / row.true_cost
         for row in traffic.rows
         if row.true_cost > 0 and 1 < row.estimated_cost < MAX_UNITS
@@ -99,12 +101,16 @@
     unit_ms = DEFAULT_UNIT_MS
     if len(reported) > MIN_UNIT_SAMPLES:
         unit_ms = _bisect_unit(np.array([ms for ms, _ in reported]), float(np.mean([c for _, c in reported])))
-    sigma = float(np.std(np.log(guesses))) if len(guesses) > MIN_UNIT_SAMPLES else DEFAULT_GUESS_SIGMA
+    sigma = (
+        float(np.std(np.log(estimate_ratios)))
+        if len(estimate_ratios) > MIN_UNIT_SAMPLES
+        else DEFAULT_ESTIMATE_SIGMA
+    )
     return unit_ms, math.sqrt(math.expm1(sigma * sigma))
 
 
 def _bisect_unit(work: Floats, mean_units: float) -> float:
-    """Return the unit (ms) with which the work, rounded up to whole units, has the reported mean."""
+    """Return the unit (ms) at which work, rounded up to whole units, has the reported mean."""
     low, high = 1.0, float(work.max())
     unit_ms = DEFAULT_UNIT_MS
     for _ in range(50):
@@ -117,9 +123,9 @@
 
 
 def fit_customers(traffic: Traffic) -> list[FittedCustomer]:
-    """Return the customers with their spells, scaled up for gateways that did not record."""
+    """Return the customers with their rates, scaled up for gateways without a recording."""
     rows_by_customer: dict[bytes, list[RecordedRequest]] = {}
-    for row in traffic.firsts():
+    for row in traffic.first_attempts():
         rows_by_customer.setdefault(row.customer, []).append(row)
     return [_fit_customer(traffic, name, rows) for name, rows in sorted(rows_by_customer.items())]
 
@@ -129,8 +135,10 @@
     last = rows[-1]
     members = {(last.gateway_set_offset + n) % traffic.gateways for n in range(last.gateway_set_size)}
     recorded = len(members & set(traffic.recorded)) or 1
-    at = np.array([(row.arrived_at - traffic.begin) / clients.RATE_STEP_MS for row in rows]).astype(int)
-    rate = segments(np.bincount(np.clip(at, 0, steps - 1), minlength=steps).astype(np.int64))
+    step_numbers = np.array([(row.arrived_at - traffic.begin) / clients.RATE_STEP_MS for row in rows]).astype(
+        int
+    )
+    rate = segment_rates(np.bincount(np.clip(step_numbers, 0, steps - 1), minlength=steps).astype(np.int64))
     rate = rate * 1000 / clients.RATE_STEP_MS * len(members) / recorded
     changes = [0, *(np.flatnonzero(np.diff(rate)) + 1).tolist()]
     spells = tuple(Spell(n * clients.RATE_STEP_MS, float(rate[n])) for n in changes)
--- a/mapleshunt/simulation/fitted_fleet.py
+++ b/mapleshunt/simulation/fitted_fleet.py
@@ -1,4 +1,4 @@
-"""The form of a fit: a fleet found from recordings, as `model fit` writes it."""
+"""File format of a fit: a fleet estimated from recordings, as `model fit` writes it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FittedCustomer(msgspec.Struct, frozen=True):
-    """A customer with the spells of its rate."""
+    """A customer with the spells of constant rate that its demand is cut into."""
 
     name: str
     plan: str
@@ -36,7 +36,7 @@
 
 
 class FittedPlan(msgspec.Struct, frozen=True):
-    """A plan as the gateways know it, and its share of the requests."""
+    """A plan with the gateways' settings of it, and its share of the requests."""
 
     name: str
     share: float
@@ -48,7 +48,7 @@
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """A fleet that days can be drawn from."""
+    """A fitted fleet, from which runs are drawn."""
 
     version: int = msgspec.field(name="form")
     gateways: int
@@ -62,9 +62,9 @@
     speed_cv: float
     guess_cv: float
     unit_ms: float
-    draws: tuple[dict[str, float], ...]  # parameters of fleets that resembled the recording
-    recorded: dict[str, float]  # the summary that was compared
-    played: dict[str, tuple[float, float]]  # the same of the accepted draws: mean, standard deviation
+    draws: tuple[dict[str, float], ...]  # parameters whose runs resembled the recording
+    recorded: dict[str, float]  # summary of the recording
+    played: dict[str, tuple[float, float]]  # summary of the accepted draws: mean, standard deviation
     problems: tuple[str, ...] = msgspec.field(name="trouble", default=())
 
 
@@ -74,15 +74,18 @@
 
 
 def decode_fit(data: bytes) -> Fit:
-    """Return the fit of a file's content.
+    """Decode a fit from the content of its file.
 
     Raises:
-        ValueError: the data is no fit, is of another version, or has no draws.
+        ValueError: the data is not a fit, has another version, or has no draws.
     """
     try:
         found: Fit = msgspec.json.decode(data, type=Fit)
     except msgspec.DecodeError as error:
-        raise ValueError(f"this is no fit: {error}") from None
+        raise ValueError(f"file is not a fit: {error}") from None
     if found.version != FORMAT_VERSION or not found.draws:
-        raise ValueError("this fit is of another form, or holds no draws")
+        raise ValueError(
+            f"fit must have version {FORMAT_VERSION} and draws, "
+            f"got version {found.version} with {len(found.draws)} draws"
+        )
     return found
--- a/mapleshunt/simulation/plots.py
+++ b/mapleshunt/simulation/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of experiments. Matplotlib is loaded only when one is drawn."""
+"""Plots of experiments. Matplotlib is imported only when a plot is drawn."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     return pyplot
 
 
-def _finite(low: float, high: float, mean: float) -> tuple[float, float]:
-    ends = (mean - low, high - mean)
-    return ends if all(abs(one) < float("inf") for one in ends) else (0.0, 0.0)
+def _error_bar(low: float, high: float, mean: float) -> tuple[float, float]:
+    lengths = (mean - low, high - mean)
+    return lengths if all(abs(length) < float("inf") for length in lengths) else (0.0, 0.0)
 
 
 def sweep(points: Sequence[SweepPoint], figure: str, title: str, file: Path) -> None:
-    """A line with error bars for one setting, a map of means for two."""
+    """Plot a sweep: a line with error bars over one setting, a heat map of means over two."""
     plt = _pyplot()
     keys = list(points[0].settings)
     fig, axes = plt.subplots(figsize=(7, 4.2), constrained_layout=True)
-    good = [one for one in points if figure in one.figures]
+    measured = [point for point in points if figure in point.figures]
     if len(keys) == 1:
-        means = [one.figures[figure] for one in good]
-        bars = [_finite(m.low, m.high, m.mean) for m in means]
+        means = [point.figures[figure] for point in measured]
+        bars = [_error_bar(m.low, m.high, m.mean) for m in means]
         axes.errorbar(
-            [one.settings[keys[0]] for one in good],
+            [point.settings[keys[0]] for point in measured],
             [m.mean for m in means],
             yerr=list(zip(*bars, strict=True)) or None,
             marker="o",
@@ -41,14 +41,14 @@
         )
         axes.set_ylabel(figure)
     else:
-        xs, ys = (sorted({one.settings[key] for one in good}) for key in keys)
+        xs, ys = (sorted({point.settings[key] for point in measured}) for key in keys)
         grid = [
             [
                 next(
                     (
-                        o.figures[figure].mean
-                        for o in good
-                        if o.settings[keys[0]] == x and o.settings[keys[1]] == y
+                        p.figures[figure].mean
+                        for p in measured
+                        if p.settings[keys[0]] == x and p.settings[keys[1]] == y
                     ),
                     float("nan"),
                 )
@@ -71,7 +71,7 @@
 
 
 def comparison(found: Comparison, names: tuple[str, str], title: str, file: Path) -> None:
-    """Differences of service's parts and penalties with their intervals, in points of a hundred."""
+    """Plot the differences of service, its parts and the penalties as intervals, in percentage points."""
     plt = _pyplot()
     keys = [
         k
@@ -80,9 +80,9 @@
     ][::-1]
     fig, axes = plt.subplots(figsize=(7, 4.2), constrained_layout=True)
     rows = [found.difference[key] for key in keys]
-    bars = [_finite(one.low, one.high, one.mean) for one in rows]
+    bars = [_error_bar(row.low, row.high, row.mean) for row in rows]
     axes.errorbar(
-        [100 * one.mean for one in rows],
+        [100 * row.mean for row in rows],
         range(len(keys)),
         xerr=[[100 * b[0] for b in bars], [100 * b[1] for b in bars]],
         fmt="o",
--- a/mapleshunt/simulation/recorded_traffic.py
+++ b/mapleshunt/simulation/recorded_traffic.py
@@ -1,7 +1,7 @@
-"""What recordings of several gateways say together: first tries, attempts, coverage.
+"""The recordings of a fleet's gateways, merged: requests, their upstream attempts, and the coverage.
 
-Clients' repeats are effects of the answers of that day, not causes: they are told apart here by their marks,
-so that a replay takes first tries only and lets the model's clients make their own repeats.
+Clients' retries are caused by the responses of the recorded run. They are marked as retries, so that a replay
+takes first attempts only and lets the simulated clients make their own retries.
 """
 
 from __future__ import annotations
@@ -18,21 +18,20 @@
 from ..recording.file_format import RecordedRequest
 
 Floats = npt.NDArray[np.float64]
-Received = tuple[
-    list[tuple[RecordedRequest, int]], Floats
-]  # (row, server) of served attempts, and the work of each
+# The request and endpoint of each served attempt, and the work of each.
+ServedWork = tuple[list[tuple[RecordedRequest, int]], Floats]
 
 
 class RecordedTrafficError(ValueError):
-    """Recordings that cannot be put together, or hold too little; the text is for the operator."""
+    """Recordings cannot be merged or contain too little; the text is for the operator."""
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Rows of all recordings by time, `at` in ms since the first; whose they are and what is missing."""
+    """The requests of all recordings in order of arrival, and which gateways recorded them."""
 
     rows: list[RecordedRequest]
-    owner: list[int]  # the gateway of each row
+    recorded_by: list[int]  # the gateway of each row
     begin: float  # Unix ms
     length: float  # ms
     gateways: int
@@ -41,97 +40,113 @@
 
     @property
     def coverage(self) -> float:
+        """Return the share of the gateways whose recordings are here."""
         return len(self.recorded) / self.gateways
 
-    def firsts(self) -> list[RecordedRequest]:
+    def first_attempts(self) -> list[RecordedRequest]:
+        """Return the requests that are no retries of a client."""
         return [row for row in self.rows if not row.is_retry]
 
 
 def read_recordings(files: Sequence[Path]) -> Traffic:
-    """Read the recordings of one fleet. Raises `BadTraffic`, `RecordingError`, OSError."""
-    held: dict[int, list[RecordedRequest]] = {}
-    trouble, sizes = list[str](), set[int]()
+    """Read and merge the recordings of a fleet.
+
+    Raises:
+        RecordedTrafficError: the recordings do not fit together or contain too little.
+        RecordingError: a file is not a recording.
+        OSError: a file cannot be read.
+    """
+    rows_by_gateway: dict[int, list[RecordedRequest]] = {}
+    problems, sizes = list[str](), set[int]()
     for file in files:
-        one = form.read_recording(file.read_bytes())
-        trouble += [f"{file.name}: {line}" for line in one.problems]
-        sizes.add(one.gateways)
-        held.setdefault(one.gateway, []).extend(one.rows)
+        recording = form.read_recording(file.read_bytes())
+        problems += [f"{file.name}: {line}" for line in recording.problems]
+        sizes.add(recording.gateways)
+        rows_by_gateway.setdefault(recording.gateway, []).extend(recording.rows)
     if len(sizes) != 1:
         raise RecordedTrafficError(
             f"the recordings are of fleets of different sizes: {sorted(sizes)} gateways"
         )
-    if not any(held.values()):
-        raise RecordedTrafficError("the recordings hold no requests")
-    # Rings of different ages: only the time that all of them cover can be put together.
-    begin = max(rows[0].arrived_at for rows in held.values() if rows)
-    end = min(rows[-1].arrived_at for rows in held.values() if rows)
+    if not any(rows_by_gateway.values()):
+        raise RecordedTrafficError("the recordings contain no requests")
+    # The recordings are ring buffers that reach back differently far: only the time that all cover is used.
+    begin = max(rows[0].arrived_at for rows in rows_by_gateway.values() if rows)
+    end = min(rows[-1].arrived_at for rows in rows_by_gateway.values() if rows)
     if end - begin < 1000:
-        raise RecordedTrafficError("the recordings have less than a second in common")
+        raise RecordedTrafficError(
+            f"the recordings must overlap by at least 1 s, got {(end - begin) / 1000:.3f} s"
+        )
     pairs = sorted(
-        ((row, owner) for owner, rows in held.items() for row in rows if begin <= row.arrived_at <= end),
+        (
+            (row, gateway)
+            for gateway, rows in rows_by_gateway.items()
+            for row in rows
+            if begin <= row.arrived_at <= end
+        ),
         key=lambda pair: pair[0].arrived_at,
     )
     return Traffic(
         [row for row, _ in pairs],
-        [owner for _, owner in pairs],
+        [gateway for _, gateway in pairs],
         begin,
         end - begin,
         sizes.pop(),
-        tuple(sorted(held)),
-        trouble,
+        tuple(sorted(rows_by_gateway)),
+        problems,
     )
 
 
-def received(traffic: Traffic, cores: float) -> Received:
-    """Work that each served attempt got, in ms of a core: [(row, server)], and the work.
+def served_work(traffic: Traffic, cores: float) -> ServedWork:
+    """Return the served attempts with the work that each received, in ms of a core.
 
-    Nobody records how fast a till server is, only how long answers took. Its cores are shared evenly, so an
-    attempt that was there with n others for a while got min(1, cores / n) of a core in that time. What
-    gateways that did not record had out is reckoned by the coverage.
+    Recordings contain the duration of attempts, not the speed of a backend. A backend's cores are shared
+    evenly, so each of n attempts in flight receives min(1, cores / n) of a core. The attempts of gateways
+    without a recording are estimated from the coverage.
     """
     events: dict[int, list[tuple[float, int, int]]] = {}
     attempts: list[tuple[RecordedRequest, int, float, float, str]] = []
     for row in traffic.rows:
-        for one in row.attempts:
-            if one.status in ("ok", "error", "timeout", "cancelled", "reset"):
-                begin = row.arrived_at + one.sent_after_ms
+        for attempt in row.attempts:
+            if attempt.status in ("ok", "error", "timeout", "cancelled", "reset"):
+                begin = row.arrived_at + attempt.sent_after_ms
                 number = len(attempts)
-                attempts.append((row, one.endpoint, begin, begin + one.duration_ms, one.status))
-                events.setdefault(one.endpoint, []).extend(
-                    [(begin, 1, number), (begin + one.duration_ms, -1, number)]
+                attempts.append((row, attempt.endpoint, begin, begin + attempt.duration_ms, attempt.status))
+                events.setdefault(attempt.endpoint, []).extend(
+                    [(begin, 1, number), (begin + attempt.duration_ms, -1, number)]
                 )
     work = np.zeros(len(attempts))
     scale = 1 / traffic.coverage
-    for there in events.values():
-        there.sort()
-        out: set[int] = set()
+    for changes in events.values():
+        changes.sort()
+        in_flight: set[int] = set()
         done, at = 0.0, 0.0
         starts: dict[int, float] = {}
-        for when, step, number in there:
-            if out:
-                held = max(1.0, 1 + (len(out) - 1) * scale)
-                done += (when - at) * min(1.0, cores / held)
+        for when, step, number in changes:
+            if in_flight:
+                concurrency = max(1.0, 1 + (len(in_flight) - 1) * scale)
+                done += (when - at) * min(1.0, cores / concurrency)
             at = when
             if step > 0:
-                out.add(number)
+                in_flight.add(number)
                 starts[number] = done
             else:
-                out.discard(number)
+                in_flight.discard(number)
                 work[number] = done - starts.pop(number)
-    good = [n for n, one in enumerate(attempts) if one[4] == "ok" and work[n] > 0]
-    return [(attempts[n][0], attempts[n][1]) for n in good], work[good]
+    served = [n for n, attempt in enumerate(attempts) if attempt[4] == "ok" and work[n] > 0]
+    return [(attempts[n][0], attempts[n][1]) for n in served], work[served]
 
 
-def segments(counts: npt.NDArray[np.int64], penalty: float = 4.0) -> Floats:
-    """A piecewise constant rate per step behind Poisson counts, by binary segmentation.
+def segment_rates(counts: npt.NDArray[np.int64], penalty: float = 4.0) -> Floats:
+    """Return the piecewise constant rate per step that fits Poisson counts, by binary segmentation.
 
-    A cut is kept where it raises the log likelihood by more than `penalty` times the log of the length over 2
-    (Bayesian information criterion, with a factor): what lies between cuts is chance; a replay draws its own.
+    A cut is kept if it raises the log likelihood by more than `penalty` times the log of the length over 2
+    (Bayesian information criterion, with a factor). Variation between cuts counts as noise, which a replay
+    draws anew.
     """
     sums = np.concatenate([[0], np.cumsum(counts)]).astype(float)
     rate = np.zeros(len(counts))
     stack = [(0, len(counts))]
-    least = penalty * np.log(max(2, len(counts))) / 2
+    min_gain = penalty * np.log(max(2, len(counts))) / 2
 
     def likelihood(total: Any, steps: Any) -> Any:
         total, steps = np.asarray(total, dtype=float), np.asarray(steps, dtype=float)
@@ -149,7 +164,7 @@
                 - likelihood(total, end - begin)
             )
             best = int(np.argmax(gain))
-            if gain[best] > least:
+            if gain[best] > min_gain:
                 stack += [(begin, int(cuts[best])), (int(cuts[best]), end)]
                 continue
         rate[begin:end] = total / (end - begin)
--- a/mapleshunt/simulation/validation.py
+++ b/mapleshunt/simulation/validation.py
@@ -1,8 +1,8 @@
-"""Does the model predict what real gateways do? Days on loopback against the model's own bars.
+"""Validation of the model: runs of real gateways on loopback against the model's prediction intervals.
 
-An installation is drawn once. One day of it is played on sockets and recorded by its gateways; a world is
-fitted to that recording alone. Then other days are played on sockets, with other traffic and with troubles,
-and each is held against what the fitted model foretold of it, which knows the troubles and not the traffic.
+An installation is drawn once. One run of it on sockets is recorded by its gateways, and a fleet is fitted to
+that recording alone. Further runs on sockets have other traffic and faults; each is compared with the
+prediction of the fitted model, which has the faults of that run but not its traffic.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from .stats import prediction
 from .variants import Variant
 
-RECORDED_SCENARIO = "quiet"  # the kind of day that is recorded
-PREDICTED_SCENARIOS = ("quiet", "payday", "crash", "roll", "counter", "silent")  # those that are foretold
-MAX_SERVICE_INTERVAL = 0.06  # of the bar on service
+RECORDED_SCENARIO = "quiet"
+PREDICTED_SCENARIOS = ("quiet", "payday", "crash", "roll", "counter", "silent")
+MAX_SERVICE_INTERVAL = 0.06  # width of the prediction interval of service
 PREDICTION_LEVEL = 0.9
-SKIPPED_PENALTIES = ("probes", "counter")  # of which the program makes none
+SKIPPED_PENALTIES = ("probes", "counter")  # the gateways never incur these
 
 
 @dataclass(slots=True)
 class ValidationLine:
-    """One figure of one day: what was foretold and what was."""
+    """One figure of one run: its prediction interval and its measured value."""
 
     kind: str
     seed: int
@@ -45,43 +45,55 @@
 
     @property
     def inside(self) -> bool:
+        """Return whether the measured value lies in the prediction interval."""
         return self.low <= self.real <= self.high
 
 
 @dataclass(slots=True)
 class ValidationReport:
+    """The compared figures of all runs, the runs that failed, and the fit."""
+
     lines: list[ValidationLine] = field(default_factory=list)
     errors: list[str] = field(default_factory=list)
     fit: Fit | None = None
 
     def figures(self) -> list[str]:
+        """Return the names of the figures, in their order."""
         return list(dict.fromkeys(line.figure for line in self.lines))
 
     def days(self) -> list[tuple[str, int]]:
+        """Return the scenario and seed of each compared run."""
         return list(dict.fromkeys((line.kind, line.seed) for line in self.lines))
 
     def days_within(self, figure: str) -> int:
+        """Return how many runs have a figure inside its prediction interval."""
         return sum(line.inside for line in self.lines if line.figure == figure)
 
     def widest_interval(self) -> float:
+        """Return the width of the widest prediction interval of service."""
         return max((line.high - line.low for line in self.lines if line.figure == "service"), default=0.0)
 
-    def passed(self, least: float = 0.8) -> bool:
-        """Each figure inside its bars on at least so many days, and no bar on service too wide."""
+    def passed(self, min_share: float = 0.8) -> bool:
+        """Return whether the model is accepted.
+
+        Each figure must be inside its interval in at least `min_share` of the runs, and no interval of
+        service may be wider than `MAX_SERVICE_INTERVAL`.
+        """
         days = len(self.days())
         return (
             bool(days)
             and self.widest_interval() <= MAX_SERVICE_INTERVAL
-            and all(self.days_within(figure) >= least * days for figure in self.figures())
+            and all(self.days_within(figure) >= min_share * days for figure in self.figures())
         )
 
 
-# Plays a day on sockets, recording into a folder if one is given. The rig imports the model: it is handed in.
-PlayDay = Callable[[Scenario, int, Path | None], Score]
+# Runs a scenario on sockets, recording into a folder if one is given. A parameter, because the testbed
+# imports the simulation.
+RunOnSockets = Callable[[Scenario, int, Path | None], Score]
 
 
 def validate_model(
-    play: PlayDay,
+    run_on_sockets: RunOnSockets,
     folder: Path,
     days: int = 10,
     seed: int = 1,
@@ -90,33 +102,49 @@
     servers: int = 16,
     draws: int = 96,
     keep: int = 16,
-    foretold: int = 39,
-    at_once: int = 4,
+    simulations: int = 39,
+    parallel_runs: int = 4,
     jobs: int = -1,
-    say: Callable[[str], None] = lambda line: None,
+    report_progress: Callable[[str], None] = lambda line: None,
 ) -> ValidationReport:
-    """Record, fit, foretell and compare. `at_once`: rigs that run side by side."""
+    """Record a run, fit the model to it, predict further runs and compare them.
+
+    Args:
+        run_on_sockets: runs a scenario with real gateways.
+        folder: for the recordings.
+        days: number of runs that are predicted.
+        seed: of the installation, the runs and the fit.
+        seconds: length of each run.
+        gateways: number of gateways.
+        servers: number of backends.
+        draws: draws of the parameter search.
+        keep: accepted draws.
+        simulations: simulated runs for each prediction.
+        parallel_runs: testbeds that run at the same time.
+        jobs: parallel processes of the simulation.
+        report_progress: called with a line of text at each stage.
+    """
     base = replace(
         resized(SCENARIOS[RECORDED_SCENARIO], gateways, servers, seconds=seconds), installation_seed=seed
     )
-    first = seed * 1000
+    first_seed = seed * 1000
     folder.mkdir(parents=True, exist_ok=True)
-    say(f"playing and recording a {RECORDED_SCENARIO} day")
-    play(base, first, folder)
-    day = draw_run(base, first)
+    report_progress(f"recording a run of {RECORDED_SCENARIO} on sockets")
+    run_on_sockets(base, first_seed, folder)
+    recorded_run = draw_run(base, first_seed)
     traffic = recorded.read_recordings(sorted(folder.glob("*.rec")))
-    say(f"fitting a world to {len(traffic.rows)} requests")
+    report_progress(f"fitting a fleet to {len(traffic.rows)} requests")
     fit = fit_fleet(
         traffic,
-        plans_of(day),
-        {c.name: c.priority_weight for c in day.parameters.classes},
+        plans_of(recorded_run),
+        {c.name: c.priority_weight for c in recorded_run.parameters.classes},
         servers,
-        {"cores": day.parameters["cores"]},
+        {"cores": recorded_run.parameters["cores"]},
         Search(draws, keep, seed, jobs),
     )
-    result = ValidationReport(fit=fit)
+    report = ValidationReport(fit=fit)
     kinds = [PREDICTED_SCENARIOS[n % len(PREDICTED_SCENARIOS)] for n in range(days)]
-    tests = [
+    predicted_runs = [
         (
             replace(
                 SCENARIOS[kind],
@@ -126,28 +154,33 @@
                 installation_seed=seed,
                 load=base.load,
             ),
-            first + 1 + n,
+            first_seed + 1 + n,
         )
         for n, kind in enumerate(kinds)
     ]
-    say(f"playing {days} days on sockets, {at_once} at once")
-    real = Parallel(n_jobs=at_once)(delayed(_played)(play, scenario, number) for scenario, number in tests)
-    say(f"foretelling each by {foretold} days of the model")
-    for (scenario, number), found in zip(tests, real, strict=True):
-        if isinstance(found, str):
-            result.errors.append(f"{scenario.name}, seed {number}: {found}")
+    report_progress(f"running {days} scenarios on sockets, {parallel_runs} at a time")
+    outcomes = Parallel(n_jobs=parallel_runs)(
+        delayed(_run_or_error)(run_on_sockets, scenario, number) for scenario, number in predicted_runs
+    )
+    report_progress(f"predicting each run with {simulations} simulations")
+    for (scenario, number), outcome in zip(predicted_runs, outcomes, strict=True):
+        if isinstance(outcome, str):
+            report.errors.append(f"{scenario.name}, seed {number}: {outcome}")
             continue
-        known = draw_run(scenario, number).faults
-        told = scenario_from(fit, replace(scenario, fault_plan=lambda rng, s, known=known: list(known)))  # type: ignore[misc]
-        seeds = range(10**6 + 1000 * number, 10**6 + 1000 * number + foretold)
-        model = [one.score for one in run_seeds(told, seeds, Variant("here", "here"), 0, jobs) if one.score]
-        result.lines += compare_with_prediction(scenario.name, number, model, found)
-    return result
+        known_faults = draw_run(scenario, number).faults
+        predicted = scenario_from(
+            fit,
+            replace(scenario, fault_plan=lambda rng, s, known=known_faults: list(known)),  # type: ignore[misc]
+        )
+        seeds = range(10**6 + 1000 * number, 10**6 + 1000 * number + simulations)
+        model = [r.score for r in run_seeds(predicted, seeds, Variant("here", "here"), 0, jobs) if r.score]
+        report.lines += compare_with_prediction(scenario.name, number, model, outcome)
+    return report
 
 
-def _played(play: PlayDay, scenario: Scenario, seed: int) -> Score | str:
+def _run_or_error(run_on_sockets: RunOnSockets, scenario: Scenario, seed: int) -> Score | str:
     try:
-        return play(scenario, seed, None)
+        return run_on_sockets(scenario, seed, None)
     except Exception as error:
         return f"{type(error).__name__}: {error}"
 
@@ -155,11 +188,13 @@
 def compare_with_prediction(
     kind: str, seed: int, model: Sequence[Score], real: Score
 ) -> list[ValidationLine]:
-    """A line for service and for each penalty that the program can have."""
+    """Return a line for service and one for each penalty that the gateways can incur."""
     lines = []
     for name in ("service", *(n for n in real.penalties if n not in SKIPPED_PENALTIES)):
-        values = [one.service if name == "service" else one.penalties[name] for one in model]
-        bar = prediction(values, PREDICTION_LEVEL)
-        found = real.service if name == "service" else real.penalties[name]
-        lines.append(ValidationLine(kind, seed, name, bar.low, bar.mean, bar.high, found))
+        values = [score.service if name == "service" else score.penalties[name] for score in model]
+        predicted = prediction(values, PREDICTION_LEVEL)
+        measured = real.service if name == "service" else real.penalties[name]
+        lines.append(
+            ValidationLine(kind, seed, name, predicted.low, predicted.mean, predicted.high, measured)
+        )
     return lines
--- a/tests/test_checkouts.py
+++ b/tests/test_checkouts.py
@@ -1,4 +1,4 @@
-"""Checkouts of a former layout, whose types are translated, and former names of settings and constants."""
+"""Checkouts of the former layout, whose types are translated, and former names of settings and constants."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 """
 
 
-def test_checkout_of_the_former_layout_is_played_by_translating_its_types(tmp_path: Path) -> None:
+def test_checkout_of_the_former_layout_runs_with_translated_types(tmp_path: Path) -> None:
     package = tmp_path / "mapleshunt"
     package.mkdir()
     for name, text in (("__init__", ""), ("interface", INTERFACE), ("control", CONTROL)):
@@ -89,21 +89,21 @@
     assert rejected == RejectRequest(3, 40.0) and rejected.reason is RejectReason.ATTEMPTS_FAILED
 
 
-def test_former_names_are_accepted_and_the_names_of_now_are_said_once(
+def test_former_names_are_accepted_and_current_names_reported_once(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert parse_pair("tip_over=3") == ("overload_crash_multiple", 3)
     assert parse_pair("tip_over=4") == ("overload_crash_multiple", 4)
     assert parse_pair("STRETCH=2.5") == ("MAX_STRETCH_OVER_BEST", 2.5)
-    said = capsys.readouterr().err.splitlines()
-    assert said == [
+    reported = capsys.readouterr().err.splitlines()
+    assert reported == [
         "tip_over is now called overload_crash_multiple",
         "STRETCH is now called MAX_STRETCH_OVER_BEST",
     ]
 
 
-def test_each_former_name_stands_for_a_setting_or_constant_of_now() -> None:
+def test_each_former_name_maps_to_a_current_setting_or_constant() -> None:
     for former in (*checkouts.SETTINGS.values(), *checkouts.CONSTANTS):
-        if former not in ("me", "instances"):  # the simulation sets them
+        if former not in ("me", "instances"):  # the simulation sets these
             key, _ = parse_pair(f"{former}=1")
             assert key != former
