--- a/mapleshunt/simulation/gateway_leases.py
+++ b/mapleshunt/simulation/gateway_leases.py
@@ -1,4 +1,4 @@
-"""Quota leases of a simulated gateway: what it leases ahead of demand, and the requests that wait for it."""
+"""Quota leases of a simulated gateway: acquisition ahead of demand, and requests that wait for a lease."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from ..replication.placement import group_of_customer
 from .engine import Engine
 
-# These three are as in net/leases.py.
+# The same values as in net/replication/.
 MIN_LEASE_TERM_MS = 2000.0
 MAX_LEASE_TERM_MS = 10_000.0
-MAX_REQUEST_WAIT_MS = 100.0  # for its customer's lease
-TICK_INTERVAL_MS = 50.0  # between two checks of which leases are due
+MAX_REQUEST_WAIT_MS = 100.0  # for the lease of its customer
+TICK_INTERVAL_MS = 50.0  # between checks for due leases and expired waits
 OPERATION_TIMEOUTS_MS = {commands.AcquireLease: 1000.0, commands.ReturnLease: 2000.0}
-DEFAULT_TIMEOUT_MS = 60_000.0  # of all other operations, which settle units that were used
-SESSION_TIMEOUT_MS = 1e9  # of opening a session: beyond every day
-RESULT_WINDOW = 32  # operations of a session whose results may still be wanted
+DEFAULT_TIMEOUT_MS = 60_000.0  # of all other operations, which settle used units
+SESSION_TIMEOUT_MS = 1e9  # of opening a session: longer than any run
+RESULT_WINDOW = 32  # latest operations of a session whose results are kept
 
 
 @dataclass(eq=False)
 class PendingCall:
-    """An operation of a gateway's session that is not answered yet."""
+    """An operation of a gateway's session that has no result yet."""
 
     gateway: int
     epoch: int
@@ -45,7 +45,7 @@
 
     deadline: float
     request: RequestReceived
-    since: float
+    waiting_since: float
 
 
 class GatewayLeases:
@@ -64,9 +64,9 @@
         Args:
             engine: runs the gateway.
             number: the gateway.
-            groups: how many Raft groups hold the customers' quotas.
-            call: sends an operation to its group; `apply_result` gets what came of it.
-            admit: hands a request that has waited to its gateway.
+            groups: number of Raft groups that the customers' quotas are distributed over.
+            call: sends an operation to its group; its result is passed to `apply_result`.
+            admit: delivers a request that has waited to its gateway.
         """
         self._engine = engine
         self._number = number
@@ -83,7 +83,7 @@
             self._take_debt,
         )
         self._waiting: dict[str, list[WaitingRequest]] = {}  # by customer, the oldest first
-        self._responsive = True  # the group that was called last responded
+        self._responsive = True  # whether the last call had a result
         self._plans: dict[str, str] = {}  # by customer
         self._operation_counts: dict[int, int] = {}  # of the session with each group
         self._awaiting_session: dict[int, list[ProposeOperation]] = {}  # by group
@@ -115,7 +115,7 @@
         return engine.gateways[number] is not None and engine.epochs[number] == self._epoch
 
     def hold_request(self, plan: Plan, request: RequestReceived) -> bool:
-        """Lease units for a request, and return whether it waits here for them."""
+        """Lease units for a request, and return whether the request has to wait for them."""
         customer, now = request.customer, self._engine.now()
         if not plan.rate:
             return False
@@ -133,7 +133,7 @@
         return False
 
     def _resume(self, customer: str) -> None:
-        """Admit the requests of a customer that wait, as far as its leases reach or their wait is over."""
+        """Admit a customer's waiting requests that its leases cover or whose wait is over."""
         now, waiting = self._engine.now(), self._waiting.pop(customer, [])
         while waiting:
             first = waiting[0]
@@ -141,12 +141,12 @@
             if now < first.deadline and self._usable(customer, now) < request.units:
                 self._apply_actions(self._lease_holder.request_more(now, customer, request.units))
                 if self._lease_holder.is_waiting(now, customer, request.units):
-                    # Requests may have begun to wait since: these came first.
+                    # Requests may have begun to wait in the meantime; these arrived earlier.
                     self._waiting[customer] = waiting + self._waiting.pop(customer, [])
                     return
             del waiting[0]
             if request.request_id in self._engine.open_requests[self._number]:
-                remaining_time = request.remaining_time - now + first.since
+                remaining_time = request.remaining_time - now + first.waiting_since
                 self._admit(self._number, replace(request, remaining_time=remaining_time))
 
     def _tick(self) -> None:
@@ -175,7 +175,7 @@
             self._engine.deliver_event(self._number, granted)
 
     def _propose(self, proposal: ProposeOperation) -> None:
-        """Call the customer's group, once this gateway's session with it is open."""
+        """Call the customer's group, after this gateway's session with it is open."""
         group = group_of_customer(proposal.customer, self._groups)
         session = f"{self._number}.{self._epoch}.{group}"
         if group not in self._operation_counts:
@@ -201,7 +201,7 @@
         self._call(PendingCall(self._number, self._epoch, group, data, proposal, deadline))
 
     def apply_result(self, call: PendingCall, result: Result | None) -> None:
-        """Take the result of a call, or None if its deadline passed."""
+        """Apply the result of a call; None if its deadline has passed."""
         if not self.is_active():
             return
         if call.group in self._awaiting_session:
--- a/mapleshunt/simulation/history_checker.py
+++ b/mapleshunt/simulation/history_checker.py
@@ -1,7 +1,7 @@
-"""Checks a history of calls and results against the guarantees of replication, whatever failed. No I/O.
+"""Checks of a history of calls and results against the guarantees of replication. No I/O.
 
-An acknowledged call is neither lost nor applied twice, and a read is explained by an order in which every
-call lies between its start and its end.
+Whatever failed, an acknowledged call is neither lost nor applied twice, and reads are consistent with an
+order in which each call takes effect between its start and its end.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from ..replicated_state.results import Applied, LeaseGranted
 
 RELATIVE_TOLERANCE = 1e-6  # of sums of units
-READ_OF_BUCKET = "store "  # begins the operation of a read of a customer's bucket, as it is sent
+BUCKET_READ_PREFIX = "store "  # of the operation that reads a customer's bucket, as it is sent
 MS_PER_SECOND = 1000
 
 LeaseKey = tuple[str, int]  # customer, lease id
@@ -23,10 +23,10 @@
 
 @dataclass
 class HistoryEvent:
-    """A call of a session: a command, or the name of what was read. Times are in s.
+    """A call of a session: a command, or the text of a read. Times are in s.
 
     `operation` and `result` are any of the commands and results of `replicated_state`, hence untyped.
-    `ended_at` is 0 until the call was answered.
+    `ended_at` is 0 until the call has a result.
     """
 
     session: str
@@ -46,7 +46,11 @@
         burst: The burst of every bucket.
     """
     events = list(history)
-    found = [f"{e.session} {e.number} was never answered: {e.operation}" for e in events if not e.ended_at]
+    found = [
+        f"call {e.number} of session {e.session} was never answered: {e.operation}"
+        for e in events
+        if not e.ended_at
+    ]
     found += check_counts(events, final)
     found += check_leases(events, burst)
     found += check_records(events, final)
@@ -55,25 +59,25 @@
 
 
 def check_counts(events: list[HistoryEvent], final: Mapping[str, Any]) -> list[str]:
-    """Check that the usage of each customer is the sum of what was acknowledged."""
+    """Check that the usage of each customer is the sum of the acknowledged counts."""
     acknowledged: dict[str, float] = defaultdict(float)
     for event in events:
         if isinstance(event.operation, CountUsage) and isinstance(event.result, Applied):
             acknowledged[event.operation.customer] += event.operation.units
     found = []
     for customer, units in acknowledged.items():
-        state = final.get(f"{READ_OF_BUCKET}{customer}")
-        held = state.counted_usage if state is not None else 0.0
-        if abs(held - units) > RELATIVE_TOLERANCE * max(1.0, units):
-            found.append(f"use of {customer}: {units:g} was acknowledged, {held:g} is held")
+        state = final.get(f"{BUCKET_READ_PREFIX}{customer}")
+        stored = state.counted_usage if state is not None else 0.0
+        if abs(stored - units) > RELATIVE_TOLERANCE * max(1.0, units):
+            found.append(f"usage of {customer}: {units:g} was acknowledged, {stored:g} is stored")
     return found
 
 
 def check_leases(events: list[HistoryEvent], burst: float) -> list[str]:
-    """Check that each lease was granted once, and that leases never sum up to more than the burst.
+    """Check that each lease was granted once, and that a customer's leases never exceed the burst in sum.
 
-    A holder may spend from its result on, until the lease's term after its call by its own clock, or until it
-    returns the lease; the state machine counts the lease for longer.
+    A holder may use a lease from the result on, until the lease's term after its call by its own clock, or
+    until it returns the lease. The state machine counts the lease for longer.
     """
     found: list[str] = []
     granted: dict[LeaseKey, HistoryEvent] = {}
@@ -99,20 +103,22 @@
 
 
 def _check_lease_sums(changes: Mapping[str, list[tuple[float, float]]], burst: float) -> list[str]:
-    """Check each customer's leases, as changes of their sum; the first excess is described."""
+    """Check the sum of each customer's leases, given its changes; only the first excess is described."""
     found = []
     for customer, steps in changes.items():
-        held = 0.0
+        leased = 0.0
         for when, units in sorted(steps):
-            held += units
-            if held > burst + RELATIVE_TOLERANCE:
-                found.append(f"leases of {customer} come to {held:g} at {when:.3f}, of {burst:g}")
+            leased += units
+            if leased > burst + RELATIVE_TOLERANCE:
+                found.append(
+                    f"leases of {customer} sum to {leased:g} at {when:.3f} s, more than the burst {burst:g}"
+                )
                 break
     return found
 
 
 def check_records(events: list[HistoryEvent], final: Mapping[str, Any]) -> list[str]:
-    """Check that each version of a record was set once, and that the last one is held."""
+    """Check that each version of a record was set once, and that the last one is stored."""
     found = []
     versions: dict[str, dict[float, HistoryEvent]] = defaultdict(dict)
     for event in events:
@@ -123,12 +129,12 @@
     for key, by_version in versions.items():
         state, last = final.get(f"record {key}"), max(by_version)
         if state is None or state.version != last or state.value != by_version[last].operation.value:
-            found.append(f"record {key}: version {last:g} was acknowledged, {state} is held")
+            found.append(f"record {key}: version {last:g} was acknowledged, {state} is stored")
     return found
 
 
 def check_reads(events: list[HistoryEvent]) -> list[str]:
-    """Check reads of usage: at least all acknowledged before, at most all started before their end."""
+    """Check reads of usage: at least all counts acknowledged before, at most all started before their end."""
     found = []
     for read in events:
         customer = _bucket_read(read)
@@ -137,17 +143,23 @@
         counts = [
             e for e in events if isinstance(e.operation, CountUsage) and e.operation.customer == customer
         ]
-        least = sum(e.operation.units for e in counts if e.ended_at and e.ended_at < read.started_at)
-        most = sum(e.operation.units for e in counts if e.started_at < read.ended_at)
-        held = read.result.counted_usage if read.result is not None else 0.0
-        if not least - RELATIVE_TOLERANCE * max(1, least) <= held <= most + RELATIVE_TOLERANCE * max(1, most):
-            found.append(f"a read of {customer} says {held:g}, not between {least:g} and {most:g}")
+        lower_bound = sum(e.operation.units for e in counts if e.ended_at and e.ended_at < read.started_at)
+        upper_bound = sum(e.operation.units for e in counts if e.started_at < read.ended_at)
+        usage = read.result.counted_usage if read.result is not None else 0.0
+        if (
+            not lower_bound - RELATIVE_TOLERANCE * max(1, lower_bound)
+            <= usage
+            <= upper_bound + RELATIVE_TOLERANCE * max(1, upper_bound)
+        ):
+            found.append(
+                f"a read of {customer} says {usage:g}, not between {lower_bound:g} and {upper_bound:g}"
+            )
     return found
 
 
 def _bucket_read(event: HistoryEvent) -> str | None:
     """Return the customer whose bucket an answered call read, or None."""
     operation = event.operation
-    if not isinstance(operation, str) or not operation.startswith(READ_OF_BUCKET) or not event.ended_at:
+    if not isinstance(operation, str) or not operation.startswith(BUCKET_READ_PREFIX) or not event.ended_at:
         return None
     return operation.partition(" ")[2]
--- a/mapleshunt/simulation/replica_cluster.py
+++ b/mapleshunt/simulation/replica_cluster.py
@@ -1,7 +1,7 @@
-"""Raft groups of a simulated fleet: the replicas at the gateways, their disks and links, in virtual time.
+"""Raft groups of a simulated fleet: replicas at the gateways, their disks and connections, in virtual time.
 
-What decides is the program's own `replication.node` and `replicated_state`. A link loses only what is sent
-while it is cut. Times are in ms, those of the nodes in s.
+The replicas run the gateway's own `replication.node` and `replicated_state`. A connection loses only what is
+sent while it is cut. Times are in ms, those of the nodes in s.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 FRAME_HEADER_BYTES = 5
 MESSAGE_HEADER_BYTES = 2
 
-# Called with the replica that replies, the number of the proposal (None: it was not made here), its result
-# (None: not known here), and the name of the likely leader, or "".
+# Called with the replica that replies, the number of the proposal (None: not proposed at this replica), its
+# result (None: unknown at this replica), and the name of the likely leader, or "".
 ReplyHandler = Callable[["SimulatedReplica", int | None, Result | None, m.Replica], None]
 
 
@@ -53,7 +53,7 @@
     """Owns the replicas of all groups and the messages between them."""
 
     def __init__(self, engine: Engine, reply: ReplyHandler) -> None:
-        """Start without replicas, so that an engine can make its cluster before its gateways."""
+        """Start without replicas, so that an engine can create the cluster before its gateways."""
         self._engine = engine
         self._reply = reply
         self._replicas: dict[tuple[int, int], SimulatedReplica] = {}  # by group and gateway
@@ -64,7 +64,7 @@
         self.elections = 0
 
     def place(self, gateways: int) -> None:
-        """Place the replicas of all groups on the gateways; none is started."""
+        """Place the replicas of all groups on the gateways without starting them."""
         zones = {f"g{number}": f"z{number % ZONE_COUNT}" for number in range(gateways)}
         numbers = {name: number for number, name in enumerate(zones)}
         for group in range(GROUP_COUNT):
@@ -77,7 +77,7 @@
                 self._replicas[group, number] = SimulatedReplica(group, number, f"{name}/1", disk)
 
     def start_replicas(self, gateway: int) -> None:
-        """Start the replicas of a gateway from what their disks hold."""
+        """Start the replicas of a gateway from the content of their disks."""
         for replica in self._replicas.values():
             if replica.gateway == gateway:
                 self._start(replica)
@@ -102,12 +102,12 @@
                 replica.wake_at = NEVER
 
     def replica(self, group: int, gateway: int) -> SimulatedReplica | None:
-        """Return a group's replica at a gateway, or None if it has none or is down."""
+        """Return a group's replica at a gateway, or None if there is none or the gateway is down."""
         found = self._replicas.get((group, gateway))
         return found if found is not None and found.node is not None else None
 
     def propose(self, replica: SimulatedReplica, number: int, command: bytes) -> None:
-        """Propose a command at a replica; `reply` gets its result by that number."""
+        """Propose a command at a replica; its result is passed to `reply` with that number."""
         self._step(replica, m.Propose(number, command))
 
     # Nodes
@@ -172,10 +172,10 @@
             disk.apply(disk.pending.pop(0))
         self._step(replica, m.WriteCompleted(number))
 
-    # Links
+    # Connections
 
     def is_cut(self, a: int, b: int) -> bool:
-        """Return whether the link between two gateways is cut."""
+        """Return whether the connection between two gateways is cut."""
         partition = self._engine.network.partition
         return (a in partition) != (b in partition)
 
@@ -185,8 +185,8 @@
             self.frames += 1
             self.bytes += size
 
-    def carry(self, sender: int, receiver: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Schedule a call at the receiver, whose arguments are the function's own, hence untyped."""
+    def deliver(self, sender: int, receiver: int, call: Callable[..., None], *arguments: Any) -> None:
+        """Schedule `call` at the receiver, unless the connection is cut or the receiver is down."""
         engine = self._engine
         if sender == receiver:
             engine.call_at(engine.now(), call, *arguments)
@@ -204,7 +204,7 @@
         sizes = (MESSAGE_HEADER_BYTES + len(msgspec.msgpack.encode(message)) for _, message in messages)
         self.frames += 1
         self.bytes += FRAME_HEADER_BYTES + sum(sizes)
-        self.carry(sender, receiver, self._receive, sender, receiver, messages)
+        self.deliver(sender, receiver, self._receive, sender, receiver, messages)
 
     def _receive(self, sender: int, receiver: int, messages: list[tuple[int, m.Message]]) -> None:
         for group, message in messages:
--- a/mapleshunt/simulation/replicated_fleet.py
+++ b/mapleshunt/simulation/replicated_fleet.py
@@ -1,6 +1,6 @@
-"""Days of a large fleet whose quotas are leased from replicas: the gateways' calls of the Raft groups.
+"""Runs of a large fleet whose quotas are leased from replicas: the gateways' calls of the Raft groups.
 
-A machine that is lost is not replaced within a day.
+A lost machine is not replaced during a run.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from .gateway_leases import GatewayLeases, PendingCall
 from .replica_cluster import GROUP_COUNT, ReplicaCluster, SimulatedReplica, gateway_number
 
-CALL_RETRY_MS = 250.0  # after which a call without a reply is sent again
+CALL_RETRY_MS = 250.0  # until a call without a reply is sent again
 CALL_HEADER_BYTES = 16
 REPLY_BYTES = 24
-UNKNOWN = -1  # in place of a leader's gateway
+UNKNOWN_LEADER = -1  # in place of the leader's gateway
 
 
 class ReplicatedFleetEngine(Engine):
-    """Plays a day with quotas that are leased from replicas or, if not `leased`, kept without them."""
+    """Simulates a run with quotas that are leased from replicas, or without replicas if not `leased`."""
 
-    def __init__(self, day: ScenarioRun, leased: bool = True) -> None:
+    def __init__(self, run: ScenarioRun, leased: bool = True) -> None:
         self.operations = 0
         self._cluster = ReplicaCluster(self, self._reply)
         self._replicas_placed = False
@@ -33,7 +33,7 @@
         self._calls: dict[int, PendingCall] = {}  # by the number of a proposal
         self._last_call = 0
         self._leases: dict[int, GatewayLeases] = {}  # by gateway
-        super().__init__(day, Gateway)
+        super().__init__(run, Gateway)
         if leased:
             count = len(self.gateways)
             self._cluster.place(count)
@@ -53,7 +53,7 @@
 
     @property
     def elections(self) -> int:
-        """Elections that a replica won."""
+        """Number of elections won."""
         return self._cluster.elections
 
     # Gateways
@@ -74,7 +74,7 @@
         self._cluster.stop_replicas(number)
 
     def deliver_event(self, number: int, event: Any) -> None:
-        """Hand an event to a gateway; a request may first wait for its customer's lease."""
+        """Deliver an event to a gateway; a request may first wait for its customer's lease."""
         if isinstance(event, RequestReceived) and number in self._leases:
             plan = self.settings[number].plans[event.plan]
             if self._leases[number].hold_request(plan, event):
@@ -84,10 +84,10 @@
     # Calls
 
     def _begin_call(self, call: PendingCall) -> None:
-        self._send_call(call, UNKNOWN)
+        self._send_call(call, UNKNOWN_LEADER)
 
     def _send_call(self, call: PendingCall, leader: int) -> None:
-        """Send a call, and again until it has its result or its deadline passes."""
+        """Send a call, and repeat it until it has a result or its deadline passes."""
         leases = self._leases.get(call.gateway)
         if call.done or leases is None or not leases.is_active() or self.epochs[call.gateway] != call.epoch:
             return
@@ -98,12 +98,12 @@
         receiver = leader if leader >= 0 else self._pick_receiver(call)
         self._last_call += 1
         self._cluster.count_frame(call.gateway, receiver, len(call.command) + CALL_HEADER_BYTES)
-        self._cluster.carry(call.gateway, receiver, self._receive_call, self._last_call, call, receiver)
-        self.event_queue.schedule(self.event_queue.now + CALL_RETRY_MS, self._send_call, call, UNKNOWN)
+        self._cluster.deliver(call.gateway, receiver, self._receive_call, self._last_call, call, receiver)
+        self.event_queue.schedule(self.event_queue.now + CALL_RETRY_MS, self._send_call, call, UNKNOWN_LEADER)
 
     def _pick_receiver(self, call: PendingCall) -> int:
-        """Return the last known leader if it can be reached, else any member that runs."""
-        leader = self._leaders.get(call.group, UNKNOWN)
+        """Return the last known leader if it is reachable, else a running member of the group."""
+        leader = self._leaders.get(call.group, UNKNOWN_LEADER)
         if (
             leader >= 0
             and self.gateways[leader] is not None
@@ -131,8 +131,8 @@
         call = self._calls.pop(number)
         sender = replica.gateway
         self._cluster.count_frame(sender, call.gateway, REPLY_BYTES)
-        leader_gateway = gateway_number(leader) if leader else UNKNOWN
-        self._cluster.carry(sender, call.gateway, self._receive_reply, call, result, sender, leader_gateway)
+        leader_gateway = gateway_number(leader) if leader else UNKNOWN_LEADER
+        self._cluster.deliver(sender, call.gateway, self._receive_reply, call, result, sender, leader_gateway)
 
     def _receive_reply(self, call: PendingCall, result: Result | None, sender: int, leader: int) -> None:
         if call.done:
--- a/tests/test_copies_fleet.py
+++ b/tests/test_copies_fleet.py
@@ -1,4 +1,4 @@
-"""The model of a large fleet with copies: rules are kept, and a seed plays alike."""
+"""Simulation of a large fleet with replicas: no rule is violated, and a seed reproduces its run."""
 
 from __future__ import annotations
 
@@ -10,21 +10,25 @@
 from mapleshunt.simulation.score import Score, score_run
 
 
-def play(what: str, leased: bool = True) -> tuple[ReplicatedFleetEngine, Score]:
-    engine = ReplicatedFleetEngine(draw_run(replication_scenario(what, 6, 12.0), 3), leased)
+def simulate(kind: str, leased: bool = True) -> tuple[ReplicatedFleetEngine, Score]:
+    engine = ReplicatedFleetEngine(draw_run(replication_scenario(kind, 6, 12.0), 3), leased)
     engine.run()
     return engine, score_run(engine)
 
 
-@pytest.mark.parametrize("what", ["restart", "lost", "cut3"])
-def test_every_request_is_answered_once_and_groups_go_on(what: str) -> None:
-    engine, found = play(what)
-    assert not any(found.rules.values()) and found.served > 200
+@pytest.mark.parametrize("kind", ["restart", "lost", "cut3"])
+def test_after_a_fault_every_request_is_answered_once_and_groups_serve(kind: str) -> None:
+    engine, score = simulate(kind)
+    assert not any(score.rules.values()) and score.served > 200
     assert engine.elections >= 64 and engine.operations > 100 and engine.frames > 1000
-    again, same = play(what)
-    assert (again.frames, again.operations, same.served) == (engine.frames, engine.operations, found.served)
+    repeated, repeated_score = simulate(kind)
+    assert (repeated.frames, repeated.operations, repeated_score.served) == (
+        engine.frames,
+        engine.operations,
+        score.served,
+    )
 
 
-def test_without_copies_nothing_of_them_is_played() -> None:
-    engine, found = play("none", leased=False)
-    assert engine.frames == engine.operations == 0 and found.served > 200
+def test_without_leases_no_replica_traffic_is_simulated() -> None:
+    engine, score = simulate("none", leased=False)
+    assert engine.frames == engine.operations == 0 and score.served > 200
