--- a/mapleshunt/simulation/maintenance_plays.py
+++ b/mapleshunt/simulation/maintenance_plays.py
@@ -1,6 +1,7 @@
-"""Machines taken out for work, walked through: every interleaving for a few machines to a stated depth, and
-long random walks. What decides is `maintenance.jobs` and `maintenance.agent`; here are machines that crash,
-sleep, are cut off and are worked on, and what must hold whatever order things come in.
+"""Model checking of maintenance: all interleavings for a few machines to a given depth, and random walks.
+
+The decisions are those of `maintenance.jobs` and `maintenance.agent`. The model adds machines that crash, are
+delayed, disconnected or worked on, and the invariants that must hold in every order of events.
 """
 
 from __future__ import annotations
@@ -18,306 +19,334 @@
 
 NAMES = ("a", "b", "c")
 ZONES = {"a": "x", "b": "y", "c": "y"}
-DRAIN = 10.0  # s
-BUDGET = Budget(max_out=1, max_out_per_zone=1, max_load=2.0, pause_s=0.0, drain_s=DRAIN, max_failures=9)
+DRAIN_S = 10.0
+BUDGET = Budget(max_out=1, max_out_per_zone=1, max_load=2.0, pause_s=0.0, drain_s=DRAIN_S, max_failures=9)
 REQUESTS = (
     w.RequestMaintenance("r1", ("a", "b"), "disks", "op", 1000.0),
     w.RequestMaintenance("r2", ("c",), "memory", "op", 1000.0),
 )
-PASS = 6.0  # s that pass at a time: a grant ends within the second
+TIME_STEP_S = 6.0  # of the move "pass": a grant of DRAIN_S expires during the second one
 
 
 class InvariantViolationError(Exception):
-    """A rule did not hold; the text tells which."""
+    """An invariant was violated; the text says which."""
 
 
 @dataclass
 class Machine:
+    """A machine with its agent, which is replaced when the machine restarts."""
+
     up: bool = True
     worked_on: bool = False
     drained: bool = False
-    holder: MaintenanceAgent = field(default_factory=MaintenanceAgent)
-    view: MachineJob | None = None  # what it last read
+    agent: MaintenanceAgent = field(default_factory=MaintenanceAgent)
+    last_read_job: MachineJob | None = None
 
 
 class MaintenanceModel:
+    """A state of the model, with the moves from it. Planted faults replace the types of jobs and agents."""
+
     def __init__(
         self,
-        works: type[MaintenanceJobs] = MaintenanceJobs,
-        holder: type[MaintenanceAgent] = MaintenanceAgent,
+        jobs_type: type[MaintenanceJobs] = MaintenanceJobs,
+        agent_type: type[MaintenanceAgent] = MaintenanceAgent,
     ) -> None:
-        self.maintenance, self.twin, self.make = works(), works(), holder  # the twin: another gateway's copy
-        self.now = 0.0  # s, the log's and, here, everybody's
-        self.machines = {name: Machine(holder=holder()) for name in NAMES}
+        # Two gateways apply the same log.
+        self.maintenance, self.replica, self.agent_type = jobs_type(), jobs_type(), agent_type
+        self.now = 0.0  # s, of the log and of all machines
+        self.machines = {name: Machine(agent=agent_type()) for name in NAMES}
         self.hidden = ""  # a machine that the coordinator does not see
-        self.asked = 0
-        self.went: dict[tuple[str, str], int] = {}
+        self.requested = 0  # how many of `REQUESTS` were made
+        self.out_counts: dict[tuple[str, str], int] = {}  # by request and machine: times out
         self.apply(w.SetBudget(BUDGET, "op"))
 
     def apply(self, operation: w.Operation) -> bool:
-        done = []
-        for number, one in enumerate((self.maintenance, self.twin)):
+        """Apply an operation at both gateways, and return whether it was accepted."""
+        applied = []
+        for number, maintenance in enumerate((self.maintenance, self.replica)):
             try:
-                self.on_copy(number, one, operation)
-                done.append(True)
+                self.apply_to_replica(number, maintenance, operation)
+                applied.append(True)
             except MaintenanceError:
-                done.append(False)
-        if done[0] != done[1] or self.maintenance.snapshot() != self.twin.snapshot():
-            raise InvariantViolationError("two gateways came to different states from the same log")
-        return done[0]
+                applied.append(False)
+        if applied[0] != applied[1] or self.maintenance.snapshot() != self.replica.snapshot():
+            raise InvariantViolationError("two gateways reached different states from the same log")
+        return applied[0]
 
-    def on_copy(self, number: int, works: MaintenanceJobs, operation: w.Operation) -> None:
-        works.apply(1000 * self.now, operation)
+    def apply_to_replica(self, number: int, maintenance: MaintenanceJobs, operation: w.Operation) -> None:
+        """Apply an operation at a gateway."""
+        maintenance.apply(1000 * self.now, operation)
 
     # Moves
 
     def moves(self) -> Iterator[tuple[str, ...]]:
-        if self.asked < len(REQUESTS):
+        """Yield the possible moves: a kind and, for some, a machine."""
+        if self.requested < len(REQUESTS):
             yield ("ask",)
         yield ("see",)
         yield ("pass",)
-        for name, one in self.machines.items():
-            if one.up:
+        for name, machine in self.machines.items():
+            if machine.up:
                 yield "look", name
-                if one.view is not None:
-                    yield "wake", name  # it goes on with what it knew
+                if machine.last_read_job is not None:
+                    yield "wake", name  # continues with the job that it read last
                 yield "crash", name
                 if self.hidden != name:
                     yield "hide", name
-            elif not one.worked_on:
+            elif not machine.worked_on:
                 yield "start", name
-            place = self.maintenance.job_of(name)
-            if place is not None and place.state == "safe" and one.up:
+            job = self.maintenance.job_of(name)
+            if job is not None and job.state == "safe" and machine.up:
                 yield "work", name
-            if one.worked_on:
+            if machine.worked_on:
                 yield "finish", name
-        if self.asked:
+        if self.requested:
             yield ("again",)
         if self.hidden:
             yield ("show",)
 
-    def move(self, what: str, name: str = "") -> None:
-        one = self.machines.get(name, Machine())
-        match what:
+    def move(self, move: str, name: str = "") -> None:
+        """Make a move and check the invariants."""
+        machine = self.machines.get(name, Machine())
+        match move:
             case "ask":
-                self.apply(REQUESTS[self.asked])
-                self.asked += 1
-            case "again":  # nobody answered the first time
-                self.apply(REQUESTS[self.asked - 1])
+                self.apply(REQUESTS[self.requested])
+                self.requested += 1
+            case "again":  # repeats a request whose reply was lost
+                self.apply(REQUESTS[self.requested - 1])
             case "see":
-                self.see()
+                self.apply_fleet_view()
             case "pass":
-                self.now += PASS
+                self.now += TIME_STEP_S
             case "look":
-                one.view = self.maintenance.job_of(name)
-                one.holder.update_grant(self.now, 1000 * self.now, one.view)
-                self.act(name, one)
+                machine.last_read_job = self.maintenance.job_of(name)
+                machine.agent.update_grant(self.now, 1000 * self.now, machine.last_read_job)
+                self.step_agent(name, machine)
             case "wake":
-                self.act(name, one)
+                self.step_agent(name, machine)
             case "crash":
-                one.up = one.drained = False
-                one.holder, one.view = self.make(), None
+                machine.up = machine.drained = False
+                machine.agent, machine.last_read_job = self.agent_type(), None
             case "start":
-                one.up = True
+                machine.up = True
             case "hide":
                 self.hidden = name
             case "show":
                 self.hidden = ""
             case "work":
-                place = self.maintenance.job_of(name)
-                if place is not None and self.apply(w.ReportProgress(name, place.fencing_token, "out")):
-                    self.went[place.request_id, name] = self.went.get((place.request_id, name), 0) + 1
-                    one.up, one.worked_on, one.drained = False, True, False
-                    one.holder, one.view = self.make(), None
+                job = self.maintenance.job_of(name)
+                if job is not None and self.apply(w.ReportProgress(name, job.fencing_token, "out")):
+                    self.out_counts[job.request_id, name] = self.out_counts.get((job.request_id, name), 0) + 1
+                    machine.up, machine.worked_on, machine.drained = False, True, False
+                    machine.agent, machine.last_read_job = self.agent_type(), None
             case "finish":
-                place = self.maintenance.job_of(name)
-                one.up, one.worked_on = True, False
-                if place is not None:
-                    self.apply(w.ReportProgress(name, place.fencing_token, "returning"))
-        self.check()
-
-    def see(self) -> None:
-        sights = tuple(
-            w.MachineView(name, ZONES[name], one.up and name != self.hidden)
-            for name, one in self.machines.items()
+                job = self.maintenance.job_of(name)
+                machine.up, machine.worked_on = True, False
+                if job is not None:
+                    self.apply(w.ReportProgress(name, job.fencing_token, "returning"))
+        self.check_invariants()
+
+    def apply_fleet_view(self) -> None:
+        """Apply the coordinator's view of the fleet, and check the grants that it leads to."""
+        views = tuple(
+            w.MachineView(name, ZONES[name], machine.up and name != self.hidden)
+            for name, machine in self.machines.items()
         )
-        sound = tuple(one.name for one in sights if one.available)
-        before = {key for key, one in self.maintenance.jobs.items() if one.state == "granted"}
-        self.apply(w.FleetView(self.now, sights, (w.GroupView(NAMES, sound),)))
-        for key, place in self.maintenance.jobs.items():
-            if place.state == "granted" and key not in before:
-                lost = [one.name for one in sights if not one.available and one.name != place.machine]
-                if len(lost) + 1 > BUDGET.max_out:
+        available = tuple(view.name for view in views if view.available)
+        already_granted = {key for key, job in self.maintenance.jobs.items() if job.state == "granted"}
+        self.apply(w.FleetView(self.now, views, (w.GroupView(NAMES, available),)))
+        for key, granted_job in self.maintenance.jobs.items():
+            if granted_job.state == "granted" and key not in already_granted:
+                unavailable = [
+                    view.name for view in views if not view.available and view.name != granted_job.machine
+                ]
+                if len(unavailable) + 1 > BUDGET.max_out:
                     raise InvariantViolationError(
-                        f"{place.machine} was granted though {' and '.join(lost)} is lost"
+                        f"{granted_job.machine} was granted though {' and '.join(unavailable)} is unavailable"
                     )
 
-    def act(self, name: str, one: Machine) -> None:
-        place = one.view
-        acts = one.holder.step(self.now, place, False, RemainingWork(0, 0, 0, 0, one.drained))
-        for act in acts:
-            if act.kind == "drain":
-                self.granted(name)
-                one.drained = True
-            elif act.kind == "resume":
-                one.drained = False
-            elif act.kind == "tell":
-                self.apply(w.ReportProgress(name, act.fencing_token, act.state, act.reason))
-
-    # What must hold
-
-    def granted(self, name: str) -> None:
-        place = self.maintenance.job_of(name)
-        if place is None or place.state not in ("granted", "draining", "safe", "recalled"):
-            raise InvariantViolationError(f"{name} drains without a grant: {place and place.state}")
-        if 1000 * self.now > place.expires_at:
-            raise InvariantViolationError(f"{name} drains under a grant that has run out")
-
-    def check(self) -> None:
-        planned = [name for name, one in self.machines.items() if one.drained or one.worked_on]
-        if len(planned) > BUDGET.max_out:
-            raise InvariantViolationError(f"{' and '.join(planned)} are out by plan, {BUDGET.max_out} may be")
-        for key, count in self.went.items():
+    def step_agent(self, name: str, machine: Machine) -> None:
+        """Step a machine's agent with the job that it read last, and carry out its actions."""
+        job = machine.last_read_job
+        actions = machine.agent.step(self.now, job, False, RemainingWork(0, 0, 0, 0, machine.drained))
+        for action in actions:
+            if action.kind == "drain":
+                self.check_grant(name)
+                machine.drained = True
+            elif action.kind == "resume":
+                machine.drained = False
+            elif action.kind == "tell":
+                self.apply(w.ReportProgress(name, action.fencing_token, action.state, action.reason))
+
+    # Invariants
+
+    def check_grant(self, name: str) -> None:
+        """Check that a machine that begins to drain has a grant that has not expired."""
+        job = self.maintenance.job_of(name)
+        if job is None or job.state not in ("granted", "draining", "safe", "recalled"):
+            raise InvariantViolationError(f"{name} drains without a grant: {job and job.state}")
+        if 1000 * self.now > job.expires_at:
+            raise InvariantViolationError(f"{name} drains under an expired grant")
+
+    def check_invariants(self) -> None:
+        """Check the invariants that hold in every state."""
+        out = [name for name, machine in self.machines.items() if machine.drained or machine.worked_on]
+        if len(out) > BUDGET.max_out:
+            raise InvariantViolationError(f"{' and '.join(out)} are out by plan, more than {BUDGET.max_out}")
+        for key, count in self.out_counts.items():
             if count > 1 or self.maintenance.jobs[key].state in ("queued", "granted", "draining", "safe"):
-                raise InvariantViolationError(f"{key[1]} was out for {key[0]}, and is to go again")
-        for place in self.maintenance.jobs.values():
-            if place.state == "done" and self.machines[place.machine].worked_on:
-                raise InvariantViolationError(f"{place.machine} is done while it is worked on")
-            if place.state == "done" and not any(step.state == "out" for step in place.history):
-                raise InvariantViolationError(f"{place.machine} is done and never was out")
-        wanted = sum(len(one.machines) for one in REQUESTS[: self.asked])
-        if len(self.maintenance.requests) != self.asked or len(self.maintenance.jobs) != wanted:
-            raise InvariantViolationError("a request was taken twice, or lost")
-
-    def key(self) -> bytes:
-        """States alike in all that decides what comes; stories and times before now do not."""
-        places = tuple(
-            (one.request_id, one.machine, one.state, one.fencing_token > 0, one.outcome,
-             one.expires_at > 0 and one.expires_at - 1000 * self.now)
-            for one in self.maintenance.jobs.values()
+                raise InvariantViolationError(f"{key[1]} was out for {key[0]}, and is to be taken out again")
+        for job in self.maintenance.jobs.values():
+            if job.state == "done" and self.machines[job.machine].worked_on:
+                raise InvariantViolationError(f"{job.machine} is done while it is worked on")
+            if job.state == "done" and not any(step.state == "out" for step in job.history):
+                raise InvariantViolationError(f"{job.machine} is done but was never out")
+        expected = sum(len(request.machines) for request in REQUESTS[: self.requested])
+        if len(self.maintenance.requests) != self.requested or len(self.maintenance.jobs) != expected:
+            raise InvariantViolationError("a request was accepted twice, or lost")
+
+    def state_key(self) -> bytes:
+        """Return a key that is equal for states with the same future: without histories and past times."""
+        jobs = tuple(
+            (job.request_id, job.machine, job.state, job.fencing_token > 0, job.outcome,
+             job.expires_at > 0 and job.expires_at - 1000 * self.now)
+            for job in self.maintenance.jobs.values()
         )  # fmt: skip
         machines = tuple(
-            (one.up, one.worked_on, one.drained, one.holder.fencing_token > 0, one.holder.drained,
-             one.holder.deadline > self.now and one.holder.deadline - self.now,
-             one.view and (one.view.state, one.view.fencing_token ==
-                           getattr(self.maintenance.job_of(name), "fencing_token", -1)))
-            for name, one in self.machines.items()
+            (machine.up, machine.worked_on, machine.drained, machine.agent.fencing_token > 0,
+             machine.agent.drained, machine.agent.deadline > self.now and machine.agent.deadline - self.now,
+             machine.last_read_job and (machine.last_read_job.state, machine.last_read_job.fencing_token ==
+                                        getattr(self.maintenance.job_of(name), "fencing_token", -1)))
+            for name, machine in self.machines.items()
         )  # fmt: skip
         return repr(
-            (places, machines, self.hidden, self.asked, self.went, self.maintenance.failures)
+            (jobs, machines, self.hidden, self.requested, self.out_counts, self.maintenance.failures)
         ).encode()
 
 
 def explore(
     depth: int,
-    works: type[MaintenanceJobs] = MaintenanceJobs,
-    holder: type[MaintenanceAgent] = MaintenanceAgent,
+    jobs_type: type[MaintenanceJobs] = MaintenanceJobs,
+    agent_type: type[MaintenanceAgent] = MaintenanceAgent,
 ) -> tuple[int, str]:
-    """All interleavings to that depth: how many states there are, and what broke, with the moves to it."""
-    first = MaintenanceModel(works, holder)
-    seen = {first.key()}
-    layer: list[tuple[MaintenanceModel, tuple[tuple[str, ...], ...]]] = [(first, ())]
+    """Explore all interleavings to a depth.
+
+    Returns:
+        The number of states, and the first violated invariant with the moves that lead to it, or "".
+    """
+    initial = MaintenanceModel(jobs_type, agent_type)
+    seen = {initial.state_key()}
+    layer: list[tuple[MaintenanceModel, tuple[tuple[str, ...], ...]]] = [(initial, ())]
     for _ in range(depth):
-        further: list[tuple[MaintenanceModel, tuple[tuple[str, ...], ...]]] = []
-        for world, path in layer:
-            for move in list(world.moves()):
-                then = copy.deepcopy(world)
+        next_layer: list[tuple[MaintenanceModel, tuple[tuple[str, ...], ...]]] = []
+        for model, path in layer:
+            for move in list(model.moves()):
+                successor = copy.deepcopy(model)
                 try:
-                    then.move(*move)
-                except InvariantViolationError as broken:
-                    return len(seen), f"{broken}: {' '.join('.'.join(one) for one in (*path, move))}"
-                if (key := then.key()) not in seen:
+                    successor.move(*move)
+                except InvariantViolationError as violation:
+                    return len(seen), f"{violation}: {' '.join('.'.join(step) for step in (*path, move))}"
+                if (key := successor.state_key()) not in seen:
                     seen.add(key)
-                    further.append((then, (*path, move)))
-        layer = further
+                    next_layer.append((successor, (*path, move)))
+        layer = next_layer
     return len(seen), ""
 
 
 def random_walk(
     seed: int,
-    moves: int,
-    works: type[MaintenanceJobs] = MaintenanceJobs,
-    holder: type[MaintenanceAgent] = MaintenanceAgent,
+    move_count: int,
+    jobs_type: type[MaintenanceJobs] = MaintenanceJobs,
+    agent_type: type[MaintenanceAgent] = MaintenanceAgent,
 ) -> tuple[MaintenanceModel, str]:
-    """One long way by chance, then calm: all has to come to its end."""
-    chance, world = random.Random(seed), MaintenanceModel(works, holder)
+    """Make random moves, then end all faults and check that every job ends.
+
+    Returns:
+        The last state, and the violated invariant, or "".
+    """
+    rng, model = random.Random(seed), MaintenanceModel(jobs_type, agent_type)
     try:
-        for _ in range(moves):
-            world.move(*chance.choice(list(world.moves())))
+        for _ in range(move_count):
+            model.move(*rng.choice(list(model.moves())))
         for _ in range(40):
-            world.hidden = ""
-            for what in ("start", "finish", "see", "look", "look", "work", "finish", "see"):
-                for move in [one for one in world.moves() if one[0] == what]:
-                    world.move(*move)
-            if world.asked < len(REQUESTS):
-                world.move("ask")
-        if left := world.maintenance.open_jobs():
+            model.hidden = ""
+            for kind in ("start", "finish", "see", "look", "look", "work", "finish", "see"):
+                for move in [candidate for candidate in model.moves() if candidate[0] == kind]:
+                    model.move(*move)
+            if model.requested < len(REQUESTS):
+                model.move("ask")
+        if open_jobs := model.maintenance.open_jobs():
             raise InvariantViolationError(
-                f"not done when all was calm: {[(one.machine, one.state) for one in left]}"
+                f"jobs still open after all faults ended: {[(job.machine, job.state) for job in open_jobs]}"
             )
-    except InvariantViolationError as broken:
-        return world, str(broken)
-    return world, ""
+    except InvariantViolationError as violation:
+        return model, str(violation)
+    return model, ""
 
 
 # Planted faults
 
 
 class ExpiredGrantUsed(MaintenanceAgent):
-    """A machine goes on under a grant that has run out by its own clock."""
+    """Continues to use a grant that has expired by its own clock."""
 
-    def update_grant(self, asked: float, stamp: float, place: MachineJob | None) -> None:
-        super().update_grant(asked, stamp, place)
+    def update_grant(self, requested_at: float, stamp: float, job: MachineJob | None) -> None:
+        """Set the grant without its end."""
+        super().update_grant(requested_at, stamp, job)
         self.deadline = float("inf")
 
 
 class GrantsItself(MaintenanceAgent):
-    """With nobody to ask it takes its place in the order for a grant."""
+    """Treats a queued job as a grant."""
 
     def step(
-        self, now: float, place: MachineJob | None, long: bool, sees: RemainingWork
+        self, now: float, job: MachineJob | None, move_replicas: bool, remaining: RemainingWork
     ) -> list[AgentAction]:
-        if place is not None and place.state == "queued":
+        """Drain for a queued job as well."""
+        if job is not None and job.state == "queued":
             self.drained = True
             return [AgentAction(AgentActionKind.DRAIN)]
-        return super().step(now, place, long, sees)
+        return super().step(now, job, move_replicas, remaining)
 
 
 class ForgetsUnplanned(MaintenanceJobs):
-    """The budget counts what it took out, and nothing else; and so do majorities."""
+    """Machines that are unavailable without a grant count as available, for the budget and for majorities."""
 
     def _machines_out(self, views: Mapping[str, w.MachineView]) -> set[str]:
         return {
-            one.machine for one in self.open_jobs() if one.state in ("granted", "draining", "safe", "out")
+            job.machine for job in self.open_jobs() if job.state in ("granted", "draining", "safe", "out")
         }
 
 
 class ReturnTakenForGranted(MaintenanceJobs):
-    """What was worked on for as long as was expected is taken to be back."""
+    """Marks a machine that has been out for some time as done, though it has not returned."""
 
     def _expire_grants(self, now: float) -> None:
         super()._expire_grants(now)
-        for place in self.open_jobs():
-            if place.state == "out" and now > place.state_since:
-                self._enter(now, place, "done", fencing_token=0)
+        for job in self.open_jobs():
+            if job.state == "out" and now > job.state_since:
+                self._enter(now, job, "done", fencing_token=0)
 
 
 class AskedTwice(MaintenanceJobs):
-    """A request that comes again begins anew."""
+    """Creates the jobs of a repeated request again."""
 
-    def _request_maintenance(self, now: float, ask: w.RequestMaintenance) -> None:
-        if ask.request_id in self.requests:
-            for machine in ask.machines:
-                self.jobs[ask.request_id, machine] = MachineJob(machine, ask.request_id, state_since=now)
-        super()._request_maintenance(now, ask)
+    def _request_maintenance(self, now: float, details: w.RequestMaintenance) -> None:
+        if details.request_id in self.requests:
+            for machine in details.machines:
+                self.jobs[details.request_id, machine] = MachineJob(
+                    machine, details.request_id, state_since=now
+                )
+        super()._request_maintenance(now, details)
 
 
 class OrderByOwnClock(MaintenanceJobs):
-    """Who has waited longest is told by each gateway's own clock."""
+    """Stamps operations by each gateway's own clock, so that waiting times differ between gateways."""
 
     count = 0
 
     def apply(self, now: float, operation: w.Operation) -> float:
+        """Apply an operation at a time that differs between gateways."""
         OrderByOwnClock.count += 1
         return super().apply(now + OrderByOwnClock.count, operation)
 
--- a/mapleshunt/simulation/replication_plays.py
+++ b/mapleshunt/simulation/replication_plays.py
@@ -1,9 +1,10 @@
-"""Copies of one group in a virtual network, with virtual disks and time; faults by seed, and what must hold.
+"""Simulation of a group's replicas in virtual time, with random faults and invariant checks.
 
-Every copy is a `replication.node.RaftNode` as it is. A disk makes writes durable in their order after a
-while; a kill loses those that are not, and messages on the way may be lost, late or twice. What is checked is
-Raft's own: election safety, log matching, leader completeness, applied entries alike; and that a call once
-answered stays (thesis, figure 3.2); reads see all that was answered before they were asked.
+Every replica is an unmodified `replication.node.RaftNode`. Its virtual disk makes writes durable in order
+after a delay; a kill loses some of those that are not durable. Messages may be lost, delayed or duplicated.
+The checks are Raft's properties (Ongaro's thesis, figure 3.2): election safety, log matching, leader
+completeness and state machine safety, so that no acknowledged call is lost. In addition, a read must reflect
+all calls that were acknowledged before it began.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from ..replication.node import RaftNode
 from ..replication.roles import Role
 
-TIMING = RaftConfig(
+CONFIG = RaftConfig(
     election_timeout_s=1.0,
     heartbeat_interval_s=0.2,
     max_batch_bytes=400,
@@ -29,13 +30,13 @@
     compaction_threshold=20,
     max_pending_requests=64,
 )
-FAULT_MOVES = (
+FAULT_ACTIONS = (
     "kill", "start", "cut", "one_way", "heal", "pause", "go_on", "wipe", "transfer", "slow_disk",
     "add", "promote", "remove",
 )  # fmt: skip
-# By mood, what comes how often: a play of one mood meets what an even mix of all hardly ever does.
+# The actions that a run draws from. A specialised mix reaches situations that an even mix of all rarely does.
 FAULT_MIXES: dict[str, tuple[str, ...]] = {
-    "mixed": FAULT_MOVES,
+    "mixed": FAULT_ACTIONS,
     "elections": ("kill_leader", "kill_leader", "kill", "start", "start", "cut_leader", "heal", "slow_disk"),
     "takeovers": ("kill_leader", "kill_leader", "cut_leader", "cut_leader", "start", "heal", "heal"),
     "members": ("add", "promote", "remove", "remove", "cut", "cut_leader", "heal", "heal", "kill", "start"),
@@ -43,380 +44,449 @@
 
 
 class InvariantViolationError(Exception):
-    """A rule did not hold; the text tells which and where."""
+    """An invariant was violated; the text says which and where."""
 
 
 @dataclass
 class VirtualDisk:
-    """What is durable, and the writes that are not yet."""
+    """The durable state of a replica, and the writes that are pending."""
 
     stored: m.PersistentState
     pending: list[m.Write] = field(default_factory=list)
-    delay: float = 0.005
+    write_delay_s: float = 0.005
 
     def apply(self, write: m.Write) -> None:
+        """Make a write durable."""
         snapshot, entries = self.stored.snapshot, list(self.stored.entries)
         if write.snapshot is not None:
             snapshot = write.snapshot
-            entries = [] if write.reset else [one for one in entries if one.index > snapshot.index]
+            entries = [] if write.reset else [entry for entry in entries if entry.index > snapshot.index]
         if write.entries:
-            entries = [one for one in entries if one.index < write.entries[0].index] + list(write.entries)
+            entries = [entry for entry in entries if entry.index < write.entries[0].index] + list(
+                write.entries
+            )
         self.stored = m.PersistentState(snapshot, write.term, write.vote, tuple(entries))
 
 
 @dataclass
 class VirtualReplica:
-    copy: m.Replica
+    """A replica with its disk and, while it runs, its node and state."""
+
+    name: m.Replica
     disk: VirtualDisk
     node: RaftNode | None = None
-    paused: float = 0.0  # until then it does nothing, and does not know
-    life: int = 0  # of the process: what was meant for the one before is lost
+    paused_until: float = 0.0  # events before then are delayed; the node does not notice
+    boot: int = 0  # of the process; events for an earlier boot are lost
     state: Any = None
-    last: int = 0  # index of the last entry that its state knows of
+    last_applied: int = 0  # index of the last entry in `state`
 
 
 NodeFactory = Callable[[m.Replica, m.PersistentState, RaftConfig, int, float], RaftNode]
 
 
 class ReplicaGroupSimulation:
-    """A play. `make` builds each copy, so that a planted fault can take its place."""
-
-    def __init__(self, seed: int, copies: int = 3, spare: int = 2, make: NodeFactory = RaftNode) -> None:
-        self.random, self.make, self.now = random.Random(seed), make, 0.0
-        names = [f"g{n}/1" for n in range(copies + spare)]
-        self.first = m.Snapshot(0, 0, 0.0, m.Members(tuple(names[:copies])), b"")
-        self.machines = {
-            name: VirtualReplica(name, VirtualDisk(m.PersistentState(self.first))) for name in names
+    """A simulated group. `make_node` creates the nodes, so that a faulty class can be substituted."""
+
+    def __init__(
+        self, seed: int, replicas: int = 3, spares: int = 2, make_node: NodeFactory = RaftNode
+    ) -> None:
+        self.random, self.make_node, self.now = random.Random(seed), make_node, 0.0
+        names = [f"g{n}/1" for n in range(replicas + spares)]
+        self.initial_snapshot = m.Snapshot(0, 0, 0.0, m.Members(tuple(names[:replicas])), b"")
+        self.replicas = {
+            name: VirtualReplica(name, VirtualDisk(m.PersistentState(self.initial_snapshot)))
+            for name in names
         }
-        self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
-        self.cut: set[tuple[m.Replica, m.Replica]] = set()  # ordered pairs that hear nothing
-        self.leaders: dict[int, m.Replica] = {}  # by term
+        self.event_queue: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_count = 0
+        self.cut_pairs: set[tuple[m.Replica, m.Replica]] = (
+            set()
+        )  # (sender, receiver) pairs that lose all messages
+        self.leader_by_term: dict[int, m.Replica] = {}
         self.committed: dict[int, tuple[int, bytes]] = {}  # index: term, data
-        self.committed_in: dict[int, int] = {}  # index: term of the one that first knew of it
+        self.commit_terms: dict[int, int] = {}  # index: term of the replica that first applied it
         self.calls: dict[int, dict[str, Any]] = {}
-        self.next_call = 0
-        self.acknowledged = 0  # highest index that a client was told of
+        self.last_request_id = 0
+        self.acknowledged_index = 0  # highest index acknowledged to a client
         self.acknowledged_calls = self.elections = self.restored_snapshots = self.completed_reads = 0
-        self.lossy = self.random.choice([0.0, 0.02, 0.1])
+        self.loss_rate = self.random.choice([0.0, 0.02, 0.1])
         self.incarnations = 1
-        self.mood = self.random.choice(list(FAULT_MIXES))
-        self.timing = (
-            replace(TIMING, max_batch_bytes=1) if self.mood in ("elections", "takeovers") else TIMING
+        self.fault_mix = self.random.choice(list(FAULT_MIXES))
+        self.config = (
+            replace(CONFIG, max_batch_bytes=1) if self.fault_mix in ("elections", "takeovers") else CONFIG
         )
 
-    # The world
+    # Virtual time, network and disks
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.events, (when, self.count, what))
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback; callbacks of the same time run in the order in which they were scheduled."""
+        self.event_count += 1
+        heapq.heappush(self.event_queue, (when, self.event_count, callback))
 
-    def start(self, copy: m.Replica) -> None:
-        one = self.machines[copy]
-        if one.node is not None:
+    def start(self, name: m.Replica) -> None:
+        """Start a replica from its disk, unless it runs."""
+        replica = self.replicas[name]
+        if replica.node is not None:
             return
-        one.life += 1
-        one.disk.pending.clear()
-        one.state, one.last = self.thaw(one.disk.stored.snapshot.data), one.disk.stored.snapshot.index
-        one.node = self.make(copy, one.disk.stored, self.timing, self.random.getrandbits(32), self.now)
-        self.tick(copy, one.life)
-
-    def kill(self, copy: m.Replica) -> None:
-        one = self.machines[copy]
-        one.node = None
-        # Of what was being written a part from the beginning is durable.
-        for write in one.disk.pending[: self.random.randint(0, len(one.disk.pending))]:
-            one.disk.apply(write)
-        one.disk.pending.clear()
-        one.life += 1
-
-    def tick(self, copy: m.Replica, life: int) -> None:
-        one = self.machines.get(copy)
-        if one is None or one.node is None or one.life != life:
+        replica.boot += 1
+        replica.disk.pending.clear()
+        replica.state, replica.last_applied = (
+            self.restore_state(replica.disk.stored.snapshot.data),
+            replica.disk.stored.snapshot.index,
+        )
+        replica.node = self.make_node(
+            name, replica.disk.stored, self.config, self.random.getrandbits(32), self.now
+        )
+        self.tick(name, replica.boot)
+
+    def kill(self, name: m.Replica) -> None:
+        """Stop a replica and lose a random suffix of its pending writes."""
+        replica = self.replicas[name]
+        replica.node = None
+        # A random prefix of the pending writes became durable before the kill.
+        for write in replica.disk.pending[: self.random.randint(0, len(replica.disk.pending))]:
+            replica.disk.apply(write)
+        replica.disk.pending.clear()
+        replica.boot += 1
+
+    def tick(self, name: m.Replica, boot: int) -> None:
+        """Step a replica whose wake time has come, and schedule the next tick."""
+        replica = self.replicas.get(name)
+        if replica is None or replica.node is None or replica.boot != boot:
             return
-        if self.now < one.paused:
-            self.at(one.paused, lambda: self.tick(copy, life))
+        if self.now < replica.paused_until:
+            self.schedule(replica.paused_until, lambda: self.tick(name, boot))
             return
-        self.step(copy, m.Tick())
-        self.at(max(one.node.wake_time(), self.now + 0.01), lambda: self.tick(copy, life))
-
-    def later(self, one: VirtualReplica, event: m.Event) -> None:
-        life = one.life
-        self.at(self.now, lambda: self.step(one.copy, event) if one.life == life else None)
-
-    def step(self, copy: m.Replica, event: m.Event) -> None:
-        one = self.machines.get(copy)
-        if one is None or one.node is None:
+        self.step(name, m.Tick())
+        self.schedule(max(replica.node.wake_time(), self.now + 0.01), lambda: self.tick(name, boot))
+
+    def schedule_step(self, replica: VirtualReplica, event: m.Event) -> None:
+        """Step a replica at the current time, after the events that are already scheduled for it."""
+        boot = replica.boot
+        self.schedule(self.now, lambda: self.step(replica.name, event) if replica.boot == boot else None)
+
+    def step(self, name: m.Replica, event: m.Event) -> None:
+        """Step a running replica, after its pause if it is paused."""
+        replica = self.replicas.get(name)
+        if replica is None or replica.node is None:
             return
-        if self.now < one.paused:
-            life = one.life
-            self.at(one.paused, lambda: self.step(copy, event) if one.life == life else None)
+        if self.now < replica.paused_until:
+            boot = replica.boot
+            self.schedule(
+                replica.paused_until, lambda: self.step(name, event) if replica.boot == boot else None
+            )
             return
-        for output in one.node.step(self.now, event):
-            self.do(one, output)
+        for output in replica.node.step(self.now, event):
+            self.handle_output(replica, output)
 
-    def do(self, one: VirtualReplica, output: m.Output) -> None:
+    def handle_output(self, replica: VirtualReplica, output: m.Output) -> None:
+        """Carry out an output of a replica's node."""
         match output:
             case m.Send(to, message):
-                self.send(one.copy, to, message)
+                self.send(replica.name, to, message)
                 if (
-                    self.mood == "elections"
+                    self.fault_mix == "elections"
                     and isinstance(message, m.VoteResponse)
                     and self.random.random() < 0.1
                 ):
-                    self.at(self.now, lambda: self.kill(one.copy) if one.copy in self.machines else None)
-                    self.at(self.now + 0.05, lambda: self.move("start"))
+                    self.schedule(
+                        self.now, lambda: self.kill(replica.name) if replica.name in self.replicas else None
+                    )
+                    self.schedule(self.now + 0.05, lambda: self.perform("start"))
             case m.Write():
-                one.disk.pending.append(output)
-                life = one.life
-                delay = one.disk.delay * self.random.uniform(0.5, 2.0)
-                self.at(self.now + delay, lambda: self.written(one, output.number, life))
-            case m.Apply(entry, call):
-                self.applied(one, entry, call)
+                replica.disk.pending.append(output)
+                boot = replica.boot
+                delay = replica.disk.write_delay_s * self.random.uniform(0.5, 2.0)
+                self.schedule(self.now + delay, lambda: self.complete_write(replica, output.number, boot))
+            case m.Apply(entry, request_id):
+                self.apply_entry(replica, entry, request_id)
             case m.RestoreSnapshot(snapshot):
                 self.restored_snapshots += 1
-                one.state, one.last = self.thaw(snapshot.data), snapshot.index
+                replica.state, replica.last_applied = self.restore_state(snapshot.data), snapshot.index
             case m.RequestResult():
-                self.answered(one, output)
+                self.handle_result(replica, output)
             case m.CreateSnapshot(index):
-                self.later(one, m.SnapshotCreated(index, self.freeze(one.state)))
+                self.schedule_step(replica, m.SnapshotCreated(index, self.encode_state(replica.state)))
             case m.RoleChanged(role, term, _, _) if role is Role.LEADER:
                 self.elections += 1
-                if self.leaders.setdefault(term, one.copy) != one.copy:
+                if self.leader_by_term.setdefault(term, replica.name) != replica.name:
                     raise InvariantViolationError(
-                        f"two leaders in term {term}: {self.leaders[term]} and {one.copy}"
+                        f"two leaders in term {term}: {self.leader_by_term[term]} and {replica.name}"
                     )
-                self.complete(one)
+                self.check_leader_completeness(replica)
 
-    def written(self, one: VirtualReplica, number: int, life: int) -> None:
-        if one.life != life or one.node is None:
+    def complete_write(self, replica: VirtualReplica, number: int, boot: int) -> None:
+        """Make the pending writes up to a number durable, unless the replica was killed since."""
+        if replica.boot != boot or replica.node is None:
             return
-        while one.disk.pending and one.disk.pending[0].number <= number:
-            one.disk.apply(one.disk.pending.pop(0))
-        self.step(one.copy, m.WriteCompleted(number))
+        while replica.disk.pending and replica.disk.pending[0].number <= number:
+            replica.disk.apply(replica.disk.pending.pop(0))
+        self.step(replica.name, m.WriteCompleted(number))
 
     def send(self, sender: m.Replica, to: m.Replica, message: m.Message) -> None:
-        if (sender, to) in self.cut or to not in self.machines or self.random.random() < self.lossy:
+        """Send a message, which may be lost, delayed or duplicated."""
+        if (sender, to) in self.cut_pairs or to not in self.replicas or self.random.random() < self.loss_rate:
             return
-        for _ in range(2 if self.random.random() < self.lossy / 4 else 1):
-            delay = self.random.uniform(0.001, 0.02) if self.random.random() > self.lossy else 0.4
-            self.at(self.now + delay, lambda: self.arrive(sender, to, message))
+        for _ in range(2 if self.random.random() < self.loss_rate / 4 else 1):
+            delay = self.random.uniform(0.001, 0.02) if self.random.random() > self.loss_rate else 0.4
+            self.schedule(self.now + delay, lambda: self.receive(sender, to, message))
 
-    def arrive(self, sender: m.Replica, to: m.Replica, message: m.Message) -> None:
-        if (sender, to) not in self.cut and to in self.machines:
+    def receive(self, sender: m.Replica, to: m.Replica, message: m.Message) -> None:
+        """Deliver a message, unless its connection has been cut since."""
+        if (sender, to) not in self.cut_pairs and to in self.replicas:
             self.step(to, m.MessageReceived(sender, message))
 
-    # What must hold
+    # Invariants
 
-    def applied(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
-        was = self.committed.setdefault(entry.index, (entry.term, entry.data))
-        if was != (entry.term, entry.data):
+    def apply_entry(self, replica: VirtualReplica, entry: m.Entry, request_id: int | None) -> None:
+        """Apply an entry; check its order and that all replicas apply the same entry at an index."""
+        first_applied = self.committed.setdefault(entry.index, (entry.term, entry.data))
+        if first_applied != (entry.term, entry.data):
             raise InvariantViolationError(
-                f"{one.copy} applied another entry at {entry.index}: {entry.term} and {was[0]}"
+                f"{replica.name} applied another entry at {entry.index}: of term {entry.term}, "
+                f"where term {first_applied[0]} was applied first"
             )
-        assert one.node is not None
-        self.committed_in.setdefault(entry.index, one.node.term)
-        if entry.index != one.last + 1:
-            raise InvariantViolationError(f"{one.copy} applied {entry.index} after {one.last}")
-        one.last = entry.index
-        self.take(one, entry, call)
-        if call is not None and call in self.calls:
-            mine = self.calls.pop(call)
-            if mine["data"] is not None and mine["data"] != entry.data:
-                raise InvariantViolationError(f"call {call} was answered with another's entry")
-            self.acknowledged = max(self.acknowledged, entry.index)
+        assert replica.node is not None
+        self.commit_terms.setdefault(entry.index, replica.node.term)
+        if entry.index != replica.last_applied + 1:
+            raise InvariantViolationError(
+                f"{replica.name} applied {entry.index} after {replica.last_applied}"
+            )
+        replica.last_applied = entry.index
+        self.apply_to_state(replica, entry, request_id)
+        if request_id is not None and request_id in self.calls:
+            pending = self.calls.pop(request_id)
+            if pending["data"] is not None and pending["data"] != entry.data:
+                raise InvariantViolationError(f"call {request_id} was answered with another call's entry")
+            self.acknowledged_index = max(self.acknowledged_index, entry.index)
             self.acknowledged_calls += 1
 
-    # The state that entries make: here the list of them; a play of something else has another.
+    # The state machine: here a list of the entries' data. Subclasses override it.
 
-    def thaw(self, data: bytes) -> Any:
+    def restore_state(self, data: bytes) -> Any:
+        """Return the state that a snapshot's data encodes."""
         return [line for line in data.split(b"\n") if line]
 
-    def freeze(self, state: Any) -> bytes:
+    def encode_state(self, state: Any) -> bytes:
+        """Return the snapshot data of a state."""
         return b"\n".join(state)
 
-    def take(self, one: VirtualReplica, entry: m.Entry, call: int | None) -> None:
+    def apply_to_state(self, replica: VirtualReplica, entry: m.Entry, request_id: int | None) -> None:
+        """Apply an entry to a replica's state. `request_id` is that of the call, if proposed here."""
         if entry.data:
-            one.state.append(entry.data)
+            replica.state.append(entry.data)
 
-    def answered(self, one: VirtualReplica, answer: m.RequestResult) -> None:
-        call = self.calls.pop(answer.request_id, None)
-        if call is None or answer.outcome is not m.RequestOutcome.READ_READY:
+    def handle_result(self, replica: VirtualReplica, result: m.RequestResult) -> None:
+        """Check that a completed read is not stale."""
+        call = self.calls.pop(result.request_id, None)
+        if call is None or result.outcome is not m.RequestOutcome.READ_READY:
             return
-        assert one.node is not None
+        assert replica.node is not None
         self.completed_reads += 1
-        if answer.index < call["known"]:
+        if result.index < call["min_index"]:
             raise InvariantViolationError(
-                f"a stale read at {one.copy}: {answer.index}, though {call['known']} was told"
+                f"stale read at {replica.name}: index {result.index}, acknowledged {call['min_index']}"
             )
 
-    def complete(self, one: VirtualReplica) -> None:
-        """A new leader holds every entry that was committed in a term before its own (thesis: leader
-        completeness). One that slept while a later term began may still come to lead the one it asked for.
+    def check_leader_completeness(self, replica: VirtualReplica) -> None:
+        """Check that a new leader has every entry committed in an earlier term (leader completeness).
+
+        Other entries are skipped: a replica that was paused while a later term began may still become leader
+        of the term in which it was a candidate.
         """
-        assert one.node is not None
+        assert replica.node is not None
         for index, (term, _) in self.committed.items():
-            known = one.node.log.term_at(index)
-            if self.committed_in[index] >= one.node.term:
+            log_term = replica.node.log.term_at(index)
+            if self.commit_terms[index] >= replica.node.term:
                 continue
-            if index > one.node.log.snapshot.index and known != term:
+            if index > replica.node.log.snapshot.index and log_term != term:
                 raise InvariantViolationError(
-                    f"leader {one.copy} of term {one.node.term} lacks the committed entry {index}"
+                    f"leader {replica.name} of term {replica.node.term} lacks the committed entry {index}"
                 )
 
-    def matching(self) -> None:
-        """Entries alike in index and term are alike, and so is all before them."""
+    def check_log_matching(self) -> None:
+        """Check that entries with the same index and term have the same data (log matching)."""
         seen: dict[tuple[int, int], tuple[bytes, int | None]] = {}
-        for one in self.machines.values():
-            for entry in one.disk.stored.entries:
-                known = (entry.data, 0)
-                if seen.setdefault((entry.index, entry.term), known) != known:
+        for replica in self.replicas.values():
+            for entry in replica.disk.stored.entries:
+                content = (entry.data, 0)
+                if seen.setdefault((entry.index, entry.term), content) != content:
                     raise InvariantViolationError(f"two entries at {entry.index} in term {entry.term}")
 
-    # The play
+    # Calls and faults
 
-    def call(self) -> None:
-        alive = [one for one in self.machines.values() if one.node is not None]
+    def make_call(self) -> None:
+        """Propose an entry or begin a read at a leader, or at any running replica if there is none."""
+        alive = [replica for replica in self.replicas.values() if replica.node is not None]
         if not alive:
             return
-        leaders = [one for one in alive if one.node is not None and one.node.role is Role.LEADER]
-        one = self.random.choice(leaders or alive)
-        self.next_call += 1
-        number = self.next_call
+        leaders = [
+            replica for replica in alive if replica.node is not None and replica.node.role is Role.LEADER
+        ]
+        replica = self.random.choice(leaders or alive)
+        self.last_request_id += 1
+        request_id = self.last_request_id
         if self.random.random() < 0.3:
-            self.calls[number] = {"data": None, "known": self.acknowledged}
-            self.step(one.copy, m.ReadRequest(number))
+            self.calls[request_id] = {"data": None, "min_index": self.acknowledged_index}
+            self.step(replica.name, m.ReadRequest(request_id))
         else:
-            data = b"op%d" % number
-            self.calls[number] = {"data": data, "known": 0}
-            self.step(one.copy, m.Propose(number, data))
-
-    def change(self, how: str) -> None:
-        nodes = [one for one in self.machines.values() if one.node is not None]
-        leaders = [one for one in nodes if one.node is not None and one.node.role is Role.LEADER]
+            data = b"op%d" % request_id
+            self.calls[request_id] = {"data": data, "min_index": 0}
+            self.step(replica.name, m.Propose(request_id, data))
+
+    def change_membership(self, action: str) -> None:
+        """Ask a leader for a membership change of a random replica that it applies to."""
+        nodes = [replica for replica in self.replicas.values() if replica.node is not None]
+        leaders = [
+            replica for replica in nodes if replica.node is not None and replica.node.role is Role.LEADER
+        ]
         if not leaders:
             return
-        self.next_call += 1
-        self.calls[self.next_call] = {"data": b"", "known": 0}
+        self.last_request_id += 1
+        self.calls[self.last_request_id] = {"data": b"", "min_index": 0}
         leader = self.random.choice(leaders)
         assert leader.node is not None
         members = leader.node.members()
-        fits = {"learner": set(self.machines) - set(members.all()), "voter": set(members.learners),
+        candidates = {"learner": set(self.replicas) - set(members.all()), "voter": set(members.learners),
                 "out": set(members.voters)}  # fmt: skip
-        if fits[how]:
-            copy = self.random.choice(sorted(fits[how]))
-            self.step(leader.copy, m.ChangeMembership(self.next_call, m.MembershipAction(how), copy))
-
-    def move(self, what: str) -> None:
-        names = list(self.machines)
-        one = self.machines[self.random.choice(names)]
-        leaders = [each for each in self.machines.values() if each.node and each.node.role is Role.LEADER]
-        match what:
+        if candidates[action]:
+            candidate = self.random.choice(sorted(candidates[action]))
+            self.step(
+                leader.name, m.ChangeMembership(self.last_request_id, m.MembershipAction(action), candidate)
+            )
+
+    def perform(self, action: str) -> None:
+        """Perform a fault action, or one that ends faults."""
+        names = list(self.replicas)
+        target = self.replicas[self.random.choice(names)]
+        leaders = [
+            replica for replica in self.replicas.values() if replica.node and replica.node.role is Role.LEADER
+        ]
+        match action:
             case "kill":
-                self.kill(one.copy)
+                self.kill(target.name)
             case "kill_leader" if leaders:
-                self.kill(self.random.choice(leaders).copy)
-            case "cut_leader" if leaders:  # with one or two of the others beside it
-                with_it = {self.random.choice(leaders).copy, *self.random.sample(names, 1)}
-                self.cut |= {(a, b) for a in names for b in names if (a in with_it) != (b in with_it)}
+                self.kill(self.random.choice(leaders).name)
+            case "cut_leader" if leaders:  # together with at most one other replica
+                leader_side = {self.random.choice(leaders).name, *self.random.sample(names, 1)}
+                self.cut_pairs |= {
+                    (a, b) for a in names for b in names if (a in leader_side) != (b in leader_side)
+                }
             case "start":
                 for name in names:
                     self.start(name)
             case "cut":
                 side = set(self.random.sample(names, self.random.randint(1, len(names) - 1)))
-                self.cut |= {(a, b) for a in names for b in names if (a in side) != (b in side)}
+                self.cut_pairs |= {(a, b) for a in names for b in names if (a in side) != (b in side)}
             case "one_way":
-                self.cut |= {(one.copy, other) for other in names if self.random.random() < 0.7}
+                self.cut_pairs |= {(target.name, other) for other in names if self.random.random() < 0.7}
             case "heal":
-                self.cut.clear()
+                self.cut_pairs.clear()
             case "pause":
-                one.paused = self.now + self.random.uniform(0.1, 5.0)
+                target.paused_until = self.now + self.random.uniform(0.1, 5.0)
             case "go_on":
-                for each in self.machines.values():
-                    each.paused = min(each.paused, self.now)
+                for replica in self.replicas.values():
+                    replica.paused_until = min(replica.paused_until, self.now)
             case "wipe":
-                self.wipe(one)
+                self.wipe(target)
             case "transfer":
-                self.step(one.copy, m.TransferLeadership())
+                self.step(target.name, m.TransferLeadership())
             case "slow_disk":
-                one.disk.delay = self.random.choice([0.001, 0.005, 0.1, 0.5])
+                target.disk.write_delay_s = self.random.choice([0.001, 0.005, 0.1, 0.5])
             case "add":
-                self.change("learner")
+                self.change_membership("learner")
             case "promote":
-                self.change("voter")
+                self.change_membership("voter")
             case "remove":
-                self.change("out")
+                self.change_membership("out")
 
-    def wipe(self, one: VirtualReplica) -> None:
-        """The disk is lost: the gateway comes back as another incarnation, which nobody knows yet. Never so
-        many of the group's that most of it would be gone.
+    def wipe(self, replica: VirtualReplica) -> None:
+        """Lose a replica's disk and start its gateway's next incarnation, which no other replica knows yet.
+
+        Nothing happens if a membership would lose the majority of its disks.
         """
-        if not self.whole(without=one.copy):
+        if not self.has_majorities(without=replica.name):
             return
-        self.kill(one.copy)
+        self.kill(replica.name)
         self.incarnations += 1
-        del self.machines[one.copy]
-        copy = f"{m.gateway_of(one.copy)}/{self.incarnations}"
-        self.machines[copy] = VirtualReplica(copy, VirtualDisk(m.PersistentState(self.first_of_newcomer())))
-        self.start(copy)
+        del self.replicas[replica.name]
+        name = f"{m.gateway_of(replica.name)}/{self.incarnations}"
+        self.replicas[name] = VirtualReplica(name, VirtualDisk(m.PersistentState(self.newcomer_snapshot())))
+        self.start(name)
 
-    def first_of_newcomer(self) -> m.Snapshot:
+    def newcomer_snapshot(self) -> m.Snapshot:
+        """Return the initial snapshot of a new incarnation, which has no members."""
         return m.Snapshot(0, 0, 0.0, m.Members(()), b"")
 
-    def whole(self, without: m.Replica = "") -> bool:
-        """Does every membership that some copy goes by have a majority of voters with their disks?"""
-        stored = [one.disk.stored for one in self.machines.values()]
-        known = {e.members for one in stored for e in one.entries} | {one.snapshot.members for one in stored}
-        known |= {one.node.members() for one in self.machines.values() if one.node is not None}
+    def has_majorities(self, without: m.Replica = "") -> bool:
+        """Return whether each membership known to a replica has a majority of voters with their disks.
+
+        `without` names a replica whose disk counts as lost.
+        """
+        stored = [replica.disk.stored for replica in self.replicas.values()]
+        memberships = {entry.members for replica in stored for entry in replica.entries} | {
+            replica.snapshot.members for replica in stored
+        }
+        memberships |= {
+            replica.node.members() for replica in self.replicas.values() if replica.node is not None
+        }
         return all(
-            sum(copy in self.machines and copy != without for copy in each.voters) >= each.majority()
-            for each in known if each is not None and each.voters
+            sum(voter in self.replicas and voter != without for voter in members.voters) >= members.majority()
+            for members in memberships if members is not None and members.voters
         )  # fmt: skip
 
-    def run(self, seconds: float = 40.0, moves: int = 40) -> None:
-        """Faults for so long, then quiet; at the end the group has to answer again."""
-        for name in list(self.machines):
+    def run(self, seconds: float = 40.0, action_count: int = 40) -> None:
+        """Inject faults for `seconds`, then end them and check that the group answers calls again."""
+        for name in list(self.replicas):
             self.start(name)
-        for _ in range(moves):
-            what = self.random.choice(FAULT_MIXES[self.mood])
-            self.at(self.random.uniform(1.0, seconds), lambda what=what: self.move(what))  # type: ignore[misc]
+        for _ in range(action_count):
+            action = self.random.choice(FAULT_MIXES[self.fault_mix])
+            self.schedule(self.random.uniform(1.0, seconds), lambda action=action: self.perform(action))  # type: ignore[misc]
         for _ in range(int(seconds * 8)):
-            self.at(self.random.uniform(0.5, seconds + 8.0), self.call)
+            self.schedule(self.random.uniform(0.5, seconds + 8.0), self.make_call)
         self.run_until(seconds)
-        self.calm()
+        self.end_faults()
         self.run_until(seconds + 10.0)
-        self.matching()
-        if self.whole():
-            self.answers(seconds + 10.0)
-
-    def calm(self) -> None:
-        self.move("heal")
-        self.move("go_on")
-        self.move("start")
-        self.lossy = 0.0
-        for one in self.machines.values():
-            one.disk.delay = 0.005
-
-    def answers(self, since: float) -> None:
-        told, end = self.acknowledged_calls, since + 20.0
-        while self.acknowledged_calls == told and self.now < end:
-            self.at(self.now + 0.2, self.call)
+        self.check_log_matching()
+        if self.has_majorities():
+            self.check_responsive(seconds + 10.0)
+
+    def end_faults(self) -> None:
+        """End all faults and start all replicas."""
+        self.perform("heal")
+        self.perform("go_on")
+        self.perform("start")
+        self.loss_rate = 0.0
+        for replica in self.replicas.values():
+            replica.disk.write_delay_s = 0.005
+
+    def check_responsive(self, since: float) -> None:
+        """Check that a call is acknowledged within 20 s of virtual time after `since`."""
+        acknowledged, end = self.acknowledged_calls, since + 20.0
+        while self.acknowledged_calls == acknowledged and self.now < end:
+            self.schedule(self.now + 0.2, self.make_call)
             self.run_until(self.now + 0.3)
-        if self.acknowledged_calls == told:
-            roles = {one.copy: one.node and (one.node.role, one.node.term) for one in self.machines.values()}
-            raise InvariantViolationError(f"the group does not answer again: {roles}")
+        if self.acknowledged_calls == acknowledged:
+            roles = {
+                replica.name: replica.node and (replica.node.role, replica.node.term)
+                for replica in self.replicas.values()
+            }
+            raise InvariantViolationError(
+                f"no call was acknowledged from 10 to 30 s after the faults ended: {roles}"
+            )
 
     def run_until(self, until: float) -> None:
-        while self.events and self.events[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.events)
-            what()
+        """Run all events up to a time."""
+        while self.event_queue and self.event_queue[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self.event_queue)
+            callback()
         self.now = until
 
 
-def run_simulation(kind: type[ReplicaGroupSimulation], seed: int, make: NodeFactory) -> str:
-    """What broke in the play of that seed, three copies or five, or nothing."""
+def run_simulation(kind: type[ReplicaGroupSimulation], seed: int, make_node: NodeFactory) -> str:
+    """Run a group of three or five replicas by seed, and return the violated invariant, or ""."""
     try:
-        kind(seed, copies=3 + 2 * (seed % 2), make=make).run()
-    except InvariantViolationError as broken:
-        return str(broken)
+        kind(seed, replicas=3 + 2 * (seed % 2), make_node=make_node).run()
+    except InvariantViolationError as violation:
+        return str(violation)
     return ""
