--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -130,8 +130,8 @@
     whole_files = not any("::" in argument for argument in config.args)
     try:
         known_failures.expect_failures(known_failures.load(), items, whole_files)
-    except known_failures.MalformedList as error:
-        raise pytest.UsageError(f"{known_failures.KNOWN_RED.name}: {error}") from None
+    except known_failures.MalformedListError as error:
+        raise pytest.UsageError(f"{known_failures.KNOWN_FAILURES_PATH.name}: {error}") from None
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
