--- a/mapleshunt/simulation/fit.py
+++ b/mapleshunt/simulation/fit.py
@@ -135,7 +135,7 @@
     """Simulate all draws, in their order."""
     scenario = Scenario(
         "recorded",
-        "a recorded day",
+        "a recorded run",
         (0, 0),
         gateways=base.gateways,
         backends=base.servers,
--- a/mapleshunt/simulation/fit_estimates.py
+++ b/mapleshunt/simulation/fit_estimates.py
@@ -82,7 +82,7 @@
 
 
 def _admission_weights(first_attempts: Sequence[RecordedRequest], rows: Served) -> npt.NDArray[np.float64]:
-    """Return weights that make served attempts stand for all: those of many units are rejected more often."""
+    """Return weights of served attempts that correct for rejection, which is likelier for many units."""
     arrived = Counter((row.request_class, row.estimated_cost) for row in first_attempts)
     served = Counter((row.request_class, row.estimated_cost) for row, _ in rows)
     keys = [(row.request_class, row.estimated_cost) for row, _ in rows]
--- a/mapleshunt/simulation/fitted_fleet.py
+++ b/mapleshunt/simulation/fitted_fleet.py
@@ -80,12 +80,12 @@
         ValueError: the data is not a fit, has another version, or has no draws.
     """
     try:
-        found: Fit = msgspec.json.decode(data, type=Fit)
+        fit: Fit = msgspec.json.decode(data, type=Fit)
     except msgspec.DecodeError as error:
         raise ValueError(f"file is not a fit: {error}") from None
-    if found.version != FORMAT_VERSION or not found.draws:
+    if fit.version != FORMAT_VERSION or not fit.draws:
         raise ValueError(
             f"fit must have version {FORMAT_VERSION} and draws, "
-            f"got version {found.version} with {len(found.draws)} draws"
+            f"got version {fit.version} with {len(fit.draws)} draws"
         )
-    return found
+    return fit
--- a/mapleshunt/simulation/history_checker.py
+++ b/mapleshunt/simulation/history_checker.py
@@ -46,16 +46,16 @@
         burst: The burst of every bucket.
     """
     events = list(history)
-    found = [
+    violations = [
         f"call {e.number} of session {e.session} was never answered: {e.operation}"
         for e in events
         if not e.ended_at
     ]
-    found += check_counts(events, final)
-    found += check_leases(events, burst)
-    found += check_records(events, final)
-    found += check_reads(events)
-    return found
+    violations += check_counts(events, final)
+    violations += check_leases(events, burst)
+    violations += check_records(events, final)
+    violations += check_reads(events)
+    return violations
 
 
 def check_counts(events: list[HistoryEvent], final: Mapping[str, Any]) -> list[str]:
@@ -64,13 +64,13 @@
     for event in events:
         if isinstance(event.operation, CountUsage) and isinstance(event.result, Applied):
             acknowledged[event.operation.customer] += event.operation.units
-    found = []
+    violations = []
     for customer, units in acknowledged.items():
         state = final.get(f"{BUCKET_READ_PREFIX}{customer}")
         stored = state.counted_usage if state is not None else 0.0
         if abs(stored - units) > RELATIVE_TOLERANCE * max(1.0, units):
-            found.append(f"usage of {customer}: {units:g} was acknowledged, {stored:g} is stored")
-    return found
+            violations.append(f"usage of {customer}: {units:g} was acknowledged, {stored:g} is stored")
+    return violations
 
 
 def check_leases(events: list[HistoryEvent], burst: float) -> list[str]:
@@ -79,7 +79,7 @@
     A holder may use a lease from the result on, until the lease's term after its call by its own clock, or
     until it returns the lease. The state machine counts the lease for longer.
     """
-    found: list[str] = []
+    violations: list[str] = []
     granted: dict[LeaseKey, HistoryEvent] = {}
     changes: dict[str, list[tuple[float, float]]] = defaultdict(list)  # by customer: time, units
     returned = {
@@ -92,50 +92,52 @@
             continue
         lease = event.operation.customer, event.result.lease_id
         if lease in granted:
-            found.append(f"lease {lease} was granted to {granted[lease].session} and {event.session}")
+            violations.append(f"lease {lease} was granted to {granted[lease].session} and {event.session}")
         granted[lease] = event
         end = event.started_at + event.operation.term_ms / MS_PER_SECOND
         if lease in returned:
             end = min(end, returned[lease].started_at)
         if end > event.ended_at:
             changes[lease[0]] += [(event.ended_at, event.result.units), (end, -event.result.units)]
-    return found + _check_lease_sums(changes, burst)
+    return violations + _check_lease_sums(changes, burst)
 
 
 def _check_lease_sums(changes: Mapping[str, list[tuple[float, float]]], burst: float) -> list[str]:
     """Check the sum of each customer's leases, given its changes; only the first excess is described."""
-    found = []
+    violations = []
     for customer, steps in changes.items():
         leased = 0.0
         for when, units in sorted(steps):
             leased += units
             if leased > burst + RELATIVE_TOLERANCE:
-                found.append(
+                violations.append(
                     f"leases of {customer} sum to {leased:g} at {when:.3f} s, more than the burst {burst:g}"
                 )
                 break
-    return found
+    return violations
 
 
 def check_records(events: list[HistoryEvent], final: Mapping[str, Any]) -> list[str]:
     """Check that each version of a record was set once, and that the last one is stored."""
-    found = []
+    violations = []
     versions: dict[str, dict[float, HistoryEvent]] = defaultdict(dict)
     for event in events:
         if isinstance(event.operation, SetRecord) and isinstance(event.result, Applied):
             known = versions[event.operation.key].setdefault(event.result.value, event)
             if known is not event:
-                found.append(f"record {event.operation.key}: version {event.result.value:g} was set twice")
+                violations.append(
+                    f"record {event.operation.key}: version {event.result.value:g} was set twice"
+                )
     for key, by_version in versions.items():
         state, last = final.get(f"record {key}"), max(by_version)
         if state is None or state.version != last or state.value != by_version[last].operation.value:
-            found.append(f"record {key}: version {last:g} was acknowledged, {state} is stored")
-    return found
+            violations.append(f"record {key}: version {last:g} was acknowledged, {state} is stored")
+    return violations
 
 
 def check_reads(events: list[HistoryEvent]) -> list[str]:
     """Check reads of usage: at least all counts acknowledged before, at most all started before their end."""
-    found = []
+    violations = []
     for read in events:
         customer = _bucket_read(read)
         if customer is None:
@@ -151,10 +153,10 @@
             <= usage
             <= upper_bound + RELATIVE_TOLERANCE * max(1, upper_bound)
         ):
-            found.append(
+            violations.append(
                 f"a read of {customer} says {usage:g}, not between {lower_bound:g} and {upper_bound:g}"
             )
-    return found
+    return violations
 
 
 def _bucket_read(event: HistoryEvent) -> str | None:
--- a/mapleshunt/simulation/plots.py
+++ b/mapleshunt/simulation/plots.py
@@ -70,16 +70,16 @@
     plt.close(fig)
 
 
-def comparison(found: Comparison, names: tuple[str, str], title: str, file: Path) -> None:
+def comparison(result: Comparison, names: tuple[str, str], title: str, file: Path) -> None:
     """Plot the differences of service, its parts and the penalties as intervals, in percentage points."""
     plt = _pyplot()
     keys = [
         k
-        for k in found.difference
+        for k in result.difference
         if k in ("service", "whole", "worst_window", "worst_plan", "g") or k.startswith("penalty.")
     ][::-1]
     fig, axes = plt.subplots(figsize=(7, 4.2), constrained_layout=True)
-    rows = [found.difference[key] for key in keys]
+    rows = [result.difference[key] for key in keys]
     bars = [_error_bar(row.low, row.high, row.mean) for row in rows]
     axes.errorbar(
         [100 * row.mean for row in rows],
--- a/mapleshunt/simulation/replay.py
+++ b/mapleshunt/simulation/replay.py
@@ -125,7 +125,7 @@
 def draw_fitted_run(
     fit: Fit, scenario: Scenario, seed: int, replay: Replay, draw: int | None = None
 ) -> ScenarioRun:
-    """Return a run of the fitted fleet. The seed also chooses the draw, unless `draw` gives its number."""
+    """Return a run of the fitted fleet. The seed also chooses the draw, unless `draw` is its number."""
     streams = RandomStreams(seed)
     rng = streams.generator("fitted")
     number = int(rng.integers(len(fit.draws))) if draw is None else draw
--- a/mapleshunt/simulation/replica_cluster.py
+++ b/mapleshunt/simulation/replica_cluster.py
@@ -103,8 +103,8 @@
 
     def replica(self, group: int, gateway: int) -> SimulatedReplica | None:
         """Return a group's replica at a gateway, or None if there is none or the gateway is down."""
-        found = self._replicas.get((group, gateway))
-        return found if found is not None and found.node is not None else None
+        replica = self._replicas.get((group, gateway))
+        return replica if replica is not None and replica.node is not None else None
 
     def propose(self, replica: SimulatedReplica, number: int, command: bytes) -> None:
         """Propose a command at a replica; its result is passed to `reply` with that number."""
--- a/mapleshunt/simulation/validation.py
+++ b/mapleshunt/simulation/validation.py
@@ -66,7 +66,7 @@
         return list(dict.fromkeys((line.kind, line.seed) for line in self.lines))
 
     def days_within(self, figure: str) -> int:
-        """Return how many runs have a figure inside its prediction interval."""
+        """Return the number of runs in which a figure is inside its prediction interval."""
         return sum(line.inside for line in self.lines if line.figure == figure)
 
     def widest_interval(self) -> float:
@@ -79,11 +79,11 @@
         Each figure must be inside its interval in at least `min_share` of the runs, and no interval of
         service may be wider than `MAX_SERVICE_INTERVAL`.
         """
-        days = len(self.days())
+        run_count = len(self.days())
         return (
-            bool(days)
+            bool(run_count)
             and self.widest_interval() <= MAX_SERVICE_INTERVAL
-            and all(self.days_within(figure) >= min_share * days for figure in self.figures())
+            and all(self.days_within(figure) >= min_share * run_count for figure in self.figures())
         )
 
 
@@ -95,7 +95,7 @@
 def validate_model(
     run_on_sockets: RunOnSockets,
     folder: Path,
-    days: int = 10,
+    run_count: int = 10,
     seed: int = 1,
     seconds: float = 40.0,
     gateways: int = 3,
@@ -112,7 +112,7 @@
     Args:
         run_on_sockets: runs a scenario with real gateways.
         folder: for the recordings.
-        days: number of runs that are predicted.
+        run_count: number of runs that are predicted.
         seed: of the installation, the runs and the fit.
         seconds: length of each run.
         gateways: number of gateways.
@@ -143,7 +143,7 @@
         Search(draws, keep, seed, jobs),
     )
     report = ValidationReport(fit=fit)
-    kinds = [PREDICTED_SCENARIOS[n % len(PREDICTED_SCENARIOS)] for n in range(days)]
+    kinds = [PREDICTED_SCENARIOS[n % len(PREDICTED_SCENARIOS)] for n in range(run_count)]
     predicted_runs = [
         (
             replace(
@@ -158,7 +158,7 @@
         )
         for n, kind in enumerate(kinds)
     ]
-    report_progress(f"running {days} scenarios on sockets, {parallel_runs} at a time")
+    report_progress(f"running {run_count} scenarios on sockets, {parallel_runs} at a time")
     outcomes = Parallel(n_jobs=parallel_runs)(
         delayed(_run_or_error)(run_on_sockets, scenario, number) for scenario, number in predicted_runs
     )
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -42,14 +42,14 @@
     name: str = ""  # of the policy, or the checkout's folder
     settings: Mapping[str, Any] = field(default_factory=dict)
     constants: Mapping[str, float] = field(default_factory=dict)
-    world: Mapping[str, float] = field(default_factory=dict)
+    fleet_parameters: Mapping[str, float] = field(default_factory=dict)
 
     def scenario(self, scenario: Scenario) -> Scenario:
         """Return the scenario with this variant's settings and fleet parameters."""
         return replace(
             scenario,
             settings={**scenario.settings, **self.settings},
-            fixed_parameters={**scenario.fixed_parameters, **self.world},
+            fixed_parameters={**scenario.fixed_parameters, **self.fleet_parameters},
         )
 
 
@@ -108,7 +108,7 @@
         "set",
         settings={k: v for k, v in pairs.items() if not k.startswith("world.") and not k.isupper()},
         constants={k: float(v) for k, v in pairs.items() if k.isupper()},
-        world={k[6:]: float(v) for k, v in pairs.items() if k.startswith("world.")},
+        fleet_parameters={k[6:]: float(v) for k, v in pairs.items() if k.startswith("world.")},
     )
 
 
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -102,11 +102,11 @@
     slow = float(
         np.mean([1 / backend.speed for backend in Engine(scenario_run, Gateway).backend_models.values()])
     )
-    for found in fitted.classes:
-        true = next(c for c in scenario_run.parameters.classes if c.name == found.name)
+    for fitted_class in fitted.classes:
+        true = next(c for c in scenario_run.parameters.classes if c.name == fitted_class.name)
         # Four standard errors, and a tenth for what the estimate of shared cores leaves out.
-        assert abs(found.work / (true.work * slow) - 1) < 4 * found.error + 0.1, found
-        assert abs(found.share - true.share) < 0.05
+        assert abs(fitted_class.work / (true.work * slow) - 1) < 4 * fitted_class.error + 0.1, fitted_class
+        assert abs(fitted_class.share - true.share) < 0.05
     assert 0.85 < fitted.unit_ms / (scenario_run.parameters["unit_ms"] * slow) < 1.15
     assert len(fitted.customers) <= len(scenario_run.traffic.customers)
     recorded_rate = len(scenario_run.traffic.requests) / scenario_run.length_ms * 1000
@@ -126,13 +126,13 @@
 
 def dispersion(scenario_run: ScenarioRun, customers: int) -> float:
     """Return the variance over the mean of requests in windows of 2 s, averaged over the busy customers."""
-    found = []
+    dispersions = []
     for number in range(customers):
         at = [a.arrives_at for a in scenario_run.traffic.requests if a.customer == number]
         counts = np.bincount((np.array(at) / 2000).astype(int), minlength=int(scenario_run.length_ms / 2000))
         if counts.mean() > 1.5:
-            found.append(counts.var(ddof=1) / counts.mean())
-    return float(np.mean(found))
+            dispersions.append(counts.var(ddof=1) / counts.mean())
+    return float(np.mean(dispersions))
 
 
 def test_replay_at_three_times_the_rate_keeps_each_customers_burstiness(
@@ -173,8 +173,8 @@
 ) -> None:
     traffic = recorded_traffic.read_recordings(write_recordings(rows, tmp_path, 3, (0, 2)))
     assert traffic.coverage == pytest.approx(2 / 3) and traffic.recorded == (0, 2)
-    found = fit_estimates.fit_customers(traffic)
-    recorded_rate = sum(replay.customer_rates(c, 100).mean() for c in found)
+    customers = fit_estimates.fit_customers(traffic)
+    recorded_rate = sum(replay.customer_rates(c, 100).mean() for c in customers)
     complete_rate = sum(replay.customer_rates(c, 100).mean() for c in fitted.customers)
     assert 0.8 < recorded_rate / complete_rate < 1.2
     classes, _ = fit_estimates.fit_classes(traffic, recorded_traffic.served_work(traffic, 3), {})
