--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Benchmarks; each module runs as `python -m benchmarks.NAME`."""
--- a/benchmarks/model_order.py
+++ b/benchmarks/model_order.py
@@ -1,4 +1,4 @@
-"""Do policies come in their order on overloaded days, and do equal variants show no difference?
+"""Whether policies rank as expected under overload, and compare_equal_variants variants show no difference.
 
 python -m benchmarks.model_order
 """
@@ -14,37 +14,41 @@
 SEEDS = range(1, 9)
 
 
-def order() -> None:
-    print("g (service less penalties), 8 days each, mean and 95% interval")
-    for name, changes in (("overload", None), ("cold", None), ("worst", (0.8, 0.97))):
+def compare_policies() -> None:
+    """Print the g of each policy in overloaded scenarios."""
+    print("g (service less penalties), 8 runs each, mean and 95% interval")
+    for name, load in (("overload", None), ("cold", None), ("worst", (0.8, 0.97))):
         scenario = resized(SCENARIOS[name], seconds=30)
-        if changes:
+        if load:
             from dataclasses import replace
 
-            scenario = replace(scenario, load=changes)
+            scenario = replace(scenario, load=load)
         means = []
         for policy in ("policy:let-all", "policy:even-split", "policy:count-each", "here"):
-            found = run_seeds(scenario, SEEDS, parse(policy))
-            values = interval([one.score.g for one in found if one.score])
-            broken = sum(sum(one.score.rules.values()) for one in found if one.score)
+            results = run_seeds(scenario, SEEDS, parse(policy))
+            values = interval([result.score.g for result in results if result.score])
+            violations = sum(sum(result.score.rules.values()) for result in results if result.score)
             means.append(values.mean)
             print(
                 f"{name:9} {policy:18} {values.mean:7.3f} [{values.low:7.3f}, {values.high:7.3f}]"
-                f"  rules broken {broken}"
+                f"  violations {violations}"
             )
-        good = means[0] < means[1] < means[3]
-        print(f"{name:9} let-all < even-split < module: {'yes' if good else 'NO'}")
+        is_ordered = means[0] < means[1] < means[3]
+        print(f"{name:9} let-all < even-split < module: {'yes' if is_ordered else 'NO'}")
 
 
-def equal() -> None:
-    none = 0
+def compare_equal_variants() -> None:
+    """Print how often equal variants show no difference."""
+    no_difference = 0
     for number in range(20):
         scenario = resized(SCENARIOS["busy" if number % 2 else "overload"], backends=8, seconds=10)
-        found = compare(scenario, parse("here"), parse("here"), range(100 * number, 100 * number + 8))
-        none += found.verdict == "none"
-    print(f"\nequal variants: 'none' in {none} of 20 comparisons (8 days each; 18 wanted)")
+        result = compare(scenario, parse("here"), parse("here"), range(100 * number, 100 * number + 8))
+        no_difference += result.verdict == "none"
+    print(
+        f"\nequal variants: 'none' in {no_difference} of 20 comparisons (8 runs each; at least 18 expected)"
+    )
 
 
 if __name__ == "__main__":
-    order()
-    equal()
+    compare_policies()
+    compare_equal_variants()
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -1,4 +1,4 @@
-"""What the model costs beside the decisions, at 3 and at 200 gateways; SimPy's event list beside ours.
+"""CPU of the simulation beside that of the policy, with 3 and 200 gateways; its event queue beside SimPy's.
 
 python -m benchmarks.model_speed
 """
@@ -19,88 +19,94 @@
 REPEATS = 3
 
 
-def share() -> None:
-    print("scenario, 3 x 14, 48 s: CPU of Gateway.handle, of the model, ratio (median of three), wall")
+def measure_fraction() -> None:
+    """Print the CPU of the policy and of the simulation in some scenarios."""
+    print("scenario, 3 x 14, 48 s: CPU of Gateway.handle, of the simulation, ratio (median of three), wall")
     for name in ("quiet", "busy", "overload", "worst"):
-        ratios, walls = [], []
+        ratios, wall_times_s = [], []
         for seed in range(REPEATS):
             begun = time.perf_counter()
             engine = Engine(draw_run(resized(SCENARIOS[name], seconds=48), seed), Gateway)
             engine.run()
-            walls.append(time.perf_counter() - begun)
+            wall_times_s.append(time.perf_counter() - begun)
             fleet_cpu_ns = engine.total_cpu_ns - engine.gateway_cpu_ns
             ratios.append(fleet_cpu_ns / engine.gateway_cpu_ns)
         print(
             f"{name:10} {engine.gateway_cpu_ns / 1e9:6.2f} s {fleet_cpu_ns / 1e9:6.2f} s "
-            f"{statistics.median(ratios):5.2f}  {statistics.median(walls):5.2f} s"
+            f"{statistics.median(ratios):5.2f}  {statistics.median(wall_times_s):5.2f} s"
         )
 
 
-class Quick:
-    """Stands in for the decisions: sends to the next server, and costs next to nothing."""
+class NullPolicy:
+    """A policy that costs almost nothing: it sends each request to the next backend."""
 
     def __init__(self, settings, seed, now):  # type: ignore[no-untyped-def]
         from mapleshunt import policy
 
-        self.policy, self.servers, self.next = policy, [0], seed
+        self.policy, self.endpoints, self.next = policy, [0], seed
 
     def start(self):  # type: ignore[no-untyped-def]
+        """Return no actions."""
         return ()
 
     def handle(self, now, event):  # type: ignore[no-untyped-def]
+        """Start an attempt for each request, and fail it if the attempt fails."""
         policy = self.policy
         if type(event) is policy.RequestReceived:
             self.next += 1
-            return (policy.StartAttempt(event.request_id, self.servers[self.next % len(self.servers)]),)
+            return (policy.StartAttempt(event.request_id, self.endpoints[self.next % len(self.endpoints)]),)
         if type(event) is policy.AttemptEnded:
             return () if event.request_completed else (policy.FailRequest(event.request_id),)
         if type(event) is policy.EndpointUpdate and event.kind != "partial":
-            self.servers = [entry.endpoint for entry in event.endpoints]
+            self.endpoints = [entry.endpoint for entry in event.endpoints]
         return ()
 
 
-def size() -> None:
-    print("\nthe model's own CPU an event, with decisions that cost nothing (median of three)")
+def measure_event_cost() -> None:
+    """Print the CPU per event of the simulation for a small and a large fleet."""
+    print("\nCPU of the simulation per event, with a policy that costs almost nothing (median of three)")
     costs = {}
-    for gateways, servers, seconds in ((3, 30, 40.0), (200, 2000, 0.6)):
-        found = []
+    for gateways, backends, seconds in ((3, 30, 40.0), (200, 2000, 0.6)):
+        cpu_us = []
         for seed in range(REPEATS):
             engine = Engine(
-                draw_run(resized(SCENARIOS["busy"], gateways, servers, seconds=seconds), seed), Quick
+                draw_run(resized(SCENARIOS["busy"], gateways, backends, seconds=seconds), seed), NullPolicy
             )
             engine.run()
-            found.append((engine.total_cpu_ns - engine.gateway_cpu_ns) / engine.events / 1000)
-        costs[gateways] = statistics.median(found)
+            cpu_us.append((engine.total_cpu_ns - engine.gateway_cpu_ns) / engine.events / 1000)
+        costs[gateways] = statistics.median(cpu_us)
         print(
-            f"{gateways:4} gateways x {servers:4} servers: {costs[gateways]:5.2f} us an event"
+            f"{gateways:4} gateways x {backends:4} backends: {costs[gateways]:5.2f} us per event"
             f" ({engine.events} events)"
         )
-    print(f"ratio {costs[200] / costs[3]:.2f} (at most 1.5 wanted)")
+    print(f"ratio {costs[200] / costs[3]:.2f} (limit 1.5)")
 
 
-def lists(count: int = 200_000) -> None:
-    def ours() -> float:
-        agenda = EventQueue()
-        left = [count]
+def compare_event_queues(count: int = 200_000) -> None:
+    """Print the CPU per event of the event queue and of SimPy."""
+
+    def run_event_queue() -> float:
+        queue = EventQueue()
+        remaining = [count]
 
         def step(n: int) -> None:
-            left[0] -= 1
-            if left[0] > 0:
-                agenda.at(agenda.now + 1.0 + n % 7, step, n + 1)
+            remaining[0] -= 1
+            if remaining[0] > 0:
+                queue.schedule(queue.now + 1.0 + n % 7, step, n + 1)
 
         begun = time.process_time()
         for n in range(50):
-            agenda.at(float(n), step, n)
-        agenda.run(1e12)
+            queue.schedule(float(n), step, n)
+        queue.run_until(1e12)
         return time.process_time() - begun
 
-    def theirs() -> float:
+    def run_simpy() -> float:
         env = simpy.Environment()
-        left = [count]
+        remaining = [count]
 
         def process(n: int):  # type: ignore[no-untyped-def]
-            while left[0] > 0:
-                left[0] -= 1
+            while remaining[0] > 0:
+                remaining[0] -= 1
                 yield env.timeout(1.0 + n % 7)
                 n += 1
 
@@ -110,13 +116,14 @@
         env.run()
         return time.process_time() - begun
 
-    a, b = min(ours() for _ in range(REPEATS)), min(theirs() for _ in range(REPEATS))
+    own_s, simpy_s = min(run_event_queue() for _ in range(REPEATS)), min(run_simpy() for _ in range(REPEATS))
     print(
-        f"\nan event of ours {1e6 * a / count:.2f} us, of SimPy {1e6 * b / count:.2f} us: ratio {b / a:.1f}"
+        f"\nCPU per event: EventQueue {1e6 * own_s / count:.2f} us, "
+        f"SimPy {1e6 * simpy_s / count:.2f} us: ratio {simpy_s / own_s:.1f}"
     )
 
 
 if __name__ == "__main__":
-    share()
-    size()
-    lists()
+    measure_fraction()
+    measure_event_cost()
+    compare_event_queues()
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -1,7 +1,7 @@
-"""From the start of a gateway's process to its first yes, with as many started at once.
+"""Time from the start of a gateway's process until it is ready, with several started at once.
 
-Real processes on loopback, each with a list of till servers known from its configuration, as after a restart.
-The cores are this machine's: with more processes than cores each has a part of one, as on a crowded host.
+Real processes on loopback, each with an endpoint list from its configuration, as after a restart. With more
+processes than cores of this machine, each has a fraction of a core, as on a crowded host.
 
     .venv/bin/python -m benchmarks.ready [SEEDS]
 """
@@ -21,23 +21,26 @@
 from mapleshunt.net.protocol import resp
 
 ROOT = Path(__file__).parent.parent
-BOUND = 10.0  # s in which nine in ten have to be ready
-SERVERS = 200
-
-
-def configuration(folder: Path, seed: int) -> Path:
-    """Of a gateway that knows `SERVERS` till servers and reaches no discovery."""
-    where = "127.0.0.1:1"  # nobody is called
-    members = [{"id": f"s-{n}", "host_port": where, "cell": n, "phase": "Ready"} for n in range(SERVERS)]
-    raw = json.loads((ROOT / "examples" / "config.json").read_text())
+READY_WITHIN_S = 10.0  # for at least 90% of the processes
+BACKENDS = 200
+
+
+def write_configuration(folder: Path, seed: int) -> Path:
+    """Write the configuration of a gateway with known endpoints and no discovery; return its path."""
+    unreachable = "127.0.0.1:1"  # no port listens there
+    members = [
+        {"id": f"s-{number}", "host_port": unreachable, "cell": number, "phase": "Ready"}
+        for number in range(BACKENDS)
+    ]
+    example = json.loads((ROOT / "examples" / "config.json").read_text())
     known = {"revision": 1, "complete": True, "members": members}
     path = folder / f"config-{seed}.json"
-    path.write_text(json.dumps({**raw, "discovery": where, "seed": f"{seed:x}", "known": known}))
+    path.write_text(json.dumps({**example, "discovery": unreachable, "seed": f"{seed:x}", "known": known}))
     return path
 
 
-async def ready(config: Path) -> float:
-    """s until it said yes."""
+async def measure_ready_time(config: Path) -> float:
+    """Start a gateway and return the time (s) until it answered PING."""
     with socket.create_server(("127.0.0.1", 0)) as probe:
         port = probe.getsockname()[1]
     begun = time.monotonic()
@@ -50,9 +53,9 @@
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(resp.encode_command([b"PING"]))
-                said = await reader.readline()
+                reply = await reader.readline()
                 writer.close()
-                if said == b"+PONG\r\n":
+                if reply == b"+PONG\r\n":
                     return time.monotonic() - begun
             except OSError:
                 pass
@@ -62,20 +65,31 @@
         await process.wait()
 
 
-async def together(count: int, seed: int) -> list[float]:
+async def measure_ready_times(count: int, seed: int) -> list[float]:
+    """Return the times of that many gateways started at once."""
     with tempfile.TemporaryDirectory() as folder:
-        config = configuration(Path(folder), seed)
-        return list(await asyncio.gather(*(ready(config) for _ in range(count))))
+        config = write_configuration(Path(folder), seed)
+        return list(await asyncio.gather(*(measure_ready_time(config) for _ in range(count))))
 
 
 def main() -> None:
+    """Print the times for several numbers of gateways."""
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 5)
-    print(f"started at once on {os.cpu_count()} cores: s to a yes: median, nine in ten, last; part in time")
+    print(
+        f"started at once on {os.cpu_count()} cores: s until ready: "
+        "median, 90th percentile, last; fraction in time"
+    )
     for count in (1, 8, 40, 200):
-        took = sorted(one for seed in seeds for one in asyncio.run(together(count, seed)))
-        ninth = took[int(0.9 * (len(took) - 1))]
-        part = sum(one <= BOUND for one in took) / len(took)
-        print(f"{count:4}: {statistics.median(took):.2f} {ninth:.2f} {took[-1]:.2f}; {part:.3f}", flush=True)
+        durations_s = sorted(
+            duration_s for seed in seeds for duration_s in asyncio.run(measure_ready_times(count, seed))
+        )
+        percentile_90 = durations_s[int(0.9 * (len(durations_s) - 1))]
+        fraction_in_time = sum(duration_s <= READY_WITHIN_S for duration_s in durations_s) / len(durations_s)
+        print(
+            f"{count:4}: {statistics.median(durations_s):.2f} {percentile_90:.2f} {durations_s[-1]:.2f}; "
+            f"{fraction_in_time:.3f}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/replication_plays.py
+++ b/benchmarks/replication_plays.py
@@ -1,6 +1,6 @@
-"""Plays of replicas by seed, and how many it takes to find each planted fault.
+"""Simulated replicas by seed, and how many seeds it takes to find each planted fault.
 
-python -m benchmarks.replication_plays [PLAYS] [MOST]
+python -m benchmarks.replication_plays [RUNS] [MAX_SEEDS]
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from mapleshunt.simulation.replication_planted_faults import PLANTED_FAULTS, run_seed
 
-PLAYS_PER_JOB = 100
+RUNS_PER_JOB = 100
 MAX_VIOLATIONS_PRINTED = 20
 
 
 def find_violations(first: int, end: int) -> list[tuple[int, str]]:
-    """The seeds from `first` to before `end` whose plays violate an invariant, with the violation."""
+    """Return the seeds from `first` to before `end` whose runs violate an invariant, with the violation."""
     violations = []
     for seed in range(first, end):
         if violation := run_seed(seed):
@@ -25,25 +25,26 @@
     return violations
 
 
-def find_planted_fault(plant: str, max_seeds: int) -> tuple[str, int | None, str]:
-    """The first seed whose play finds a planted fault, with the violation; None if none does."""
+def find_planted_fault(planted_fault: str, max_seeds: int) -> tuple[str, int | None, str]:
+    """Return the first seed whose run finds a planted fault, with the violation; None if none does."""
     for seed in range(max_seeds):
-        if violation := run_seed(seed, plant):
-            return plant, seed, violation
-    return plant, None, ""
+        if violation := run_seed(seed, planted_fault):
+            return planted_fault, seed, violation
+    return planted_fault, None, ""
 
 
 def main() -> None:
-    plays, max_seeds = (int(argument) for argument in [*sys.argv[1:], "20000", "4000"][:2])
-    hunts = (delayed(find_planted_fault)(plant, max_seeds) for plant in PLANTED_FAULTS)
-    for plant, seed, violation in Parallel(n_jobs=-1)(hunts):
-        print(f"{plant:24} seed {seed}: {violation[:70]}", flush=True)
+    """Print the first seed that finds each planted fault, and the violations without any."""
+    runs, max_seeds = (int(argument) for argument in [*sys.argv[1:], "20000", "4000"][:2])
+    searches = (delayed(find_planted_fault)(planted_fault, max_seeds) for planted_fault in PLANTED_FAULTS)
+    for planted_fault, seed, violation in Parallel(n_jobs=-1)(searches):
+        print(f"{planted_fault:24} seed {seed}: {violation[:70]}", flush=True)
     begun = time.monotonic()
-    starts = range(0, plays, PLAYS_PER_JOB)
-    jobs = (delayed(find_violations)(start, min(plays, start + PLAYS_PER_JOB)) for start in starts)
+    starts = range(0, runs, RUNS_PER_JOB)
+    jobs = (delayed(find_violations)(start, min(runs, start + RUNS_PER_JOB)) for start in starts)
     violations = [violation for part in Parallel(n_jobs=-1)(jobs) for violation in part]
     elapsed = time.monotonic() - begun
-    print(f"{plays} plays, seeds 0 to {plays - 1}: {len(violations)} broken, {elapsed:.0f} s")
+    print(f"{runs} runs, seeds 0 to {runs - 1}: {len(violations)} violations, {elapsed:.0f} s")
     for seed, violation in violations[:MAX_VIOLATIONS_PRINTED]:
         print(f"  seed {seed}: {violation}")
 
--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -1,6 +1,6 @@
-"""Work on all machines of a real fleet, with faults in the middle, several fleets beside each other.
+"""Maintenance of all machines of a real fleet under faults, several fleets at the same time.
 
-python -m benchmarks.rolls [SCHEDULES] [AT_ONCE] [STRIKES]
+python -m benchmarks.rolls [RUNS] [AT_ONCE] [FAULTS]
 """
 
 from __future__ import annotations
@@ -16,34 +16,38 @@
 from mapleshunt.testbed.rolling_maintenance import RollingMaintenanceReport, RollingMaintenanceRun
 
 
-def one(seed: int, strikes: int) -> tuple[RollingMaintenanceReport, int]:
-    """5, 7 or 9 gateways by seed."""
+def run_maintenance(seed: int, faults: int) -> tuple[RollingMaintenanceReport, int]:
+    """Work on all machines of 5, 7 or 9 gateways by seed; return the report and the number of gateways."""
     gateways = (5, 5, 7, 9)[seed % 4]
     with tempfile.TemporaryDirectory() as folder:
         fleet = ReplicatedFleet(Path(folder), replicas_only_config(), gateways, seed, election_ms=500.0)
-        roll = asyncio.run(RollingMaintenanceRun(fleet).run(faults=strikes))
-        if roll.violations:
-            keep = Path(tempfile.mkdtemp(prefix=f"rolls-{seed}-"))
+        report = asyncio.run(RollingMaintenanceRun(fleet).run(faults=faults))
+        if report.violations:
+            log_folder = Path(tempfile.mkdtemp(prefix=f"rolls-{seed}-"))
             for machine in fleet.machines.values():
                 log = machine.log
-                (keep / machine.name).write_bytes(log.read_bytes() if log.exists() else b"")
-        return roll, gateways
+                (log_folder / machine.name).write_bytes(log.read_bytes() if log.exists() else b"")
+        return report, gateways
 
 
 def main() -> None:
-    schedules, at_once, strikes = (int(text) for text in [*sys.argv[1:], "100", "4", "3"][:3])
+    """Run the fleets and print what they found."""
+    runs, at_once, faults = (int(text) for text in [*sys.argv[1:], "100", "4", "3"][:3])
     with ProcessPoolExecutor(at_once) as pool:
-        rolls = list(pool.map(one, range(schedules), [strikes] * schedules))
-    broken = [(seed, roll) for seed, (roll, _) in enumerate(rolls) if roll.violations]
-    print(f"schedules {schedules}, seeds 0 to {schedules - 1}, {strikes} strikes each, {at_once} at once")
-    most = max(roll.most_drained for roll, _ in rolls)
-    print(f"gateways 5, 7, 9 by seed; broken {len(broken)}; most out by plan {most}")
+        results = list(pool.map(run_maintenance, range(runs), [faults] * runs))
+    broken = [(seed, report) for seed, (report, _) in enumerate(results) if report.violations]
+    print(f"runs {runs}, seeds 0 to {runs - 1}, {faults} faults each, {at_once} at once")
+    max_drained = max(report.most_drained for report, _ in results)
+    print(f"gateways 5, 7, 9 by seed; with violations {len(broken)}; drained at once {max_drained} at most")
     for size in (5, 7, 9):
-        took = [roll.seconds for roll, gateways in rolls if gateways == size]
-        if took:
-            print(f"{size} gateways: a roll took {statistics.median(took):.0f} s, {max(took):.0f} at most")
-    for seed, roll in broken:
-        print(f"seed {seed}: {roll.faults}: {roll.violations[0][:400]}")
+        durations_s = [report.seconds for report, gateways in results if gateways == size]
+        if durations_s:
+            print(
+                f"{size} gateways: median duration {statistics.median(durations_s):.0f} s, "
+                f"{max(durations_s):.0f} s at most"
+            )
+    for seed, report in broken:
+        print(f"seed {seed}: {report.faults}: {report.violations[0][:400]}")
 
 
 if __name__ == "__main__":
--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -372,7 +372,7 @@
 
 @maintenance.command(name="await-safe")
 @click.argument("machine")
-@click.option("--patience", default=3600.0, show_default=True, help="Seconds to wait at most.")
+@click.option("--patience", default=3600.0, show_default=True, help="Seconds.")
 @settings_option
 def await_safe(machine: str, patience: float, file: Path | None) -> None:
     """Wait until MACHINE is safe to work on and mark it out (exit status 0), or will not be safe (1)."""
