--- a/mapleshunt/cli/maintenance.py
+++ b/mapleshunt/cli/maintenance.py
@@ -291,7 +291,7 @@
 def _simulate_batches(
     section: Any, jobs: Any, log_time_ms: float, statuses: dict[str, Any]
 ) -> tuple[list[list[str]], float]:
-    """Return the batches and the s until all are done; `jobs` is changed and holds what blocks the others."""
+    """Return the batches and their duration (s); `jobs` is changed and holds what blocks the others."""
     from ..maintenance import commands as maintenance_commands
     from ..maintenance import fleet_view
 
--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -86,7 +86,7 @@
     if gateways is not None or rate is not None:
         raise ValueError("--gateways and --rate do not apply to a fitted fleet; scale it with xSCALE")
     file, *parts = arguments.split(",")
-    found = decode_fit(Path(file).read_bytes())
+    fit = decode_fit(Path(file).read_bytes())
     scale, by, base = 1.0, "customers", get_scenario("quiet")
     for part in parts:
         if part in ("customers", "rates"):
@@ -98,8 +98,8 @@
     if servers is not None:
         import msgspec
 
-        found = msgspec.structs.replace(found, servers=servers)
-    return scenario_from(found, resized(base, seconds=seconds), scale, by)
+        fit = msgspec.structs.replace(fit, servers=servers)
+    return scenario_from(fit, resized(base, seconds=seconds), scale, by)
 
 
 def _parse_variant(text: str) -> Any:
@@ -152,21 +152,21 @@
         load_scenario(scenario, gateways, servers, rate, seconds),
     )
     try:
-        found = run_scenario(sized_scenario, seed, selected_variant)
+        score = run_scenario(sized_scenario, seed, selected_variant)
     except Exception as error:
         raise CommandError(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
     if as_json:
-        print_json(found.as_dict())
+        print_json(score.as_dict())
         return
     table(["figure", "value"], [
-        *service_rows(found),
-        ["requests", found.requests], ["attempts", found.tries], ["served", found.served],
-        ["rejected", found.refused], ["failed", found.failed], ["median response time, ms", found.p50_ms],
-        ["99th percentile response time, ms", found.p99_ms], ["events", found.events],
-        ["wall time, s", found.wall_s],
-        ["CPU of the gateways, s", found.gateway_cpu_s], ["CPU of the simulation, s", found.model_cpu_s],
+        *service_rows(score),
+        ["requests", score.requests], ["attempts", score.tries], ["served", score.served],
+        ["rejected", score.refused], ["failed", score.failed], ["median response time, ms", score.p50_ms],
+        ["99th percentile response time, ms", score.p99_ms], ["events", score.events],
+        ["wall time, s", score.wall_s],
+        ["CPU of the gateways, s", score.gateway_cpu_s], ["CPU of the simulation, s", score.model_cpu_s],
     ])  # fmt: skip
-    for violation in found.stories:
+    for violation in score.stories:
         click.echo(f"broken: {violation}")
 
 
@@ -207,20 +207,27 @@
     first, second = _parse_variant(a), _parse_variant(b)
     sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
     with progress(2 * seeds, scenario) as step, _joblib_backend(backend):
-        found = compare_variants(
+        comparison = compare_variants(
             sized_scenario, first, second, range(first_seed, first_seed + seeds), jobs, step
         )
-    if plot is not None and found.difference:
+    if plot is not None and comparison.difference:
         from ..simulation import plots
 
-        plots.comparison(found, (a, b), f"{scenario}, {seeds} runs", plot)
+        plots.comparison(comparison, (a, b), f"{scenario}, {seeds} runs", plot)
     if as_json:
-        print_json(found.as_dict())
+        print_json(comparison.as_dict())
     else:
         rows = [
-            [key, found.a[key].mean, found.b[key].mean, difference.mean, difference.low, difference.high]
-            for key, difference in found.difference.items()
-            if found.a[key].mean or found.b[key].mean
+            [
+                key,
+                comparison.a[key].mean,
+                comparison.b[key].mean,
+                difference.mean,
+                difference.low,
+                difference.high,
+            ]
+            for key, difference in comparison.difference.items()
+            if comparison.a[key].mean or comparison.b[key].mean
         ]
         table(["figure", "a", "b", "b - a", "low", "high"], rows)
         verdicts = {
@@ -228,10 +235,12 @@
             "b": f"b ({b}) serves more",
             "none": "no significant difference",
         }
-        click.echo(f"service: {verdicts[found.verdict]} (95% interval of paired differences, Student's t)")
-        for name, errors in found.errors.items():
+        click.echo(
+            f"service: {verdicts[comparison.verdict]} (95% interval of paired differences, Student's t)"
+        )
+        for name, errors in comparison.errors.items():
             click.echo(f"variant {name} failed in {len(errors)} of {seeds} runs: {errors[0]}")
-    if not found.difference:
+    if not comparison.difference:
         raise CommandError("no run was completed by both variants")
 
 
@@ -312,7 +321,7 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False, path_type=Path))
 @click.option(
     "--settings",
-    "told",
+    "configuration",
     required=True,
     type=click.Path(dir_okay=False, path_type=Path),
     help="Configuration of a gateway, for its plans.",
@@ -333,7 +342,7 @@
 @json_option
 def fit_parameters(
     files: tuple[Path, ...],
-    told: Path,
+    configuration: Path,
     out: Path,
     servers: int | None,
     know: tuple[str, ...],
@@ -355,7 +364,7 @@
     from ..simulation.variants import parse_pair
 
     try:
-        document = json.loads(told.read_text())
+        document = json.loads(configuration.read_text())
         packages = document.get("settings", document)["Packages"]
         plans = [
             FittedPlan(
@@ -382,37 +391,37 @@
             click.echo(f"not read: {problem}", err=True)
         with progress(draws, "fit") as step, _joblib_backend(backend):
             search = Search(draws, min(keep, draws), seed, jobs)
-            found = fit_fleet(traffic, plans, worths, servers, known, search, step)
-        out.write_bytes(encode_fit(found))
+            fit = fit_fleet(traffic, plans, worths, servers, known, search, step)
+        out.write_bytes(encode_fit(fit))
     except (OSError, ValueError, KeyError, TypeError) as error:
         raise CommandError(
             f"{type(error).__name__}: {error}" if isinstance(error, KeyError) else str(error)
         ) from None
     compared = {
-        figure: {"recorded": value, "mean": found.played[figure][0], "sd": found.played[figure][1]}
-        for figure, value in found.recorded.items()
+        figure: {"recorded": value, "mean": fit.played[figure][0], "sd": fit.played[figure][1]}
+        for figure, value in fit.recorded.items()
     }
     if as_json:
         print_json(
             {
                 "file": str(out),
-                "requests": found.requests,
-                "customers": len(found.customers),
-                "coverage": found.coverage,
+                "requests": fit.requests,
+                "customers": len(fit.customers),
+                "coverage": fit.coverage,
                 "compared": compared,
-                "trouble": found.problems,
+                "trouble": fit.problems,
             }
         )
         return
     click.echo(
-        f"{found.requests} requests of {len(found.customers)} customers, {found.length_ms / 1000:.0f} s, "
-        f"{found.coverage:.0%} of the gateways"
+        f"{fit.requests} requests of {len(fit.customers)} customers, {fit.length_ms / 1000:.0f} s, "
+        f"{fit.coverage:.0%} of the gateways"
     )
     table(
         ["class", "fraction", "work, ms of a core", "standard error", "coefficient of variation"],
         [
             [fitted.name, fitted.share, fitted.work, fitted.work * fitted.error, fitted.cv]
-            for fitted in found.classes
+            for fitted in fit.classes
         ],
     )
     table(
@@ -466,7 +475,7 @@
     from ..testbed.recording import run_and_record
 
     with tempfile.TemporaryDirectory() as folder, _joblib_backend(backend):
-        found = validate_model(
+        validation = validate_model(
             run_and_record,
             Path(folder),
             days,
@@ -481,16 +490,16 @@
             jobs,
             lambda message: click.echo(message, err=True),
         )
-    within = {figure: found.days_within(figure) for figure in found.figures()}
-    count = len(found.days())
+    within = {figure: validation.days_within(figure) for figure in validation.figures()}
+    count = len(validation.days())
     if as_json:
         print_json(
             {
                 "days": count,
                 "within": within,
-                "widest_service": found.widest_interval(),
-                "good": found.passed(),
-                "errors": found.errors,
+                "widest_service": validation.widest_interval(),
+                "good": validation.passed(),
+                "errors": validation.errors,
                 "lines": [
                     {
                         "kind": line.kind,
@@ -502,7 +511,7 @@
                         "real": line.real,
                         "inside": line.inside,
                     }
-                    for line in found.lines
+                    for line in validation.lines
                 ],
             }
         )
@@ -520,15 +529,15 @@
                     line.real,
                     "yes" if line.inside else "NO",
                 ]
-                for line in found.lines
+                for line in validation.lines
             ],
         )
         for figure, inside in within.items():
             click.echo(f"{figure}: inside its {PREDICTION_LEVEL:.0%} interval in {inside} of {count} runs")
         click.echo(
-            f"widest interval of service: {found.widest_interval():.3f} (limit {MAX_SERVICE_INTERVAL})"
+            f"widest interval of service: {validation.widest_interval():.3f} (limit {MAX_SERVICE_INTERVAL})"
         )
-        for error in found.errors:
+        for error in validation.errors:
             click.echo(f"run failed: {error}")
-    if not found.passed() or found.errors:
+    if not validation.passed() or validation.errors:
         raise SystemExit(1)
--- a/mapleshunt/cli/record.py
+++ b/mapleshunt/cli/record.py
@@ -29,13 +29,13 @@
     """
     from ..recording import file_format
 
-    found = []
+    loaded = []
     for file in files:
         try:
-            found.append(file_format.read_recording(file.read_bytes()))
+            loaded.append(file_format.read_recording(file.read_bytes()))
         except (OSError, file_format.RecordingError) as error:
             raise CommandError(f"{file}: {error}") from None
-    return found
+    return loaded
 
 
 @record.command()
@@ -145,10 +145,10 @@
     if path is None:
         raise CommandError("no settings file given: name one or set PROXY_OPERATORS")
     try:
-        found = effective_settings(path)
+        effective = effective_settings(path)
     except ValueError as error:
         raise CommandError(str(error)) from None
     if as_json:
-        print_json([{"setting": name, "value": value, "from": origin} for name, value, origin in found])
+        print_json([{"setting": name, "value": value, "from": origin} for name, value, origin in effective])
     else:
-        table(["setting", "value", "from"], found)
+        table(["setting", "value", "from"], effective)
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -72,9 +72,9 @@
 ) -> None:
     """Run a scenario once in real time."""
     sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
-    fleet, found = _run_on_loopback(sized_scenario, seed, logs, program)
+    fleet, score = _run_on_loopback(sized_scenario, seed, logs, program)
     unanswered = fleet.timed_out[:5]
-    found.stories += [f"request {attempt.request_id} got no answer in time" for attempt in unanswered]
+    score.stories += [f"request {attempt.request_id} got no answer in time" for attempt in unanswered]
     extra = {
         "late_ms": fleet.clock.max_lateness_ms,
         "unanswered": len(fleet.timed_out),
@@ -82,16 +82,16 @@
         "memory_kb": [gateway.peak_memory_kb for gateway in fleet.gateways],
     }
     if as_json:
-        print_json({**found.as_dict(), **extra})
+        print_json({**score.as_dict(), **extra})
         return
     table(["figure", "value"], [
-        *service_rows(found), ["requests", found.requests],
-        ["served", found.served], ["rejected", found.refused], ["failed", found.failed],
-        ["median response time, ms", found.p50_ms], ["99th percentile response time, ms", found.p99_ms],
-        ["CPU of the gateways, s", found.gateway_cpu_s],
+        *service_rows(score), ["requests", score.requests],
+        ["served", score.served], ["rejected", score.refused], ["failed", score.failed],
+        ["median response time, ms", score.p50_ms], ["99th percentile response time, ms", score.p99_ms],
+        ["CPU of the gateways, s", score.gateway_cpu_s],
         ["largest lateness of this process, ms", fleet.clock.max_lateness_ms],
     ])  # fmt: skip
-    for violation in found.stories:
+    for violation in score.stories:
         click.echo(f"broken: {violation}")
 
 
@@ -250,7 +250,7 @@
     from ..testbed import summary
 
     scenario = load_scenario("busy", gateways, servers, None, seconds)
-    fleet, found = _run_on_loopback(scenario, seed, None, None)
+    fleet, score = _run_on_loopback(scenario, seed, None, None)
     counts = summary.reasons(fleet)
     exactly_one = summary.exactly_once(fleet)
     if as_json:
@@ -261,8 +261,8 @@
                 "requests": len(fleet.rule_checker.client_attempts),
                 "exactly_one": exactly_one,
                 "reasons": counts,
-                "service": found.service,
-                "rules": found.rules,
+                "service": score.service,
+                "rules": score.rules,
             }
         )
     else:
@@ -280,7 +280,7 @@
             ],
         )
         click.echo(
-            f"\nservice {found.service:.3f}, median response time {found.p50_ms:.0f} ms; every request had "
+            f"\nservice {score.service:.3f}, median response time {score.p50_ms:.0f} ms; every request had "
             f"{'exactly one' if exactly_one else 'NOT exactly one'} final answer"
         )
     if not exactly_one:
--- a/mapleshunt/testbed/soak/fleet.py
+++ b/mapleshunt/testbed/soak/fleet.py
@@ -125,7 +125,7 @@
     # Checks
 
     def lag(self) -> float:
-        """Return by how many s this process was late at most within the last `LAG_WINDOW_S`."""
+        """Return the largest lateness (s) of this process within the last `LAG_WINDOW_S`."""
         now = time.monotonic()
         overdue = now - self.last_lag_sample_at - LAG_SAMPLE_INTERVAL_S
         return max([overdue, 0.0, *(lag for at, lag in self.lag_samples if now - at <= LAG_WINDOW_S)])
@@ -146,7 +146,10 @@
             self.report.lag_ms = max(self.report.lag_ms, 1000 * lag)
 
     def killed_since(self, gateway: int, when: float) -> bool:
-        """Whether the gateway was killed after that time without a SIGTERM well before."""
+        """Whether a kill excuses that a request sent at that time has no answer.
+
+        After a SIGTERM it does so only for requests sent more than `TERMINATION_MARGIN_MS` later.
+        """
         for sigkill_at, sigterm_at in self.kill_times.get(gateway, []):
             if sigkill_at >= when - KILL_DURATION_MS and (
                 sigterm_at is None or when > sigterm_at + TERMINATION_MARGIN_MS
@@ -177,9 +180,8 @@
         for agent in (cast(SoakDiscoveryAgent, self.agents[gateway]), self.spare_agents[gateway]):
             agent.change(entry)
         if entry.state == "ready":
-            self.rule_checker.endpoint_notified(
-                gateway, entry, self.now()
-            )  # attempts may be sent to it as soon as it is in discovery
+            # Attempts may be sent to it as soon as it is in discovery.
+            self.rule_checker.endpoint_notified(gateway, entry, self.now())
         else:
             self._record_notified(gateway, entry, self.now())
 
