--- a/mapleshunt/testbed/faults/schedule.py
+++ b/mapleshunt/testbed/faults/schedule.py
@@ -65,7 +65,7 @@
             final = await read_final_state(callers[0], SETTLE_TIMEOUT_S)
             self.report.broken = find_violations(self.fleet.history, final, BURST)
         except (GatewayError, TimeoutError) as error:
-            self.report.broken.append(f"timed out: {error!r}; unanswered calls: {self._unanswered_calls()}")
+            self.report.broken.append(f"run aborted: {error!r}; unanswered calls: {self._unanswered_calls()}")
         finally:
             for call in calls:
                 call.cancel()
--- a/mapleshunt/testbed/rolling_maintenance.py
+++ b/mapleshunt/testbed/rolling_maintenance.py
@@ -117,7 +117,7 @@
             await asyncio.wait_for(asyncio.gather(*tasks), SETTLE_TIMEOUT_S)
             self._check_result()
         except (GatewayError, TimeoutError) as error:
-            self.report.violations.append(f"timed out: {error!r}; machines: {self._states()}")
+            self.report.violations.append(f"run aborted: {error!r}; machines: {self._states()}")
         finally:
             for task in tasks:
                 task.cancel()
