--- a/mapleshunt/simulation/recorded_traffic.py
+++ b/mapleshunt/simulation/recorded_traffic.py
@@ -69,7 +69,7 @@
         )
     if not any(rows_by_gateway.values()):
         raise RecordedTrafficError("the recordings contain no requests")
-    # The recordings are ring buffers that reach back differently far: only the time that all cover is used.
+    # The recordings are ring buffers that cover different periods; only their common period is used.
     begin = max(rows[0].arrived_at for rows in rows_by_gateway.values() if rows)
     end = min(rows[-1].arrived_at for rows in rows_by_gateway.values() if rows)
     if end - begin < 1000:
--- a/mapleshunt/simulation/replication_plays.py
+++ b/mapleshunt/simulation/replication_plays.py
@@ -99,9 +99,8 @@
         }
         self.event_queue: list[tuple[float, int, Callable[[], None]]] = []
         self.event_count = 0
-        self.cut_pairs: set[tuple[m.Replica, m.Replica]] = (
-            set()
-        )  # (sender, receiver) pairs that lose all messages
+        # (sender, receiver) pairs whose messages are lost
+        self.cut_pairs: set[tuple[m.Replica, m.Replica]] = set()
         self.leader_by_term: dict[int, m.Replica] = {}
         self.committed: dict[int, tuple[int, bytes]] = {}  # index: term, data
         self.commit_terms: dict[int, int] = {}  # index: term of the replica that first applied it
--- a/mapleshunt/simulation/variants.py
+++ b/mapleshunt/simulation/variants.py
@@ -1,9 +1,8 @@
 """Variants that an experiment compares: this version, another checkout, a plain policy, or other settings.
 
-A variant is written as `here`; `path:DIR` (the policy code of another checkout);
-`policy:NAME`; or `set:KEY=VALUE,...`. A key is a field of the gateways' settings, `plan.NAME.PART` (rate,
-burst, ceiling_rate, ceiling_burst), the name of a policy constant in capitals, or `world.NAME` for a
-parameter of the fleet.
+A variant is written as `here`; `path:DIR` (the policy code of another checkout); `policy:NAME`; or
+`set:KEY=VALUE,...`. A key is a field of the gateways' settings, `plan.NAME.PART` (rate, burst, ceiling_rate,
+ceiling_burst), the name of a policy constant in capitals, or `world.NAME` for a parameter of the fleet.
 """
 
 from __future__ import annotations
@@ -98,7 +97,7 @@
         if not checkouts.modules_with(checkouts.decision_modules(mapleshunt), key):
             raise VariantError(f"unknown key {key!r}: the policy has no such constant")
     elif key not in known or key in ("gateway_index", "gateway_count", "classes", "plans"):
-        raise VariantError(f"unknown key {key!r}: the gateways have no such setting")
+        raise VariantError(f"key {key!r} is not a gateway setting that a variant can change")
 
 
 def variant_with(pairs: Mapping[str, Any], text: str) -> Variant:
