--- a/mapleshunt/cli/model.py
+++ b/mapleshunt/cli/model.py
@@ -1,4 +1,4 @@
-"""`mapleshunt model ...`: the fleet in virtual time."""
+"""The command `mapleshunt model`: the fleet simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -8,34 +8,38 @@
 
 import click
 
-from .output import Trouble, json_option, print_json, progress, service_rows, table
+from .output import CommandError, json_option, print_json, progress, service_rows, table
 
 
 @click.group()
 def model() -> None:
-    """Try a setting or a version on a model of the fleet."""
+    """Test settings or versions on a model of the fleet."""
 
 
-def sizes(command: Any) -> Any:
-    for name, kind, text in (
-        ("--seconds", float, "Length of the day."),
-        ("--rate", float, "Requests a second inside the quotas; else by the scenario's load."),
-        ("--servers", click.IntRange(1), "Till servers."),
+def size_options(command: Any) -> Any:
+    """Add the options that resize a scenario."""
+    for name, option_type, text in (
+        ("--seconds", float, "Length of the run."),
+        ("--rate", float, "Requests per second within the quotas; by default from the scenario's load."),
+        ("--servers", click.IntRange(1), "Backends."),
         ("--gateways", click.IntRange(1), "Gateways."),
     ):
-        command = click.option(name, type=kind, help=text)(command)
+        command = click.option(name, type=option_type, help=text)(command)
     return command
 
 
-def pools(command: Any) -> Any:
+def pool_options(command: Any) -> Any:
+    """Add the options of parallel execution."""
     command = click.option(
         "--backend", default=None, help="joblib's backend (loky, multiprocessing, threading)."
     )(command)
-    return click.option("--jobs", default=-1, show_default=True, help="Processes; -1: one a core.")(command)
+    return click.option(
+        "--jobs", default=-1, show_default=True, help="Number of processes; -1: one per core."
+    )(command)
 
 
 @contextmanager
-def _pool(backend: str | None) -> Any:
+def _joblib_backend(backend: str | None) -> Any:
     from joblib import parallel_config
 
     if backend is None:
@@ -45,38 +49,43 @@
         with parallel_config(backend=backend):
             yield
     except ValueError as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
-def scenario_named(
+def load_scenario(
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
+    """Return a built-in or fitted scenario, resized.
+
+    Raises:
+        CommandError: the name or a size is invalid, or the fit cannot be read.
+    """
     from ..simulation.day import resized
     from ..simulation.scenarios import get_scenario
 
     try:
         if ":" in name:
-            return _recorded(name, gateways, servers, rate, seconds)
+            return _load_fitted_scenario(name, gateways, servers, rate, seconds)
         return resized(get_scenario(name), gateways, servers, rate, seconds)
     except (ValueError, OSError) as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
-def _recorded(
+def _load_fitted_scenario(
     name: str, gateways: int | None, servers: int | None, rate: float | None, seconds: float | None
 ) -> Any:
-    """`fit:FILE[,KIND][,xSCALE][,rates]`: days of a fitted fleet, with a scenario's troubles, scaled."""
+    """Return `fit:FILE[,KIND][,xSCALE][,rates]`: a fitted fleet, scaled, with a scenario's faults."""
     from ..simulation.day import resized
     from ..simulation.fitted_fleet import decode_fit
     from ..simulation.replay import scenario_from
     from ..simulation.scenarios import get_scenario
 
-    kind, _, rest = name.partition(":")
+    kind, _, arguments = name.partition(":")
     if kind != "fit":
-        raise ValueError(f"{name!r} is neither a scenario nor fit:FILE[,KIND][,xSCALE][,rates]")
+        raise ValueError(f"a scenario must be built in or fit:FILE[,KIND][,xSCALE][,rates], got {name!r}")
     if gateways is not None or rate is not None:
-        raise ValueError("a fitted fleet has its gateways and rates; scale it with xSCALE")
-    file, *parts = rest.split(",")
+        raise ValueError("--gateways and --rate do not apply to a fitted fleet; scale it with xSCALE")
+    file, *parts = arguments.split(",")
     found = decode_fit(Path(file).read_bytes())
     scale, by, base = 1.0, "customers", get_scenario("quiet")
     for part in parts:
@@ -93,34 +102,37 @@
     return scenario_from(found, resized(base, seconds=seconds), scale, by)
 
 
-def _variant(text: str) -> Any:
+def _parse_variant(text: str) -> Any:
     from ..simulation.variants import parse
 
     try:
         return parse(text)
     except ValueError as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
 @model.command("scenarios")
 @json_option
 def list_scenarios(as_json: bool) -> None:
-    """The built-in scenarios."""
+    """List the built-in scenarios."""
     from ..simulation.scenarios import SCENARIOS
 
     if as_json:
-        print_json({name: one.description for name, one in SCENARIOS.items()})
+        print_json({name: scenario.description for name, scenario in SCENARIOS.items()})
     else:
-        table(["scenario", "what it is"], [[name, one.description] for name, one in SCENARIOS.items()])
+        table(
+            ["scenario", "description"],
+            [[name, scenario.description] for name, scenario in SCENARIOS.items()],
+        )
 
 
 @model.command()
 @click.argument("scenario")
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Draws the day.")
+@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Seed of the run.")
 @click.option(
     "--variant", default="here", show_default=True, help="here, path:DIR, policy:NAME or set:KEY=VALUE,..."
 )
-@sizes
+@size_options
 @json_option
 def run(
     scenario: str,
@@ -132,37 +144,47 @@
     seconds: float | None,
     as_json: bool,
 ) -> None:
-    """Play one day of a scenario."""
+    """Simulate one run of a scenario."""
     from ..simulation.experiments import run_scenario
 
-    chosen, day = _variant(variant), scenario_named(scenario, gateways, servers, rate, seconds)
+    selected_variant, sized_scenario = (
+        _parse_variant(variant),
+        load_scenario(scenario, gateways, servers, rate, seconds),
+    )
     try:
-        found = run_scenario(day, seed, chosen)
+        found = run_scenario(sized_scenario, seed, selected_variant)
     except Exception as error:
-        raise Trouble(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
+        raise CommandError(f"the variant {variant!r} failed: {type(error).__name__}: {error}") from None
     if as_json:
         print_json(found.as_dict())
         return
     table(["figure", "value"], [
         *service_rows(found),
-        ["first tries", found.requests], ["tries", found.tries], ["served", found.served],
-        ["refused", found.refused], ["failed", found.failed], ["median answer, ms", found.p50_ms],
-        ["99th percentile, ms", found.p99_ms], ["events", found.events], ["wall time, s", found.wall_s],
-        ["CPU of the gateways, s", found.gateway_cpu_s], ["CPU of the model, s", found.model_cpu_s],
+        ["requests", found.requests], ["attempts", found.tries], ["served", found.served],
+        ["rejected", found.refused], ["failed", found.failed], ["median response time, ms", found.p50_ms],
+        ["99th percentile response time, ms", found.p99_ms], ["events", found.events],
+        ["wall time, s", found.wall_s],
+        ["CPU of the gateways, s", found.gateway_cpu_s], ["CPU of the simulation, s", found.model_cpu_s],
     ])  # fmt: skip
-    for story in found.stories:
-        click.echo(f"broken: {story}")
+    for violation in found.stories:
+        click.echo(f"broken: {violation}")
 
 
 @model.command()
 @click.argument("scenario")
 @click.option("--a", "a", default="here", show_default=True, help="The first variant.")
 @click.option("--b", "b", required=True, help="The second.")
-@click.option("--seeds", default=10, show_default=True, type=click.IntRange(1), help="Days that both play.")
+@click.option(
+    "--seeds", default=10, show_default=True, type=click.IntRange(1), help="Number of runs of each variant."
+)
 @click.option("--first-seed", default=1, show_default=True, type=click.IntRange(0))
-@click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="A picture of the differences.")
-@sizes
-@pools
+@click.option(
+    "--plot",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write a plot of the differences to this file.",
+)
+@size_options
+@pool_options
 @json_option
 def compare(
     scenario: str,
@@ -179,42 +201,48 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """Two variants over the same days: the difference with its interval."""
+    """Compare two variants over runs of the same seeds, with confidence intervals."""
     from ..simulation.experiments import compare as compare_variants
 
-    one, other = _variant(a), _variant(b)
-    day = scenario_named(scenario, gateways, servers, rate, seconds)
-    with progress(2 * seeds, scenario) as step, _pool(backend):
-        found = compare_variants(day, one, other, range(first_seed, first_seed + seeds), jobs, step)
+    first, second = _parse_variant(a), _parse_variant(b)
+    sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
+    with progress(2 * seeds, scenario) as step, _joblib_backend(backend):
+        found = compare_variants(
+            sized_scenario, first, second, range(first_seed, first_seed + seeds), jobs, step
+        )
     if plot is not None and found.difference:
         from ..simulation import plots
 
-        plots.comparison(found, (a, b), f"{scenario}, {seeds} days", plot)
+        plots.comparison(found, (a, b), f"{scenario}, {seeds} runs", plot)
     if as_json:
         print_json(found.as_dict())
     else:
         rows = [
-            [key, found.a[key].mean, found.b[key].mean, row.mean, row.low, row.high]
-            for key, row in found.difference.items()
+            [key, found.a[key].mean, found.b[key].mean, difference.mean, difference.low, difference.high]
+            for key, difference in found.difference.items()
             if found.a[key].mean or found.b[key].mean
         ]
-        table(["figure", "a", "b", "b less a", "low", "high"], rows)
-        words = {"a": f"a ({a}) serves more", "b": f"b ({b}) serves more", "none": "no difference shown"}
-        click.echo(f"service: {words[found.verdict]} (95% interval of paired differences, Student's t)")
+        table(["figure", "a", "b", "b - a", "low", "high"], rows)
+        verdicts = {
+            "a": f"a ({a}) serves more",
+            "b": f"b ({b}) serves more",
+            "none": "no significant difference",
+        }
+        click.echo(f"service: {verdicts[found.verdict]} (95% interval of paired differences, Student's t)")
         for name, errors in found.errors.items():
-            click.echo(f"{name} failed on {len(errors)} of {seeds} days: {errors[0]}")
+            click.echo(f"variant {name} failed in {len(errors)} of {seeds} runs: {errors[0]}")
     if not found.difference:
-        raise Trouble("no day was played by both variants")
+        raise CommandError("no run was completed by both variants")
 
 
 @model.command()
 @click.argument("scenario")
-@click.option("--over", required=True, multiple=True, help="KEY=VALUE,VALUE,...; twice for two settings.")
+@click.option("--over", required=True, multiple=True, help="KEY=VALUE,VALUE,...; may be given twice.")
 @click.option("--seeds", default=6, show_default=True, type=click.IntRange(1))
-@click.option("--figure", default="service", show_default=True, help="What the plot shows.")
+@click.option("--figure", default="service", show_default=True, help="Figure that is tabulated and plotted.")
 @click.option("--plot", type=click.Path(dir_okay=False, path_type=Path))
-@sizes
-@pools
+@size_options
+@pool_options
 @json_option
 def sweep(
     scenario: str,
@@ -230,37 +258,37 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """A figure over the values of one or two settings."""
+    """Show a figure over the values of one or two settings."""
     from ..simulation.experiments import intervals_as_dict
     from ..simulation.experiments import sweep as sweep_settings
     from ..simulation.variants import parse_pair
 
     if len(over) > 2:
-        raise Trouble("a sweep goes over one or two settings")
+        raise CommandError(f"--over must be given once or twice, got {len(over)}")
     values: dict[str, list[Any]] = {}
-    for one in over:
-        key, _, rest = one.partition("=")
+    for setting in over:
+        key, _, texts = setting.partition("=")
         try:
-            pairs = [parse_pair(f"{key}={value}") for value in rest.split(",")]
+            pairs = [parse_pair(f"{key}={value}") for value in texts.split(",")]
             values[pairs[0][0]] = [value for _, value in pairs]
         except ValueError as error:
-            raise Trouble(str(error)) from None
-    day = scenario_named(scenario, gateways, servers, rate, seconds)
+            raise CommandError(str(error)) from None
+    sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
     total = seeds
-    for held in values.values():
-        total *= len(held)
-    with progress(total, scenario) as step, _pool(backend):
-        points = sweep_settings(day, values, range(1, seeds + 1), jobs, step)
+    for setting_values in values.values():
+        total *= len(setting_values)
+    with progress(total, scenario) as step, _joblib_backend(backend):
+        points = sweep_settings(sized_scenario, values, range(1, seeds + 1), jobs, step)
     if (
         points
         and any(p.figures for p in points)
         and figure not in next(p.figures for p in points if p.figures)
     ):
-        raise Trouble(f"{figure!r} is no figure")
+        raise CommandError(f"no figure is named {figure!r}")
     if plot is not None:
         from ..simulation import plots
 
-        plots.sweep(points, figure, f"{scenario}, {seeds} days a point", plot)
+        plots.sweep(points, figure, f"{scenario}, {seeds} runs per point", plot)
     if as_json:
         print_json(
             [{"at": p.settings, "errors": p.errors, "figures": intervals_as_dict(p.figures)} for p in points]
@@ -287,20 +315,23 @@
     "told",
     required=True,
     type=click.Path(dir_okay=False, path_type=Path),
-    help="A gateway's configuration: its plans and classes.",
+    help="Configuration of a gateway, for its plans.",
 )
 @click.option(
-    "--out", required=True, type=click.Path(dir_okay=False, path_type=Path), help="Where the fit goes."
+    "--out",
+    required=True,
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="File that the fit is written to.",
 )
-@click.option("--servers", type=click.IntRange(1), help="Till servers; else those that were sent anything.")
-@click.option("--know", multiple=True, help="FIGURE=VALUE that is known, cores=3 say.")
-@click.option("--worth", multiple=True, help="CLASS=WORTH; else 1.")
+@click.option("--servers", type=click.IntRange(1), help="Number of backends; by default those with attempts.")
+@click.option("--know", multiple=True, help="Known parameter as FIGURE=VALUE, for example cores=3.")
+@click.option("--worth", multiple=True, help="Value of a request class as CLASS=WORTH; by default 1.")
 @click.option("--draws", default=160, show_default=True, type=click.IntRange(8))
 @click.option("--keep", default=24, show_default=True, type=click.IntRange(2))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
-@pools
+@pool_options
 @json_option
-def fit_world(
+def fit_parameters(
     files: tuple[Path, ...],
     told: Path,
     out: Path,
@@ -314,7 +345,7 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """Fit a world to the recordings of a fleet's gateways."""
+    """Fit the parameters of a fleet to the recordings of its gateways."""
     import json
 
     from ..fleet.parameters import check_overrides
@@ -324,38 +355,42 @@
     from ..simulation.variants import parse_pair
 
     try:
-        wire = json.loads(told.read_text())
-        packages = wire.get("settings", wire)["Packages"]
+        document = json.loads(told.read_text())
+        packages = document.get("settings", document)["Packages"]
         plans = [
             FittedPlan(
-                p["Name"],
+                package["Name"],
                 0.0,
-                p["QuotaRate"],
-                p["Burst"],
-                p.get("ValueFactor", 1.0),
-                p.get("ExcessCost", 1.0),
+                package["QuotaRate"],
+                package["Burst"],
+                package.get("ValueFactor", 1.0),
+                package.get("ExcessCost", 1.0),
                 1.0,
             )
-            for p in packages
+            for package in packages
         ]
-        known = {key: float(value) for key, value in (parse_pair(f"world.{one}") for one in know)}
+        known = {
+            key: float(value) for key, value in (parse_pair(f"world.{known_figure}") for known_figure in know)
+        }
         known = {key[6:]: value for key, value in known.items()}
         check_overrides(known)
-        worths = {name: float(value) for name, _, value in (one.partition("=") for one in worth)}
+        worths = {
+            name: float(value) for name, _, value in (class_worth.partition("=") for class_worth in worth)
+        }
         traffic = recorded_traffic.read_recordings(list(files))
-        for line in traffic.problems:
-            click.echo(f"not read: {line}", err=True)
-        with progress(draws, "fit") as step, _pool(backend):
+        for problem in traffic.problems:
+            click.echo(f"not read: {problem}", err=True)
+        with progress(draws, "fit") as step, _joblib_backend(backend):
             search = Search(draws, min(keep, draws), seed, jobs)
             found = fit_fleet(traffic, plans, worths, servers, known, search, step)
         out.write_bytes(encode_fit(found))
     except (OSError, ValueError, KeyError, TypeError) as error:
-        raise Trouble(
+        raise CommandError(
             f"{type(error).__name__}: {error}" if isinstance(error, KeyError) else str(error)
         ) from None
     compared = {
-        k: {"recorded": v, "mean": found.played[k][0], "sd": found.played[k][1]}
-        for k, v in found.recorded.items()
+        figure: {"recorded": value, "mean": found.played[figure][0], "sd": found.played[figure][1]}
+        for figure, value in found.recorded.items()
     }
     if as_json:
         print_json(
@@ -374,27 +409,42 @@
         f"{found.coverage:.0%} of the gateways"
     )
     table(
-        ["class", "share", "work, ms of a core", "standard error", "cv"],
-        [[c.name, c.share, c.work, c.work * c.error, c.cv] for c in found.classes],
+        ["class", "fraction", "work, ms of a core", "standard error", "coefficient of variation"],
+        [
+            [fitted.name, fitted.share, fitted.work, fitted.work * fitted.error, fitted.cv]
+            for fitted in found.classes
+        ],
     )
     table(
-        ["compared (times in log ms)", "recorded", "draws kept", "their sd"],
-        [[k, v["recorded"], v["mean"], v["sd"]] for k, v in compared.items()],
+        ["figure (times in log ms)", "recorded", "mean of kept draws", "their sd"],
+        [[figure, row["recorded"], row["mean"], row["sd"]] for figure, row in compared.items()],
     )
 
 
 @model.command("check")
 @click.option("--days", default=10, show_default=True, type=click.IntRange(1))
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Draws the installation.")
+@click.option(
+    "--seed", default=1, show_default=True, type=click.IntRange(0), help="Seed of the installation."
+)
 @click.option("--seconds", default=40.0, show_default=True, type=click.FloatRange(3))
 @click.option("--gateways", default=3, show_default=True, type=click.IntRange(1))
 @click.option("--servers", default=16, show_default=True, type=click.IntRange(1))
 @click.option("--draws", default=96, show_default=True, type=click.IntRange(8))
 @click.option(
-    "--foretold", default=39, show_default=True, type=click.IntRange(19), help="Days of the model for each."
+    "--foretold",
+    default=39,
+    show_default=True,
+    type=click.IntRange(19),
+    help="Simulated runs per run of the testbed.",
+)
+@click.option(
+    "--at-once",
+    default=4,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Testbeds that run at the same time.",
 )
-@click.option("--at-once", default=4, show_default=True, type=click.IntRange(1), help="Rigs side by side.")
-@pools
+@pool_options
 @json_option
 def check_model(
     days: int,
@@ -409,16 +459,16 @@
     backend: str | None,
     as_json: bool,
 ) -> None:
-    """Hold the model against days of real gateways on loopback: minutes of real time."""
+    """Validate the model against real gateways on loopback; takes minutes of real time."""
     import tempfile
 
     from ..simulation.validation import MAX_SERVICE_INTERVAL, PREDICTION_LEVEL, validate_model
     from ..testbed.recording import run_and_record
 
-    with tempfile.TemporaryDirectory() as place, _pool(backend):
+    with tempfile.TemporaryDirectory() as folder, _joblib_backend(backend):
         found = validate_model(
             run_and_record,
-            Path(place),
+            Path(folder),
             days,
             seed,
             seconds,
@@ -429,7 +479,7 @@
             foretold,
             at_once,
             jobs,
-            lambda line: click.echo(line, err=True),
+            lambda message: click.echo(message, err=True),
         )
     within = {figure: found.days_within(figure) for figure in found.figures()}
     count = len(found.days())
@@ -443,33 +493,42 @@
                 "errors": found.errors,
                 "lines": [
                     {
-                        "kind": x.kind,
-                        "seed": x.seed,
-                        "figure": x.figure,
-                        "low": x.low,
-                        "mean": x.mean,
-                        "high": x.high,
-                        "real": x.real,
-                        "inside": x.inside,
+                        "kind": line.kind,
+                        "seed": line.seed,
+                        "figure": line.figure,
+                        "low": line.low,
+                        "mean": line.mean,
+                        "high": line.high,
+                        "real": line.real,
+                        "inside": line.inside,
                     }
-                    for x in found.lines
+                    for line in found.lines
                 ],
             }
         )
     else:
         table(
-            ["day", "seed", "figure", "low", "foretold", "high", "real", "inside"],
+            ["scenario", "seed", "figure", "low", "predicted", "high", "real", "inside"],
             [
-                [x.kind, x.seed, x.figure, x.low, x.mean, x.high, x.real, "yes" if x.inside else "NO"]
-                for x in found.lines
+                [
+                    line.kind,
+                    line.seed,
+                    line.figure,
+                    line.low,
+                    line.mean,
+                    line.high,
+                    line.real,
+                    "yes" if line.inside else "NO",
+                ]
+                for line in found.lines
             ],
         )
-        for figure, number in within.items():
-            click.echo(f"{figure}: inside its {PREDICTION_LEVEL:.0%} bars on {number} of {count} days")
+        for figure, inside in within.items():
+            click.echo(f"{figure}: inside its {PREDICTION_LEVEL:.0%} interval in {inside} of {count} runs")
         click.echo(
-            f"widest bar on service {found.widest_interval():.3f} (at most {MAX_SERVICE_INTERVAL} wanted)"
+            f"widest interval of service: {found.widest_interval():.3f} (limit {MAX_SERVICE_INTERVAL})"
         )
         for error in found.errors:
-            click.echo(f"not played: {error}")
+            click.echo(f"run failed: {error}")
     if not found.passed() or found.errors:
         raise SystemExit(1)
--- a/mapleshunt/cli/rig.py
+++ b/mapleshunt/cli/rig.py
@@ -1,4 +1,4 @@
-"""`mapleshunt rig ...` and `mapleshunt demo`: the fleet on loopback with real gateways."""
+"""The commands `mapleshunt rig` and `mapleshunt demo`: real gateways in a fleet on loopback."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 import click
 
-from .model import scenario_named, sizes
-from .output import Trouble, json_option, print_json, service_rows, table
+from .model import load_scenario, size_options
+from .output import CommandError, json_option, print_json, service_rows, table
 
 if TYPE_CHECKING:
     from ..testbed.soak.schedule import FaultKind
 
-# Operations as the report of `faults` has always named them.
-CALL_NAMES = {
+# Names of operations in the report of `faults`, which are part of its JSON output.
+OPERATION_LABELS = {
     "OpenSession": "Open",
     "AcquireLease": "Lease",
     "ReturnLease": "Return",
@@ -28,10 +28,10 @@
 
 @click.group()
 def rig() -> None:
-    """The fleet on loopback sockets: real gateways, and everything else played."""
+    """Run real gateways on loopback sockets in an emulated fleet."""
 
 
-def _play(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
+def _run_on_loopback(scenario: Any, seed: int, logs: Path | None, program: Path | None) -> Any:
     from ..simulation.day import draw_run
     from ..testbed import fleet
     from ..testbed.errors import GatewayError
@@ -41,21 +41,23 @@
             draw_run(scenario, seed), logs, (program or fleet.CHECKOUT_ROOT).resolve()
         )
     except (GatewayError, OSError) as error:
-        raise Trouble(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
 @rig.command()
 @click.argument("scenario")
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option(
-    "--logs", type=click.Path(file_okay=False, path_type=Path), help="Where logs and configurations stay."
+    "--logs",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Folder to keep logs and configurations in.",
 )
 @click.option(
     "--program",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    help="Another checkout whose gateways run.",
+    help="Checkout whose gateways run, in place of this one.",
 )
-@sizes
+@size_options
 @json_option
 def run(
     scenario: str,
@@ -68,46 +70,50 @@
     seconds: float | None,
     as_json: bool,
 ) -> None:
-    """Play one day of a scenario in real time."""
-    day = scenario_named(scenario, gateways, servers, rate, seconds)
-    fleet, found = _play(day, seed, logs, program)
+    """Run a scenario once in real time."""
+    sized_scenario = load_scenario(scenario, gateways, servers, rate, seconds)
+    fleet, found = _run_on_loopback(sized_scenario, seed, logs, program)
     unanswered = fleet.timed_out[:5]
-    found.stories += [f"a client of request {one.request_id} heard nothing in time" for one in unanswered]
+    found.stories += [f"request {attempt.request_id} got no answer in time" for attempt in unanswered]
     extra = {
         "late_ms": fleet.clock.max_lateness_ms,
         "unanswered": len(fleet.timed_out),
         "strangers": fleet.unknown_requests,
-        "memory_kb": [g.peak_memory_kb for g in fleet.gateways],
+        "memory_kb": [gateway.peak_memory_kb for gateway in fleet.gateways],
     }
     if as_json:
         print_json({**found.as_dict(), **extra})
         return
     table(["figure", "value"], [
-        *service_rows(found), ["first tries", found.requests],
-        ["served", found.served], ["refused", found.refused], ["failed", found.failed],
-        ["median answer, ms", found.p50_ms], ["99th percentile, ms", found.p99_ms],
+        *service_rows(found), ["requests", found.requests],
+        ["served", found.served], ["rejected", found.refused], ["failed", found.failed],
+        ["median response time, ms", found.p50_ms], ["99th percentile response time, ms", found.p99_ms],
         ["CPU of the gateways, s", found.gateway_cpu_s],
-        ["this process late at worst, ms", fleet.clock.max_lateness_ms],
+        ["largest lateness of this process, ms", fleet.clock.max_lateness_ms],
     ])  # fmt: skip
-    for story in found.stories:
-        click.echo(f"broken: {story}")
+    for violation in found.stories:
+        click.echo(f"broken: {violation}")
 
 
 @rig.command()
 @click.option("--gateways", default=3, show_default=True, type=click.IntRange(3, 15))
-@click.option("--size", default=3, show_default=True, type=click.Choice([3, 5]), help="Copies of the group.")
+@click.option(
+    "--size", default=3, show_default=True, type=click.Choice([3, 5]), help="Replicas of the group."
+)
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option("--faults", "count", default=6, show_default=True, type=click.IntRange(0, 200))
 @click.option(
     "--schedule", type=click.Path(path_type=Path, exists=True, dir_okay=False),
-    help="A file of faults, one a line, in place of those that the seed draws.",
+    help="File of faults, one per line, in place of those drawn from the seed.",
 )  # fmt: skip
-@click.option("--folder", type=click.Path(path_type=Path, file_okay=False), help="Keep disks and logs here.")
+@click.option(
+    "--folder", type=click.Path(path_type=Path, file_okay=False), help="Folder to keep stores and logs in."
+)
 @json_option
 def faults(
     gateways: int, size: int, seed: int, count: int, schedule: Path | None, folder: Path | None, as_json: bool
 ) -> None:
-    """Real gateways with copies, faults between and in them; exit status 1 if a promise did not hold."""
+    """Run replicas on real gateways under faults; exit status 1 if an invariant is violated."""
     import asyncio
     import tempfile
 
@@ -115,26 +121,30 @@
     from ..testbed.faults.replicated_fleet import ReplicatedFleet, replicas_only_config
     from ..testbed.faults.schedule import FaultScheduleRun
 
-    chosen = schedule.read_text().split() if schedule is not None else []
+    scheduled = schedule.read_text().split() if schedule is not None else []
     kinds = [kind.value for kind in ReplicaFaultKind]
-    if odd := [one for one in chosen if one not in kinds]:
-        raise Trouble(f"no fault is named {odd[0]!r}; there are {', '.join(kinds)}")
+    if unknown := [name for name in scheduled if name not in kinds]:
+        raise CommandError(f"no fault is named {unknown[0]!r}; the faults are {', '.join(kinds)}")
     if gateways < size:
-        raise Trouble(f"{size} copies need {size} gateways at least")
-    with tempfile.TemporaryDirectory() as spare:
-        fleet = ReplicatedFleet(folder or Path(spare), replicas_only_config(), gateways, seed, size)
-        report = asyncio.run(FaultScheduleRun(fleet).run(count, schedule=chosen))
-    report.calls = {CALL_NAMES.get(kind, kind): number for kind, number in report.calls.items()}
+        raise CommandError(f"{size} replicas need at least {size} gateways, got {gateways}")
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        fleet = ReplicatedFleet(
+            folder or Path(temporary_folder), replicas_only_config(), gateways, seed, size
+        )
+        report = asyncio.run(FaultScheduleRun(fleet).run(count, schedule=scheduled))
+    report.calls = {
+        OPERATION_LABELS.get(operation, operation): number for operation, number in report.calls.items()
+    }
     if as_json:
         print_json(report)
     else:
         table(["figure", "value"], [
             ["seed", report.seed], ["faults", " ".join(report.faults)], ["seconds", report.seconds],
-            *[[f"calls, {kind}", number] for kind, number in report.calls.items()],
+            *[[f"calls, {operation}", number] for operation, number in report.calls.items()],
             ["calls repeated", report.repeats],
-            ["s without a leader after a kill",
-             " ".join(f"{one:.2f}" for one in report.leaderless_s) or "none"],
-            ["promises broken", len(report.broken)],
+            ["s without a leader after each kill",
+             " ".join(f"{duration_s:.2f}" for duration_s in report.leaderless_s) or "none"],
+            ["violations", len(report.broken)],
         ])  # fmt: skip
     if report.broken:
         click.echo(f"seed {seed}: {report.broken[0]}", err=True)
@@ -144,20 +154,24 @@
 @rig.command()
 @click.option("--gateways", default=24, show_default=True, type=click.IntRange(1, 60))
 @click.option("--backends", default=30, show_default=True, type=click.IntRange(2, 100))
-@click.option("--rate", default=200.0, show_default=True, type=click.FloatRange(1), help="Requests a second.")
+@click.option(
+    "--rate", default=200.0, show_default=True, type=click.FloatRange(1), help="Requests per second."
+)
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(12))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option(
-    "--seeds", default=1, show_default=True, type=click.IntRange(1), help="So many from that one on."
+    "--seeds", default=1, show_default=True, type=click.IntRange(1), help="Number of consecutive seeds."
 )
 @click.option("--replicas", default=0, show_default=True, type=click.IntRange(0, 15),
-              help="Gateways that hold replicas, three at least.")  # fmt: skip
-@click.option("--only", multiple=True, help="A kind of trouble; none other is drawn. May be repeated.")
-@click.option("--folder", type=click.Path(path_type=Path, file_okay=False), help="Keep logs here, by seed.")
+              help="Number of gateways that hold replicas, 0 or at least 3.")  # fmt: skip
+@click.option("--only", multiple=True, help="Kind of fault to draw, in place of all; may be repeated.")
+@click.option(
+    "--folder", type=click.Path(path_type=Path, file_okay=False), help="Folder to keep logs in, by seed."
+)
 @click.option(
     "--program",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    help="Another checkout whose gateways run.",
+    help="Checkout whose gateways run, in place of this one.",
 )
 @json_option
 def soak(
@@ -173,53 +187,56 @@
     program: Path | None,
     as_json: bool,
 ) -> None:
-    """Real gateways under overlapping troubles, judged by the invariants; exit status 1 if one is broken."""
+    """Run real gateways under overlapping faults; exit status 1 if an invariant is violated."""
     from ..testbed.errors import LibraryBuildError
     from ..testbed.fleet import CHECKOUT_ROOT
-    from ..testbed.soak import fleet as soaks
+    from ..testbed.soak import fleet as soak_fleet
     from ..testbed.soak.schedule import FAULT_WEIGHTS, REPLICATION_KINDS
 
-    if odd := [one for one in only if one not in FAULT_WEIGHTS]:
-        raise Trouble(f"no trouble is named {odd[0]!r}; there are {', '.join(FAULT_WEIGHTS)}")
+    if unknown := [kind for kind in only if kind not in FAULT_WEIGHTS]:
+        raise CommandError(f"no fault is named {unknown[0]!r}; the faults are {', '.join(FAULT_WEIGHTS)}")
     if 0 < replicas < 3 or replicas > gateways:
-        raise Trouble("replicas are on three gateways at least, and on no more than there are")
+        raise CommandError(f"--replicas must be 0 or between 3 and the {gateways} gateways, got {replicas}")
     if not replicas and set(only) & set(REPLICATION_KINDS):
-        raise Trouble(f"without replicas there is no {', no '.join(REPLICATION_KINDS)}")
-    broken = 0
+        raise CommandError(f"--replicas is needed for the faults {', '.join(REPLICATION_KINDS)}")
+    violations = 0
     for number in range(seed, seed + seeds):
-        place = folder / str(number) if folder is not None else None
+        run_folder = folder / str(number) if folder is not None else None
         checkout = (program or CHECKOUT_ROOT).resolve()
         try:
             kinds = cast("tuple[FaultKind, ...]", only)
-            report = soaks.play(number, place, gateways, backends, rate, seconds, kinds, checkout, replicas)
+            report = soak_fleet.run_soak(
+                number, run_folder, gateways, backends, rate, seconds, kinds, checkout, replicas
+            )
         except (LibraryBuildError, OSError) as error:
-            raise Trouble(str(error)) from None
-        broken += len(report.violations)
+            raise CommandError(str(error)) from None
+        violations += len(report.violations)
         if as_json:
             print_json(report)
         else:
             _print_soak(report)
-    if broken:
+    if violations:
         raise SystemExit(1)
 
 
 def _print_soak(report: Any) -> None:
     table(["figure", "value"], [
         ["seed", report.seed], ["gateways", report.gateways], ["seconds", report.seconds],
-        ["troubles", len(report.faults)], ["requests", report.requests],
+        ["faults", len(report.faults)], ["requests", report.requests],
         *[[f"answers, {name}", count] for name, count in sorted(report.answers.items())],
-        ["clients that left", report.left], ["sent again after a close that crossed", report.resent],
+        ["clients that disconnected", report.left], ["resent after a close that crossed", report.resent],
         ["restarts", report.starts], ["restarts over 10 s", report.slow_starts],
         ["upgrades by a second process", report.upgrades],
-        ["calls to replicas", report.replica_calls], ["rolls of machines", report.rolls],
-        ["attempts whose times were not judged", report.unjudged],
-        ["served in the calm at the end", report.calm_share],
+        ["calls to replicas", report.replica_calls], ["maintenance requests", report.rolls],
+        ["attempts not judged", report.unjudged],
+        ["served in the fault-free time at the end", report.calm_share],
         *[[f"injected, {name}", count] for name, count in sorted(report.injected.items())],
-        ["this process late at worst, ms", report.lag_ms], ["memory of the gateways, MB", report.memory_mb],
-        ["invariants broken", len(report.violations)],
+        ["largest lateness of this process, ms", report.lag_ms],
+        ["memory of the gateways, MB", report.memory_mb],
+        ["violations", len(report.violations)],
     ])  # fmt: skip
-    for story in report.violations:
-        click.echo(f"broken: {story}")
+    for violation in report.violations:
+        click.echo(f"broken: {violation}")
 
 
 @click.command()
@@ -229,20 +246,20 @@
 @click.option("--servers", default=5, show_default=True, type=click.IntRange(1, 40))
 @json_option
 def demo(seconds: float, seed: int, gateways: int, servers: int, as_json: bool) -> None:
-    """Gateways, till servers and clients on loopback for a few seconds, and what became of each request."""
+    """Run gateways, backends and clients on loopback for a few seconds and count the answers."""
     from ..testbed import summary
 
-    day = scenario_named("busy", gateways, servers, None, seconds)
-    fleet, found = _play(day, seed, None, None)
+    scenario = load_scenario("busy", gateways, servers, None, seconds)
+    fleet, found = _run_on_loopback(scenario, seed, None, None)
     counts = summary.reasons(fleet)
-    good = summary.exactly_once(fleet)
+    exactly_one = summary.exactly_once(fleet)
     if as_json:
         answers = {name: sum(reasons.values()) for name, reasons in counts.items()}
         print_json(
             {
                 **answers,
                 "requests": len(fleet.rule_checker.client_attempts),
-                "exactly_one": good,
+                "exactly_one": exactly_one,
                 "reasons": counts,
                 "service": found.service,
                 "rules": found.rules,
@@ -250,17 +267,21 @@
         )
     else:
         click.echo(
-            f"{gateways} gateways, {servers} till servers, "
+            f"{gateways} gateways, {servers} backends, "
             f"{len(fleet.scenario_run.traffic.customers)} customers, "
             f"{seconds:g} s: {len(fleet.rule_checker.client_attempts)} requests\n"
         )
         table(
-            ["answer", "why", "requests"],
-            [[name, why, n] for name, reasons in counts.items() for why, n in reasons.most_common()],
+            ["answer", "reason", "requests"],
+            [
+                [name, reason, count]
+                for name, reasons in counts.items()
+                for reason, count in reasons.most_common()
+            ],
         )
         click.echo(
-            f"\nservice {found.service:.3f}, median answer {found.p50_ms:.0f} ms; every request had "
-            f"{'exactly one' if good else 'NOT one'} final answer"
+            f"\nservice {found.service:.3f}, median response time {found.p50_ms:.0f} ms; every request had "
+            f"{'exactly one' if exactly_one else 'NOT exactly one'} final answer"
         )
-    if not good:
+    if not exactly_one:
         raise SystemExit(1)
