--- a/benchmarks/cold_servers.py
+++ b/benchmarks/cold_servers.py
@@ -127,7 +127,7 @@
     return sent
 
 
-def largest_fraction_of_bound(case: Case, seed: int) -> tuple[float, float]:
+def worst(case: Case, seed: int) -> tuple[float, float]:
     """Return the largest ratio over all windows of the attempts sent to the bound, and to N alone."""
     sent = attempt_ages_at_warming_backend(case, seed)
     ratios = [(0.0, 0.0)]
@@ -150,9 +150,7 @@
     for gateway_count in (2, 20, 30, 200):
         for restarted in (False, True):
             for load in (0.6, 0.9):
-                results = [
-                    largest_fraction_of_bound(Case(gateway_count, load, restarted), seed) for seed in seeds
-                ]
+                results = [worst(Case(gateway_count, load, restarted), seed) for seed in seeds]
                 ratios = [result[0] for result in results]
                 mean, spread, largest = statistics.mean(ratios), statistics.pstdev(ratios), max(ratios)
                 name = f"{gateway_count:4} {'restarted' if restarted else 'running':9} {load}"
