--- a/mapleshunt/testbed/soak/clients.py
+++ b/mapleshunt/testbed/soak/clients.py
@@ -28,7 +28,7 @@
 HABITS: tuple[Habit, ...] = ("plain", "fresh", "leaves", "pieces", "pipelines")
 HABIT_WEIGHTS = (60, 20, 10, 5, 5)
 LATE_ANSWER_LIMIT_MS = 550.0  # after a request's timeout an answer counts as late, not as lost, for this long
-# Limit for reuse of a connection, above the gateway's idle timeout so that requests cross its close.
+# A connection idle for less is reused; above the gateway's idle timeout, so that requests cross its close.
 MAX_IDLE_S = 4.0
 MAX_PIECES = 4
 MAX_PIECE_INTERVAL_S = 0.1
@@ -64,7 +64,7 @@
         return ClientConnection(self.fleet, gateway)
 
     def _draw_terminating_gateway(self) -> int | None:
-        """Return a terminating gateway with an open connection, or None if there is none or by chance."""
+        """Return, with a certain probability, a terminating gateway with an open connection, else None."""
         connected = [gateway for gateway in self.soak.terminating if self.idle[gateway]]
         return (
             self.random.choice(connected)
@@ -72,7 +72,7 @@
             else None
         )
 
-    async def _send(self, attempt: ClientAttempt, name: str) -> tuple[ClientResult, float]:
+    async def _send(self, attempt: ClientAttempt, wire_id: str) -> tuple[ClientResult, float]:
         terminating = self._draw_terminating_gateway()
         if terminating is not None:
             attempt.gateway = terminating
@@ -95,7 +95,7 @@
                 return "unreachable", 0.0
             attempt.accepted, attempt.sent_at = True, self.fleet.clock.now()
             try:
-                reply = await self._send_with_habit(connection, attempt, name, habit)
+                reply = await self._send_with_habit(connection, attempt, wire_id, habit)
             except TimeoutError:
                 connection.stream.close()
                 self.soak.record_unanswered(
@@ -131,7 +131,7 @@
                 return "failed", 0.0
             connection.used, connection.last_used_at = True, asyncio.get_running_loop().time()
             self.idle[attempt.gateway].append(connection)
-            result, retry_after = self._record_reply(attempt, name, reply)
+            result, retry_after = self._record_reply(attempt, wire_id, reply)
             return (
                 (result, retry_after)
                 if attempt.answered_at - attempt.sent_at <= attempt.timeout_ms
@@ -140,10 +140,10 @@
         return "failed", 0.0
 
     async def _send_with_habit(
-        self, connection: ClientConnection, attempt: ClientAttempt, name: str, habit: Habit
+        self, connection: ClientConnection, attempt: ClientAttempt, wire_id: str, habit: Habit
     ) -> resp.Reply | None:
         """Send a command in the way of the habit; return the answer, or None if the client disconnected."""
-        command = self.fleet.command(attempt, name)
+        command = self.fleet.command(attempt, wire_id)
         if habit == "pieces":
             command = await self._write_first_pieces(connection, command)
             attempt.sent_at = self.fleet.clock.now()  # the timeout counts from the last byte
