--- a/mapleshunt/replication/leader.py
+++ b/mapleshunt/replication/leader.py
@@ -62,7 +62,7 @@
     def stamp(self, now: float) -> float:
         """Return the log's time, ms: that of the last entry before this term, plus the time elapsed since.
 
-        A clock that is ahead or was set does not advance it, and it stands still while there is no leader:
+        A clock that is ahead or was set does not advance it, and it stops while there is no leader:
         nothing expires too early.
         """
         return max(self.log.last_stamp(), self._base_stamp + 1000 * (now - self._base_now))
--- a/mapleshunt/simulation/scenarios.py
+++ b/mapleshunt/simulation/scenarios.py
@@ -143,8 +143,8 @@
             (0.43, 0.64),
             _burst_faults,
         ),
-        Scenario("crash", "till servers crash and restart warming up", (0.43, 0.64), _crash_faults),
-        Scenario("silent", "till servers' machines become unresponsive", (0.43, 0.64), _silent_faults),
+        Scenario("crash", "backends crash and restart warming up", (0.43, 0.64), _crash_faults),
+        Scenario("silent", "backends' machines become unresponsive", (0.43, 0.64), _silent_faults),
         Scenario("roll", "gateways are restarted in turn", (0.43, 0.64), _roll_faults),
         Scenario(
             "counter",
@@ -154,18 +154,18 @@
         ),
         Scenario(
             "cold",
-            "a third more till servers start warming up while some drain, at high load",
+            "a third more backends start warming up while some drain, at high load",
             (0.8, 0.97),
             _cold_faults,
         ),
         Scenario("herd", "most gateways are killed at once during a release", (0.43, 0.64), _herd_faults),
         Scenario(
             "zone",
-            "a third of the till servers become unresponsive and restart warming up",
+            "a third of the backends become unresponsive and restart warming up",
             (0.43, 0.64),
             _zone_faults,
         ),
-        Scenario("join", "60% of the till servers are replaced within 7 s", (0.43, 0.64), _join_faults),
+        Scenario("join", "60% of the backends are replaced within 7 s", (0.43, 0.64), _join_faults),
         Scenario(
             "worst", "burst, crash, restarts and a counter outage in one run", (0.55, 0.67), _worst_faults
         ),
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of mapleshunt."""
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -147,7 +147,7 @@
     @rule(ms=st.sampled_from([1.0, 50.0, 300.0, 1200.0]), has_leader=st.booleans())
     def wait(self, ms: float, has_leader: bool) -> None:
         self.now += ms
-        self.log_time += ms if has_leader else 0.0  # without a leader the log's time stands still
+        self.log_time += ms if has_leader else 0.0  # the log's time advances only with a leader
         for holder in self.holders:
             holder.carry_out(holder.holder.tick(self.now))
 
--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -84,7 +84,7 @@
     )
     complete_writes(restarted, 505.0, restarted.step(505.0, m.Tick()))
     complete_writes(restarted, 505.5, restarted.step(505.5, m.Propose(1, b"x")))
-    assert restarted.log.last_stamp() == pytest.approx(4500.0)  # it stood still without a leader
+    assert restarted.log.last_stamp() == pytest.approx(4500.0)  # it did not advance without a leader
 
 
 def test_leader_transfers_leadership_while_its_disk_completes_no_write() -> None:
@@ -103,8 +103,10 @@
 
 
 def test_candidate_does_not_lead_before_its_own_vote_is_durable() -> None:
-    """Three of the four others vote. If it led before its own vote was durable, late votes could elect it for
-    that term again after a kill, with another entry at the same index.
+    """Three of the four others vote.
+
+    If it led before its own vote was durable, late votes could elect it for that term again after a kill,
+    with another entry at the same index.
     """
     names = tuple(f"{name}/1" for name in "abcde")
     node = RaftNode(
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -148,8 +148,9 @@
 
 
 def test_late_operation_of_a_dropped_session_is_not_taken_for_one_of_the_next_session() -> None:
-    """Numbers start again in a session: under the old name, a late operation's result could be taken for that
-    of another customer's operation.
+    """Numbers start again in a new session.
+
+    Under the old name, a late operation's result could be taken for that of another customer's operation.
     """
 
     async def run() -> None:
